--- a/bench/lab/control.go
+++ b/bench/lab/control.go
@@ -36,7 +36,7 @@
 type control struct {
 	w      *world
 	tables map[string]*spans.Table
-	heat   map[string]*ownership.Heat
+	heat   map[string]*ownership.RateEstimator
 	// total adds up the reports of all gateways, by upstream, work what they have seen of
 	// runs, by service.
 	total map[string]report
@@ -69,7 +69,7 @@
 
 func newControl(w *world) *control {
 	c := &control{
-		w: w, tables: make(map[string]*spans.Table), heat: make(map[string]*ownership.Heat),
+		w: w, tables: make(map[string]*spans.Table), heat: make(map[string]*ownership.RateEstimator),
 		total: make(map[string]report), work: make(map[string]*worktime.Book), last: make([]map[string]report, w.sc.Gateways),
 		demand: make([]map[string]float64, w.sc.Gateways), admit: make(map[string]map[uint16]float64), balanced: make(map[string]time.Duration),
 		gaps: make(map[string]*spans.Gaps), settled: make(map[string]map[uint16]time.Duration), coldTo: make(map[string]map[uint16]time.Duration),
@@ -82,14 +82,14 @@
 		if !s.Keyed {
 			continue
 		}
-		t := ownership.First(s.Name, c.owners(s))
+		t := ownership.InitialTable(s.Name, c.owners(s))
 		for j := range t.Spans {
 			one := &t.Spans[j]
 			one.Owner, one.Fence, one.Next, one.NextFence = one.Next, one.NextFence, "", 0
 		}
 		c.tables[s.Name] = t
 		c.gaps[s.Name] = &spans.Gaps{}
-		c.heat[s.Name] = ownership.NewHeat(w.now())
+		c.heat[s.Name] = ownership.NewRateEstimator(w.now())
 		c.settled[s.Name], c.coldTo[s.Name] = make(map[uint16]time.Duration), make(map[uint16]time.Duration)
 	}
 	return c
@@ -105,7 +105,7 @@
 		}
 		work := c.workAt(u)
 		keeps := !u.leaving && !u.suspectedLost
-		out = append(out, ownership.Owner{ID: u.one.ID, Capacity: c.capacity(u, float64(s.Slots)/work), Keeps: keeps, Usable: keeps && !u.dark && !u.gone})
+		out = append(out, ownership.Owner{ID: u.one.ID, Capacity: c.capacity(u, float64(s.Slots)/work), MayKeep: keeps, Usable: keeps && !u.dark && !u.gone})
 	}
 	return out
 }
@@ -209,14 +209,14 @@
 	before, owners, load := c.tables[s.Name], c.owners(s), c.heat[s.Name].Rates(c.w.now())
 	admit := make(map[uint16]float64)
 	for _, l := range ownership.Limits(before, owners, load) {
-		admit[l.Key] = l.Admit
+		admit[l.Key] = l.AdmittedShare
 	}
 	c.admit[s.Name] = admit
 	balance := c.w.at-c.balanced[s.Name] >= balanceInterval
 	if balance {
 		c.balanced[s.Name] = c.w.at
 	}
-	next := ownership.Make(ownership.Input{Balance: balance, Table: before, Owners: owners, Load: load, Resting: resting})
+	next := ownership.MakePlan(ownership.PlanInput{BalanceDue: balance, Table: before, Owners: owners, Load: load, RecentlyMoved: resting})
 	if next == nil {
 		return
 	}
--- a/coordination/ownership/balance.go
+++ b/coordination/ownership/balance.go
@@ -5,9 +5,9 @@
 // This file evens the load of upstreams out.
 
 const (
-	// mostSpans bounds the spans of a service, in multiples of its upstreams:
+	// maxSpansPerUpstream bounds the spans of a service, in multiples of its upstreams:
 	// each span is one grant to renew.
-	mostSpans = 32
+	maxSpansPerUpstream = 32
 	// busyUtilization is the share of its capacity below which an upstream
 	// gives nothing away for balance.
 	busyUtilization = 0.6
@@ -15,47 +15,47 @@
 	// of hot keys on one upstream. Below, an upstream that is a little more utilized than others
 	// can wait a second, and many moves are one write to the store.
 	urgentUtilization = 1.4
-	// unevenness is the difference in utilization that is worth a move: the
+	// minUtilizationGap is the difference in utilization that is worth a move: the
 	// noise of counts over a second or two is about half of it.
-	unevenness = 0.25
-	// leastMoves and movesShare bound the moves for balance in one plan: so many, or so
+	minUtilizationGap = 0.25
+	// minMoveBudget and moveBudgetPerUpstream bound the moves for balance in one plan: so many, or so
 	// many for each upstream: among hundreds a hot group of keys is spread by a few plans.
-	leastMoves = 6
-	movesShare = 0.25
+	minMoveBudget         = 6
+	moveBudgetPerUpstream = 0.25
 )
 
-// fillEmpty gives keys to upstreams that have none.
-func (p *plan) fillEmpty() {
+// fillEmptyUpstreams gives keys to upstreams that have none.
+func (p *draft) fillEmptyUpstreams() {
 	count := make(map[string]int)
 	for _, s := range p.table.Spans {
-		count[holder(s)]++
+		count[futureOwner(s)]++
 	}
 	for _, o := range p.usable {
 		if count[o.ID] > 0 {
 			continue
 		}
-		for done := 0; done < firstSpans/2; {
-			from := p.hottest(o.ID)
+		for moves := 0; moves < initialSpansPerUpstream/2; {
+			from := p.mostUtilized(o.ID)
 			if from == nil {
 				break
 			}
 			if p.shift(from, o) {
-				done++
+				moves++
 			} else {
-				p.stuck[from.ID] = true
+				p.exhausted[from.ID] = true
 			}
 		}
 		// What could not be given to this one may be given to others.
-		clear(p.stuck)
+		clear(p.exhausted)
 	}
 }
 
 // hottest returns the usable upstream with the highest utilization, other than
 // the one to avoid.
-func (p *plan) hottest(avoid string) *Owner {
+func (p *draft) mostUtilized(avoid string) *Owner {
 	var best *Owner
 	for _, o := range p.usable {
-		if o.ID != avoid && !p.stuck[o.ID] && (best == nil || p.utilization(o) > p.utilization(best)) {
+		if o.ID != avoid && !p.exhausted[o.ID] && (best == nil || p.utilization(o) > p.utilization(best)) {
 			best = o
 		}
 	}
@@ -63,51 +63,51 @@
 }
 
 // balance moves load from the most to the least utilized upstreams.
-func (p *plan) balance() {
-	most := max(leastMoves, int(movesShare*float64(len(p.usable))))
-	for done := 0; done < most && len(p.table.Spans) < mostSpans*len(p.usable); done++ {
-		from := p.hottest("")
+func (p *draft) balance() {
+	maxMoves := max(minMoveBudget, int(moveBudgetPerUpstream*float64(len(p.usable))))
+	for moves := 0; moves < maxMoves && len(p.table.Spans) < maxSpansPerUpstream*len(p.usable); moves++ {
+		from := p.mostUtilized("")
 		if from == nil {
 			return
 		}
-		to := p.coldest(0, from.ID)
-		if to == nil || p.utilization(from) < busyUtilization || p.utilization(from)-p.utilization(to) < unevenness {
+		to := p.leastUtilized(0, from.ID)
+		if to == nil || p.utilization(from) < busyUtilization || p.utilization(from)-p.utilization(to) < minUtilizationGap {
 			return
 		}
 		if !p.shift(from, to) {
-			p.stuck[from.ID] = true
+			p.exhausted[from.ID] = true
 		}
 	}
 }
 
 // urgent reports whether an upstream is asked for far more than it can run, beside the
 // hottest of its keys, which balance cannot spread.
-func (p *plan) urgent() bool {
-	hottest := make(map[string]float64, len(p.usable))
-	for _, key := range p.sorted {
-		owner := holder(p.table.Find(key))
-		hottest[owner] = max(hottest[owner], p.load[key])
+func (p *draft) hasUrgentOverload() bool {
+	hottestKeyLoad := make(map[string]float64, len(p.usable))
+	for _, key := range p.sortedKeys {
+		owner := futureOwner(p.table.Find(key))
+		hottestKeyLoad[owner] = max(hottestKeyLoad[owner], p.keyLoad[key])
 	}
 	return slices.ContainsFunc(p.usable, func(o *Owner) bool {
-		return p.loads[o.ID]-hottest[o.ID] > urgentUtilization*o.Capacity
+		return p.loads[o.ID]-hottestKeyLoad[o.ID] > urgentUtilization*o.Capacity
 	})
 }
 
 // shift moves about as much load as evens two upstreams out, and reports
 // whether it found a part that fits.
-func (p *plan) shift(from, to *Owner) bool {
+func (p *draft) shift(from, to *Owner) bool {
 	// The amount after which both have the same utilization.
-	even := (p.loads[from.ID]*to.Capacity - p.loads[to.ID]*from.Capacity) / max(from.Capacity+to.Capacity, leastCapacity)
-	if even <= 0 {
+	equalizing := (p.loads[from.ID]*to.Capacity - p.loads[to.ID]*from.Capacity) / max(from.Capacity+to.Capacity, minCapacity)
+	if equalizing <= 0 {
 		return false
 	}
-	want := even
-	if room := p.target*to.Capacity - p.loads[to.ID]; room > 0 {
-		want = min(even, room)
+	wanted := equalizing
+	if headroom := p.targetUtilization*to.Capacity - p.loads[to.ID]; headroom > 0 {
+		wanted = min(equalizing, headroom)
 	}
 	best, bestLoad := -1, 0.0
 	for i, s := range p.table.Spans {
-		if s.Moving() || s.Owner != from.ID || p.resting[s.First] || p.pinned(s) {
+		if s.Moving() || s.Owner != from.ID || p.recentlyMoved[s.First] || p.pinned(s) {
 			continue
 		}
 		if load := p.loadOf(s.Keys); load > bestLoad {
@@ -117,13 +117,13 @@
 	if best < 0 {
 		return false
 	}
-	if bestLoad <= want*1.1 {
+	if bestLoad <= wanted*1.1 {
 		p.move(best, to)
 		return true
 	}
-	i, ok := p.cut(best, want)
-	if !ok && want < even {
-		i, ok = p.cutKey(best, even)
+	i, ok := p.splitOff(best, wanted)
+	if !ok && wanted < equalizing {
+		i, ok = p.splitOffKey(best, equalizing)
 	}
 	if !ok {
 		return false
@@ -134,16 +134,16 @@
 
 // cut splits the span so that a part with about the wanted load stands alone,
 // and returns its index. A key that is itself more than that stays.
-func (p *plan) cut(i int, want float64) (int, bool) {
+func (p *draft) splitOff(i int, wanted float64) (int, bool) {
 	k := p.table.Spans[i].Keys
 	begin, sum := int(k.First), 0.0
-	for j := p.index(k.First); j < len(p.sorted) && p.sorted[j] <= k.Last; j++ {
-		key := p.sorted[j]
-		if sum+p.load[key] <= want*1.1 {
-			sum += p.load[key]
+	for j := p.firstLoadedKey(k.First); j < len(p.sortedKeys) && p.sortedKeys[j] <= k.Last; j++ {
+		key := p.sortedKeys[j]
+		if sum+p.keyLoad[key] <= wanted*1.1 {
+			sum += p.keyLoad[key]
 			continue
 		}
-		if sum >= want/2 {
+		if sum >= wanted/2 {
 			return p.isolate(i, begin, int(key)-1), true
 		}
 		// This key alone is too much: look behind it.
@@ -155,13 +155,13 @@
 	return p.isolate(i, begin, int(k.Last)), true
 }
 
-// cutKey isolates the busiest single key of the span that has at most the load.
-func (p *plan) cutKey(i int, most float64) (int, bool) {
+// splitOffKey isolates the busiest single key of the span that has at most the load.
+func (p *draft) splitOffKey(i int, maxLoad float64) (int, bool) {
 	k := p.table.Spans[i].Keys
 	best, bestLoad := -1, 0.0
-	for j := p.index(k.First); j < len(p.sorted) && p.sorted[j] <= k.Last; j++ {
-		if load := p.load[p.sorted[j]]; load <= most*1.1 && load > bestLoad {
-			best, bestLoad = int(p.sorted[j]), load
+	for j := p.firstLoadedKey(k.First); j < len(p.sortedKeys) && p.sortedKeys[j] <= k.Last; j++ {
+		if load := p.keyLoad[p.sortedKeys[j]]; load <= maxLoad*1.1 && load > bestLoad {
+			best, bestLoad = int(p.sortedKeys[j]), load
 		}
 	}
 	if best < 0 {
@@ -171,18 +171,18 @@
 }
 
 // meanUtilization is that of all usable upstreams together.
-func (p *plan) meanUtilization() float64 {
+func (p *draft) meanUtilization() float64 {
 	load, capacity := 0.0, 0.0
 	for _, o := range p.usable {
 		load += p.loads[o.ID]
 		capacity += o.Capacity
 	}
-	return load / max(capacity, leastCapacity)
+	return load / max(capacity, minCapacity)
 }
 
 // isolate splits the span at index i so that the keys from first to last are a
 // span, and returns its index.
-func (p *plan) isolate(i, first, last int) int {
+func (p *draft) isolate(i, first, last int) int {
 	if last < int(p.table.Spans[i].Last) {
 		p.table.Split(i, uint16(last+1))
 	}
--- a/coordination/ownership/control_test.go
+++ b/coordination/ownership/control_test.go
@@ -17,8 +17,8 @@
 // TestSilentOwnerLosesItsKeys when neither calls nor requests are answered, and no sooner than it
 // did by calls alone.
 func TestSilentOwnerLosesItsKeys(t *testing.T) {
-	c := Control{FailingSince: start, Failed: at(500 * ms), Granted: at(-ms), Answered: at(-200 * ms)}
-	if !c.Keeps(at(SilentOwner-ms), testHold) || c.Keeps(at(SilentOwner), testHold) {
+	c := ControlHealth{FailingSince: start, LastFailed: at(500 * ms), LastGranted: at(-ms), LastAnswered: at(-200 * ms)}
+	if !c.MayKeep(at(SilentOwnerTimeout-ms), testHold) || c.MayKeep(at(SilentOwnerTimeout), testHold) {
 		t.Error("its keys are taken too soon or too late")
 	}
 	if c.MayRenew() {
@@ -28,16 +28,16 @@
 
 // TestAnsweringOwnerKeepsItsKeys while requests to it are answered, and is renewed.
 func TestAnsweringOwnerKeepsItsKeys(t *testing.T) {
-	c := Control{FailingSince: start, Failed: at(1900 * ms), Granted: at(100 * ms), Answered: at(1950 * ms)}
+	c := ControlHealth{FailingSince: start, LastFailed: at(1900 * ms), LastGranted: at(100 * ms), LastAnswered: at(1950 * ms)}
 	now := at(2 * time.Second)
-	if !c.Keeps(now, testHold) || !c.MayRenew() {
+	if !c.MayKeep(now, testHold) || !c.MayRenew() {
 		t.Error("an owner that answers requests is taken for lost")
 	}
-	c.Failed = at(1960 * ms)
+	c.LastFailed = at(1960 * ms)
 	if c.MayRenew() {
 		t.Error("what it answered before the last call failed is no sign of life after it")
 	}
-	if c.Reached = true; !c.MayRenew() {
+	if c.ProbeAnswered = true; !c.MayRenew() {
 		t.Error("a trial was answered since")
 	}
 }
@@ -45,8 +45,8 @@
 // TestOwnerThatNoGrantReaches loses its keys though it answers requests: it will not for long.
 func TestOwnerThatNoGrantReaches(t *testing.T) {
 	for now := time.Duration(0); now < 2*testHold; now += 10 * ms {
-		c := Control{FailingSince: start, Failed: at(now), Granted: at(-ms), Answered: at(now)}
-		if c.Keeps(at(now), testHold) && now+SilentOwner+answersFor >= testHold {
+		c := ControlHealth{FailingSince: start, LastFailed: at(now), LastGranted: at(-ms), LastAnswered: at(now)}
+		if c.MayKeep(at(now), testHold) && now+SilentOwnerTimeout+answerValidity >= testHold {
 			t.Fatalf("it keeps its keys %s after the last grant", now)
 		}
 	}
@@ -56,15 +56,15 @@
 // nothing of the calls to others.
 func TestUnreliable(t *testing.T) {
 	now := at(time.Second)
-	lost := Control{FailingSince: start, Answered: at(-time.Second)}
-	odd := Control{FailingSince: start, Answered: at(900 * ms)}
-	fine := Control{Answered: at(900 * ms)}
-	for want, list := range map[bool][][]Control{
-		true:  {{odd, odd, fine, fine, fine}, {odd, odd}},
-		false: {{lost, lost, lost, fine}, {odd, fine}, {odd, odd, fine, fine, fine, fine, fine, fine, fine}, nil},
+	lost := ControlHealth{FailingSince: start, LastAnswered: at(-time.Second)}
+	callsFail := ControlHealth{FailingSince: start, LastAnswered: at(900 * ms)}
+	healthy := ControlHealth{LastAnswered: at(900 * ms)}
+	for want, list := range map[bool][][]ControlHealth{
+		true:  {{callsFail, callsFail, healthy, healthy, healthy}, {callsFail, callsFail}},
+		false: {{lost, lost, lost, healthy}, {callsFail, healthy}, {callsFail, callsFail, healthy, healthy, healthy, healthy, healthy, healthy, healthy}, nil},
 	} {
 		for _, all := range list {
-			if Unreliable(now, all) != want {
+			if ControlUnreliable(now, all) != want {
 				t.Errorf("unreliable is not %v of %v", want, all)
 			}
 		}
--- a/coordination/ownership/uneven_test.go
+++ b/coordination/ownership/imbalance_test.go
@@ -12,11 +12,11 @@
 		{Keys: spans.Keys{First: 0, Last: 99}, Owner: "a"}, {Keys: spans.Keys{First: 100, Last: spans.MaxKey}, Owner: "b"},
 	}}
 	owners := []Owner{{ID: "a", Capacity: 50}, {ID: "b", Capacity: 50, Usable: true}, {ID: "c", Capacity: 50}}
-	if u, far := Busiest(table, owners, map[uint16]float64{5: 20, 200: 100}); !far || u.Owner != "b" || u.Utilization != 2 || u.Mean != 0.8 {
-		t.Errorf("%v, far over its share %v", u, far)
+	if u, imbalanced := Busiest(table, owners, map[uint16]float64{5: 20, 200: 100}); !imbalanced || u.Owner != "b" || u.Utilization != 2 || u.Mean != 0.8 {
+		t.Errorf("%v, far over its share %v", u, imbalanced)
 	}
 	for _, load := range []map[uint16]float64{{5: 40, 200: 50}, {200: 20}, nil} {
-		if u, far := Busiest(table, owners[:2], load); far {
+		if u, imbalanced := Busiest(table, owners[:2], load); imbalanced {
 			t.Errorf("%v is far over its share of %v", u, load)
 		}
 	}
--- a/coordination/ownership/limits.go
+++ b/coordination/ownership/limits.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// limitedTo is the multiple of an owner's capacity that the requests for its keys are
+	// overloadLimitFactor is the multiple of an owner's capacity that the requests for its keys are
 	// limited to when they are more: limits cut off what is hopeless, and the shares of room,
 	// which are sooner and see what the owner really ends, decide about the rest.
-	limitedTo = 1.6
-	// mostLimits bounds the keys of a service that are limited, the hottest first: the
+	overloadLimitFactor = 1.6
+	// maxLimitedKeys bounds the keys of a service that are limited, the hottest first: the
 	// list goes to all gateways four times a second.
-	mostLimits = 256
+	maxLimitedKeys = 256
 )
 
 // Limit is a key of which only a part of the requests can be run.
 type Limit struct {
 	Key uint16
-	// Admit is that part, 0 to 1.
-	Admit float64
+	// AdmittedShare is that part, 0 to 1.
+	AdmittedShare float64
 }
 
 // Limits returns the keys whose owners are asked for more than they can run, in their
@@ -31,41 +31,41 @@
 func Limits(table *spans.Table, owners []Owner, load map[uint16]float64) []Limit {
 	byOwner := make(map[string][]uint16)
 	for key := range load {
-		if owner := holder(table.Find(key)); owner != "" {
+		if owner := futureOwner(table.Find(key)); owner != "" {
 			byOwner[owner] = append(byOwner[owner], key)
 		}
 	}
 	var out []Limit
 	for _, o := range owners {
-		out = append(out, limitsOf(byOwner[o.ID], load, limitedTo*o.Capacity)...)
+		out = append(out, limitsForOwner(byOwner[o.ID], load, overloadLimitFactor*o.Capacity)...)
 	}
-	if len(out) > mostLimits {
+	if len(out) > maxLimitedKeys {
 		sort.Slice(out, func(i, j int) bool { return load[out[i].Key] > load[out[j].Key] })
-		out = out[:mostLimits]
+		out = out[:maxLimitedKeys]
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
 	return out
 }
 
-// limitsOf shares a capacity out to keys.
-func limitsOf(keys []uint16, load map[uint16]float64, capacity float64) []Limit {
+// limitsForOwner shares a capacity out to keys.
+func limitsForOwner(keys []uint16, load map[uint16]float64, capacity float64) []Limit {
 	sort.Slice(keys, func(i, j int) bool {
 		if load[keys[i]] != load[keys[j]] {
 			return load[keys[i]] < load[keys[j]]
 		}
 		return keys[i] < keys[j]
 	})
-	left := capacity
+	remaining := capacity
 	for i, key := range keys {
-		most := left / float64(len(keys)-i)
-		if load[key] <= most {
-			left -= load[key]
+		keyLimit := remaining / float64(len(keys)-i)
+		if load[key] <= keyLimit {
+			remaining -= load[key]
 			continue
 		}
 		// This one and all hotter ones get the same.
 		var out []Limit
 		for _, hot := range keys[i:] {
-			out = append(out, Limit{Key: hot, Admit: max(most, 0) / load[hot]})
+			out = append(out, Limit{Key: hot, AdmittedShare: max(keyLimit, 0) / load[hot]})
 		}
 		return out
 	}
--- a/coordination/ownership/limits_test.go
+++ b/coordination/ownership/limits_test.go
@@ -17,8 +17,8 @@
 		{Keys: spans.Keys{First: 100, Last: spans.MaxKey}, Owner: "b"},
 	}}
 	load := map[uint16]float64{1: 2, 2: 3, 3: 700, 4: 15, 200: 9}
-	list := []Owner{{ID: "a", Capacity: 15 / limitedTo}, {ID: "b", Capacity: 10 / limitedTo}}
-	want := []Limit{{Key: 3, Admit: 5.0 / 700}, {Key: 4, Admit: 5.0 / 15}}
+	list := []Owner{{ID: "a", Capacity: 15 / overloadLimitFactor}, {ID: "b", Capacity: 10 / overloadLimitFactor}}
+	want := []Limit{{Key: 3, AdmittedShare: 5.0 / 700}, {Key: 4, AdmittedShare: 5.0 / 15}}
 	if diff := cmp.Diff(want, Limits(table, list, load), cmpopts.EquateApprox(1e-9, 0)); diff != "" {
 		t.Error(diff)
 	}
@@ -28,11 +28,11 @@
 func TestLimitsAreBounded(t *testing.T) {
 	table := &spans.Table{Spans: []spans.Span{{Keys: spans.Keys{Last: spans.MaxKey}, Owner: "a"}}}
 	load := make(map[uint16]float64)
-	for k := range uint16(2 * mostLimits) {
+	for k := range uint16(2 * maxLimitedKeys) {
 		load[k] = float64(1 + k)
 	}
 	got := Limits(table, []Owner{{ID: "a", Capacity: 1}}, load)
-	if len(got) != mostLimits || got[0].Key != mostLimits {
+	if len(got) != maxLimitedKeys || got[0].Key != maxLimitedKeys {
 		t.Errorf("%d limits from key %d on", len(got), got[0].Key)
 	}
 }
--- a/coordination/ownership/plan.go
+++ b/coordination/ownership/plan.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// firstSpans is the number of spans each upstream gets at first. The keys that
+	// initialSpansPerUpstream is the number of spans each upstream gets at first. The keys that
 	// are busy lie close to one another, so upstreams alternate; a run of 1,000 busy
 	// keys lies on three of eleven. Each span is one renewal a second.
-	firstSpans = 16
-	// firstTotal bounds the spans of the first assignment: the more upstreams,
+	initialSpansPerUpstream = 16
+	// maxInitialSpans bounds the spans of the first assignment: the more upstreams,
 	// the narrower their spans are anyway.
-	firstTotal = 256
-	// firstLeast is the least number for each upstream, up to firstMany upstreams. Beyond
+	maxInitialSpans = 256
+	// minInitialSpansPerUpstream is the least number for each upstream, up to manyUpstreams upstreams. Beyond
 	// it is one: each span is a call a second by the leader.
-	firstLeast = 2
-	firstMany  = 512
-	// coldLoad is the load, in requests a second, that each key counts for
+	minInitialSpansPerUpstream = 2
+	manyUpstreams              = 512
+	// baseKeyLoad is the load, in requests a second, that each key counts for
 	// without having been asked for: so cold keys are spread as well.
-	coldLoad = 0.0002
-	// hotShare is the share of its owner's capacity from which a single key is
+	baseKeyLoad = 0.0002
+	// hotKeyCapacityShare is the share of its owner's capacity from which a single key is
 	// hot and is placed on its own.
-	hotShare = 0.5
-	// hotGain is how much more capacity another upstream must have for a hot
+	hotKeyCapacityShare = 0.5
+	// hotKeyMinGain is how much more capacity another upstream must have for a hot
 	// key to move there.
-	hotGain = 1.25
-	// hotStay is the same for a hot key that stands alone already: under its load
+	hotKeyMinGain = 1.25
+	// isolatedHotKeyMinGain is the same for a hot key that stands alone already: under its load
 	// the owner's capacity is underestimated by up to about 2.2 times (from logs of a
 	// calm day with one hot key); an upstream that has turned slow lies beyond.
-	hotStay = 3.0
+	isolatedHotKeyMinGain = 3.0
 )
 
 // Owner is an upstream that can own keys.
@@ -44,8 +44,8 @@
 	// Usable says that it may be given keys: it is neither leaving nor
 	// suspected.
 	Usable bool
-	// Keeps says that it may keep the keys it has.
-	Keeps bool
+	// MayKeep says that it may keep the keys it has.
+	MayKeep bool
 	// Warming says that it warms up and bears few requests until it has.
 	Warming bool
 	// Capacity is how many requests a second it can run.
@@ -58,8 +58,8 @@
 // nobody holds them.
 func (o *Owner) restarted(s spans.Span) bool { return o.Incarnation.Other(s.Incarnation) }
 
-// Input is what a plan is made from.
-type Input struct {
+// PlanInput is what a plan is made from.
+type PlanInput struct {
 	Table *spans.Table
 	// Owners are the upstreams of the service; those missing are lost.
 	Owners []Owner
@@ -67,15 +67,15 @@
 	Load map[uint16]float64
 	// Pins are where operators want keys to live.
 	Pins []Pin
-	// Balance says that moves for balance are due. Without it only those are made that
+	// BalanceDue says that moves for balance are due. Without it only those are made that
 	// cannot wait.
-	Balance bool
-	// Unreliable says that control calls get no answers: each move leaves keys without an owner
+	BalanceDue bool
+	// ControlUnreliable says that control calls get no answers: each move leaves keys without an owner
 	// until some are, so only those are made that cannot wait.
-	Unreliable bool
-	// Resting are the first keys of spans that have moved lately: they are not
+	ControlUnreliable bool
+	// RecentlyMoved are the first keys of spans that have moved lately: they are not
 	// moved again for balance.
-	Resting map[uint16]bool
+	RecentlyMoved map[uint16]bool
 }
 
 // Pin keeps keys on an upstream as long as that may be given keys.
@@ -84,19 +84,19 @@
 	Owner string
 }
 
-// First returns the first assignment of a service over the owners.
-func First(service string, owners []Owner) *spans.Table {
+// InitialTable returns the first assignment of a service over the owners.
+func InitialTable(service string, owners []Owner) *spans.Table {
 	t := &spans.Table{Service: service}
 	usable := usableIDs(owners)
 	if len(usable) == 0 {
 		t.Spans = []spans.Span{{Keys: spans.Keys{First: 0, Last: spans.MaxKey}}}
 		return t
 	}
-	least := firstLeast
-	if len(usable) > firstMany {
-		least = 1
+	minPerUpstream := minInitialSpansPerUpstream
+	if len(usable) > manyUpstreams {
+		minPerUpstream = 1
 	}
-	count := len(usable) * max(min(firstSpans, firstTotal/len(usable)), least)
+	count := len(usable) * max(min(initialSpansPerUpstream, maxInitialSpans/len(usable)), minPerUpstream)
 	for i := range count {
 		first := i * (spans.MaxKey + 1) / count
 		last := (i+1)*(spans.MaxKey+1)/count - 1
@@ -132,34 +132,34 @@
 }
 
 // plan is a plan in the making.
-type plan struct {
-	table   *spans.Table
-	load    map[uint16]float64
-	resting map[uint16]bool
-	pins    []Pin
-	sorted  []uint16
-	owners  map[string]*Owner
-	usable  []*Owner
-	loads   map[string]float64
-	moves   int
+type draft struct {
+	table         *spans.Table
+	keyLoad       map[uint16]float64
+	recentlyMoved map[uint16]bool
+	pins          []Pin
+	sortedKeys    []uint16
+	owners        map[string]*Owner
+	usable        []*Owner
+	loads         map[string]float64
+	moves         int
 	// stuck are upstreams that can give nothing away: a key that is hot beyond any
 	// upstream's capacity must not keep the others uneven.
-	stuck map[string]bool
+	exhausted map[string]bool
 	// target is the utilization to which upstreams are filled up.
-	target float64
+	targetUtilization float64
 }
 
-// Make returns the table with the moves that are due, or nil when there are
+// MakePlan returns the table with the moves that are due, or nil when there are
 // none. The input's table is not changed.
-func Make(in Input) *spans.Table {
-	p := newPlan(in)
+func MakePlan(in PlanInput) *spans.Table {
+	p := newDraft(in)
 	if len(p.usable) == 0 {
 		return nil
 	}
 	p.placePinned()
 	p.replaceLost()
-	if !in.Unreliable {
-		p.even(in.Balance)
+	if !in.ControlUnreliable {
+		p.levelLoads(in.BalanceDue)
 	}
 	if p.moves == 0 {
 		return nil
@@ -168,28 +168,28 @@
 }
 
 // even makes the moves that even loads out, those for balance if they are due or urgent.
-func (p *plan) even(balance bool) {
-	p.fillEmpty()
-	p.placeHot()
-	if balance || p.urgent() {
+func (p *draft) levelLoads(balance bool) {
+	p.fillEmptyUpstreams()
+	p.placeHotKey()
+	if balance || p.hasUrgentOverload() {
 		p.balance()
 	}
 }
 
-func newPlan(in Input) *plan {
-	p := &plan{
-		table:   in.Table.Clone(),
-		load:    in.Load,
-		resting: in.Resting,
-		pins:    in.Pins,
-		owners:  make(map[string]*Owner, len(in.Owners)),
-		loads:   make(map[string]float64, len(in.Owners)),
-		stuck:   make(map[string]bool),
+func newDraft(in PlanInput) *draft {
+	p := &draft{
+		table:         in.Table.Clone(),
+		keyLoad:       in.Load,
+		recentlyMoved: in.RecentlyMoved,
+		pins:          in.Pins,
+		owners:        make(map[string]*Owner, len(in.Owners)),
+		loads:         make(map[string]float64, len(in.Owners)),
+		exhausted:     make(map[string]bool),
 	}
 	for key := range in.Load {
-		p.sorted = append(p.sorted, key)
+		p.sortedKeys = append(p.sortedKeys, key)
 	}
-	sort.Slice(p.sorted, func(i, j int) bool { return p.sorted[i] < p.sorted[j] })
+	sort.Slice(p.sortedKeys, func(i, j int) bool { return p.sortedKeys[i] < p.sortedKeys[j] })
 	for i := range in.Owners {
 		o := &in.Owners[i]
 		p.owners[o.ID] = o
@@ -198,14 +198,14 @@
 		}
 	}
 	for _, s := range p.table.Spans {
-		p.loads[holder(s)] += p.loadOf(s.Keys)
+		p.loads[futureOwner(s)] += p.loadOf(s.Keys)
 	}
-	p.target = p.meanUtilization()
+	p.targetUtilization = p.meanUtilization()
 	return p
 }
 
-// holder is the upstream that has the keys after the moves under way.
-func holder(s spans.Span) string {
+// futureOwner is the upstream that has the keys after the moves under way.
+func futureOwner(s spans.Span) string {
 	if s.Moving() {
 		return s.Next
 	}
@@ -213,31 +213,31 @@
 }
 
 // loadOf returns the load of a span of keys.
-func (p *plan) loadOf(k spans.Keys) float64 {
-	sum := coldLoad * float64(k.Count())
-	for i := p.index(k.First); i < len(p.sorted) && p.sorted[i] <= k.Last; i++ {
-		sum += p.load[p.sorted[i]]
+func (p *draft) loadOf(k spans.Keys) float64 {
+	sum := baseKeyLoad * float64(k.Count())
+	for i := p.firstLoadedKey(k.First); i < len(p.sortedKeys) && p.sortedKeys[i] <= k.Last; i++ {
+		sum += p.keyLoad[p.sortedKeys[i]]
 	}
 	return sum
 }
 
 // index returns the position of the first loaded key at or above the key.
-func (p *plan) index(key uint16) int {
-	return sort.Search(len(p.sorted), func(i int) bool { return p.sorted[i] >= key })
+func (p *draft) firstLoadedKey(key uint16) int {
+	return sort.Search(len(p.sortedKeys), func(i int) bool { return p.sortedKeys[i] >= key })
 }
 
-func (p *plan) utilization(o *Owner) float64 { return p.loads[o.ID] / max(o.Capacity, leastCapacity) }
+func (p *draft) utilization(o *Owner) float64 { return p.loads[o.ID] / max(o.Capacity, minCapacity) }
 
-// coldest returns the usable upstream with the lowest utilization after taking
+// leastUtilized returns the usable upstream with the lowest utilization after taking
 // the load, other than the one to avoid.
-func (p *plan) coldest(load float64, avoid string) *Owner {
+func (p *draft) leastUtilized(load float64, avoid string) *Owner {
 	var best *Owner
 	lowest := 0.0
 	for _, o := range p.usable {
 		if o.ID == avoid {
 			continue
 		}
-		u := (p.loads[o.ID] + load) / max(o.Capacity, leastCapacity)
+		u := (p.loads[o.ID] + load) / max(o.Capacity, minCapacity)
 		if best == nil || u < lowest {
 			best, lowest = o, u
 		}
@@ -246,10 +246,10 @@
 }
 
 // move gives the span at index i to the owner with a new fence.
-func (p *plan) move(i int, to *Owner) {
+func (p *draft) move(i int, to *Owner) {
 	s := &p.table.Spans[i]
 	load := p.loadOf(s.Keys)
-	p.loads[holder(*s)] -= load
+	p.loads[futureOwner(*s)] -= load
 	p.loads[to.ID] += load
 	p.table.LastFence++
 	s.Next = to.ID
@@ -258,7 +258,7 @@
 }
 
 // placePinned moves keys to where operators want them.
-func (p *plan) placePinned() {
+func (p *draft) placePinned() {
 	for _, pin := range p.pins {
 		owner := p.owners[pin.Owner]
 		if owner == nil || !owner.Usable {
@@ -277,7 +277,7 @@
 
 // pinned reports whether the owner of the span is where operators want some of
 // its keys to be.
-func (p *plan) pinned(s spans.Span) bool {
+func (p *draft) pinned(s spans.Span) bool {
 	for _, pin := range p.pins {
 		if pin.Owner == s.Owner && s.First <= pin.Last && s.Last >= pin.First {
 			return true
@@ -289,7 +289,7 @@
 // replaceLost gives the keys of lost and leaving owners to others, the busiest
 // first, and those of owners that have started again to these themselves: that is a grant
 // without a wait, and their other keys are where they were.
-func (p *plan) replaceLost() {
+func (p *draft) replaceLost() {
 	var orphans []int
 	for i, s := range p.table.Spans {
 		if s.Moving() {
@@ -297,7 +297,7 @@
 		}
 		o := p.owners[s.Owner]
 		switch {
-		case o == nil || !o.Keeps:
+		case o == nil || !o.MayKeep:
 			orphans = append(orphans, i)
 		case o.restarted(s) && o.Usable:
 			p.move(i, o)
@@ -310,45 +310,45 @@
 	})
 	for _, i := range orphans {
 		s := p.table.Spans[i]
-		if to := p.coldest(p.loadOf(s.Keys), s.Owner); to != nil {
+		if to := p.leastUtilized(p.loadOf(s.Keys), s.Owner); to != nil {
 			p.move(i, to)
 		}
 	}
 }
 
-// placeHot puts the hottest single key on an upstream of its own strength: the
+// placeHotKey puts the hottest single key on an upstream of its own strength: the
 // strongest one when it has clearly more capacity than the present owner. What
 // else that upstream has is moved away by balance.
-func (p *plan) placeHot() {
+func (p *draft) placeHotKey() {
 	var hot uint16
-	most := 0.0
-	for key, load := range p.load {
-		if load > most {
-			hot, most = key, load
+	hottestLoad := 0.0
+	for key, load := range p.keyLoad {
+		if load > hottestLoad {
+			hot, hottestLoad = key, load
 		}
 	}
-	if most == 0 {
+	if hottestLoad == 0 {
 		return
 	}
 	i := p.table.At(hot)
 	s := p.table.Spans[i]
 	owner := p.owners[s.Owner]
-	if s.Moving() || owner == nil || most < hotShare*owner.Capacity || p.resting[s.First] && s.Count() == 1 || p.pinned(s) {
+	if s.Moving() || owner == nil || hottestLoad < hotKeyCapacityShare*owner.Capacity || p.recentlyMoved[s.First] && s.Count() == 1 || p.pinned(s) {
 		return
 	}
-	gain := hotGain
+	minGain := hotKeyMinGain
 	if s.Count() == 1 {
-		gain = hotStay
+		minGain = isolatedHotKeyMinGain
 	}
-	best := p.strongest()
-	if best == nil || best.ID == owner.ID || best.Capacity < gain*owner.Capacity {
+	best := p.highestCapacity()
+	if best == nil || best.ID == owner.ID || best.Capacity < minGain*owner.Capacity {
 		return
 	}
 	i = p.isolate(i, int(hot), int(hot))
 	p.move(i, best)
 }
 
-func (p *plan) strongest() *Owner {
+func (p *draft) highestCapacity() *Owner {
 	var best *Owner
 	for _, o := range p.usable {
 		if best == nil || o.Capacity > best.Capacity {
--- a/coordination/ownership/plan_test.go
+++ b/coordination/ownership/plan_test.go
@@ -13,13 +13,13 @@
 func owners(n int) []Owner {
 	var out []Owner
 	for i := range n {
-		out = append(out, Owner{ID: fmt.Sprintf("u%d", i), Usable: true, Keeps: true, Capacity: 60})
+		out = append(out, Owner{ID: fmt.Sprintf("u%d", i), Usable: true, MayKeep: true, Capacity: 60})
 	}
 	return out
 }
 
 // done ends all moves of a table as granted.
-func done(t *spans.Table) *spans.Table {
+func completeMoves(t *spans.Table) *spans.Table {
 	t = t.Clone()
 	for i := range t.Spans {
 		s := &t.Spans[i]
@@ -30,10 +30,10 @@
 	return t
 }
 
-func settled(n int) *spans.Table { return done(First("s", owners(n))) }
+func settledTable(n int) *spans.Table { return completeMoves(InitialTable("s", owners(n))) }
 
 func TestFirstAlternates(t *testing.T) {
-	table := First("s", owners(11))
+	table := InitialTable("s", owners(11))
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -45,25 +45,25 @@
 		}
 	}
 	for id, n := range counts {
-		if n != firstSpans {
+		if n != initialSpansPerUpstream {
 			t.Errorf("%s has %d spans", id, n)
 		}
 	}
 }
 
 func TestNothingToDo(t *testing.T) {
-	if next := Make(Input{Balance: true, Table: settled(5), Owners: owners(5)}); next != nil {
+	if next := MakePlan(PlanInput{BalanceDue: true, Table: settledTable(5), Owners: owners(5)}); next != nil {
 		t.Error("a plan without a reason")
 	}
-	if next := Make(Input{Balance: true, Table: settled(5)}); next != nil {
+	if next := MakePlan(PlanInput{BalanceDue: true, Table: settledTable(5)}); next != nil {
 		t.Error("a plan without upstreams")
 	}
 }
 
 func TestLostOwnersAreReplaced(t *testing.T) {
 	list := owners(5)
-	list[1].Keeps, list[1].Usable = false, false
-	next := Make(Input{Balance: true, Table: settled(5), Owners: append(list[:2:2], list[3:]...)})
+	list[1].MayKeep, list[1].Usable = false, false
+	next := MakePlan(PlanInput{BalanceDue: true, Table: settledTable(5), Owners: append(list[:2:2], list[3:]...)})
 	if next == nil {
 		t.Fatal("no plan")
 	}
@@ -78,7 +78,7 @@
 // TestRestartedOwnerIsGrantedItsKeysAgain, at once and with higher fences; if it may not
 // be given keys, others get them.
 func TestRestartedOwnerIsGrantedItsKeysAgain(t *testing.T) {
-	table, list := settled(3), owners(3)
+	table, list := settledTable(3), owners(3)
 	for i := range table.Spans {
 		table.Spans[i].Incarnation = 7
 	}
@@ -86,7 +86,7 @@
 		list[i].Incarnation = 7
 	}
 	list[1].Incarnation = 8
-	next := Make(Input{Balance: true, Table: table, Owners: list})
+	next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list})
 	for _, s := range next.Spans {
 		again := s.Owner == "u1"
 		if again != s.Moving() || again && (s.Next != "u1" || s.NextFence <= s.Fence) {
@@ -94,7 +94,7 @@
 		}
 	}
 	list[1].Usable = false
-	for _, s := range Make(Input{Balance: true, Table: table, Owners: list}).Spans {
+	for _, s := range MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list}).Spans {
 		if s.Owner == "u1" && (!s.Moving() || s.Next == "u1") {
 			t.Errorf("span of the restarted one goes to %q", s.Next)
 		}
@@ -106,8 +106,8 @@
 func TestSuspectedOwnerKeepsButGetsNothing(t *testing.T) {
 	list := owners(3)
 	list[0].Usable = false
-	list[1].Keeps, list[1].Usable = false, false
-	next := Make(Input{Balance: true, Table: settled(3), Owners: list})
+	list[1].MayKeep, list[1].Usable = false, false
+	next := MakePlan(PlanInput{BalanceDue: true, Table: settledTable(3), Owners: list})
 	for _, s := range next.Spans {
 		if s.Next == "u0" || (s.Owner == "u0" && s.Moving()) {
 			t.Errorf("span of %s moves to %q", s.Owner, s.Next)
@@ -116,19 +116,19 @@
 }
 
 func TestNewUpstreamGetsKeys(t *testing.T) {
-	table := settled(4)
+	table := settledTable(4)
 	load := map[uint16]float64{100: 5, 20000: 5, 40000: 5, 60000: 5}
-	next := Make(Input{Balance: true, Table: table, Owners: owners(5), Load: load})
+	next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: owners(5), Load: load})
 	if next == nil {
 		t.Fatal("no plan")
 	}
-	got := 0
+	assigned := 0
 	for _, s := range next.Spans {
 		if s.Next == "u4" {
-			got++
+			assigned++
 		}
 	}
-	if got == 0 {
+	if assigned == 0 {
 		t.Error("the new upstream gets nothing")
 	}
 }
@@ -136,7 +136,7 @@
 // TestNewUpstreamGetsKeysBesideAHotKey: the upstream of a key that nobody can run has nothing
 // to give, the others have.
 func TestNewUpstreamGetsKeysBesideAHotKey(t *testing.T) {
-	table := settled(4)
+	table := settledTable(4)
 	load := map[uint16]float64{100: 5, 20000: 5, 40000: 5, 60000: 5, 100 + 4096: 900}
 	table.Split(table.At(100+4096), 100+4096)
 	table.Split(table.At(100+4096), 100+4096+1)
@@ -146,7 +146,7 @@
 			table.Spans[i].Owner = "u0"
 		}
 	}
-	next := Make(Input{Table: table, Owners: owners(5), Load: load})
+	next := MakePlan(PlanInput{Table: table, Owners: owners(5), Load: load})
 	if next == nil {
 		t.Fatal("no plan")
 	}
@@ -161,14 +161,14 @@
 // TestBusyNeighboursAreSpread: keys that lie together and carry most of the load
 // come apart within a few rounds.
 func TestBusyNeighboursAreSpread(t *testing.T) {
-	table, list := settled(6), owners(6)
+	table, list := settledTable(6), owners(6)
 	load := make(map[uint16]float64)
 	for k := range uint16(64) {
 		load[5000+k] = 3
 	}
-	before := worst(table, list, load)
-	table = balanced(6, table, list, load)
-	if after := worst(table, list, load); after > 0.75 {
+	before := maxUtilization(table, list, load)
+	table = runPlans(6, table, list, load)
+	if after := maxUtilization(table, list, load); after > 0.75 {
 		t.Errorf("worst utilization %.2f, was %.2f", after, before)
 	}
 }
@@ -176,14 +176,14 @@
 // TestHotKeyDoesNotKeepOthersUneven: a key that is more than any upstream can run cannot be
 // spread, and all else is.
 func TestHotKeyDoesNotKeepOthersUneven(t *testing.T) {
-	table, list := settled(40), owners(40)
+	table, list := settledTable(40), owners(40)
 	load := map[uint16]float64{60000: 700}
 	for k := range uint16(60) {
 		load[5000+k] = 20
 	}
-	table = balanced(4, table, list, load)
+	table = runPlans(4, table, list, load)
 	delete(load, 60000)
-	if after := worst(table, list, load); after > 1 {
+	if after := maxUtilization(table, list, load); after > 1 {
 		t.Errorf("worst utilization by other keys %.2f", after)
 	}
 }
@@ -191,83 +191,83 @@
 // TestGroupOfHotKeysIsSpreadAtOnce: four plans bring a group of hot keys from a few upstreams
 // to many, each filled to the mean and no further.
 func TestGroupOfHotKeysIsSpreadAtOnce(t *testing.T) {
-	table, list := settled(300), owners(300)
+	table, list := settledTable(300), owners(300)
 	load := make(map[uint16]float64)
 	for k := range uint16(200) {
 		load[5000+k] = 25
 	}
-	before := worst(table, list, load)
-	table = balanced(4, table, list, load)
-	if after := worst(table, list, load); after > 1 || before < 10 {
+	before := maxUtilization(table, list, load)
+	table = runPlans(4, table, list, load)
+	if after := maxUtilization(table, list, load); after > 1 || before < 10 {
 		t.Errorf("worst utilization %.2f, was %.2f", after, before)
 	}
 }
 
 // TestBalanceWaits: unless an upstream is asked for far more than it can run.
 func TestBalanceWaits(t *testing.T) {
-	table, list := settled(6), owners(6)
+	table, list := settledTable(6), owners(6)
 	load := make(map[uint16]float64)
 	for k := range uint16(30) {
 		load[5000+k] = 2.5
 	}
-	if next := Make(Input{Table: table, Owners: list, Load: load}); next != nil {
+	if next := MakePlan(PlanInput{Table: table, Owners: list, Load: load}); next != nil {
 		t.Error("keys move for balance before it is due")
 	}
-	if next := Make(Input{Balance: true, Table: table, Owners: list, Load: load}); next == nil {
+	if next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Load: load}); next == nil {
 		t.Error("no key moves though balance is due")
 	}
 	for k := range load {
 		load[k] *= 2
 	}
-	if next := Make(Input{Table: table, Owners: list, Load: load}); next == nil {
+	if next := MakePlan(PlanInput{Table: table, Owners: list, Load: load}); next == nil {
 		t.Error("no key moves though one upstream is asked for 2.5 times what it can run")
 	}
-	if next := Make(Input{Table: table, Owners: list, Load: map[uint16]float64{5000: 900}}); next != nil {
+	if next := MakePlan(PlanInput{Table: table, Owners: list, Load: map[uint16]float64{5000: 900}}); next != nil {
 		t.Error("keys move for a key that cannot be spread")
 	}
 }
 
 // balanced makes and ends so many plans, one after the other.
-func balanced(plans int, table *spans.Table, list []Owner, load map[uint16]float64) *spans.Table {
+func runPlans(plans int, table *spans.Table, list []Owner, load map[uint16]float64) *spans.Table {
 	for range plans {
-		next := Make(Input{Balance: true, Table: table, Owners: list, Load: load})
+		next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Load: load})
 		if next == nil {
 			break
 		}
-		table = done(next)
+		table = completeMoves(next)
 	}
 	return table
 }
 
-func worst(t *spans.Table, list []Owner, load map[uint16]float64) float64 {
+func maxUtilization(t *spans.Table, list []Owner, load map[uint16]float64) float64 {
 	sums := make(map[string]float64)
 	for k, l := range load {
 		sums[t.Find(k).Owner] += l
 	}
-	most := 0.0
+	highest := 0.0
 	for _, o := range list {
-		most = max(most, sums[o.ID]/o.Capacity)
+		highest = max(highest, sums[o.ID]/o.Capacity)
 	}
-	return most
+	return highest
 }
 
 // TestHotKeyGoesToTheStrongest and what else that one has is moved away.
 func TestHotKeyGoesToTheStrongest(t *testing.T) {
-	table, list := settled(4), owners(4)
+	table, list := settledTable(4), owners(4)
 	list[3].Capacity = 150
 	load := map[uint16]float64{500: 100, 30000: 10}
 	hot := table.Find(500).Owner
 	if hot == "u3" {
 		t.Fatal("the test wants the hot key elsewhere")
 	}
-	next := Make(Input{Balance: true, Table: table, Owners: list, Load: load})
+	next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Load: load})
 	if next == nil {
 		t.Fatal("no plan")
 	}
 	if s := next.Find(500); s.Next != "u3" || s.Count() != 1 {
 		t.Errorf("the hot key's span %+v", s)
 	}
-	again := Make(Input{Balance: true, Table: done(next), Owners: list, Load: load, Resting: map[uint16]bool{500: true}})
+	again := MakePlan(PlanInput{BalanceDue: true, Table: completeMoves(next), Owners: list, Load: load, RecentlyMoved: map[uint16]bool{500: true}})
 	if again != nil && again.Find(500).Moving() {
 		t.Error("the hot key moves on")
 	}
@@ -277,7 +277,7 @@
 // of the same strength. The key does not go round among them. (It moved each two
 // seconds: abyconnect-sim quiet-1.)
 func TestHotKeyStays(t *testing.T) {
-	table, list := settled(4), owners(4)
+	table, list := settledTable(4), owners(4)
 	i := table.At(500)
 	table.Split(i, 501)
 	table.Split(i, 500)
@@ -287,7 +287,7 @@
 			list[i].Capacity = 2.2 * list[i].Capacity
 		}
 	}
-	next := Make(Input{Balance: true, Table: table, Owners: list, Load: map[uint16]float64{500: 100}})
+	next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Load: map[uint16]float64{500: 100}})
 	if next != nil && next.Find(500).Moving() {
 		t.Errorf("the hot key moves to %s", next.Find(500).Next)
 	}
@@ -299,11 +299,11 @@
 func TestPlansKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "upstreams")
-		table := settled(n)
+		table := settledTable(n)
 		list := owners(n + 1)
 		for i := range list {
 			list[i].Usable = rapid.Bool().Draw(t, "usable")
-			list[i].Keeps = list[i].Usable || rapid.Bool().Draw(t, "keeps")
+			list[i].MayKeep = list[i].Usable || rapid.Bool().Draw(t, "keeps")
 			list[i].Capacity = float64(rapid.IntRange(1, 200).Draw(t, "capacity"))
 		}
 		load := make(map[uint16]float64)
@@ -312,13 +312,13 @@
 			load[base+uint16(rapid.IntRange(0, 200).Draw(t, "key"))] = float64(rapid.IntRange(1, 300).Draw(t, "rate"))
 		}
 		for range rapid.IntRange(1, 5).Draw(t, "rounds") {
-			next := Make(Input{Balance: true, Table: table, Owners: list, Load: load})
+			next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Load: load})
 			if next == nil {
 				return
 			}
 			checkPlan(t, table, next, list)
 			if rapid.Bool().Draw(t, "end moves") {
-				next = done(next)
+				next = completeMoves(next)
 			}
 			table = next
 		}
@@ -349,7 +349,7 @@
 // TestHeatOfAShortPast: half a second after it begins an estimate is as high as later.
 func TestHeatOfAShortPast(t *testing.T) {
 	start := time.Now()
-	h := NewHeat(start)
+	h := NewRateEstimator(start)
 	for range 50 {
 		h.Add(7)
 	}
@@ -362,7 +362,7 @@
 // before, and one request is no hot key.
 func TestHeatAtTheBeginning(t *testing.T) {
 	start := time.Now()
-	h := NewHeat(start)
+	h := NewRateEstimator(start)
 	h.Add(7)
 	if r := h.Rates(start.Add(10 * time.Millisecond))[7]; r > 3 {
 		t.Errorf("one request counts as %.0f a second", r)
@@ -371,7 +371,7 @@
 
 func TestHeatFades(t *testing.T) {
 	start := time.Now()
-	h := NewHeat(start)
+	h := NewRateEstimator(start)
 	for i := range 300 {
 		h.Add(7)
 		if i%30 == 29 {
@@ -389,29 +389,29 @@
 // TestPins: keys go where operators want them, stay there under load, and go
 // elsewhere when that upstream is lost.
 func TestPins(t *testing.T) {
-	table, list := settled(4), owners(4)
+	table, list := settledTable(4), owners(4)
 	pins := []Pin{{Keys: spans.Keys{First: 1000, Last: 9000}, Owner: "u2"}}
 	load := map[uint16]float64{1500: 55, 1600: 55}
-	next := Make(Input{Balance: true, Table: table, Owners: list, Pins: pins})
+	next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Pins: pins})
 	if next == nil {
 		t.Fatal("no plan")
 	}
-	table = done(next)
+	table = completeMoves(next)
 	for key := 1000; key <= 9000; key += 100 {
 		if o := table.Find(uint16(key)).Owner; o != "u2" {
 			t.Fatalf("key %d is at %s", key, o)
 		}
 	}
-	if o := table.Find(999).Owner; o == "u2" && settled(4).Find(999).Owner != "u2" {
+	if o := table.Find(999).Owner; o == "u2" && settledTable(4).Find(999).Owner != "u2" {
 		t.Error("a key beside the pinned ones has moved")
 	}
-	if next := Make(Input{Balance: true, Table: table, Owners: list, Pins: pins, Load: load}); next != nil {
+	if next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Pins: pins, Load: load}); next != nil {
 		if s := next.Find(1500); s.Moving() {
 			t.Error("pinned keys move for balance")
 		}
 	}
-	list[2].Usable, list[2].Keeps = false, false
-	next = Make(Input{Balance: true, Table: table, Owners: list, Pins: pins, Load: load})
+	list[2].Usable, list[2].MayKeep = false, false
+	next = MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Pins: pins, Load: load})
 	if next == nil || !next.Find(1500).Moving() {
 		t.Error("keys pinned to a lost upstream stay there")
 	}
@@ -423,13 +423,13 @@
 	for _, n := range []int{119, 1190} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			list := owners(n)
-			in := Input{Balance: true, Table: done(First("s", list)), Owners: list, Load: make(map[uint16]float64)}
+			in := PlanInput{BalanceDue: true, Table: completeMoves(InitialTable("s", list)), Owners: list, Load: make(map[uint16]float64)}
 			for k := range uint16(2000) {
 				in.Load[32*k] = 0.01
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				Make(in)
+				MakePlan(in)
 			}
 		})
 	}
@@ -438,14 +438,14 @@
 // TestWarmingUpstreamsGetNoKeys while a warm one may have them; when all warm up, they are
 // shared out among these.
 func TestWarmingUpstreamsGetNoKeys(t *testing.T) {
-	owners := []Owner{{ID: "a", Usable: true, Keeps: true, Capacity: 10}, {ID: "b", Usable: true, Keeps: true, Capacity: 10, Warming: true}}
-	for _, s := range First("s", PreferWarm(owners)).Spans {
+	owners := []Owner{{ID: "a", Usable: true, MayKeep: true, Capacity: 10}, {ID: "b", Usable: true, MayKeep: true, Capacity: 10, Warming: true}}
+	for _, s := range InitialTable("s", PreferWarm(owners)).Spans {
 		if s.Next != "a" {
 			t.Fatalf("keys %d-%d go to %s", s.First, s.Last, s.Next)
 		}
 	}
-	owners = []Owner{{ID: "b", Usable: true, Keeps: true, Capacity: 10, Warming: true}, {ID: "c", Keeps: true, Capacity: 10}}
-	for _, s := range First("s", PreferWarm(owners)).Spans {
+	owners = []Owner{{ID: "b", Usable: true, MayKeep: true, Capacity: 10, Warming: true}, {ID: "c", MayKeep: true, Capacity: 10}}
+	for _, s := range InitialTable("s", PreferWarm(owners)).Spans {
 		if s.Next != "b" {
 			t.Fatalf("keys %d-%d go to %s", s.First, s.Last, s.Next)
 		}
--- a/coordination/ownership/release.go
+++ b/coordination/ownership/release.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ReleaseLimit returns how long one call to an owner for a release may take, at most the
+// ReleaseTimeout returns how long one call to an owner for a release may take, at most the
 // given time; zero for no call. left is the time until the owner's hold ends.
 //
 // A call that waits beyond the end of the hold gains nothing: nobody holds the keys any
@@ -11,12 +11,12 @@
 // holds for 4.3 s; log of a lost owner in a deployment of three gateways). An owner whose
 // calls fail is not asked any more once its hold has ended. One whose calls succeed is: it
 // may have been granted the keys for longer than this leader knows, and has the handover.
-func ReleaseLimit(most, left time.Duration, failing bool) time.Duration {
-	if left > 0 {
-		return min(most, left)
+func ReleaseTimeout(maxTimeout, holdLeft time.Duration, callsFailing bool) time.Duration {
+	if holdLeft > 0 {
+		return min(maxTimeout, holdLeft)
 	}
-	if failing {
+	if callsFailing {
 		return 0
 	}
-	return most
+	return maxTimeout
 }
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -126,7 +126,7 @@
 	if !known {
 		return releaseTimeout
 	}
-	return ownership.ReleaseLimit(releaseTimeout, ends.Sub(k.now()), k.failingFor(s.Owner) > 0)
+	return ownership.ReleaseTimeout(releaseTimeout, ends.Sub(k.now()), k.failingFor(s.Owner) > 0)
 }
 
 func (k *keeper) holdEnded(s spans.Span) bool {
@@ -162,7 +162,7 @@
 		}
 		arrived = arrived || !errors.Is(err, pool.ErrNotSent)
 		k.fails(next.ID)
-		if ctx.Err() != nil || !k.leading.mayAct() || k.failingFor(next.ID) >= ownership.SilentOwner {
+		if ctx.Err() != nil || !k.leading.mayAct() || k.failingFor(next.ID) >= ownership.SilentOwnerTimeout {
 			if arrived {
 				err = errPerhapsGranted
 			}
--- a/gateway/hotkeys.go
+++ b/gateway/hotkeys.go
@@ -48,7 +48,7 @@
 		m := &syncpb.HotKeys{Service: service}
 		for _, l := range limits {
 			m.Keys = append(m.Keys, uint32(l.Key))
-			m.Admit = append(m.Admit, float32(l.Admit))
+			m.Admit = append(m.Admit, float32(l.AdmittedShare))
 		}
 		out = append(out, m)
 	}
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -77,7 +77,7 @@
 	log     *slog.Logger
 
 	heatMu sync.Mutex
-	heat   *ownership.Heat
+	heat   *ownership.RateEstimator
 
 	mu    sync.Mutex
 	table *spans.Table
@@ -137,7 +137,7 @@
 func newKeeper(s *steward, service string, term uint64) *keeper {
 	return &keeper{
 		steward: s, service: service, term: term, log: s.log.With("service", service),
-		heat: ownership.NewHeat(s.now()), holds: make(map[grantID]time.Time), renewed: make(map[uint16]time.Time), settled: make(map[uint16]time.Time),
+		heat: ownership.NewRateEstimator(s.now()), holds: make(map[grantID]time.Time), renewed: make(map[uint16]time.Time), settled: make(map[uint16]time.Time),
 		coldAt: make(map[uint16]time.Time),
 		moving: make(map[uint64]bool), inherited: make(map[uint64]bool), renewing: make(map[string]bool),
 		failing: make(map[string]failure), granted: make(map[string]time.Time), dead: make(map[string]start), starts: make(map[string]start),
@@ -304,7 +304,7 @@
 		}
 		now := k.now()
 		if count > 0 && (now.Sub(since) >= gatherTime || now.Sub(began) >= gatherMost) {
-			return ownership.First(k.service, owners)
+			return ownership.InitialTable(k.service, owners)
 		}
 		pause(ctx, keepInterval)
 	}
@@ -353,8 +353,8 @@
 		o := ownership.Owner{ID: one.ID, Incarnation: one.Incarnation(), Capacity: k.capacity(one)}
 		k.noteStart(one)
 		control := k.control(one.ID)
-		o.Keeps = !one.Leaving && !k.view.evacuated(one.Domain) && !k.isDead(one) && !k.rests(one.ID) && control.Keeps(k.now(), k.hold())
-		o.Usable = o.Keeps && !control.Failing()
+		o.MayKeep = !one.Leaving && !k.view.evacuated(one.Domain) && !k.isDead(one) && !k.rests(one.ID) && control.MayKeep(k.now(), k.hold())
+		o.Usable = o.MayKeep && !control.Failing()
 		o.Warming = warming[one.ID]
 		out = append(out, o)
 	}
--- a/gateway/keeperstore.go
+++ b/gateway/keeperstore.go
@@ -24,9 +24,9 @@
 	if balance {
 		k.balanced = k.now()
 	}
-	next := ownership.Make(ownership.Input{
-		Balance: balance, Table: k.table, Owners: owners, Load: load, Resting: k.resting(), Pins: pins,
-		Unreliable: unreliable,
+	next := ownership.MakePlan(ownership.PlanInput{
+		BalanceDue: balance, Table: k.table, Owners: owners, Load: load, RecentlyMoved: k.resting(), Pins: pins,
+		ControlUnreliable: unreliable,
 	})
 	k.mu.Unlock()
 	k.hotKeys.set(k.service, limits)
--- a/gateway/keeperupstreams.go
+++ b/gateway/keeperupstreams.go
@@ -72,17 +72,17 @@
 }
 
 // control returns what control calls and requests have shown of an upstream.
-func (k *keeper) control(id string) ownership.Control {
+func (k *keeper) control(id string) ownership.ControlHealth {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.controlLocked(id)
 }
 
 // controlLocked is control with the lock held.
-func (k *keeper) controlLocked(id string) ownership.Control {
+func (k *keeper) controlLocked(id string) ownership.ControlHealth {
 	f := k.failing[id]
-	return ownership.Control{
-		FailingSince: f.since, Failed: f.last, Reached: f.reached, Granted: k.granted[id], Answered: k.workTimes.answeredAt(id),
+	return ownership.ControlHealth{
+		FailingSince: f.since, LastFailed: f.last, ProbeAnswered: f.reached, LastGranted: k.granted[id], LastAnswered: k.workTimes.answeredAt(id),
 	}
 }
 
@@ -90,11 +90,11 @@
 func (k *keeper) unreliable(owners []ownership.Owner) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	all := make([]ownership.Control, 0, len(owners))
+	all := make([]ownership.ControlHealth, 0, len(owners))
 	for _, o := range owners {
 		all = append(all, k.controlLocked(o.ID))
 	}
-	return ownership.Unreliable(k.now(), all)
+	return ownership.ControlUnreliable(k.now(), all)
 }
 
 // failingFor returns how long the calls to an upstream fail.
--- a/gateway/latecalls_test.go
+++ b/gateway/latecalls_test.go
@@ -93,7 +93,7 @@
 	const id = "i-s0"
 	k := b.leader().steward.keeper("status")
 	k.mu.Lock()
-	k.failing[id] = failure{since: k.now().Add(-ownership.SilentOwner), last: k.now(), reached: true}
+	k.failing[id] = failure{since: k.now().Add(-ownership.SilentOwnerTimeout), last: k.now(), reached: true}
 	// No renewal clears it while its keys move.
 	k.renewing[id] = true
 	k.mu.Unlock()
--- a/gateway/ownerstate.go
+++ b/gateway/ownerstate.go
@@ -98,7 +98,7 @@
 	}
 	byID := make(map[string]*placementpb.OwnerState, len(owners))
 	for _, o := range owners {
-		one := &placementpb.OwnerState{Upstream: o.ID, Capacity: float32(o.Capacity), Usable: o.Usable, Keeps: o.Keeps, Warming: o.Warming}
+		one := &placementpb.OwnerState{Upstream: o.ID, Capacity: float32(o.Capacity), Usable: o.Usable, Keeps: o.MayKeep, Warming: o.Warming}
 		if f, ok := k.failing[o.ID]; ok {
 			one.FailingMs, one.Reached = uint64(k.now().Sub(f.since).Milliseconds()), f.reached
 		}
--- a/gateway/placements.go
+++ b/gateway/placements.go
@@ -297,14 +297,14 @@
 // preview returns the moves that an intent would cause now.
 func (k *keeper) preview(i placement.Intent) []placement.Step {
 	owners := k.candidates()
-	in := ownership.Input{Pins: k.steward.placements.pins(k.service), Owners: owners}
+	in := ownership.PlanInput{Pins: k.steward.placements.pins(k.service), Owners: owners}
 	switch i.Kind {
 	case placement.Pin:
 		in.Pins = append(in.Pins, ownership.Pin{Keys: i.Keys, Owner: i.Upstream})
 	case placement.Drain:
 		for n := range owners {
 			if owners[n].ID == i.Upstream {
-				owners[n].Keeps, owners[n].Usable = false, false
+				owners[n].MayKeep, owners[n].Usable = false, false
 			}
 		}
 	}
@@ -314,7 +314,7 @@
 		return nil
 	}
 	in.Table = k.table
-	next := ownership.Make(in)
+	next := ownership.MakePlan(in)
 	if next == nil {
 		return nil
 	}
--- a/gateway/publish_test.go
+++ b/gateway/publish_test.go
@@ -23,9 +23,9 @@
 	k := newKeeper(&steward{view: v, cluster: c, now: clock, log: slog.New(slog.DiscardHandler)}, "s", 1)
 	var owners []ownership.Owner
 	for i := range 40 {
-		owners = append(owners, ownership.Owner{ID: fmt.Sprint(i), Usable: true, Keeps: true, Capacity: 1})
+		owners = append(owners, ownership.Owner{ID: fmt.Sprint(i), Usable: true, MayKeep: true, Capacity: 1})
 	}
-	k.table = ownership.First("s", owners)
+	k.table = ownership.InitialTable("s", owners)
 	moves := k.table.Clone().Spans
 	for _, s := range moves {
 		k.settle(s, s.Next, 0, false)
@@ -55,7 +55,7 @@
 	c.expect(300)
 	c.expectedUntil = now.Add(time.Hour)
 	k := newKeeper(&steward{view: v, cluster: c, now: clock, log: slog.New(slog.DiscardHandler)}, "s", 1)
-	k.table = ownership.First("s", []ownership.Owner{{ID: "a", Usable: true, Keeps: true, Capacity: 1}})
+	k.table = ownership.InitialTable("s", []ownership.Owner{{ID: "a", Usable: true, MayKeep: true, Capacity: 1}})
 	for range 1000 {
 		k.mu.Lock()
 		k.publish()
