--- a/coordination/controller/edit.go
+++ b/coordination/controller/edit.go
@@ -80,7 +80,7 @@
 }
 
 func (c *Core) editUpstream(now time.Time, e *handover.Editor, u cell.Upstream) {
-	v := c.detector.Judge(now, u.ID, u.Boot, c.reportsNeeded(now))
+	v := c.detector.Assess(now, u.ID, u.Boot, c.reportsNeeded(now))
 	current := e.Doc().Upstream(u.ID)
 	switch {
 	case c.evicted[u.ID] && u.State != cell.Lost:
--- a/coordination/controller/results.go
+++ b/coordination/controller/results.go
@@ -70,7 +70,7 @@
 	c.done(now, cmd, err)
 	if err == nil {
 		c.reset[cmd.Upstream.ID] = boot
-		c.detector.Forget(now, cmd.Upstream.ID)
+		c.detector.Reset(now, cmd.Upstream.ID)
 		for id := range c.granted {
 			if id.holder == cmd.Upstream.ID {
 				delete(c.granted, id)
--- a/coordination/controller/step.go
+++ b/coordination/controller/step.go
@@ -109,7 +109,7 @@
 		return true
 	case c.services.ChecksFences(service):
 		return reset || !now.Before(c.leases[r.Owner])
-	case c.detector.Judge(now, r.Owner, "", c.reportsNeeded(now)).Health == detect.Gone:
+	case c.detector.Assess(now, r.Owner, "", c.reportsNeeded(now)).Health == detect.Gone:
 		return true
 	}
 	// The process lives and does not check what it is sent: a reset does not
@@ -208,7 +208,7 @@
 		if u.Boot != "" || c.reset[u.ID] != "" || c.draining[u.ID] {
 			continue
 		}
-		if u.State == cell.Lost && c.detector.Judge(now, u.ID, "", 1).Health != detect.Alive {
+		if u.State == cell.Lost && c.detector.Assess(now, u.ID, "", 1).Health != detect.Alive {
 			continue
 		}
 		out = c.issueFree(now, out, Reset{Upstream: u})
--- a/coordination/detect/detect.go
+++ b/coordination/detect/detect.go
@@ -33,8 +33,8 @@
 	Gone
 )
 
-// Verdict is the judgement on one upstream.
-type Verdict struct {
+// Assessment is the judgement on one upstream.
+type Assessment struct {
 	Health  Health
 	Leaving bool
 	// Boot is the process that answered last; empty when none did.
@@ -60,19 +60,19 @@
 type Detector struct {
 	limits  Limits
 	reports map[string]map[string]report
-	since   map[string]time.Time
+	resetAt map[string]time.Time
 }
 
 // New returns a detector without reports.
 func New(limits Limits) *Detector {
-	return &Detector{limits: limits, reports: make(map[string]map[string]report), since: make(map[string]time.Time)}
+	return &Detector{limits: limits, reports: make(map[string]map[string]report), resetAt: make(map[string]time.Time)}
 }
 
 // Report notes what an entry saw of an upstream. Of an answer from before the
 // last Forget only the silence since then counts.
 func (d *Detector) Report(now time.Time, entry, upstream string, o Observation) {
-	if since := d.since[upstream]; now.Add(-o.Silent).Before(since) {
-		o = Observation{Silent: now.Sub(since)}
+	if resetAt := d.resetAt[upstream]; now.Add(-o.Silent).Before(resetAt) {
+		o = Observation{Silent: now.Sub(resetAt)}
 	}
 	byEntry := d.reports[upstream]
 	if byEntry == nil {
@@ -82,18 +82,18 @@
 	byEntry[entry] = report{at: now, Observation: o}
 }
 
-// Forget drops all evidence on an upstream from before now.
-func (d *Detector) Forget(now time.Time, upstream string) {
+// Reset drops all evidence on an upstream from before now.
+func (d *Detector) Reset(now time.Time, upstream string) {
 	delete(d.reports, upstream)
-	d.since[upstream] = now
+	d.resetAt[upstream] = now
 }
 
-// Judge gives the verdict on an upstream whose grants belong to process boot.
-// An empty boot accepts any process. Without at least need reports an upstream
+// Assess gives the verdict on an upstream whose grants belong to process boot.
+// An empty boot accepts any process. Without at least minReports reports an upstream
 // is not judged silent or gone.
-func (d *Detector) Judge(now time.Time, upstream, boot string, need int) Verdict {
-	var v Verdict
-	silent, gone, fresh := 0, 0, 0
+func (d *Detector) Assess(now time.Time, upstream, boot string, minReports int) Assessment {
+	var v Assessment
+	silent, gone, reporting := 0, 0, 0
 	latest := d.limits.SuspectAfter
 	for entry, r := range d.reports[upstream] {
 		age := now.Sub(r.at)
@@ -101,7 +101,7 @@
 			delete(d.reports[upstream], entry)
 			continue
 		}
-		fresh++
+		reporting++
 		silence := r.Silent + age
 		switch {
 		case r.Refused && silence >= d.limits.RefusedAfter:
@@ -116,27 +116,27 @@
 			v.Leaving = v.Leaving || r.Leaving
 		}
 	}
-	if now.Sub(d.since[upstream]) < d.limits.SuspectAfter {
+	if now.Sub(d.resetAt[upstream]) < d.limits.SuspectAfter {
 		// Answers from before the reset may still arrive; their boot says
 		// nothing.
 		boot = ""
 	}
-	v.Health = d.health(fresh, silent, gone, v.Boot, boot)
-	if fresh < need && v.Health != Alive {
+	v.Health = d.health(reporting, silent, gone, v.Boot, boot)
+	if reporting < minReports && v.Health != Alive {
 		v.Health = Unknown
 	}
 	return v
 }
 
-func (d *Detector) health(fresh, silent, gone int, seen, boot string) Health {
+func (d *Detector) health(reporting, silent, gone int, observedBoot, boot string) Health {
 	switch {
-	case fresh == 0:
+	case reporting == 0:
 		return Unknown
-	case gone == fresh:
+	case gone == reporting:
 		return Gone
-	case gone+silent == fresh:
+	case gone+silent == reporting:
 		return Silent
-	case boot != "" && seen != "" && seen != boot:
+	case boot != "" && observedBoot != "" && observedBoot != boot:
 		return Gone
 	}
 	return Alive
--- a/coordination/detect/detect_test.go
+++ b/coordination/detect/detect_test.go
@@ -13,12 +13,12 @@
 	silent := Observation{Boot: "b", Silent: 1100 * time.Millisecond}
 	refused := Observation{Boot: "b", Silent: 500 * time.Millisecond, Refused: true}
 	tests := []struct {
-		name    string
-		reports []Observation
-		need    int
-		after   time.Duration
-		boot    string
-		want    Health
+		name       string
+		reports    []Observation
+		minReports int
+		after      time.Duration
+		boot       string
+		want       Health
 	}{
 		{"nobody reports", nil, 1, 0, "b", Unknown},
 		{"all hear it", []Observation{alive, alive}, 1, 0, "b", Alive},
@@ -38,7 +38,7 @@
 			for i, o := range tt.reports {
 				d.Report(start, string(rune('a'+i)), "u", o)
 			}
-			if got := d.Judge(start.Add(tt.after), "u", tt.boot, tt.need).Health; got != tt.want {
+			if got := d.Assess(start.Add(tt.after), "u", tt.boot, tt.minReports).Health; got != tt.want {
 				t.Errorf("health %d, want %d", got, tt.want)
 			}
 		})
@@ -49,16 +49,16 @@
 // late report must not make the new one count as gone.
 func TestForget(t *testing.T) {
 	d := New(Limits{SuspectAfter: time.Second, ReportTTL: time.Minute})
-	d.Forget(start, "u")
+	d.Reset(start, "u")
 	d.Report(start.Add(100*time.Millisecond), "a", "u", Observation{Boot: "old", Silent: 300 * time.Millisecond})
-	if got := d.Judge(start.Add(100*time.Millisecond), "u", "new", 1).Health; got != Alive {
+	if got := d.Assess(start.Add(100*time.Millisecond), "u", "new", 1).Health; got != Alive {
 		t.Errorf("health %d, want alive", got)
 	}
 	d.Report(start.Add(200*time.Millisecond), "b", "u", Observation{Boot: "old"})
-	if got := d.Judge(start.Add(200*time.Millisecond), "u", "new", 1).Health; got != Alive {
+	if got := d.Assess(start.Add(200*time.Millisecond), "u", "new", 1).Health; got != Alive {
 		t.Errorf("health %d with an answer that was under way, want alive", got)
 	}
-	if got := d.Judge(start.Add(2*time.Second), "u", "new", 1).Health; got != Silent {
+	if got := d.Assess(start.Add(2*time.Second), "u", "new", 1).Health; got != Silent {
 		t.Errorf("health %d after silence, want silent", got)
 	}
 }
