--- a/coordination/load/book.go
+++ b/coordination/load/aggregator.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// smoothing is the weight of a new report against what was known.
-	smoothing = 0.3
+	// smoothingFactor is the weight of a new report against what was known.
+	smoothingFactor = 0.3
 	// reportTTL is the age at which the report of an entry counts no more.
 	reportTTL = 5 * time.Second
 )
@@ -23,9 +23,9 @@
 	Rate float64
 }
 
-// Book merges the reports of all entries of a cell. It is not safe for
+// Aggregator merges the reports of all entries of a cell. It is not safe for
 // concurrent use.
-type Book struct {
+type Aggregator struct {
 	entries map[string]*entryReport
 }
 
@@ -35,13 +35,13 @@
 	keys   map[string]map[keyspace.Hash]float64
 }
 
-// NewBook returns an empty book.
-func NewBook() *Book { return &Book{entries: make(map[string]*entryReport)} }
+// NewAggregator returns an empty book.
+func NewAggregator() *Aggregator { return &Aggregator{entries: make(map[string]*entryReport)} }
 
 // Report takes the traffic that one entry saw over an interval. Rates are
 // smoothed over reports; a range that was split starts from its share.
-func (b *Book) Report(now time.Time, entry string, ranges []RangeRate, keys []KeyRate, interval time.Duration) {
-	old := b.entries[entry]
+func (agg *Aggregator) Report(now time.Time, entry string, ranges []RangeRate, keys []KeyRate, interval time.Duration) {
+	old := agg.entries[entry]
 	next := &entryReport{
 		at:     now,
 		ranges: make(map[string][]RangeRate),
@@ -49,8 +49,8 @@
 	}
 	for _, r := range ranges {
 		if old != nil {
-			before := rateOf(old.ranges[r.Service], r.Span)
-			r.Rate = before + smoothing*(r.Rate-before)
+			before := rateWithin(old.ranges[r.Service], r.Span)
+			r.Rate = before + smoothingFactor*(r.Rate-before)
 		}
 		next.ranges[r.Service] = append(next.ranges[r.Service], r)
 	}
@@ -63,10 +63,10 @@
 		})
 	}
 	next.addKeys(old, keys, interval)
-	b.entries[entry] = next
-	for id, r := range b.entries {
+	agg.entries[entry] = next
+	for id, r := range agg.entries {
 		if now.Sub(r.at) > reportTTL {
-			delete(b.entries, id)
+			delete(agg.entries, id)
 		}
 	}
 }
@@ -74,8 +74,8 @@
 // addKeys smooths the rates of hot keys. A key that is not reported any more
 // fades out.
 func (r *entryReport) addKeys(old *entryReport, keys []KeyRate, interval time.Duration) {
-	const gone = 0.5
-	put := func(service string, h keyspace.Hash, rate float64) {
+	const minRate = 0.5
+	set := func(service string, h keyspace.Hash, rate float64) {
 		if r.keys[service] == nil {
 			r.keys[service] = make(map[keyspace.Hash]float64)
 		}
@@ -84,8 +84,8 @@
 	if old != nil {
 		for service, rates := range old.keys {
 			for h, rate := range rates {
-				if rate*(1-smoothing) > gone {
-					put(service, h, rate*(1-smoothing))
+				if rate*(1-smoothingFactor) > minRate {
+					set(service, h, rate*(1-smoothingFactor))
 				}
 			}
 		}
@@ -93,15 +93,15 @@
 	for _, k := range keys {
 		rate := float64(k.Requests) / interval.Seconds()
 		if old != nil {
-			rate = r.keys[k.Service][k.Hash] + smoothing*rate
+			rate = r.keys[k.Service][k.Hash] + smoothingFactor*rate
 		}
-		put(k.Service, k.Hash, rate)
+		set(k.Service, k.Hash, rate)
 	}
 }
 
-// rateOf returns the rate of a span from an ordered list, by the share of each
+// rateWithin returns the rate of a span from an ordered list, by the share of each
 // overlapping range.
-func rateOf(list []RangeRate, span keyspace.Span) float64 {
+func rateWithin(list []RangeRate, span keyspace.Span) float64 {
 	sum := 0.0
 	i := sort.Search(len(list), func(i int) bool { return list[i].Last >= span.First })
 	for ; i < len(list) && list[i].First <= span.Last; i++ {
@@ -117,19 +117,19 @@
 }
 
 // Rate returns the requests a second to a span, over all entries.
-func (b *Book) Rate(service string, span keyspace.Span) float64 {
+func (agg *Aggregator) Rate(service string, span keyspace.Span) float64 {
 	sum := 0.0
-	for _, r := range b.entries {
-		sum += rateOf(r.ranges[service], span)
+	for _, r := range agg.entries {
+		sum += rateWithin(r.ranges[service], span)
 	}
 	return sum
 }
 
-// Hot returns the rates of the hot keys of a service, merged over all entries,
+// HotKeys returns the rates of the hot keys of a service, merged over all entries,
 // the hottest first.
-func (b *Book) Hot(service string) []KeyLoad {
+func (agg *Aggregator) HotKeys(service string) []KeyLoad {
 	rates := make(map[keyspace.Hash]float64)
-	for _, r := range b.entries {
+	for _, r := range agg.entries {
 		for h, rate := range r.keys[service] {
 			rates[h] += rate
 		}
--- a/coordination/load/cells.go
+++ b/coordination/load/cells.go
@@ -40,7 +40,7 @@
 
 type cellReport struct {
 	CellLoad
-	heard time.Time
+	receivedAt time.Time
 }
 
 // NewCells returns an empty set.
@@ -59,7 +59,7 @@
 func (c *Cells) All(now time.Time) []CellLoad {
 	var out []CellLoad
 	for id, r := range c.byID {
-		if now.Sub(r.heard) > cellTTL {
+		if now.Sub(r.receivedAt) > cellTTL {
 			delete(c.byID, id)
 			continue
 		}
--- a/coordination/load/load_test.go
+++ b/coordination/load/load_test.go
@@ -12,38 +12,38 @@
 	s := NewSpaceSaving(64)
 	rng := rand.New(rand.NewPCG(1, 2))
 	zipf := rand.NewZipf(rng, 1.2, 1, 100_000)
-	truth := make(map[keyspace.Hash]uint64)
+	exact := make(map[keyspace.Hash]uint64)
 	for range 200_000 {
 		h := keyspace.Hash(zipf.Uint64())
-		truth[h]++
+		exact[h]++
 		s.Add(h, 1)
 	}
 	for i, k := range s.Top(5) {
 		if k.Hash != keyspace.Hash(i) {
 			t.Errorf("rank %d is %d", i, k.Hash)
 		}
-		if k.Count < truth[k.Hash] || k.Count-k.Error > truth[k.Hash] {
-			t.Errorf("rank %d: count %d, error %d, truth %d", i, k.Count, k.Error, truth[k.Hash])
+		if k.Count < exact[k.Hash] || k.Count-k.Error > exact[k.Hash] {
+			t.Errorf("rank %d: count %d, error %d, truth %d", i, k.Count, k.Error, exact[k.Hash])
 		}
 	}
 }
 
 func TestRatesFollowSplits(t *testing.T) {
-	b := NewBook()
+	a := NewAggregator()
 	now := time.Unix(1000, 0)
 	whole := keyspace.Whole()
-	b.Report(now, "e", []RangeRate{{"s", whole, 100}}, nil, time.Second)
+	a.Report(now, "e", []RangeRate{{"s", whole, 100}}, nil, time.Second)
 	halves := whole.Split(2)
-	b.Report(now, "e", []RangeRate{{"s", halves[0], 50}, {"s", halves[1], 50}}, nil, time.Second)
-	if got := b.Rate("s", halves[0]); got < 49 || got > 51 {
+	a.Report(now, "e", []RangeRate{{"s", halves[0], 50}, {"s", halves[1], 50}}, nil, time.Second)
+	if got := a.Rate("s", halves[0]); got < 49 || got > 51 {
 		t.Errorf("rate of one half %f", got)
 	}
-	b.Report(now, "f", []RangeRate{{"s", whole, 10}}, nil, time.Second)
-	if got := b.Rate("s", whole); got < 109 || got > 111 {
+	a.Report(now, "f", []RangeRate{{"s", whole, 10}}, nil, time.Second)
+	if got := a.Rate("s", whole); got < 109 || got > 111 {
 		t.Errorf("rate of all entries %f", got)
 	}
-	b.Report(now.Add(time.Minute), "f", []RangeRate{{"s", whole, 10}}, nil, time.Second)
-	if got := b.Rate("s", whole); got > 11 {
+	a.Report(now.Add(time.Minute), "f", []RangeRate{{"s", whole, 10}}, nil, time.Second)
+	if got := a.Rate("s", whole); got > 11 {
 		t.Errorf("rate %f with an entry gone", got)
 	}
 }
--- a/coordination/load/tracker.go
+++ b/coordination/load/tracker.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// sampleEvery is the share of requests that reach the sketch: one in so
+	// sampleInterval is the share of requests that reach the sketch: one in so
 	// many. Each sample counts for as many.
-	sampleEvery = 4
-	// sketchSize is the number of keys watched per service.
-	sketchSize = 256
-	// reportedKeys is the number of keys reported per service.
-	reportedKeys = 32
+	sampleInterval = 4
+	// sketchCapacity is the number of keys watched per service.
+	sketchCapacity = 256
+	// maxReportedKeys is the number of keys reported per service.
+	maxReportedKeys = 32
 )
 
 // Tracker counts hot keys at one entry. It is safe for concurrent use.
 type Tracker struct {
-	seen     atomic.Uint64
+	requests atomic.Uint64
 	mu       sync.Mutex
 	sketches map[string]*SpaceSaving
 }
@@ -31,19 +31,19 @@
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker { return &Tracker{sketches: make(map[string]*SpaceSaving)} }
 
-// Saw notes a request that is sent to its owner.
-func (t *Tracker) Saw(service string, _ gate.Route, key string) {
-	if t.seen.Add(1)%sampleEvery != 0 {
+// Record notes a request that is sent to its owner.
+func (t *Tracker) Record(service string, _ gate.Route, key string) {
+	if t.requests.Add(1)%sampleInterval != 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.sketches[service]
 	if s == nil {
-		s = NewSpaceSaving(sketchSize)
+		s = NewSpaceSaving(sketchCapacity)
 		t.sketches[service] = s
 	}
-	s.Add(keyspace.Of(key), sampleEvery)
+	s.Add(keyspace.Of(key), sampleInterval)
 }
 
 // KeyRate is the traffic of one hot key over a report interval.
@@ -59,7 +59,7 @@
 	defer t.mu.Unlock()
 	var out []KeyRate
 	for name, s := range t.sketches {
-		for _, k := range s.Top(reportedKeys) {
+		for _, k := range s.Top(maxReportedKeys) {
 			out = append(out, KeyRate{Service: name, Hash: k.Hash, Requests: k.Count - k.Error})
 		}
 	}
--- a/coordination/placement/cells.go
+++ b/coordination/placement/cells.go
@@ -47,22 +47,22 @@
 	}
 	// The load that brings both to the same level, halved for the delay until
 	// reports show the move.
-	size := float64(heavy.Upstreams*light.Upstreams) / float64(heavy.Upstreams+light.Upstreams)
-	room := (heavy.relative() - light.relative()) * size / 2
-	return largestWithin(room, light.Cell, items, o.MaxMoves)
+	combined := float64(heavy.Upstreams*light.Upstreams) / float64(heavy.Upstreams+light.Upstreams)
+	budget := (heavy.relative() - light.relative()) * combined / 2
+	return largestWithin(budget, light.Cell, items, o.MaxMoves)
 }
 
-// largestWithin picks the heaviest items that fit into room together.
-func largestWithin(room float64, to string, items []Item, most int) []Export {
+// largestWithin picks the heaviest items that fit into budget together.
+func largestWithin(budget float64, to string, items []Item, maxExports int) []Export {
 	sorted := slices.Clone(items)
 	slices.SortStableFunc(sorted, func(a, b Item) int { return cmp.Compare(b.Load, a.Load) })
 	var out []Export
 	for _, it := range sorted {
-		if len(out) >= most {
+		if len(out) >= maxExports {
 			break
 		}
-		if it.Load > 0 && it.Load <= room {
-			room -= it.Load
+		if it.Load > 0 && it.Load <= budget {
+			budget -= it.Load
 			out = append(out, Export{Item: it, ToCell: to})
 		}
 	}
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -46,34 +46,34 @@
 
 // Bounds of the band of rebalancing.
 const (
-	narrowBand = 1.10
-	widestBand = 1.40
-	// targetShare is how much of the band's excess a plan leaves standing.
-	targetShare  = 0.5
-	movesPerPlan = 8
+	minBand = 1.10
+	maxBand = 1.40
+	// targetExcessShare is how much of the band's excess a plan leaves standing.
+	targetExcessShare = 0.5
+	maxMovesPerPlan   = 8
 )
 
 // OptionsFor derives options from a service's weights. The more churn and
 // unavailable time weigh against imbalance, the wider the band in which nothing
 // moves, and the more a move has to gain.
 func OptionsFor(imbalance, churn, unavailable float64) Options {
-	caution := 1.0
+	moveAversion := 1.0
 	if sum := imbalance + churn + unavailable; sum > 0 {
-		caution = (churn + unavailable) / sum
+		moveAversion = (churn + unavailable) / sum
 	}
-	band := narrowBand + (widestBand-narrowBand)*caution*caution/2
+	band := minBand + (maxBand-minBand)*moveAversion*moveAversion/2
 	return Options{
-		MaxMoves: movesPerPlan,
+		MaxMoves: maxMovesPerPlan,
 		Band:     band,
-		Target:   1 + (band-1)*targetShare,
-		MinGain:  caution,
+		Target:   1 + (band-1)*targetExcessShare,
+		MinGain:  moveAversion,
 	}
 }
 
 // Imbalance returns the load of the busiest upstream over the mean, in terms
 // of weights. Without load it is 1.
 func Imbalance(nodes []Node, items []Item) float64 {
-	l := newLedger(nodes, items)
+	l := newLoadModel(nodes, items)
 	if l.total == 0 || len(nodes) == 0 {
 		return 1
 	}
@@ -84,34 +84,34 @@
 	return busiest / l.mean()
 }
 
-// ledger keeps the load of each node while a plan is made.
-type ledger struct {
-	nodes  []*account
-	byID   map[string]*account
+// loadModel keeps the load of each node while a plan is made.
+type loadModel struct {
+	nodes  []*nodeLoad
+	byID   map[string]*nodeLoad
 	total  float64
 	weight float64
 }
 
-type account struct {
+type nodeLoad struct {
 	id     string
 	weight float64
 	load   float64
 	items  []Item
 }
 
-func newLedger(nodes []Node, items []Item) *ledger {
-	l := &ledger{byID: make(map[string]*account, len(nodes))}
+func newLoadModel(nodes []Node, items []Item) *loadModel {
+	l := &loadModel{byID: make(map[string]*nodeLoad, len(nodes))}
 	for _, n := range nodes {
 		w := n.Weight
 		if w <= 0 {
 			w = 1
 		}
-		a := &account{id: n.ID, weight: w}
+		a := &nodeLoad{id: n.ID, weight: w}
 		l.nodes = append(l.nodes, a)
 		l.byID[n.ID] = a
 		l.weight += w
 	}
-	slices.SortFunc(l.nodes, func(a, b *account) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(l.nodes, func(a, b *nodeLoad) int { return cmp.Compare(a.id, b.id) })
 	for _, it := range items {
 		l.total += it.Load
 		if a := l.byID[it.Owner]; a != nil {
@@ -123,41 +123,41 @@
 }
 
 // mean returns the load per unit of weight.
-func (l *ledger) mean() float64 { return l.total / l.weight }
+func (l *loadModel) mean() float64 { return l.total / l.weight }
 
 // relative returns a node's load per unit of weight.
-func (a *account) relative() float64 { return a.load / a.weight }
+func (a *nodeLoad) relative() float64 { return a.load / a.weight }
 
 // lightest returns the node with the least relative load; ties go to fewer
 // items, then to the lower ID.
-func (l *ledger) lightest(avoid string) *account {
-	var best *account
+func (l *loadModel) leastLoaded(avoid string) *nodeLoad {
+	var best *nodeLoad
 	for _, n := range l.nodes {
 		if n.id == avoid {
 			continue
 		}
-		if best == nil || less(n, best) {
+		if best == nil || lessLoaded(n, best) {
 			best = n
 		}
 	}
 	return best
 }
 
-func less(a, b *account) bool {
+func lessLoaded(a, b *nodeLoad) bool {
 	if a.relative() != b.relative() {
 		return a.relative() < b.relative()
 	}
 	return float64(len(a.items))/a.weight < float64(len(b.items))/b.weight
 }
 
-func (l *ledger) heaviest() *account {
-	var worst *account
+func (l *loadModel) mostLoaded() *nodeLoad {
+	var most *nodeLoad
 	for _, n := range l.nodes {
-		if worst == nil || n.relative() > worst.relative() {
-			worst = n
+		if most == nil || n.relative() > most.relative() {
+			most = n
 		}
 	}
-	return worst
+	return most
 }
 
 // baseLoad stands for the load of ranges that show none, so that they spread
@@ -183,7 +183,7 @@
 	for i := range padded {
 		padded[i].Load += base
 	}
-	l := newLedger(nodes, padded)
+	l := newLoadModel(nodes, padded)
 	var orphans []int
 	for i, it := range padded {
 		if it.Owner == "" {
@@ -193,7 +193,7 @@
 	slices.SortStableFunc(orphans, func(a, b int) int { return cmp.Compare(padded[b].Load, padded[a].Load) })
 	chosen := make(map[int]string, len(orphans))
 	for _, i := range orphans {
-		n := l.lightest(avoid)
+		n := l.leastLoaded(avoid)
 		if n == nil {
 			continue
 		}
@@ -218,14 +218,14 @@
 	for i := range padded {
 		padded[i].Load += base
 	}
-	l := newLedger(nodes, padded)
+	l := newLoadModel(nodes, padded)
 	to := l.byID[id]
 	if to == nil {
 		return nil
 	}
 	var out []Move
 	for {
-		from := l.heaviest()
+		from := l.mostLoaded()
 		if from == to {
 			return out
 		}
@@ -241,18 +241,18 @@
 
 // bestFit returns the item of from that brings to nearest to the mean without
 // passing it by more than half of the item, or -1.
-func bestFit(from, to *account, mean float64) int {
-	room := mean*to.weight - to.load
+func bestFit(from, to *nodeLoad, mean float64) int {
+	headroom := mean*to.weight - to.load
 	best, bestLoad := -1, 0.0
 	for i, it := range from.items {
-		if it.Load <= room*1.05 && it.Load > bestLoad {
+		if it.Load <= headroom*1.05 && it.Load > bestLoad {
 			best, bestLoad = i, it.Load
 		}
 	}
 	return best
 }
 
-func (l *ledger) shift(from, to *account, i int) {
+func (l *loadModel) shift(from, to *nodeLoad, i int) {
 	it := from.items[i]
 	from.items = slices.Delete(from.items, i, i+1)
 	from.load -= it.Load
@@ -264,14 +264,14 @@
 // Rebalance returns moves that lower the imbalance when it lies above the
 // band, until it reaches the target or no move gains enough.
 func Rebalance(nodes []Node, items []Item, o Options) []Move {
-	l := newLedger(nodes, items)
-	if l.total == 0 || len(nodes) < 2 || l.heaviest().relative() <= o.Band*l.mean() {
+	l := newLoadModel(nodes, items)
+	if l.total == 0 || len(nodes) < 2 || l.mostLoaded().relative() <= o.Band*l.mean() {
 		return nil
 	}
 	moved := make(map[keyspace.Span]bool)
 	var out []Move
 	for len(out) < o.MaxMoves {
-		from := l.heaviest()
+		from := l.mostLoaded()
 		if from.relative() <= o.Target*l.mean() {
 			break
 		}
@@ -289,8 +289,8 @@
 
 // bestMove finds the item of from that, given to the lightest node, lowers the
 // higher of the two loads most.
-func (l *ledger) bestMove(from *account, moved map[keyspace.Span]bool, minGain float64) (int, *account) {
-	to := l.lightest(from.id)
+func (l *loadModel) bestMove(from *nodeLoad, moved map[keyspace.Span]bool, minGain float64) (int, *nodeLoad) {
+	to := l.leastLoaded(from.id)
 	before := from.relative()
 	best, bestPeak := -1, before
 	for i, it := range from.items {
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -31,7 +31,7 @@
 
 // spread returns n ranges on the nodes in turn, with loads by a Zipf law over
 // the ranges in random order.
-func spread(n int, ns []Node, exponent float64) []Item {
+func spreadItems(n int, ns []Node, exponent float64) []Item {
 	rng := rand.New(rand.NewPCG(1, 2))
 	loads := make([]float64, n)
 	owners := make([]string, n)
@@ -54,7 +54,7 @@
 	return out
 }
 
-func owners(moves []Move) []string {
+func routes(moves []Move) []string {
 	out := make([]string, len(moves))
 	for i, m := range moves {
 		out[i] = m.From + ">" + m.To
@@ -88,7 +88,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got := owners(Rebalance(nodes(2), items(tt.owners, tt.loads), tt.opts))
+			got := routes(Rebalance(nodes(2), items(tt.owners, tt.loads), tt.opts))
 			if len(got) == 0 {
 				got = nil
 			}
@@ -101,7 +101,7 @@
 
 func TestRebalanceReachesTheBandAndRests(t *testing.T) {
 	ns := nodes(10)
-	list := spread(400, ns, 0.6)
+	list := spreadItems(400, ns, 0.6)
 	o := OptionsFor(3, 1, 1)
 	moved := 0
 	for range 50 {
@@ -123,7 +123,7 @@
 func TestJoinMovesLittleMoreThanItsShare(t *testing.T) {
 	for _, n := range []int{6, 10} {
 		ns := nodes(n)
-		list := spread(16*n, ns, 0.4)
+		list := spreadItems(16*n, ns, 0.4)
 		joined := append(ns, Node{ID: "new", Weight: 1})
 		moves := Join(joined, list, "new")
 		total, moved := 0.0, 0.0
@@ -145,7 +145,7 @@
 
 func TestPlaceMovesOnlyOrphans(t *testing.T) {
 	ns := nodes(4)
-	list := spread(64, ns, 0.4)
+	list := spreadItems(64, ns, 0.4)
 	for i := range list {
 		if list[i].Owner == "u03" {
 			list[i].Owner = ""
@@ -170,7 +170,7 @@
 
 func TestSplitsIsolateHotKeys(t *testing.T) {
 	list := items([]string{"u00", "u01"}, []float64{100, 10})
-	hot := []Hot{{Hash: list[0].First + 77, Load: 80}}
+	hot := []HotKey{{Hash: list[0].First + 77, Load: 80}}
 	got := Splits(nodes(2), list, hot, 10)
 	want := []keyspace.Span{{First: list[0].First + 77, Last: list[0].First + 77}}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -187,7 +187,7 @@
 	for _, size := range []struct{ nodes, ranges int }{{10, 160}, {100, 6400}, {1000, 64_000}, {4000, 1_000_000}} {
 		b.Run(fmt.Sprintf("upstreams=%d/ranges=%d", size.nodes, size.ranges), func(b *testing.B) {
 			ns := nodes(size.nodes)
-			list := spread(size.ranges, ns, 0.6)
+			list := spreadItems(size.ranges, ns, 0.6)
 			o := OptionsFor(3, 1, 1)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/coordination/placement/split.go
+++ b/coordination/placement/split.go
@@ -4,8 +4,8 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// Hot is a key with its load.
-type Hot struct {
+// HotKey is a key with its load.
+type HotKey struct {
 	Hash keyspace.Hash
 	Load float64
 }
@@ -17,7 +17,7 @@
 // Splits returns the spans at whose ends ranges should be cut: hot keys get
 // ranges one point wide, other heavy ranges are halved. No range changes owner
 // by a split.
-func Splits(nodes []Node, items []Item, hot []Hot, most int) []keyspace.Span {
+func Splits(nodes []Node, items []Item, hot []HotKey, maxSplits int) []keyspace.Span {
 	if len(nodes) == 0 {
 		return nil
 	}
@@ -28,10 +28,10 @@
 	threshold := splitShare * total / float64(len(nodes))
 	var out []keyspace.Span
 	for _, it := range items {
-		if len(out) >= most || it.Load <= threshold || it.First == it.Last {
+		if len(out) >= maxSplits || it.Load <= threshold || it.First == it.Last {
 			continue
 		}
-		if h, ok := hottest(it, hot); ok && h.Load > it.Load/2 {
+		if h, ok := hottestKey(it, hot); ok && h.Load > it.Load/2 {
 			out = append(out, keyspace.Span{First: h.Hash, Last: h.Hash})
 			continue
 		}
@@ -40,8 +40,8 @@
 	return out
 }
 
-func hottest(it Item, hot []Hot) (Hot, bool) {
-	var best Hot
+func hottestKey(it Item, hot []HotKey) (HotKey, bool) {
+	var best HotKey
 	found := false
 	for _, h := range hot {
 		if it.Contains(h.Hash) && h.Load > best.Load {
--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -89,7 +89,7 @@
 		counts[u.Cell]++
 		p.Steps = append(p.Steps, intent.Step{Cell: u.Cell, Action: ActionAdd, Service: name, To: u.ID})
 	}
-	for _, seg := range Spread(counts) {
+	for _, seg := range DivideByWeight(counts) {
 		p.Steps = append(p.Steps, intent.Step{Action: ActionDirect, Service: name, Span: seg.Span, ToCell: seg.Cell})
 	}
 	p.Basis = basis(v, sortedNames(counts)...)
@@ -98,9 +98,9 @@
 	return p, nil
 }
 
-// Spread divides the whole hash space among cells by their weights, in order
+// DivideByWeight divides the whole hash space among cells by their weights, in order
 // of their names.
-func Spread(weights map[string]int) []cell.Segment {
+func DivideByWeight(weights map[string]int) []cell.Segment {
 	total := 0
 	for _, n := range weights {
 		total += n
@@ -143,14 +143,14 @@
 }
 
 func planConfigure(spec intent.Spec, v View) (intent.Plan, error) {
-	known := v.Services[spec.Service.Name]
-	if known == nil {
+	current := v.Services[spec.Service.Name]
+	if current == nil {
 		return intent.Plan{}, answer.New(answer.NotFound, "no service %q", spec.Service.Name)
 	}
 	return intent.Plan{
-		Basis: []intent.Basis{{Kind: "service", Name: known.Name, Version: known.Version}},
-		Steps: []intent.Step{{Action: ActionConfigure, Service: known.Name, Span: keyspace.Whole()}},
-		Why:   fmt.Sprintf("version %d of the configuration takes the place of version %d", known.Version+1, known.Version),
+		Basis: []intent.Basis{{Kind: "service", Name: current.Name, Version: current.Version}},
+		Steps: []intent.Step{{Action: ActionConfigure, Service: current.Name, Span: keyspace.Whole()}},
+		Why:   fmt.Sprintf("version %d of the configuration takes the place of version %d", current.Version+1, current.Version),
 	}, nil
 }
 
@@ -219,7 +219,7 @@
 	items := itemsOf(c, u.Service, v)
 	moves := placement.Join(nodes, items, u.ID)
 	addMoves(p, c, u.Service, moves)
-	charge(p, nodes, items, moves, 1/float64(len(nodes)))
+	addCost(p, nodes, items, moves, 1/float64(len(nodes)))
 }
 
 func addMoves(p *intent.Plan, c *cell.Cell, service string, moves []placement.Move) {
@@ -230,8 +230,8 @@
 	}
 }
 
-// charge adds the cost of moves to a plan.
-func charge(p *intent.Plan, nodes []placement.Node, items []placement.Item, moves []placement.Move, least float64) {
+// addCost adds the cost of moves to a plan.
+func addCost(p *intent.Plan, nodes []placement.Node, items []placement.Item, moves []placement.Move, minChurn float64) {
 	total, moved := 0.0, 0.0
 	for _, it := range items {
 		total += it.Load
@@ -249,7 +249,7 @@
 	if total > 0 {
 		p.Cost.Churn += moved / total
 	}
-	p.Cost.LeastChurn += least
+	p.Cost.LeastChurn += minChurn
 	p.Cost.ImbalanceBefore = max(p.Cost.ImbalanceBefore, placement.Imbalance(nodes, items))
 	p.Cost.ImbalanceAfter = max(p.Cost.ImbalanceAfter, placement.Imbalance(nodes, after))
 	if len(moves) > 0 {
@@ -304,11 +304,11 @@
 	for i := range moves {
 		moves[i].From = u.ID
 	}
-	least := 0.0
+	minChurn := 0.0
 	if total > 0 {
-		least = leaving / total
+		minChurn = leaving / total
 	}
-	charge(p, nodes, items, moves, least)
+	addCost(p, nodes, items, moves, minChurn)
 }
 
 func planMove(spec intent.Spec, v View) (intent.Plan, error) {
@@ -365,7 +365,7 @@
 				counts[c.Name] = len(c.UpstreamsOf(name, cell.Active))
 			}
 		}
-		steps, err := takeOver(name, v.Directories[name], spec.Names, counts)
+		steps, err := reassignSegments(name, v.Directories[name], spec.Names, counts)
 		if err != nil {
 			return p, err
 		}
@@ -381,14 +381,14 @@
 }
 
 func sortedDirectories(v View) []string {
-	counts := make(map[string]int, len(v.Directories))
+	names := make(map[string]int, len(v.Directories))
 	for name := range v.Directories {
-		counts[name] = 1
+		names[name] = 1
 	}
-	return sortedNames(counts)
+	return sortedNames(names)
 }
 
-func takeOver(service string, d *cell.Directory, lost []string, counts map[string]int) ([]intent.Step, error) {
+func reassignSegments(service string, d *cell.Directory, lost []string, counts map[string]int) ([]intent.Step, error) {
 	total := 0
 	for _, n := range counts {
 		total += n
--- a/entry/balance.go
+++ b/entry/balance.go
@@ -139,10 +139,10 @@
 	}
 }
 
-func hotKeys(list []load.KeyLoad) []placement.Hot {
-	out := make([]placement.Hot, len(list))
+func hotKeys(list []load.KeyLoad) []placement.HotKey {
+	out := make([]placement.HotKey, len(list))
 	for i, k := range list {
-		out[i] = placement.Hot{Hash: k.Hash, Load: k.Rate}
+		out[i] = placement.HotKey{Hash: k.Hash, Load: k.Rate}
 	}
 	return out
 }
@@ -161,7 +161,7 @@
 		return
 	}
 	if len(items) < maxRanges {
-		core.AddSplits(conf.Name, placement.Splits(nodes, items, hotKeys(e.book.Hot(conf.Name)), splitsPerLook))
+		core.AddSplits(conf.Name, placement.Splits(nodes, items, hotKeys(e.book.HotKeys(conf.Name)), splitsPerLook))
 	}
 	options := placement.OptionsFor(conf.Weights.Imbalance, conf.Weights.Churn, conf.Weights.Unavailable)
 	options.MaxMoves = min(options.MaxMoves, b.left(now, conf.MovesPerMinute))
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -56,7 +56,7 @@
 	watched *watchedUpstreams
 	tracker *load.Tracker
 	// book and cells are guarded by the lock of control.
-	book  *load.Book
+	book  *load.Aggregator
 	cells *load.Cells
 
 	flushSpans func(context.Context) error
@@ -118,7 +118,7 @@
 		DriftPercent: e.limits.Fence.DriftPercent,
 	})}
 	e.tracker = load.NewTracker()
-	e.book = load.NewBook()
+	e.book = load.NewAggregator()
 	e.cells = load.NewCells()
 	e.control = newControlLoop(e)
 	e.proxy = front.New(front.Parts{
@@ -131,7 +131,7 @@
 		Tracer:  tracer,
 		Meters:  telemetry.NewRequests(e.registry),
 		Rand:    newRand(conf.Seed),
-		Observe: e.tracker.Saw,
+		Observe: e.tracker.Record,
 	})
 	return e, nil
 }
