--- a/coordination/ownership/balance.go
+++ b/coordination/ownership/balance.go
@@ -2,29 +2,30 @@
 
 import "slices"
 
-// This file evens the load of upstreams out.
+// This file balances the load between upstreams.
 
 const (
-	// maxSpansPerUpstream bounds the spans of a service, in multiples of its upstreams:
-	// each span is one grant to renew.
+	// maxSpansPerUpstream bounds the spans of a service, in multiples of the number of its
+	// upstreams. Each span is one grant to renew.
 	maxSpansPerUpstream = 32
-	// busyUtilization is the share of its capacity below which an upstream
-	// gives nothing away for balance.
+	// busyUtilization is the utilization below which no load is moved away from an upstream for
+	// balancing.
 	busyUtilization = 0.6
-	// urgentUtilization is the utilization from which moves for balance do not wait: a group
-	// of hot keys on one upstream. Below, an upstream that is a little more utilized than others
-	// can wait a second, and many moves are one write to the store.
+	// urgentUtilization is the utilization from which moves for balancing are made at once, as for
+	// a group of hot keys on one upstream. A smaller imbalance can wait for a second, so that many
+	// moves share one write to the store.
 	urgentUtilization = 1.4
-	// minUtilizationGap is the difference in utilization that is worth a move: the
-	// noise of counts over a second or two is about half of it.
+	// minUtilizationGap is the minimum difference in utilization that justifies a move. The noise
+	// of request counts over a second or two is about half of it.
 	minUtilizationGap = 0.25
-	// minMoveBudget and moveBudgetPerUpstream bound the moves for balance in one plan: so many, or so
-	// many for each upstream: among hundreds a hot group of keys is spread by a few plans.
+	// The number of moves for balancing in one plan is bounded by moveBudgetPerUpstream for each
+	// usable upstream, but is at least minMoveBudget: with hundreds of upstreams a few plans then
+	// suffice to spread a group of hot keys.
 	minMoveBudget         = 6
 	moveBudgetPerUpstream = 0.25
 )
 
-// fillEmptyUpstreams gives keys to upstreams that have none.
+// fillEmptyUpstreams moves spans to usable upstreams that have none.
 func (p *draft) fillEmptyUpstreams() {
 	count := make(map[string]int)
 	for _, s := range p.table.Spans {
@@ -45,13 +46,13 @@
 				p.exhausted[from.ID] = true
 			}
 		}
-		// What could not be given to this one may be given to others.
+		// An upstream with nothing for this one may still have a part that fits another one.
 		clear(p.exhausted)
 	}
 }
 
-// hottest returns the usable upstream with the highest utilization, other than
-// the one to avoid.
+// mostUtilized returns the usable upstream with the highest utilization, other than avoid and those
+// that are exhausted.
 func (p *draft) mostUtilized(avoid string) *Owner {
 	var best *Owner
 	for _, o := range p.usable {
@@ -62,7 +63,7 @@
 	return best
 }
 
-// balance moves load from the most to the least utilized upstreams.
+// balance moves load from the most utilized upstreams to the least utilized ones.
 func (p *draft) balance() {
 	maxMoves := max(minMoveBudget, int(moveBudgetPerUpstream*float64(len(p.usable))))
 	for moves := 0; moves < maxMoves && len(p.table.Spans) < maxSpansPerUpstream*len(p.usable); moves++ {
@@ -80,8 +81,8 @@
 	}
 }
 
-// urgent reports whether an upstream is asked for far more than it can run, beside the
-// hottest of its keys, which balance cannot spread.
+// hasUrgentOverload reports whether an upstream is severely overloaded even without its hottest
+// key, which balancing cannot divide.
 func (p *draft) hasUrgentOverload() bool {
 	hottestKeyLoad := make(map[string]float64, len(p.usable))
 	for _, key := range p.sortedKeys {
@@ -93,10 +94,10 @@
 	})
 }
 
-// shift moves about as much load as evens two upstreams out, and reports
-// whether it found a part that fits.
+// shift moves a span, or a part of one, whose load brings the two upstreams close to equal
+// utilization. It reports whether it found one that fits.
 func (p *draft) shift(from, to *Owner) bool {
-	// The amount after which both have the same utilization.
+	// equalizing is the load to move so that both have the same utilization.
 	equalizing := (p.loads[from.ID]*to.Capacity - p.loads[to.ID]*from.Capacity) / max(from.Capacity+to.Capacity, minCapacity)
 	if equalizing <= 0 {
 		return false
@@ -132,8 +133,8 @@
 	return true
 }
 
-// cut splits the span so that a part with about the wanted load stands alone,
-// and returns its index. A key that is itself more than that stays.
+// splitOff splits the span so that a part with about the wanted load becomes a span of its own, and
+// returns its index. Keys whose own load is higher than that are not part of it.
 func (p *draft) splitOff(i int, wanted float64) (int, bool) {
 	k := p.table.Spans[i].Keys
 	begin, sum := int(k.First), 0.0
@@ -146,7 +147,7 @@
 		if sum >= wanted/2 {
 			return p.isolate(i, begin, int(key)-1), true
 		}
-		// This key alone is too much: look behind it.
+		// This key alone exceeds the wanted load: continue after it.
 		begin, sum = int(key)+1, 0
 	}
 	if begin > int(k.Last) || begin == int(k.First) {
@@ -155,7 +156,8 @@
 	return p.isolate(i, begin, int(k.Last)), true
 }
 
-// splitOffKey isolates the busiest single key of the span that has at most the load.
+// splitOffKey isolates the busiest key of the span whose load does not exceed maxLoad, give or take
+// a tenth, and returns the index of its span.
 func (p *draft) splitOffKey(i int, maxLoad float64) (int, bool) {
 	k := p.table.Spans[i].Keys
 	best, bestLoad := -1, 0.0
@@ -170,7 +172,7 @@
 	return p.isolate(i, best, best), true
 }
 
-// meanUtilization is that of all usable upstreams together.
+// meanUtilization returns the total load of the usable upstreams divided by their total capacity.
 func (p *draft) meanUtilization() float64 {
 	load, capacity := 0.0, 0.0
 	for _, o := range p.usable {
@@ -180,8 +182,8 @@
 	return load / max(capacity, minCapacity)
 }
 
-// isolate splits the span at index i so that the keys from first to last are a
-// span, and returns its index.
+// isolate splits the span at index i so that the keys from first to last form a span of their own,
+// and returns its index.
 func (p *draft) isolate(i, first, last int) int {
 	if last < int(p.table.Spans[i].Last) {
 		p.table.Split(i, uint16(last+1))
--- a/coordination/ownership/control.go
+++ b/coordination/ownership/control.go
@@ -2,57 +2,60 @@
 
 import "time"
 
-// This file judges owners by their control calls (grants, renewals, releases, trials) and by the
-// requests that they answer. A call without an answer says little by itself: the owner may be lost,
-// or only the answer, or the call may take effect later. An owner that answers requests is not
-// lost, and taking its keys away costs more than the fault: they come to others without a
-// handover, by more calls of which half fail as well.
+// This file assesses owners by the results of control calls (grants, renewals, releases and probes)
+// and by the requests that they answer. A control call without an answer is weak evidence: the owner
+// may be lost, only the answer may be lost, or the call may still take effect. An owner that answers
+// requests is not lost. Taking its keys away would cost more than the fault: they would move
+// without a handover, and by more control calls, of which half fail as well.
 
 const (
 	// SilentOwnerTimeout is how long control calls must have failed before an owner that answers no
-	// requests either loses its keys: two trials and a grant, of 250 ms each.
+	// requests either loses its keys. It covers two probes and a grant, of 250 ms each.
 	SilentOwnerTimeout = 900 * time.Millisecond
-	// answerValidity is how long an answered request speaks for an owner: two reports of 250 ms from
-	// the gateway that has seen it, the second by way of another gateway.
+	// answerValidity is how long an answered request counts as evidence that an owner works. It
+	// covers two reports at intervals of 250 ms: one by the gateway that received the answer, and
+	// one by another gateway that passes it on.
 	answerValidity = 600 * time.Millisecond
-	// unreliableMinShare of the upstreams, and unreliableMinUpstreams of them, must answer requests while
-	// control calls to them fail for these to count as unreliable.
+	// Control calls count as unreliable if they fail at this share of the upstreams, and at least
+	// at this number of them, while these upstreams answer requests.
 	unreliableMinShare     = 0.25
 	unreliableMinUpstreams = 2
 )
 
-// ControlHealth is what control calls and requests have shown of one upstream. Zero times stand for
+// ControlHealth is the evidence on one upstream from control calls and requests. A zero time means
 // never.
 type ControlHealth struct {
-	// FailingSince is when calls began to fail, LastFailed when the last one did; zero when the
-	// last grant was answered.
+	// FailingSince is the time of the first failed call since the last successful grant, and
+	// LastFailed that of the latest one. Both are zero if no call has failed since.
 	FailingSince, LastFailed time.Time
-	// ProbeAnswered says that a call which changes nothing was answered after the last that failed.
+	// ProbeAnswered is true if a probe, a call that changes nothing, was answered after the last
+	// failed call.
 	ProbeAnswered bool
 	// LastGranted is when a grant was last answered.
 	LastGranted time.Time
-	// LastAnswered is when a request was last heard of that it answered.
+	// LastAnswered is the time of the last request known to have been answered.
 	LastAnswered time.Time
 }
 
-// Failing reports whether control calls fail.
+// Failing reports whether control calls to the upstream fail.
 func (c ControlHealth) Failing() bool { return !c.FailingSince.IsZero() }
 
-// lives reports whether the upstream answers requests though control calls fail.
+// answersRequests reports whether the upstream has answered a request within answerValidity.
 func (c ControlHealth) answersRequests(now time.Time) bool {
 	return !c.LastAnswered.IsZero() && now.Sub(c.LastAnswered) <= answerValidity
 }
 
-// MayRenew reports whether grants may be renewed. Each that gets no answer may hold the keys of a
-// lost owner for longer, so while calls fail it takes a sign of life that is younger than the
-// last of them.
+// MayRenew reports whether grants may be renewed. A renewal that gets no answer may still extend
+// the time for which a lost owner holds its keys. While calls fail, renewing therefore requires an
+// answer to a probe or a request that is more recent than the last failure.
 func (c ControlHealth) MayRenew() bool {
 	return !c.Failing() || c.ProbeAnswered || c.LastAnswered.After(c.LastFailed)
 }
 
-// MayKeep reports whether an owner keeps its keys as far as control calls tell. One that answers
-// requests does, as long as some grant was answered within the time for which grants hold, less
-// what taking its keys back needs: an owner that no grant reaches runs nothing after that.
+// MayKeep reports whether the evidence allows the owner to keep its keys; hold is the time for
+// which a grant is valid. An owner that answers requests keeps them until its last answered grant
+// is so old that only the time needed to take the keys back remains: after the hold an owner
+// without a new grant runs nothing.
 func (c ControlHealth) MayKeep(now time.Time, hold time.Duration) bool {
 	if !c.Failing() || now.Sub(c.FailingSince) < SilentOwnerTimeout {
 		return true
@@ -60,8 +63,8 @@
 	return c.answersRequests(now) && now.Sub(c.LastGranted) < hold-SilentOwnerTimeout-answerValidity
 }
 
-// ControlUnreliable reports whether control calls fail at upstreams that answer requests, so that moves
-// which can wait do more harm than good.
+// ControlUnreliable reports whether control calls fail at upstreams that answer requests. Moves
+// that can wait then do more harm than good.
 func ControlUnreliable(now time.Time, all []ControlHealth) bool {
 	n := 0
 	for _, c := range all {
--- a/coordination/ownership/control_test.go
+++ b/coordination/ownership/control_test.go
@@ -14,47 +14,50 @@
 	testHold = 4 * time.Second
 )
 
-// TestSilentOwnerLosesItsKeys when neither calls nor requests are answered, and no sooner than it
-// did by calls alone.
+// TestSilentOwnerLosesItsKeys checks that an owner that answers neither control calls nor requests
+// loses its keys after SilentOwnerTimeout and no sooner.
 func TestSilentOwnerLosesItsKeys(t *testing.T) {
 	c := ControlHealth{FailingSince: start, LastFailed: at(500 * ms), LastGranted: at(-ms), LastAnswered: at(-200 * ms)}
 	if !c.MayKeep(at(SilentOwnerTimeout-ms), testHold) || c.MayKeep(at(SilentOwnerTimeout), testHold) {
-		t.Error("its keys are taken too soon or too late")
+		t.Error("the keys are not taken exactly at the timeout")
 	}
 	if c.MayRenew() {
-		t.Error("grants are renewed that may hold the keys of a lost owner for longer")
+		t.Error("grants of a silent owner may be renewed")
 	}
 }
 
-// TestAnsweringOwnerKeepsItsKeys while requests to it are answered, and is renewed.
+// TestAnsweringOwnerKeepsItsKeys checks that an owner that answers requests while control calls
+// fail keeps its keys, and that its grants are renewed only if it has answered since the last
+// failed call.
 func TestAnsweringOwnerKeepsItsKeys(t *testing.T) {
 	c := ControlHealth{FailingSince: start, LastFailed: at(1900 * ms), LastGranted: at(100 * ms), LastAnswered: at(1950 * ms)}
 	now := at(2 * time.Second)
 	if !c.MayKeep(now, testHold) || !c.MayRenew() {
-		t.Error("an owner that answers requests is taken for lost")
+		t.Error("an owner that answers requests loses its keys or its renewals")
 	}
 	c.LastFailed = at(1960 * ms)
 	if c.MayRenew() {
-		t.Error("what it answered before the last call failed is no sign of life after it")
+		t.Error("an answer from before the last failed call allows a renewal")
 	}
 	if c.ProbeAnswered = true; !c.MayRenew() {
-		t.Error("a trial was answered since")
+		t.Error("an answered probe does not allow a renewal")
 	}
 }
 
-// TestOwnerThatNoGrantReaches loses its keys though it answers requests: it will not for long.
-func TestOwnerThatNoGrantReaches(t *testing.T) {
+// TestOwnerWithoutGrantsLosesItsKeys checks that an owner that answers requests loses its keys
+// before its last grant expires: without a new grant it will stop answering.
+func TestOwnerWithoutGrantsLosesItsKeys(t *testing.T) {
 	for now := time.Duration(0); now < 2*testHold; now += 10 * ms {
 		c := ControlHealth{FailingSince: start, LastFailed: at(now), LastGranted: at(-ms), LastAnswered: at(now)}
 		if c.MayKeep(at(now), testHold) && now+SilentOwnerTimeout+answerValidity >= testHold {
-			t.Fatalf("it keeps its keys %s after the last grant", now)
+			t.Fatalf("the owner keeps its keys %s after the last grant", now)
 		}
 	}
 }
 
-// TestUnreliable: calls to several owners fail that answer requests. Owners that are lost say
-// nothing of the calls to others.
-func TestUnreliable(t *testing.T) {
+// TestControlUnreliable checks that only failing calls to owners that answer requests count as
+// unreliable. Calls to lost owners say nothing about those to others.
+func TestControlUnreliable(t *testing.T) {
 	now := at(time.Second)
 	lost := ControlHealth{FailingSince: start, LastAnswered: at(-time.Second)}
 	callsFail := ControlHealth{FailingSince: start, LastAnswered: at(900 * ms)}
@@ -65,7 +68,7 @@
 	} {
 		for _, all := range list {
 			if ControlUnreliable(now, all) != want {
-				t.Errorf("unreliable is not %v of %v", want, all)
+				t.Errorf("ControlUnreliable is not %v for %v", want, all)
 			}
 		}
 	}
--- a/coordination/ownership/imbalance.go
+++ b/coordination/ownership/imbalance.go
@@ -2,20 +2,20 @@
 
 import "github.com/rockcroft/rockcroft/state/spans"
 
-// imbalanceFactor is how many times the mean utilization of all upstreams an owner has whose keys should
-// have moved long ago.
+// imbalanceFactor is the multiple of the mean utilization above which an owner counts as
+// imbalanced: balancing should have moved keys away from it long before.
 const imbalanceFactor = 2
 
-// OwnerUtilization is the owner that is utilized most, beside the mean.
+// OwnerUtilization compares the utilization of one owner with the mean.
 type OwnerUtilization struct {
 	Owner string
-	// Utilization is the load of its keys over what it can run, Mean that of all upstreams
-	// together, usable or not.
+	// Utilization is the load of the owner's keys divided by its capacity. Mean is the total load
+	// divided by the total capacity of all upstreams, usable or not.
 	Utilization, Mean float64
 }
 
-// Busiest returns the owner that is utilized most, and whether it has so much more than its share
-// that keys should move.
+// Busiest returns the owner with the highest utilization, and whether it is so far above the mean
+// that keys should move away.
 func Busiest(table *spans.Table, owners []Owner, load map[uint16]float64) (u OwnerUtilization, imbalanced bool) {
 	loads := make(map[string]float64, len(owners))
 	sum, capacity := 0.0, 0.0
@@ -33,5 +33,5 @@
 	return u, u.Utilization > busyUtilization && u.Utilization > imbalanceFactor*u.Mean
 }
 
-// minCapacity keeps utilizations finite, in requests a second.
+// minCapacity, in requests a second, is the lower bound of the divisor in utilizations.
 const minCapacity = 0.001
--- a/coordination/ownership/limits.go
+++ b/coordination/ownership/limits.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// overloadLimitFactor is the multiple of an owner's capacity that the requests for its keys are
-	// limited to when they are more: limits cut off what is hopeless, and the shares of room,
-	// which are sooner and see what the owner really ends, decide about the rest.
+	// overloadLimitFactor is the multiple of an owner's capacity to which the requests for its keys
+	// are limited. These limits cut off only what is certain to fail. The gateways' shares of each
+	// upstream's slots decide about the rest: they react sooner, and to the requests that the owner
+	// really completes.
 	overloadLimitFactor = 1.6
-	// maxLimitedKeys bounds the keys of a service that are limited, the hottest first: the
-	// list goes to all gateways four times a second.
+	// maxLimitedKeys bounds the limited keys of a service; the hottest ones are kept. The list is
+	// sent to all gateways four times a second.
 	maxLimitedKeys = 256
 )
 
-// Limit is a key of which only a part of the requests can be run.
+// Limit is a key for which only a share of the requests is admitted.
 type Limit struct {
 	Key uint16
-	// AdmittedShare is that part, 0 to 1.
+	// AdmittedShare is the share of the requests that is admitted, from 0 to 1.
 	AdmittedShare float64
 }
 
-// Limits returns the keys whose owners are asked for more than they can run, in their
-// order. An owner's capacity is shared out by key: each gets the same rate at most, and what
-// the cold ones leave goes to the hot ones. So a hot key takes nothing from its neighbours, and
-// hundreds of gateways, each of which sees a few of its requests, together send about what its
-// owner can run.
+// Limits returns the limits for keys of overloaded owners, in the order of the keys. Each owner's
+// capacity is divided among its keys by max-min fairness: all keys get the same maximum rate, and
+// what the cold keys leave unused goes to the hot ones. A hot key therefore takes nothing from the
+// other keys of its owner, and hundreds of gateways, each of which sees only a few of its requests,
+// together send about as many as the owner can run.
 func Limits(table *spans.Table, owners []Owner, load map[uint16]float64) []Limit {
 	byOwner := make(map[string][]uint16)
 	for key := range load {
@@ -47,7 +48,7 @@
 	return out
 }
 
-// limitsForOwner shares a capacity out to keys.
+// limitsForOwner divides a capacity among keys and returns the limits of those that exceed it.
 func limitsForOwner(keys []uint16, load map[uint16]float64, capacity float64) []Limit {
 	sort.Slice(keys, func(i, j int) bool {
 		if load[keys[i]] != load[keys[j]] {
@@ -62,7 +63,7 @@
 			remaining -= load[key]
 			continue
 		}
-		// This one and all hotter ones get the same.
+		// All remaining keys are at least as hot and get the same rate.
 		var out []Limit
 		for _, hot := range keys[i:] {
 			out = append(out, Limit{Key: hot, AdmittedShare: max(keyLimit, 0) / load[hot]})
--- a/coordination/ownership/limits_test.go
+++ b/coordination/ownership/limits_test.go
@@ -9,9 +9,10 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// TestLimitsSpareNeighbours: of what an owner can run the cold keys get all they ask for, the hot
-// ones share the rest, and owners that can run all are not limited.
-func TestLimitsSpareNeighbours(t *testing.T) {
+// TestLimitsSpareColdKeys checks that the cold keys of an overloaded owner are not limited, that
+// the hot ones share the remaining capacity, and that owners that are not overloaded have no
+// limits.
+func TestLimitsSpareColdKeys(t *testing.T) {
 	table := &spans.Table{Spans: []spans.Span{
 		{Keys: spans.Keys{First: 0, Last: 99}, Owner: "a"},
 		{Keys: spans.Keys{First: 100, Last: spans.MaxKey}, Owner: "b"},
@@ -24,8 +25,8 @@
 	}
 }
 
-// TestLimitsAreBounded: the hottest are told.
-func TestLimitsAreBounded(t *testing.T) {
+// TestLimitsKeepTheHottestKeys checks that the list is cut to maxLimitedKeys and keeps the hottest.
+func TestLimitsKeepTheHottestKeys(t *testing.T) {
 	table := &spans.Table{Spans: []spans.Span{{Keys: spans.Keys{Last: spans.MaxKey}, Owner: "a"}}}
 	load := make(map[uint16]float64)
 	for k := range uint16(2 * maxLimitedKeys) {
@@ -33,6 +34,6 @@
 	}
 	got := Limits(table, []Owner{{ID: "a", Capacity: 1}}, load)
 	if len(got) != maxLimitedKeys || got[0].Key != maxLimitedKeys {
-		t.Errorf("%d limits from key %d on", len(got), got[0].Key)
+		t.Errorf("%d limits, first key %d", len(got), got[0].Key)
 	}
 }
--- a/coordination/ownership/plan.go
+++ b/coordination/ownership/plan.go
@@ -1,6 +1,6 @@
-// Package ownership decides which upstream owns which keys of a service: first
-// assignment, replacement of lost and leaving owners, balance of load and the
-// place of hot keys. It only plans: the steps of a move are made elsewhere.
+// Package ownership plans which upstream owns which keys of a service: the initial assignment, the
+// replacement of lost and leaving owners, load balancing and the placement of hot keys. It only
+// computes the moves; other packages carry them out.
 package ownership
 
 import (
@@ -12,79 +12,80 @@
 )
 
 const (
-	// initialSpansPerUpstream is the number of spans each upstream gets at first. The keys that
-	// are busy lie close to one another, so upstreams alternate; a run of 1,000 busy
-	// keys lies on three of eleven. Each span is one renewal a second.
+	// initialSpansPerUpstream is the number of spans that each upstream gets in the initial
+	// assignment. Busy keys tend to be adjacent, so consecutive spans alternate between upstreams:
+	// with eleven upstreams, a run of 1,000 busy keys is shared by three of them. Each span costs
+	// one renewal call a second.
 	initialSpansPerUpstream = 16
-	// maxInitialSpans bounds the spans of the first assignment: the more upstreams,
-	// the narrower their spans are anyway.
+	// maxInitialSpans bounds the total number of spans of the initial assignment. With many
+	// upstreams the spans are narrow enough without a further split.
 	maxInitialSpans = 256
-	// minInitialSpansPerUpstream is the least number for each upstream, up to manyUpstreams upstreams. Beyond
-	// it is one: each span is a call a second by the leader.
+	// minInitialSpansPerUpstream is the minimum number of initial spans for each upstream of a
+	// service with at most manyUpstreams upstreams. Larger services start with one span for each,
+	// because the leader makes one call a second for every span.
 	minInitialSpansPerUpstream = 2
 	manyUpstreams              = 512
-	// baseKeyLoad is the load, in requests a second, that each key counts for
-	// without having been asked for: so cold keys are spread as well.
+	// baseKeyLoad is the load, in requests a second, that is assumed for each key in addition to
+	// its measured load, so that idle keys are distributed too.
 	baseKeyLoad = 0.0002
-	// hotKeyCapacityShare is the share of its owner's capacity from which a single key is
+	// hotKeyCapacityShare is the share of its owner's capacity from which a single key counts as
 	// hot and is placed on its own.
 	hotKeyCapacityShare = 0.5
-	// hotKeyMinGain is how much more capacity another upstream must have for a hot
-	// key to move there.
+	// hotKeyMinGain is the minimum ratio of another upstream's capacity to the present owner's for
+	// which a hot key moves there.
 	hotKeyMinGain = 1.25
-	// isolatedHotKeyMinGain is the same for a hot key that stands alone already: under its load
-	// the owner's capacity is underestimated by up to about 2.2 times (from logs of a
-	// calm day with one hot key); an upstream that has turned slow lies beyond.
+	// isolatedHotKeyMinGain is the same ratio for a hot key that already has a span of its own.
+	// Under its load the owner's capacity is underestimated by a factor of up to about 2.2, as logs
+	// of a quiet run with one hot key show. An upstream that has become slow exceeds the ratio.
 	isolatedHotKeyMinGain = 3.0
 )
 
 // Owner is an upstream that can own keys.
 type Owner struct {
 	ID string
-	// Usable says that it may be given keys: it is neither leaving nor
-	// suspected.
+	// Usable is true if the upstream may be assigned keys: it is neither leaving nor suspected.
 	Usable bool
-	// MayKeep says that it may keep the keys it has.
+	// MayKeep is true if the upstream may keep the keys that it owns.
 	MayKeep bool
-	// Warming says that it warms up and bears few requests until it has.
+	// Warming is true while the upstream warms up and can handle only a few requests.
 	Warming bool
-	// Capacity is how many requests a second it can run.
+	// Capacity is the number of requests a second that the upstream can run.
 	Capacity float64
-	// Incarnation tells which start of the upstream this is.
+	// Incarnation identifies the current process start of the upstream.
 	Incarnation instances.Incarnation
 }
 
-// restarted reports whether the owner has started again since it was granted the keys:
-// nobody holds them.
+// restarted reports whether the owner has restarted since it was granted the span. In that case no
+// process holds the keys.
 func (o *Owner) restarted(s spans.Span) bool { return o.Incarnation.Other(s.Incarnation) }
 
-// PlanInput is what a plan is made from.
+// PlanInput is the input of MakePlan.
 type PlanInput struct {
 	Table *spans.Table
-	// Owners are the upstreams of the service; those missing are lost.
+	// Owners lists the upstreams of the service. An owner in Table that is not listed is lost.
 	Owners []Owner
-	// Load is requests a second by key.
+	// Load is the number of requests a second for each key.
 	Load map[uint16]float64
-	// Pins are where operators want keys to live.
+	// Pins lists the keys that operators have assigned to upstreams.
 	Pins []Pin
-	// BalanceDue says that moves for balance are due. Without it only those are made that
-	// cannot wait.
+	// BalanceDue is true if moves for load balancing are due. Otherwise the plan contains only
+	// moves that cannot wait.
 	BalanceDue bool
-	// ControlUnreliable says that control calls get no answers: each move leaves keys without an owner
-	// until some are, so only those are made that cannot wait.
+	// ControlUnreliable is true if control calls to working upstreams fail. A move then leaves keys
+	// without an owner until a call is answered, so the plan contains only moves that cannot wait.
 	ControlUnreliable bool
-	// RecentlyMoved are the first keys of spans that have moved lately: they are not
-	// moved again for balance.
+	// RecentlyMoved is the set of the first keys of spans that have moved recently. They are not
+	// moved again for load balancing.
 	RecentlyMoved map[uint16]bool
 }
 
-// Pin keeps keys on an upstream as long as that may be given keys.
+// Pin assigns keys to an upstream for as long as that upstream may be assigned keys.
 type Pin struct {
 	spans.Keys
 	Owner string
 }
 
-// InitialTable returns the first assignment of a service over the owners.
+// InitialTable returns the initial assignment of the keys of a service to the usable owners.
 func InitialTable(service string, owners []Owner) *spans.Table {
 	t := &spans.Table{Service: service}
 	usable := usableIDs(owners)
@@ -109,8 +110,9 @@
 	return t
 }
 
-// PreferWarm lets upstreams that warm up get no keys as long as there are others that may:
-// they bear a few requests a second, and with a hot key they would break.
+// PreferWarm excludes upstreams that are warming up from new assignments as long as another
+// upstream is usable: they can handle only a few requests a second and would fail under a hot key.
+// It modifies and returns owners.
 func PreferWarm(owners []Owner) []Owner {
 	if !slices.ContainsFunc(owners, func(o Owner) bool { return o.Usable && !o.Warming }) {
 		return owners
@@ -131,7 +133,7 @@
 	return out
 }
 
-// plan is a plan in the making.
+// draft is the state of a plan while it is computed.
 type draft struct {
 	table         *spans.Table
 	keyLoad       map[uint16]float64
@@ -142,15 +144,15 @@
 	usable        []*Owner
 	loads         map[string]float64
 	moves         int
-	// stuck are upstreams that can give nothing away: a key that is hot beyond any
-	// upstream's capacity must not keep the others uneven.
+	// exhausted is the set of upstreams with no load left that can be moved. Skipping them lets the
+	// others be balanced even if one key is hotter than the capacity of any upstream.
 	exhausted map[string]bool
-	// target is the utilization to which upstreams are filled up.
+	// targetUtilization is the utilization up to which upstreams are filled.
 	targetUtilization float64
 }
 
-// MakePlan returns the table with the moves that are due, or nil when there are
-// none. The input's table is not changed.
+// MakePlan returns a copy of the table with the moves that are due, or nil if there are none. It
+// does not modify the input's table.
 func MakePlan(in PlanInput) *spans.Table {
 	p := newDraft(in)
 	if len(p.usable) == 0 {
@@ -167,7 +169,8 @@
 	return p.table
 }
 
-// even makes the moves that even loads out, those for balance if they are due or urgent.
+// levelLoads distributes the load. Moves for load balancing are made only if they are due or an
+// upstream is severely overloaded.
 func (p *draft) levelLoads(balance bool) {
 	p.fillEmptyUpstreams()
 	p.placeHotKey()
@@ -204,7 +207,7 @@
 	return p
 }
 
-// futureOwner is the upstream that has the keys after the moves under way.
+// futureOwner returns the owner of the span once its pending move, if any, is complete.
 func futureOwner(s spans.Span) string {
 	if s.Moving() {
 		return s.Next
@@ -212,7 +215,7 @@
 	return s.Owner
 }
 
-// loadOf returns the load of a span of keys.
+// loadOf returns the load of a range of keys.
 func (p *draft) loadOf(k spans.Keys) float64 {
 	sum := baseKeyLoad * float64(k.Count())
 	for i := p.firstLoadedKey(k.First); i < len(p.sortedKeys) && p.sortedKeys[i] <= k.Last; i++ {
@@ -221,15 +224,15 @@
 	return sum
 }
 
-// index returns the position of the first loaded key at or above the key.
+// firstLoadedKey returns the index in sortedKeys of the first key at or above key.
 func (p *draft) firstLoadedKey(key uint16) int {
 	return sort.Search(len(p.sortedKeys), func(i int) bool { return p.sortedKeys[i] >= key })
 }
 
 func (p *draft) utilization(o *Owner) float64 { return p.loads[o.ID] / max(o.Capacity, minCapacity) }
 
-// leastUtilized returns the usable upstream with the lowest utilization after taking
-// the load, other than the one to avoid.
+// leastUtilized returns the usable upstream, other than avoid, that would have the lowest
+// utilization after taking on the load.
 func (p *draft) leastUtilized(load float64, avoid string) *Owner {
 	var best *Owner
 	lowest := 0.0
@@ -245,7 +248,7 @@
 	return best
 }
 
-// move gives the span at index i to the owner with a new fence.
+// move starts a move of the span at index i to the owner, with a new fence.
 func (p *draft) move(i int, to *Owner) {
 	s := &p.table.Spans[i]
 	load := p.loadOf(s.Keys)
@@ -257,7 +260,7 @@
 	p.moves++
 }
 
-// placePinned moves keys to where operators want them.
+// placePinned moves pinned keys to their upstreams.
 func (p *draft) placePinned() {
 	for _, pin := range p.pins {
 		owner := p.owners[pin.Owner]
@@ -275,8 +278,7 @@
 	}
 }
 
-// pinned reports whether the owner of the span is where operators want some of
-// its keys to be.
+// pinned reports whether any key of the span is pinned to its present owner.
 func (p *draft) pinned(s spans.Span) bool {
 	for _, pin := range p.pins {
 		if pin.Owner == s.Owner && s.First <= pin.Last && s.Last >= pin.First {
@@ -286,9 +288,8 @@
 	return false
 }
 
-// replaceLost gives the keys of lost and leaving owners to others, the busiest
-// first, and those of owners that have started again to these themselves: that is a grant
-// without a wait, and their other keys are where they were.
+// replaceLost reassigns the spans of lost and leaving owners, the busiest first. A restarted owner
+// gets its spans back: they can be granted without a wait, and no keys change their upstream.
 func (p *draft) replaceLost() {
 	var orphans []int
 	for i, s := range p.table.Spans {
@@ -316,9 +317,9 @@
 	}
 }
 
-// placeHotKey puts the hottest single key on an upstream of its own strength: the
-// strongest one when it has clearly more capacity than the present owner. What
-// else that upstream has is moved away by balance.
+// placeHotKey moves the hottest key to the upstream with the highest capacity if that is clearly
+// higher than the capacity of the present owner. The other load of that upstream is moved away by
+// balance.
 func (p *draft) placeHotKey() {
 	var hot uint16
 	hottestLoad := 0.0
--- a/coordination/ownership/plan_test.go
+++ b/coordination/ownership/plan_test.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-// done ends all moves of a table as granted.
+// completeMoves returns a copy of the table in which all pending moves are granted.
 func completeMoves(t *spans.Table) *spans.Table {
 	t = t.Clone()
 	for i := range t.Spans {
@@ -32,7 +32,7 @@
 
 func settledTable(n int) *spans.Table { return completeMoves(InitialTable("s", owners(n))) }
 
-func TestFirstAlternates(t *testing.T) {
+func TestInitialTableAlternatesOwners(t *testing.T) {
 	table := InitialTable("s", owners(11))
 	if err := table.Check(); err != nil {
 		t.Fatal(err)
@@ -41,22 +41,22 @@
 	for i, s := range table.Spans {
 		counts[s.Next]++
 		if i > 0 && s.Next == table.Spans[i-1].Next {
-			t.Errorf("neighbours %d and %d have one owner", i-1, i)
+			t.Errorf("adjacent spans %d and %d have the same owner", i-1, i)
 		}
 	}
 	for id, n := range counts {
 		if n != initialSpansPerUpstream {
-			t.Errorf("%s has %d spans", id, n)
+			t.Errorf("upstream %s has %d initial spans", id, n)
 		}
 	}
 }
 
-func TestNothingToDo(t *testing.T) {
+func TestNoPlanWithoutReason(t *testing.T) {
 	if next := MakePlan(PlanInput{BalanceDue: true, Table: settledTable(5), Owners: owners(5)}); next != nil {
-		t.Error("a plan without a reason")
+		t.Error("a plan was made though no move is due")
 	}
 	if next := MakePlan(PlanInput{BalanceDue: true, Table: settledTable(5)}); next != nil {
-		t.Error("a plan without upstreams")
+		t.Error("a plan was made without upstreams")
 	}
 }
 
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestRestartedOwnerIsGrantedItsKeysAgain, at once and with higher fences; if it may not
-// be given keys, others get them.
+// TestRestartedOwnerIsGrantedItsKeysAgain checks that a restarted owner gets its spans back at once
+// with higher fences, and that other upstreams get them if it is not usable.
 func TestRestartedOwnerIsGrantedItsKeysAgain(t *testing.T) {
 	table, list := settledTable(3), owners(3)
 	for i := range table.Spans {
@@ -90,20 +90,20 @@
 	for _, s := range next.Spans {
 		again := s.Owner == "u1"
 		if again != s.Moving() || again && (s.Next != "u1" || s.NextFence <= s.Fence) {
-			t.Errorf("span of %s moves to %q by fence %d after %d", s.Owner, s.Next, s.NextFence, s.Fence)
+			t.Errorf("span of %s moves to %q with fence %d, previous fence %d", s.Owner, s.Next, s.NextFence, s.Fence)
 		}
 	}
 	list[1].Usable = false
 	for _, s := range MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list}).Spans {
 		if s.Owner == "u1" && (!s.Moving() || s.Next == "u1") {
-			t.Errorf("span of the restarted one goes to %q", s.Next)
+			t.Errorf("span of the unusable restarted owner moves to %q", s.Next)
 		}
 	}
 }
 
-// TestSuspectedOwnerKeepsButGetsNothing: one that is only suspected keeps what
-// it has.
-func TestSuspectedOwnerKeepsButGetsNothing(t *testing.T) {
+// TestSuspectedOwnerKeepsItsKeysAndGetsNoOthers checks that an owner that is not usable but may
+// keep its keys neither loses nor gains any.
+func TestSuspectedOwnerKeepsItsKeysAndGetsNoOthers(t *testing.T) {
 	list := owners(3)
 	list[0].Usable = false
 	list[1].MayKeep, list[1].Usable = false, false
@@ -129,19 +129,19 @@
 		}
 	}
 	if assigned == 0 {
-		t.Error("the new upstream gets nothing")
+		t.Error("the new upstream gets no keys")
 	}
 }
 
-// TestNewUpstreamGetsKeysBesideAHotKey: the upstream of a key that nobody can run has nothing
-// to give, the others have.
+// TestNewUpstreamGetsKeysBesideAHotKey checks that a new upstream gets keys from the others when
+// the most utilized upstream has only a hot key that exceeds any capacity.
 func TestNewUpstreamGetsKeysBesideAHotKey(t *testing.T) {
 	table := settledTable(4)
 	load := map[uint16]float64{100: 5, 20000: 5, 40000: 5, 60000: 5, 100 + 4096: 900}
 	table.Split(table.At(100+4096), 100+4096)
 	table.Split(table.At(100+4096), 100+4096+1)
 	for i := range table.Spans {
-		// The hot key stands alone, and is all that its owner has.
+		// The hot key has a span of its own and is all that its owner has.
 		if table.Spans[i].Owner == table.Find(100+4096).Owner && !table.Spans[i].Has(100+4096) {
 			table.Spans[i].Owner = "u0"
 		}
@@ -155,12 +155,12 @@
 			return
 		}
 	}
-	t.Error("the new upstream gets nothing")
+	t.Error("the new upstream gets no keys")
 }
 
-// TestBusyNeighboursAreSpread: keys that lie together and carry most of the load
-// come apart within a few rounds.
-func TestBusyNeighboursAreSpread(t *testing.T) {
+// TestAdjacentBusyKeysAreSpread checks that a few plans distribute adjacent keys that carry most of
+// the load.
+func TestAdjacentBusyKeysAreSpread(t *testing.T) {
 	table, list := settledTable(6), owners(6)
 	load := make(map[uint16]float64)
 	for k := range uint16(64) {
@@ -169,13 +169,13 @@
 	before := maxUtilization(table, list, load)
 	table = runPlans(6, table, list, load)
 	if after := maxUtilization(table, list, load); after > 0.75 {
-		t.Errorf("worst utilization %.2f, was %.2f", after, before)
+		t.Errorf("maximum utilization %.2f, was %.2f", after, before)
 	}
 }
 
-// TestHotKeyDoesNotKeepOthersUneven: a key that is more than any upstream can run cannot be
-// spread, and all else is.
-func TestHotKeyDoesNotKeepOthersUneven(t *testing.T) {
+// TestHotKeyDoesNotBlockBalancing checks that the other keys are balanced when one key exceeds the
+// capacity of any upstream.
+func TestHotKeyDoesNotBlockBalancing(t *testing.T) {
 	table, list := settledTable(40), owners(40)
 	load := map[uint16]float64{60000: 700}
 	for k := range uint16(60) {
@@ -184,13 +184,13 @@
 	table = runPlans(4, table, list, load)
 	delete(load, 60000)
 	if after := maxUtilization(table, list, load); after > 1 {
-		t.Errorf("worst utilization by other keys %.2f", after)
+		t.Errorf("maximum utilization by other keys %.2f", after)
 	}
 }
 
-// TestGroupOfHotKeysIsSpreadAtOnce: four plans bring a group of hot keys from a few upstreams
-// to many, each filled to the mean and no further.
-func TestGroupOfHotKeysIsSpreadAtOnce(t *testing.T) {
+// TestHotKeyGroupIsSpreadQuickly checks that four plans distribute a group of hot keys from a few
+// upstreams to many, none of which is filled beyond the mean.
+func TestHotKeyGroupIsSpreadQuickly(t *testing.T) {
 	table, list := settledTable(300), owners(300)
 	load := make(map[uint16]float64)
 	for k := range uint16(200) {
@@ -199,35 +199,36 @@
 	before := maxUtilization(table, list, load)
 	table = runPlans(4, table, list, load)
 	if after := maxUtilization(table, list, load); after > 1 || before < 10 {
-		t.Errorf("worst utilization %.2f, was %.2f", after, before)
+		t.Errorf("maximum utilization %.2f, was %.2f", after, before)
 	}
 }
 
-// TestBalanceWaits: unless an upstream is asked for far more than it can run.
-func TestBalanceWaits(t *testing.T) {
+// TestBalancingWaitsUnlessUrgent checks that keys move for balancing only when it is due or an
+// upstream is severely overloaded by more than one key.
+func TestBalancingWaitsUnlessUrgent(t *testing.T) {
 	table, list := settledTable(6), owners(6)
 	load := make(map[uint16]float64)
 	for k := range uint16(30) {
 		load[5000+k] = 2.5
 	}
 	if next := MakePlan(PlanInput{Table: table, Owners: list, Load: load}); next != nil {
-		t.Error("keys move for balance before it is due")
+		t.Error("keys move for balancing before it is due")
 	}
 	if next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Load: load}); next == nil {
-		t.Error("no key moves though balance is due")
+		t.Error("no key moves though balancing is due")
 	}
 	for k := range load {
 		load[k] *= 2
 	}
 	if next := MakePlan(PlanInput{Table: table, Owners: list, Load: load}); next == nil {
-		t.Error("no key moves though one upstream is asked for 2.5 times what it can run")
+		t.Error("no key moves though one upstream has 2.5 times its capacity in load")
 	}
 	if next := MakePlan(PlanInput{Table: table, Owners: list, Load: map[uint16]float64{5000: 900}}); next != nil {
-		t.Error("keys move for a key that cannot be spread")
+		t.Error("keys move because of a single hot key, which cannot be divided")
 	}
 }
 
-// balanced makes and ends so many plans, one after the other.
+// runPlans makes and completes up to the given number of plans, one after the other.
 func runPlans(plans int, table *spans.Table, list []Owner, load map[uint16]float64) *spans.Table {
 	for range plans {
 		next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Load: load})
@@ -239,6 +240,7 @@
 	return table
 }
 
+// maxUtilization returns the highest utilization of an owner.
 func maxUtilization(t *spans.Table, list []Owner, load map[uint16]float64) float64 {
 	sums := make(map[string]float64)
 	for k, l := range load {
@@ -251,32 +253,33 @@
 	return highest
 }
 
-// TestHotKeyGoesToTheStrongest and what else that one has is moved away.
-func TestHotKeyGoesToTheStrongest(t *testing.T) {
+// TestHotKeyMovesToHighestCapacity checks that a hot key moves to the upstream with the highest
+// capacity and stays there.
+func TestHotKeyMovesToHighestCapacity(t *testing.T) {
 	table, list := settledTable(4), owners(4)
 	list[3].Capacity = 150
 	load := map[uint16]float64{500: 100, 30000: 10}
 	hot := table.Find(500).Owner
 	if hot == "u3" {
-		t.Fatal("the test wants the hot key elsewhere")
+		t.Fatal("test setup: the hot key is already at the upstream with the highest capacity")
 	}
 	next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Load: load})
 	if next == nil {
 		t.Fatal("no plan")
 	}
 	if s := next.Find(500); s.Next != "u3" || s.Count() != 1 {
-		t.Errorf("the hot key's span %+v", s)
+		t.Errorf("span of the hot key: %+v", s)
 	}
 	again := MakePlan(PlanInput{BalanceDue: true, Table: completeMoves(next), Owners: list, Load: load, RecentlyMoved: map[uint16]bool{500: true}})
 	if again != nil && again.Find(500).Moving() {
-		t.Error("the hot key moves on")
+		t.Error("the hot key moves again")
 	}
 }
 
-// TestHotKeyStays: an upstream under the load of a hot key looks weaker than idle ones
-// of the same strength. The key does not go round among them. (It moved each two
-// seconds: abyconnect-sim quiet-1.)
-func TestHotKeyStays(t *testing.T) {
+// TestIsolatedHotKeyStays checks that a hot key with a span of its own does not move between
+// upstreams of equal strength. Under its load its owner's capacity is underestimated, so idle
+// upstreams appear stronger, and the key would move every two seconds.
+func TestIsolatedHotKeyStays(t *testing.T) {
 	table, list := settledTable(4), owners(4)
 	i := table.At(500)
 	table.Split(i, 501)
@@ -293,10 +296,10 @@
 	}
 }
 
-// TestPlansKeepTheRules: for any state and load, a plan covers all keys, raises
-// the fence of each move above all before, changes no move under way and gives
-// keys to usable upstreams only.
-func TestPlansKeepTheRules(t *testing.T) {
+// TestPlanInvariants checks that for any state and load a plan covers all keys, gives each move a
+// fence above all previous ones, leaves pending moves unchanged and moves keys only to usable
+// upstreams.
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "upstreams")
 		table := settledTable(n)
@@ -337,39 +340,40 @@
 		old := before.Find(s.First)
 		switch {
 		case old.Moving() && s != old:
-			t.Fatalf("a move under way was changed: %+v to %+v", old, s)
+			t.Fatalf("a pending move was changed: %+v to %+v", old, s)
 		case s.Moving() && !old.Moving() && (s.NextFence <= before.LastFence || !usable[s.Next]):
-			t.Fatalf("move %+v, last fence before %d", s, before.LastFence)
+			t.Fatalf("invalid move %+v, last fence before the plan %d", s, before.LastFence)
 		case s.Owner != old.Owner || s.Fence != old.Fence:
-			t.Fatalf("a plan changes an owner: %+v to %+v", old, s)
+			t.Fatalf("the plan changes the present owner or fence: %+v to %+v", old, s)
 		}
 	}
 }
 
-// TestHeatOfAShortPast: half a second after it begins an estimate is as high as later.
-func TestHeatOfAShortPast(t *testing.T) {
+// TestRateAfterShortObservation checks that half a second after the start the estimate is already
+// as high as it is later.
+func TestRateAfterShortObservation(t *testing.T) {
 	start := time.Now()
 	h := NewRateEstimator(start)
 	for range 50 {
 		h.Add(7)
 	}
 	if r := h.Rates(start.Add(500 * time.Millisecond))[7]; r < 60 || r > 130 {
-		t.Errorf("a hundred a second for half a second count as %.0f", r)
+		t.Errorf("rate %.0f after 100 requests a second for half a second", r)
 	}
 }
 
-// TestHeatAtTheBeginning: what the first reports tell right after a leader begins was asked
-// before, and one request is no hot key.
-func TestHeatAtTheBeginning(t *testing.T) {
+// TestRateRightAfterStart checks that one request right after the start does not make a key hot.
+// The first reports to a new leader count requests from before it became leader.
+func TestRateRightAfterStart(t *testing.T) {
 	start := time.Now()
 	h := NewRateEstimator(start)
 	h.Add(7)
 	if r := h.Rates(start.Add(10 * time.Millisecond))[7]; r > 3 {
-		t.Errorf("one request counts as %.0f a second", r)
+		t.Errorf("rate %.0f after a single request", r)
 	}
 }
 
-func TestHeatFades(t *testing.T) {
+func TestRateDecays(t *testing.T) {
 	start := time.Now()
 	h := NewRateEstimator(start)
 	for i := range 300 {
@@ -379,14 +383,14 @@
 		}
 	}
 	if r := h.Rates(start.Add(3 * time.Second))[7]; r < 60 || r > 110 {
-		t.Errorf("a hundred a second for three seconds count as %.0f", r)
+		t.Errorf("rate %.0f after 100 requests a second for three seconds", r)
 	}
 	if r := h.Rates(start.Add(time.Minute)); len(r) != 0 {
-		t.Errorf("after a minute %v", r)
+		t.Errorf("rates %v after a minute without requests", r)
 	}
 }
 
-// TestPins: keys go where operators want them, stay there under load, and go
+// TestPins checks that pinned keys move to their upstream, stay there under load, and move
 // elsewhere when that upstream is lost.
 func TestPins(t *testing.T) {
 	table, list := settledTable(4), owners(4)
@@ -399,26 +403,26 @@
 	table = completeMoves(next)
 	for key := 1000; key <= 9000; key += 100 {
 		if o := table.Find(uint16(key)).Owner; o != "u2" {
-			t.Fatalf("key %d is at %s", key, o)
+			t.Fatalf("key %d is owned by %s", key, o)
 		}
 	}
 	if o := table.Find(999).Owner; o == "u2" && settledTable(4).Find(999).Owner != "u2" {
-		t.Error("a key beside the pinned ones has moved")
+		t.Error("a key next to the pinned ones has moved")
 	}
 	if next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Pins: pins, Load: load}); next != nil {
 		if s := next.Find(1500); s.Moving() {
-			t.Error("pinned keys move for balance")
+			t.Error("pinned keys move for balancing")
 		}
 	}
 	list[2].Usable, list[2].MayKeep = false, false
 	next = MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Pins: pins, Load: load})
 	if next == nil || !next.Find(1500).Moving() {
-		t.Error("keys pinned to a lost upstream stay there")
+		t.Error("keys pinned to a lost upstream do not move")
 	}
 }
 
-// BenchmarkMake is one plan that finds nothing to do, at the size of Addis grown and at
-// ten times that.
+// BenchmarkMake measures a plan without any moves, with 119 upstreams, about the size of the Addis
+// scenario after its growth, and with ten times as many.
 func BenchmarkMake(b *testing.B) {
 	for _, n := range []int{119, 1190} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -435,8 +439,8 @@
 	}
 }
 
-// TestWarmingUpstreamsGetNoKeys while a warm one may have them; when all warm up, they are
-// shared out among these.
+// TestWarmingUpstreamsGetNoKeys checks that upstreams that warm up get no keys while a warm one is
+// usable, and that they share all keys if no other is usable.
 func TestWarmingUpstreamsGetNoKeys(t *testing.T) {
 	owners := []Owner{{ID: "a", Usable: true, MayKeep: true, Capacity: 10}, {ID: "b", Usable: true, MayKeep: true, Capacity: 10, Warming: true}}
 	for _, s := range InitialTable("s", PreferWarm(owners)).Spans {
--- a/coordination/ownership/release_test.go
+++ b/coordination/ownership/release_test.go
@@ -13,11 +13,11 @@
 		failing bool
 		want    time.Duration
 	}{
-		{"long before the end", 4 * time.Second, false, maxTimeout},
-		{"up to the end", 700 * time.Millisecond, false, 700 * time.Millisecond},
-		{"up to the end, silent", 700 * time.Millisecond, true, 700 * time.Millisecond},
-		{"after the end, silent", 0, true, 0},
-		{"after the end, reached", -time.Second, false, maxTimeout},
+		{"hold outlasts the maximum timeout", 4 * time.Second, false, maxTimeout},
+		{"until the end of the hold", 700 * time.Millisecond, false, 700 * time.Millisecond},
+		{"until the end of the hold, calls fail", 700 * time.Millisecond, true, 700 * time.Millisecond},
+		{"after the hold, calls fail", 0, true, 0},
+		{"after the hold, calls succeed", -time.Second, false, maxTimeout},
 	} {
 		if got := ReleaseTimeout(maxTimeout, c.left, c.failing); got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
