--- a/coordination/detect/detect.go
+++ b/coordination/detect/detect.go
@@ -1,62 +1,63 @@
-// Package detect judges whether an upstream is alive from what the entries of
-// a cell observed. One entry that still reaches an upstream keeps it alive: the
-// others are then cut off from it, and it must not be declared lost.
+// Package detect determines whether an upstream is alive from the observations of the entries of a
+// cell. An upstream that at least one entry reaches is alive: the other entries are cut off from
+// it, and it must not be declared lost.
 package detect
 
 import "time"
 
-// Observation is what one entry saw of one upstream.
+// Observation is what one entry observed of one upstream.
 type Observation struct {
-	// Boot is the process that answered last.
+	// Boot identifies the process that answered last.
 	Boot string
 	// Silent is the time since the last answer.
 	Silent time.Duration
-	// Refused says that the last connection attempt was actively refused,
-	// which a frozen process does not do.
+	// Refused is true if the last connection attempt was actively refused, which a frozen process
+	// does not do.
 	Refused bool
-	// Leaving says that the upstream announced its stop.
+	// Leaving is true if the upstream has announced that it will stop.
 	Leaving bool
 }
 
-// Health is the verdict on an upstream.
+// Health is the assessed state of an upstream.
 type Health int
 
-// The verdicts.
+// States of an upstream.
 const (
-	// Unknown: nobody has reported.
+	// Unknown means that too few entries have reported.
 	Unknown Health = iota
-	// Alive: at least one entry heard from it.
+	// Alive means that at least one entry hears from the upstream.
 	Alive
-	// Silent: no entry heard from it; it may be dead, frozen or cut off.
+	// Silent means that no entry hears from it: it may be dead, frozen or cut off.
 	Silent
-	// Gone: its process has ended.
+	// Gone means that its process has ended.
 	Gone
 )
 
-// Assessment is the judgement on one upstream.
+// Assessment is the result of evaluating the reports on one upstream.
 type Assessment struct {
 	Health  Health
 	Leaving bool
-	// Boot is the process that answered last; empty when none did.
+	// Boot identifies the process that answered last; it is empty if none did.
 	Boot string
 }
 
-// Limits are the times of detection.
+// Limits holds the time limits of failure detection.
 type Limits struct {
 	// SuspectAfter is the silence after which an upstream counts as silent.
 	SuspectAfter time.Duration
-	// RefusedAfter is the silence that suffices when connections are refused.
+	// RefusedAfter is the shorter silence that suffices if connections are refused.
 	RefusedAfter time.Duration
 	// ReportTTL is how long the report of an entry counts.
 	ReportTTL time.Duration
 }
 
+// report is an observation with the time of its arrival.
 type report struct {
 	at time.Time
 	Observation
 }
 
-// Detector collects reports. It is not safe for concurrent use.
+// Detector evaluates the reports of entries. It is not safe for concurrent use.
 type Detector struct {
 	limits  Limits
 	reports map[string]map[string]report
@@ -68,8 +69,8 @@
 	return &Detector{limits: limits, reports: make(map[string]map[string]report), resetAt: make(map[string]time.Time)}
 }
 
-// Report notes what an entry saw of an upstream. Of an answer from before the
-// last Forget only the silence since then counts.
+// Report stores what an entry observed of an upstream. An answer from before the last Reset is
+// ignored: only the silence since the reset counts.
 func (d *Detector) Report(now time.Time, entry, upstream string, o Observation) {
 	if resetAt := d.resetAt[upstream]; now.Add(-o.Silent).Before(resetAt) {
 		o = Observation{Silent: now.Sub(resetAt)}
@@ -82,15 +83,15 @@
 	byEntry[entry] = report{at: now, Observation: o}
 }
 
-// Reset drops all evidence on an upstream from before now.
+// Reset discards all observations of an upstream from before now.
 func (d *Detector) Reset(now time.Time, upstream string) {
 	delete(d.reports, upstream)
 	d.resetAt[upstream] = now
 }
 
-// Assess gives the verdict on an upstream whose grants belong to process boot.
-// An empty boot accepts any process. Without at least minReports reports an upstream
-// is not judged silent or gone.
+// Assess returns the state of an upstream whose grants belong to the process boot; an empty boot
+// stands for any process. With fewer than minReports reports, an upstream is not assessed as Silent
+// or Gone.
 func (d *Detector) Assess(now time.Time, upstream, boot string, minReports int) Assessment {
 	var v Assessment
 	silent, gone, reporting := 0, 0, 0
@@ -117,7 +118,7 @@
 		}
 	}
 	if now.Sub(d.resetAt[upstream]) < d.limits.SuspectAfter {
-		// Answers from before the reset may still arrive; their boot says
+		// Answers from before the reset may still arrive, so the process that they name says
 		// nothing.
 		boot = ""
 	}
@@ -128,6 +129,8 @@
 	return v
 }
 
+// health derives the state from the number of reporting entries and how many of them found the
+// upstream silent or gone, and from the observed and the expected process.
 func (d *Detector) health(reporting, silent, gone int, observedBoot, boot string) Health {
 	switch {
 	case reporting == 0:
--- a/coordination/detect/detect_test.go
+++ b/coordination/detect/detect_test.go
@@ -7,7 +7,7 @@
 
 var start = time.Unix(1000, 0)
 
-func TestJudge(t *testing.T) {
+func TestAssess(t *testing.T) {
 	limits := Limits{SuspectAfter: time.Second, RefusedAfter: 400 * time.Millisecond, ReportTTL: 1500 * time.Millisecond}
 	alive := Observation{Boot: "b", Silent: 100 * time.Millisecond}
 	silent := Observation{Boot: "b", Silent: 1100 * time.Millisecond}
@@ -20,17 +20,17 @@
 		boot       string
 		want       Health
 	}{
-		{"nobody reports", nil, 1, 0, "b", Unknown},
-		{"all hear it", []Observation{alive, alive}, 1, 0, "b", Alive},
-		{"one hears it", []Observation{silent, silent, alive}, 1, 0, "b", Alive},
-		{"none hears it", []Observation{silent, silent}, 1, 0, "b", Silent},
-		{"too few report", []Observation{silent}, 2, 0, "b", Unknown},
+		{"no entry reports", nil, 1, 0, "b", Unknown},
+		{"all entries hear from it", []Observation{alive, alive}, 1, 0, "b", Alive},
+		{"one entry hears from it", []Observation{silent, silent, alive}, 1, 0, "b", Alive},
+		{"no entry hears from it", []Observation{silent, silent}, 1, 0, "b", Silent},
+		{"too few entries report", []Observation{silent}, 2, 0, "b", Unknown},
 		{"refused by all", []Observation{refused, refused}, 1, 0, "b", Gone},
 		{"refused and silent", []Observation{refused, silent}, 1, 0, "b", Silent},
 		{"silence grows with the age of the report", []Observation{alive}, 1, 950 * time.Millisecond, "b", Silent},
-		{"old reports do not count", []Observation{alive}, 1, 2 * time.Second, "b", Unknown},
+		{"expired reports do not count", []Observation{alive}, 1, 2 * time.Second, "b", Unknown},
 		{"another process", []Observation{{Boot: "c"}}, 1, 0, "b", Gone},
-		{"the latest answer tells the process", []Observation{alive, {Boot: "c"}}, 1, 0, "c", Alive},
+		{"the latest answer identifies the process", []Observation{alive, {Boot: "c"}}, 1, 0, "c", Alive},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestForget drops what was seen of the former process: an old boot id in a
-// late report must not make the new one count as gone.
-func TestForget(t *testing.T) {
+// TestReset checks that a reset discards observations of the former process: its boot ID in a late
+// report must not make the new process count as gone.
+func TestReset(t *testing.T) {
 	d := New(Limits{SuspectAfter: time.Second, ReportTTL: time.Minute})
 	d.Reset(start, "u")
 	d.Report(start.Add(100*time.Millisecond), "a", "u", Observation{Boot: "old", Silent: 300 * time.Millisecond})
@@ -56,7 +56,7 @@
 	}
 	d.Report(start.Add(200*time.Millisecond), "b", "u", Observation{Boot: "old"})
 	if got := d.Assess(start.Add(200*time.Millisecond), "u", "new", 1).Health; got != Alive {
-		t.Errorf("health %d with an answer that was under way, want alive", got)
+		t.Errorf("health %d after a delayed answer of the former process, want alive", got)
 	}
 	if got := d.Assess(start.Add(2*time.Second), "u", "new", 1).Health; got != Silent {
 		t.Errorf("health %d after silence, want silent", got)
