--- a/coordination/load/aggregator.go
+++ b/coordination/load/aggregator.go
@@ -9,22 +9,21 @@
 )
 
 const (
-	// smoothingFactor is the weight of a new report against what was known.
+	// smoothingFactor is the weight of a new report in the exponential moving average.
 	smoothingFactor = 0.3
-	// reportTTL is the age at which the report of an entry counts no more.
+	// reportTTL is the age from which the report of an entry no longer counts.
 	reportTTL = 5 * time.Second
 )
 
-// RangeRate is the traffic of one range as one entry saw it.
+// RangeRate is the traffic of one range as observed by one entry.
 type RangeRate struct {
 	Service string
 	keyspace.Span
-	// Rate is in requests a second.
+	// Rate is the number of requests a second.
 	Rate float64
 }
 
-// Aggregator merges the reports of all entries of a cell. It is not safe for
-// concurrent use.
+// Aggregator merges the load reports of all entries of a cell. It is not safe for concurrent use.
 type Aggregator struct {
 	entries map[string]*entryReport
 }
@@ -35,11 +34,12 @@
 	keys   map[string]map[keyspace.Hash]float64
 }
 
-// NewAggregator returns an empty book.
+// NewAggregator returns an aggregator without reports.
 func NewAggregator() *Aggregator { return &Aggregator{entries: make(map[string]*entryReport)} }
 
-// Report takes the traffic that one entry saw over an interval. Rates are
-// smoothed over reports; a range that was split starts from its share.
+// Report adds the traffic that one entry observed over an interval. Rates are smoothed over
+// reports. A range that results from a split starts with its share of the rate of the range that
+// was split.
 func (agg *Aggregator) Report(now time.Time, entry string, ranges []RangeRate, keys []KeyRate, interval time.Duration) {
 	old := agg.entries[entry]
 	next := &entryReport{
@@ -71,9 +71,10 @@
 	}
 }
 
-// addKeys smooths the rates of hot keys. A key that is not reported any more
-// fades out.
+// addKeys smooths the rates of hot keys. The rate of a key that is no longer reported decays until
+// the key is dropped.
 func (r *entryReport) addKeys(old *entryReport, keys []KeyRate, interval time.Duration) {
+	// minRate is the rate, in requests a second, below which a key is dropped.
 	const minRate = 0.5
 	set := func(service string, h keyspace.Hash, rate float64) {
 		if r.keys[service] == nil {
@@ -99,8 +100,8 @@
 	}
 }
 
-// rateWithin returns the rate of a span from an ordered list, by the share of each
-// overlapping range.
+// rateWithin returns the rate of a span from a sorted list of ranges. Ranges that overlap the span
+// partially count in proportion to the overlap.
 func rateWithin(list []RangeRate, span keyspace.Span) float64 {
 	sum := 0.0
 	i := sort.Search(len(list), func(i int) bool { return list[i].Last >= span.First })
@@ -116,7 +117,7 @@
 	return sum
 }
 
-// Rate returns the requests a second to a span, over all entries.
+// Rate returns the requests a second to a span, summed over all entries.
 func (agg *Aggregator) Rate(service string, span keyspace.Span) float64 {
 	sum := 0.0
 	for _, r := range agg.entries {
@@ -125,8 +126,8 @@
 	return sum
 }
 
-// HotKeys returns the rates of the hot keys of a service, merged over all entries,
-// the hottest first.
+// HotKeys returns the rates of the hot keys of a service, summed over all entries, the hottest
+// first.
 func (agg *Aggregator) HotKeys(service string) []KeyLoad {
 	rates := make(map[keyspace.Hash]float64)
 	for _, r := range agg.entries {
--- a/coordination/load/cells.go
+++ b/coordination/load/cells.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// cellTTL is the age at which the load of a cell counts no more.
+// cellTTL is the age from which the load of a cell no longer counts.
 const cellTTL = 15 * time.Second
 
-// CellLoad is the load of one service in one cell, as its controller saw it.
+// CellLoad is the load of one service in one cell, as reported by the controller of the cell.
 type CellLoad struct {
 	Cell    string
 	Service string
-	// Rate is in requests a second.
+	// Rate is the number of requests a second.
 	Rate float64
-	// Upstreams is the number that can own ranges.
+	// Upstreams is the number of upstreams that can own ranges.
 	Upstreams int
-	// At orders the reports of one cell: its controller's clock in
-	// milliseconds.
+	// At orders the reports of one cell. It is the time of its controller in milliseconds.
 	At int64
 }
 
@@ -30,7 +29,7 @@
 	return c.Rate / float64(c.Upstreams)
 }
 
-// Cells holds the newest load of each cell, spread by gossip. It is not safe
+// Cells holds the latest known load of each cell, which entries exchange by gossip. It is not safe
 // for concurrent use.
 type Cells struct {
 	byID map[cellID]cellReport
@@ -46,7 +45,7 @@
 // NewCells returns an empty set.
 func NewCells() *Cells { return &Cells{byID: make(map[cellID]cellReport)} }
 
-// Add takes a report unless a newer one of the cell is known.
+// Add stores a report unless one at least as recent is known for the service in the cell.
 func (c *Cells) Add(now time.Time, l CellLoad) {
 	id := cellID{l.Cell, l.Service}
 	if known, ok := c.byID[id]; ok && known.At >= l.At {
@@ -55,7 +54,7 @@
 	c.byID[id] = cellReport{l, now}
 }
 
-// All returns the loads heard of lately, in order of service and cell.
+// All returns the loads received within cellTTL, ordered by service and cell.
 func (c *Cells) All(now time.Time) []CellLoad {
 	var out []CellLoad
 	for id, r := range c.byID {
--- a/coordination/load/load_test.go
+++ b/coordination/load/load_test.go
@@ -8,7 +8,7 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-func TestSpaceSavingFindsTheHot(t *testing.T) {
+func TestSpaceSavingFindsTheMostFrequent(t *testing.T) {
 	s := NewSpaceSaving(64)
 	rng := rand.New(rand.NewPCG(1, 2))
 	zipf := rand.NewZipf(rng, 1.2, 1, 100_000)
@@ -23,12 +23,12 @@
 			t.Errorf("rank %d is %d", i, k.Hash)
 		}
 		if k.Count < exact[k.Hash] || k.Count-k.Error > exact[k.Hash] {
-			t.Errorf("rank %d: count %d, error %d, truth %d", i, k.Count, k.Error, exact[k.Hash])
+			t.Errorf("rank %d: count %d, error %d, exact %d", i, k.Count, k.Error, exact[k.Hash])
 		}
 	}
 }
 
-func TestRatesFollowSplits(t *testing.T) {
+func TestRateAfterSplitAndExpiry(t *testing.T) {
 	a := NewAggregator()
 	now := time.Unix(1000, 0)
 	whole := keyspace.Whole()
@@ -40,15 +40,15 @@
 	}
 	a.Report(now, "f", []RangeRate{{"s", whole, 10}}, nil, time.Second)
 	if got := a.Rate("s", whole); got < 109 || got > 111 {
-		t.Errorf("rate of all entries %f", got)
+		t.Errorf("rate over all entries %f", got)
 	}
 	a.Report(now.Add(time.Minute), "f", []RangeRate{{"s", whole, 10}}, nil, time.Second)
 	if got := a.Rate("s", whole); got > 11 {
-		t.Errorf("rate %f with an entry gone", got)
+		t.Errorf("rate %f after the report of an entry has expired", got)
 	}
 }
 
-func TestCellsKeepTheNewest(t *testing.T) {
+func TestCellsKeepTheLatestReport(t *testing.T) {
 	c := NewCells()
 	now := time.Unix(1000, 0)
 	c.Add(now, CellLoad{Cell: "a", Service: "s", Rate: 5, Upstreams: 2, At: 7})
--- a/coordination/load/spacesaving.go
+++ b/coordination/load/spacesaving.go
@@ -8,17 +8,17 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// HotKey is a key's point with the requests counted for it.
+// HotKey is the hash of a key with the number of requests counted for it.
 type HotKey struct {
 	Hash keyspace.Hash
-	// Count is at least the true count, and at most Error above it.
+	// Count is at least the true count and exceeds it by at most Error.
 	Count uint64
 	Error uint64
 }
 
-// SpaceSaving finds the most frequent points of a stream in bounded memory
-// (Metwally, Agrawal, El Abbadi: "Efficient Computation of Frequent and Top-k
-// Elements in Data Streams", 2005). It is not safe for concurrent use.
+// SpaceSaving finds the most frequent hashes of a stream in bounded memory (Metwally, Agrawal, El
+// Abbadi: "Efficient Computation of Frequent and Top-k Elements in Data Streams", 2005). It is not
+// safe for concurrent use.
 type SpaceSaving struct {
 	capacity int
 	items    itemHeap
@@ -30,7 +30,7 @@
 	index int
 }
 
-// NewSpaceSaving returns a sketch that keeps capacity points.
+// NewSpaceSaving returns a sketch that tracks up to capacity hashes.
 func NewSpaceSaving(capacity int) *SpaceSaving {
 	return &SpaceSaving{capacity: capacity, byHash: make(map[keyspace.Hash]*item, capacity)}
 }
@@ -55,7 +55,7 @@
 	heap.Fix(&s.items, 0)
 }
 
-// Top returns the n most frequent points, the most frequent first.
+// Top returns the n most frequent hashes, in descending order of count.
 func (s *SpaceSaving) Top(n int) []HotKey {
 	out := make([]HotKey, 0, len(s.items))
 	for _, it := range s.items {
@@ -70,7 +70,7 @@
 	return out[:min(n, len(out))]
 }
 
-// itemHeap orders items by count, the least first.
+// itemHeap is a min-heap of items by count.
 type itemHeap []*item
 
 func (h itemHeap) Len() int           { return len(h) }
--- a/coordination/load/tracker.go
+++ b/coordination/load/tracker.go
@@ -1,6 +1,6 @@
-// Package load measures where the requests go: per range and per hot key at
-// each entry, merged at the controller of the cell. Its size is bounded by the
-// ranges of the cell and the capacity of the sketches, not by the keys.
+// Package load measures the request load by range and by hot key. Each entry counts, and the
+// controller of the cell merges the counts. Memory is bounded by the number of ranges in the cell
+// and the capacity of the sketches, not by the number of keys.
 package load
 
 import (
@@ -12,16 +12,16 @@
 )
 
 const (
-	// sampleInterval is the share of requests that reach the sketch: one in so
-	// many. Each sample counts for as many.
+	// sampleInterval is the sampling interval of the sketch: one request in this many is added to
+	// it, and is counted as this many.
 	sampleInterval = 4
-	// sketchCapacity is the number of keys watched per service.
+	// sketchCapacity is the number of keys tracked for each service.
 	sketchCapacity = 256
-	// maxReportedKeys is the number of keys reported per service.
+	// maxReportedKeys is the number of keys reported for each service.
 	maxReportedKeys = 32
 )
 
-// Tracker counts hot keys at one entry. It is safe for concurrent use.
+// Tracker counts the requests to hot keys at one entry. It is safe for concurrent use.
 type Tracker struct {
 	requests atomic.Uint64
 	mu       sync.Mutex
@@ -31,7 +31,7 @@
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker { return &Tracker{sketches: make(map[string]*SpaceSaving)} }
 
-// Record notes a request that is sent to its owner.
+// Record counts a request that is sent to its owner.
 func (t *Tracker) Record(service string, _ gate.Route, key string) {
 	if t.requests.Add(1)%sampleInterval != 0 {
 		return
@@ -46,14 +46,14 @@
 	s.Add(keyspace.Of(key), sampleInterval)
 }
 
-// KeyRate is the traffic of one hot key over a report interval.
+// KeyRate is the number of requests for one hot key in a report interval.
 type KeyRate struct {
 	Service  string
 	Hash     keyspace.Hash
 	Requests uint64
 }
 
-// Take returns the hottest keys since the last call and starts anew.
+// Take returns the hottest keys since the last call and resets the counts.
 func (t *Tracker) Take() []KeyRate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
