--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement decides which upstream should own which range. All
-// functions are deterministic: typed inputs, typed moves out.
+// Package placement decides which upstream should own which range. Its functions are deterministic:
+// the same input always gives the same moves.
 package placement
 
 import (
@@ -12,50 +12,50 @@
 // Node is an upstream that can own ranges.
 type Node struct {
 	ID string
-	// Weight is the capacity relative to the others. Default 1.
+	// Weight is the relative capacity. Values of zero or less count as 1.
 	Weight float64
 }
 
-// Item is a range with its present owner and load.
+// Item is a range with its present owner and its load.
 type Item struct {
 	keyspace.Span
-	// Owner is "" when the range needs one.
+	// Owner is empty if the range needs an owner.
 	Owner string
-	// Load is in requests a second.
+	// Load is the number of requests a second.
 	Load float64
 }
 
-// Move gives a range to an upstream.
+// Move assigns a range to an upstream. From is empty if the range had no owner.
 type Move struct {
 	keyspace.Span
 	From, To string
 	Load     float64
 }
 
-// Options bound what a plan may do.
+// Options limits what a plan may do.
 type Options struct {
-	// MaxMoves bounds the number of moves.
+	// MaxMoves is the maximum number of moves.
 	MaxMoves int
-	// Band is the imbalance, busiest over mean, above which ranges move, and
-	// Target the one at which moving stops. Target < Band gives hysteresis.
+	// Band is the imbalance, the highest load over the mean, above which ranges move. Target is the
+	// imbalance at which moving stops. A Target below Band gives hysteresis.
 	Band, Target float64
-	// MinGain is the least fall in imbalance that a move must bring, per
-	// share of load moved.
+	// MinGain is the minimum decrease in imbalance that a move must achieve, relative to the share
+	// of the total load that it moves.
 	MinGain float64
 }
 
-// Bounds of the band of rebalancing.
 const (
+	// minBand and maxBand limit the rebalancing band.
 	minBand = 1.10
 	maxBand = 1.40
-	// targetExcessShare is how much of the band's excess a plan leaves standing.
+	// targetExcessShare is the share of the band's excess over 1 that a plan leaves in place.
 	targetExcessShare = 0.5
 	maxMovesPerPlan   = 8
 )
 
-// OptionsFor derives options from a service's weights. The more churn and
-// unavailable time weigh against imbalance, the wider the band in which nothing
-// moves, and the more a move has to gain.
+// OptionsFor derives options from the weights of a service. The more weight churn and unavailable
+// time have relative to imbalance, the wider the band in which nothing moves, and the more a move
+// has to gain.
 func OptionsFor(imbalance, churn, unavailable float64) Options {
 	moveAversion := 1.0
 	if sum := imbalance + churn + unavailable; sum > 0 {
@@ -70,8 +70,8 @@
 	}
 }
 
-// Imbalance returns the load of the busiest upstream over the mean, in terms
-// of weights. Without load it is 1.
+// Imbalance returns the highest load of an upstream divided by the mean, both per unit of weight.
+// It returns 1 if there is no load.
 func Imbalance(nodes []Node, items []Item) float64 {
 	l := newLoadModel(nodes, items)
 	if l.total == 0 || len(nodes) == 0 {
@@ -84,7 +84,7 @@
 	return busiest / l.mean()
 }
 
-// loadModel keeps the load of each node while a plan is made.
+// loadModel tracks the load of each node while a plan is computed.
 type loadModel struct {
 	nodes  []*nodeLoad
 	byID   map[string]*nodeLoad
@@ -92,6 +92,7 @@
 	weight float64
 }
 
+// nodeLoad is a node with its load and the ranges that it owns.
 type nodeLoad struct {
 	id     string
 	weight float64
@@ -122,14 +123,14 @@
 	return l
 }
 
-// mean returns the load per unit of weight.
+// mean returns the mean load per unit of weight.
 func (l *loadModel) mean() float64 { return l.total / l.weight }
 
-// relative returns a node's load per unit of weight.
+// relative returns the load of the node per unit of weight.
 func (a *nodeLoad) relative() float64 { return a.load / a.weight }
 
-// lightest returns the node with the least relative load; ties go to fewer
-// items, then to the lower ID.
+// leastLoaded returns the node, other than avoid, with the lowest load per unit of weight. Ties go
+// to the node with fewer items per unit of weight, then to the one with the lower ID.
 func (l *loadModel) leastLoaded(avoid string) *nodeLoad {
 	var best *nodeLoad
 	for _, n := range l.nodes {
@@ -143,6 +144,8 @@
 	return best
 }
 
+// lessLoaded reports whether a has less load, or the same load and fewer items, than b, each per
+// unit of weight.
 func lessLoaded(a, b *nodeLoad) bool {
 	if a.relative() != b.relative() {
 		return a.relative() < b.relative()
@@ -160,8 +163,8 @@
 	return most
 }
 
-// baseLoad stands for the load of ranges that show none, so that they spread
-// evenly too.
+// baseLoad returns the load that is added to each range, so that ranges without measured load are
+// distributed evenly too.
 func baseLoad(items []Item) float64 {
 	total := 0.0
 	for _, it := range items {
@@ -174,9 +177,9 @@
 	return share * total / float64(len(items))
 }
 
-// Place chooses owners for items that have none, the heaviest first, each to
-// the node with the least load. It returns one move per such item, in the order
-// of the items; To is "" when there is no node.
+// Place chooses owners for the items that have none, in descending order of load. Each goes to the
+// least loaded node other than avoid. It returns one move for each such item, in the order of the
+// items; To is empty if there is no node.
 func Place(nodes []Node, items []Item, avoid string) []Move {
 	base := baseLoad(items)
 	padded := slices.Clone(items)
@@ -210,8 +213,8 @@
 	return out
 }
 
-// Join returns the moves that give a new node its share of ranges and load,
-// taking from the heaviest nodes. It moves no more than the share needs.
+// Join returns the moves that give a new node its share of the ranges and the load, taken from the
+// most loaded nodes. It moves no more than that share requires.
 func Join(nodes []Node, items []Item, id string) []Move {
 	base := baseLoad(items)
 	padded := slices.Clone(items)
@@ -239,8 +242,8 @@
 	}
 }
 
-// bestFit returns the item of from that brings to nearest to the mean without
-// passing it by more than half of the item, or -1.
+// bestFit returns the index of the largest item of from that fits, with a tolerance of 5 %, into
+// the difference between the load of to and its share of the mean, or -1.
 func bestFit(from, to *nodeLoad, mean float64) int {
 	headroom := mean*to.weight - to.load
 	best, bestLoad := -1, 0.0
@@ -252,6 +255,7 @@
 	return best
 }
 
+// shift moves the item at index i between two nodes.
 func (l *loadModel) shift(from, to *nodeLoad, i int) {
 	it := from.items[i]
 	from.items = slices.Delete(from.items, i, i+1)
@@ -261,8 +265,8 @@
 	to.load += it.Load
 }
 
-// Rebalance returns moves that lower the imbalance when it lies above the
-// band, until it reaches the target or no move gains enough.
+// Rebalance returns moves that reduce the imbalance if it exceeds the band, until it reaches the
+// target or no move gains enough.
 func Rebalance(nodes []Node, items []Item, o Options) []Move {
 	l := newLoadModel(nodes, items)
 	if l.total == 0 || len(nodes) < 2 || l.mostLoaded().relative() <= o.Band*l.mean() {
@@ -287,8 +291,8 @@
 	return out
 }
 
-// bestMove finds the item of from that, given to the lightest node, lowers the
-// higher of the two loads most.
+// bestMove returns the item of from whose move to the least loaded other node gives the lowest
+// maximum load of the two, and that node. The index is -1 if no move gains enough.
 func (l *loadModel) bestMove(from *nodeLoad, moved map[keyspace.Span]bool, minGain float64) (int, *nodeLoad) {
 	to := l.leastLoaded(from.id)
 	before := from.relative()
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -29,8 +29,8 @@
 	return out
 }
 
-// spread returns n ranges on the nodes in turn, with loads by a Zipf law over
-// the ranges in random order.
+// spreadItems returns n ranges assigned to the nodes in turn. Their loads follow a Zipf
+// distribution in random order of the ranges.
 func spreadItems(n int, ns []Node, exponent float64) []Item {
 	rng := rand.New(rand.NewPCG(1, 2))
 	loads := make([]float64, n)
@@ -54,6 +54,7 @@
 	return out
 }
 
+// routes formats moves as FROM>TO.
 func routes(moves []Move) []string {
 	out := make([]string, len(moves))
 	for i, m := range moves {
@@ -73,16 +74,16 @@
 	}{
 		{"even load moves nothing", []string{"u00", "u01", "u00", "u01"}, []float64{5, 5, 5, 5}, wide, nil},
 		{"inside the band nothing moves", []string{"u00", "u01", "u00", "u01"}, []float64{5.2, 5, 5.2, 5}, wide, nil},
-		{"one move evens out", []string{"u00", "u00", "u00", "u01"}, []float64{5, 5, 5, 5}, wide, []string{"u00>u01"}},
-		{"a range hotter than all others stays", []string{"u00", "u01"}, []float64{90, 10}, wide, nil},
-		{"the small ranges leave the hot one", []string{"u00", "u00", "u01"}, []float64{50, 20, 30}, wide, []string{"u00>u01"}},
+		{"one move balances the load", []string{"u00", "u00", "u00", "u01"}, []float64{5, 5, 5, 5}, wide, []string{"u00>u01"}},
+		{"a range hotter than all others together stays", []string{"u00", "u01"}, []float64{90, 10}, wide, nil},
+		{"the small range moves away from the hot one", []string{"u00", "u00", "u01"}, []float64{50, 20, 30}, wide, []string{"u00>u01"}},
 		{"no load moves nothing", []string{"u00", "u00"}, []float64{0, 0}, wide, nil},
 		{
-			"the budget bounds the moves", []string{"u00", "u00", "u00", "u00"}, []float64{5, 5, 5, 5},
+			"MaxMoves bounds the moves", []string{"u00", "u00", "u00", "u00"}, []float64{5, 5, 5, 5},
 			Options{MaxMoves: 1, Band: 1.1, Target: 1.05}, []string{"u00>u01"},
 		},
 		{
-			"a gain that is too small does not move", []string{"u00", "u00", "u01"}, []float64{52, 10, 38},
+			"a move that gains too little is not made", []string{"u00", "u00", "u01"}, []float64{52, 10, 38},
 			Options{MaxMoves: 8, Band: 1.1, Target: 1.05, MinGain: 5}, nil,
 		},
 	}
@@ -99,7 +100,7 @@
 	}
 }
 
-func TestRebalanceReachesTheBandAndRests(t *testing.T) {
+func TestRebalanceConvergesWithinTheBand(t *testing.T) {
 	ns := nodes(10)
 	list := spreadItems(400, ns, 0.6)
 	o := OptionsFor(3, 1, 1)
@@ -116,11 +117,11 @@
 		t.Errorf("imbalance %.3f after %d moves, band %.3f", got, moved, o.Band)
 	}
 	if more := Rebalance(ns, list, o); len(more) != 0 {
-		t.Errorf("%d more moves under steady load", len(more))
+		t.Errorf("%d more moves under constant load", len(more))
 	}
 }
 
-func TestJoinMovesLittleMoreThanItsShare(t *testing.T) {
+func TestJoinMovesOnlyTheRequiredShare(t *testing.T) {
 	for _, n := range []int{6, 10} {
 		ns := nodes(n)
 		list := spreadItems(16*n, ns, 0.4)
@@ -138,12 +139,12 @@
 		}
 		least := 1 / float64(n+1)
 		if share := moved / total; share > 1.2*least || share < 0.5*least {
-			t.Errorf("%d upstreams: %.3f of the load moved, the least is %.3f", n, share, least)
+			t.Errorf("%d upstreams: %.3f of the load moved, the minimum is %.3f", n, share, least)
 		}
 	}
 }
 
-func TestPlaceMovesOnlyOrphans(t *testing.T) {
+func TestPlaceMovesOnlyUnownedRanges(t *testing.T) {
 	ns := nodes(4)
 	list := spreadItems(64, ns, 0.4)
 	for i := range list {
@@ -209,11 +210,11 @@
 		cells []CellNode
 		want  []string
 	}{
-		{"the heaviest gives to the lightest", "a", cells(200, 100, 60), []string{"30>c"}},
-		{"the second heaviest waits", "b", cells(200, 150, 60), nil},
+		{"the most loaded gives to the least loaded", "a", cells(200, 100, 60), []string{"30>c"}},
+		{"the second most loaded gives nothing", "b", cells(200, 150, 60), nil},
 		{"inside the band nothing moves", "a", cells(100, 98, 96), nil},
-		{"what is given stays below half of the difference", "a", cells(160, 100, 90), nil},
-		{"a cell alone keeps all", "a", []CellNode{{"a", 2, 100}}, nil},
+		{"nothing fits into half of the difference", "a", cells(160, 100, 90), nil},
+		{"a single cell gives nothing", "a", []CellNode{{"a", 2, 100}}, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/coordination/placement/split.go
+++ b/coordination/placement/split.go
@@ -4,19 +4,19 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// HotKey is a key with its load.
+// HotKey is a key with its load in requests a second.
 type HotKey struct {
 	Hash keyspace.Hash
 	Load float64
 }
 
-// splitShare is the load of a range, as a share of the mean load of an
-// upstream, above which it is split: smaller pieces can be balanced.
+// splitShare is the load of a range, as a share of the mean load of an upstream, above which the
+// range is split so that its parts can be balanced.
 const splitShare = 0.25
 
-// Splits returns the spans at whose ends ranges should be cut: hot keys get
-// ranges one point wide, other heavy ranges are halved. No range changes owner
-// by a split.
+// Splits returns up to maxSplits spans at whose boundaries ranges should be split. A key that
+// carries more than half of a heavy range gets a range of its own; other heavy ranges are halved. A
+// split changes no owner.
 func Splits(nodes []Node, items []Item, hot []HotKey, maxSplits int) []keyspace.Span {
 	if len(nodes) == 0 {
 		return nil
@@ -40,6 +40,7 @@
 	return out
 }
 
+// hottestKey returns the hottest of the keys that lie in the range, if any.
 func hottestKey(it Item, hot []HotKey) (HotKey, bool) {
 	var best HotKey
 	found := false
