--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -1,5 +1,5 @@
-// Package planner answers intents with plans. A plan is a pure function of the
-// intent and of the documents it names as its basis.
+// Package planner computes plans for intents. A plan depends only on the intent and on the
+// documents that it names as its basis.
 package planner
 
 import (
@@ -27,16 +27,16 @@
 	ActionMove      = "move"
 )
 
-// expectedUnavailable is the time without an owner per moved key that planned
-// moves showed in the hand-over benchmark.
+// expectedUnavailable is the time without an owner that a planned move causes for each moved key,
+// as measured by the handover benchmark.
 const expectedUnavailable = 20 * time.Millisecond
 
-// View is the state a plan is computed from.
+// View is the state that a plan is computed from.
 type View struct {
 	Cells       map[string]*cell.Cell
 	Directories map[string]*cell.Directory
 	Services    map[string]*service.Config
-	// Rate returns the requests a second to a span, zero when unknown.
+	// Rate returns the requests a second to a span, or zero if unknown. It may be nil.
 	Rate func(service string, span keyspace.Span) float64
 }
 
@@ -47,7 +47,7 @@
 	return v.Rate(service, span)
 }
 
-// Plan computes the plan for a specification.
+// Plan computes the plan for the specification of an intent.
 func Plan(spec intent.Spec, v View) (intent.Plan, error) {
 	switch spec.Kind {
 	case intent.CreateService:
@@ -65,26 +65,26 @@
 	case intent.EvictCell:
 		return planEvictCell(spec, v)
 	}
-	return intent.Plan{}, answer.New(answer.BadRequest, "unknown kind of intent %q", spec.Kind)
+	return intent.Plan{}, answer.New(answer.BadRequest, "unknown intent kind %q", spec.Kind)
 }
 
 func planCreate(spec intent.Spec, v View) (intent.Plan, error) {
 	name := spec.Service.Name
 	if v.Services[name] != nil || v.Directories[name] != nil {
-		return intent.Plan{}, answer.New(answer.Conflict, "service %s exists", name)
+		return intent.Plan{}, answer.New(answer.Conflict, "service %s already exists", name)
 	}
 	p := intent.Plan{Steps: []intent.Step{{Action: ActionConfigure, Service: name, Span: keyspace.Whole()}}}
 	counts := make(map[string]int)
 	for _, u := range spec.Upstreams {
 		if u.Service != name {
-			return p, answer.New(answer.BadRequest, "upstream %s is of service %s", u.ID, u.Service)
+			return p, answer.New(answer.BadRequest, "upstream %s belongs to service %s, not to the new one", u.ID, u.Service)
 		}
 		c := v.Cells[u.Cell]
 		if c == nil {
-			return p, answer.New(answer.NotFound, "no cell %q", u.Cell)
+			return p, answer.New(answer.NotFound, "cell %q does not exist", u.Cell)
 		}
 		if c.Upstream(u.ID) != nil {
-			return p, answer.New(answer.Conflict, "upstream %s exists in cell %s", u.ID, u.Cell)
+			return p, answer.New(answer.Conflict, "upstream %s already exists in cell %s", u.ID, u.Cell)
 		}
 		counts[u.Cell]++
 		p.Steps = append(p.Steps, intent.Step{Cell: u.Cell, Action: ActionAdd, Service: name, To: u.ID})
@@ -94,12 +94,12 @@
 	}
 	p.Basis = basis(v, sortedNames(counts)...)
 	p.Cost.ImbalanceBefore, p.Cost.ImbalanceAfter = 1, 1
-	p.Why = fmt.Sprintf("the hash space of %s is divided among its cells by their number of upstreams", name)
+	p.Why = fmt.Sprintf("the hash space of service %s is divided among its cells in proportion to their upstreams", name)
 	return p, nil
 }
 
-// DivideByWeight divides the whole hash space among cells by their weights, in order
-// of their names.
+// DivideByWeight divides the whole hash space among cells in proportion to their weights, in the
+// order of their names.
 func DivideByWeight(weights map[string]int) []cell.Segment {
 	total := 0
 	for _, n := range weights {
@@ -145,12 +145,12 @@
 func planConfigure(spec intent.Spec, v View) (intent.Plan, error) {
 	current := v.Services[spec.Service.Name]
 	if current == nil {
-		return intent.Plan{}, answer.New(answer.NotFound, "no service %q", spec.Service.Name)
+		return intent.Plan{}, answer.New(answer.NotFound, "service %q does not exist", spec.Service.Name)
 	}
 	return intent.Plan{
 		Basis: []intent.Basis{{Kind: "service", Name: current.Name, Version: current.Version}},
 		Steps: []intent.Step{{Action: ActionConfigure, Service: current.Name, Span: keyspace.Whole()}},
-		Why:   fmt.Sprintf("version %d of the configuration takes the place of version %d", current.Version+1, current.Version),
+		Why:   fmt.Sprintf("version %d of the configuration replaces version %d", current.Version+1, current.Version),
 	}, nil
 }
 
@@ -163,8 +163,8 @@
 	return out
 }
 
-// itemsOf returns the ranges of a service in a cell. Without any known load,
-// the width of a range stands for it.
+// itemsOf returns the ranges of a service in a cell with their present or next owners. If no load
+// is known, the width of a range stands in for its load.
 func itemsOf(c *cell.Cell, name string, v View) []placement.Item {
 	s := c.Service(name)
 	if s == nil {
@@ -198,19 +198,19 @@
 	for _, u := range spec.Upstreams {
 		c := v.Cells[u.Cell]
 		if c == nil {
-			return p, answer.New(answer.NotFound, "no cell %q", u.Cell)
+			return p, answer.New(answer.NotFound, "cell %q does not exist", u.Cell)
 		}
 		if v.Services[u.Service] == nil {
-			return p, answer.New(answer.NotFound, "no service %q", u.Service)
+			return p, answer.New(answer.NotFound, "service %q does not exist", u.Service)
 		}
 		if c.Upstream(u.ID) != nil {
-			return p, answer.New(answer.Conflict, "upstream %s exists in cell %s", u.ID, u.Cell)
+			return p, answer.New(answer.Conflict, "upstream %s already exists in cell %s", u.ID, u.Cell)
 		}
 		p.Steps = append(p.Steps, intent.Step{Cell: u.Cell, Action: ActionAdd, Service: u.Service, To: u.ID})
 		joinMoves(&p, c, u, v)
 		p.Basis = append(p.Basis, basis(v, u.Cell)...)
 	}
-	p.Why = "each joining upstream takes its share from those that carry most in its cell"
+	p.Why = "each joining upstream takes its share of the load from the most loaded upstreams of its cell"
 	return p, nil
 }
 
@@ -230,7 +230,8 @@
 	}
 }
 
-// addCost adds the cost of moves to a plan.
+// addCost adds the cost of the moves to a plan. minChurn is the smallest share of the load that has
+// to move.
 func addCost(p *intent.Plan, nodes []placement.Node, items []placement.Item, moves []placement.Move, minChurn float64) {
 	total, moved := 0.0, 0.0
 	for _, it := range items {
@@ -257,7 +258,7 @@
 	}
 }
 
-// findUpstream returns the cell that has the upstream.
+// findUpstream returns an upstream and the cell it belongs to, or nil if no cell has it.
 func findUpstream(v View, id string) (*cell.Cell, *cell.Upstream) {
 	for _, c := range v.Cells {
 		if u := c.Upstream(id); u != nil {
@@ -272,19 +273,19 @@
 	for _, id := range spec.Names {
 		c, u := findUpstream(v, id)
 		if u == nil {
-			return p, answer.New(answer.NotFound, "no upstream %q", id)
+			return p, answer.New(answer.NotFound, "upstream %q does not exist", id)
 		}
 		nodes := slices.DeleteFunc(nodesOf(c, u.Service), func(n placement.Node) bool {
 			return slices.Contains(spec.Names, n.ID)
 		})
 		if len(nodes) == 0 {
-			return p, answer.New(answer.Conflict, "%s is the last upstream of %s in cell %s", id, u.Service, c.Name)
+			return p, answer.New(answer.Conflict, "upstream %s cannot be removed: service %s would have no active upstream in cell %s", id, u.Service, c.Name)
 		}
 		p.Steps = append(p.Steps, intent.Step{Cell: c.Name, Action: action, Service: u.Service, From: id})
 		leaveMoves(&p, c, u, nodes, v)
 		p.Basis = append(p.Basis, basis(v, c.Name)...)
 	}
-	p.Why = "the ranges of " + strings.Join(spec.Names, ", ") + " go to those that carry least in the cell"
+	p.Why = "the ranges of " + strings.Join(spec.Names, ", ") + " move to the least loaded upstreams of the cell"
 	return p, nil
 }
 
@@ -318,14 +319,14 @@
 	}
 	to, u := findUpstream(v, spec.To)
 	if u == nil || u.Service != spec.ServiceName {
-		return intent.Plan{}, answer.New(answer.NotFound, "no upstream %q of service %s", spec.To, spec.ServiceName)
+		return intent.Plan{}, answer.New(answer.NotFound, "upstream %q of service %s does not exist", spec.To, spec.ServiceName)
 	}
 	if u.State != cell.Active {
-		return intent.Plan{}, answer.New(answer.Conflict, "upstream %s is %s", u.ID, u.State)
+		return intent.Plan{}, answer.New(answer.Conflict, "upstream %s is %s, not active", u.ID, u.State)
 	}
 	d := v.Directories[spec.ServiceName]
 	if d == nil {
-		return intent.Plan{}, answer.New(answer.NotFound, "no service %q", spec.ServiceName)
+		return intent.Plan{}, answer.New(answer.NotFound, "service %q does not exist", spec.ServiceName)
 	}
 	var p intent.Plan
 	cells := map[string]int{to.Name: 1}
@@ -338,8 +339,8 @@
 		step := intent.Step{Cell: seg.Cell, Action: ActionMove, Service: spec.ServiceName, Span: part, To: spec.To}
 		if seg.Cell != to.Name {
 			step.To, step.ToCell = "", to.Name
-			// The receiving cell places the range on the upstream in turn.
 			p.Steps = append(p.Steps, step)
+			// The receiving cell then places the range on the upstream by a step of its own.
 			step = intent.Step{Cell: to.Name, Action: ActionMove, Service: spec.ServiceName, Span: part, To: spec.To}
 		}
 		p.Steps = append(p.Steps, step)
@@ -349,13 +350,13 @@
 	}
 	p.Cost.Unavailable = jsonc.Duration(expectedUnavailable)
 	p.Basis = basis(v, sortedNames(cells)...)
-	p.Why = fmt.Sprintf("the span %s is given to %s as stated", span, spec.To)
+	p.Why = fmt.Sprintf("span %s is assigned to %s as requested", span, spec.To)
 	return p, nil
 }
 
-// planEvictCell gives the spans of a lost cell to the remaining cells by their
-// number of upstreams. It relies on the operator's word that nothing of the
-// cell runs any more.
+// planEvictCell divides the spans of lost cells among the remaining cells in proportion to their
+// active upstreams. It relies on the operator's confirmation that nothing in the lost cells is
+// running any more.
 func planEvictCell(spec intent.Spec, v View) (intent.Plan, error) {
 	var p intent.Plan
 	for _, name := range sortedDirectories(v) {
@@ -372,14 +373,15 @@
 		p.Steps = append(p.Steps, steps...)
 	}
 	if len(p.Steps) == 0 {
-		return p, answer.New(answer.NotFound, "no directory names %s", strings.Join(spec.Names, ", "))
+		return p, answer.New(answer.NotFound, "no directory has a segment of %s", strings.Join(spec.Names, ", "))
 	}
 	p.Basis = basis(v, spec.Names...)
-	p.Why = "the spans of the lost cells go to the remaining ones by their number of upstreams; " +
-		"confirm only when nothing of the lost cells runs any more"
+	p.Why = "the spans of the lost cells are divided among the remaining cells in proportion to their upstreams; " +
+		"confirm only when nothing in the lost cells is running any more"
 	return p, nil
 }
 
+// sortedDirectories returns the names of the services that have a directory, in order.
 func sortedDirectories(v View) []string {
 	names := make(map[string]int, len(v.Directories))
 	for name := range v.Directories {
@@ -388,6 +390,8 @@
 	return sortedNames(names)
 }
 
+// reassignSegments returns the steps that divide the segments of the lost cells among the others in
+// proportion to their number of upstreams.
 func reassignSegments(service string, d *cell.Directory, lost []string, counts map[string]int) ([]intent.Step, error) {
 	total := 0
 	for _, n := range counts {
@@ -399,7 +403,7 @@
 			continue
 		}
 		if total == 0 {
-			return nil, answer.New(answer.Conflict, "no other cell has an upstream of %s", service)
+			return nil, answer.New(answer.Conflict, "no remaining cell has an active upstream of service %s", service)
 		}
 		parts := seg.Split(total)
 		next := 0
