--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -29,9 +29,9 @@
 	return out
 }
 
-// spread returns n ranges on the nodes in turn, with loads by a Zipf law over
-// the ranges in random order.
-func spread(n int, ns []Node, exponent float64) []Item {
+// spreadItems returns n ranges assigned to the nodes in turn. Their loads follow a Zipf
+// distribution in random order of the ranges.
+func spreadItems(n int, ns []Node, exponent float64) []Item {
 	rng := rand.New(rand.NewPCG(1, 2))
 	loads := make([]float64, n)
 	owners := make([]string, n)
@@ -54,7 +54,8 @@
 	return out
 }
 
-func owners(moves []Move) []string {
+// routes formats moves as FROM>TO.
+func routes(moves []Move) []string {
 	out := make([]string, len(moves))
 	for i, m := range moves {
 		out[i] = m.From + ">" + m.To
@@ -73,22 +74,22 @@
 	}{
 		{"even load moves nothing", []string{"u00", "u01", "u00", "u01"}, []float64{5, 5, 5, 5}, wide, nil},
 		{"inside the band nothing moves", []string{"u00", "u01", "u00", "u01"}, []float64{5.2, 5, 5.2, 5}, wide, nil},
-		{"one move evens out", []string{"u00", "u00", "u00", "u01"}, []float64{5, 5, 5, 5}, wide, []string{"u00>u01"}},
-		{"a range hotter than all others stays", []string{"u00", "u01"}, []float64{90, 10}, wide, nil},
-		{"the small ranges leave the hot one", []string{"u00", "u00", "u01"}, []float64{50, 20, 30}, wide, []string{"u00>u01"}},
+		{"one move balances the load", []string{"u00", "u00", "u00", "u01"}, []float64{5, 5, 5, 5}, wide, []string{"u00>u01"}},
+		{"a range hotter than all others together stays", []string{"u00", "u01"}, []float64{90, 10}, wide, nil},
+		{"the small range moves away from the hot one", []string{"u00", "u00", "u01"}, []float64{50, 20, 30}, wide, []string{"u00>u01"}},
 		{"no load moves nothing", []string{"u00", "u00"}, []float64{0, 0}, wide, nil},
 		{
-			"the budget bounds the moves", []string{"u00", "u00", "u00", "u00"}, []float64{5, 5, 5, 5},
+			"MaxMoves bounds the moves", []string{"u00", "u00", "u00", "u00"}, []float64{5, 5, 5, 5},
 			Options{MaxMoves: 1, Band: 1.1, Target: 1.05}, []string{"u00>u01"},
 		},
 		{
-			"a gain that is too small does not move", []string{"u00", "u00", "u01"}, []float64{52, 10, 38},
+			"a move that gains too little is not made", []string{"u00", "u00", "u01"}, []float64{52, 10, 38},
 			Options{MaxMoves: 8, Band: 1.1, Target: 1.05, MinGain: 5}, nil,
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got := owners(Rebalance(nodes(2), items(tt.owners, tt.loads), tt.opts))
+			got := routes(Rebalance(nodes(2), items(tt.owners, tt.loads), tt.opts))
 			if len(got) == 0 {
 				got = nil
 			}
@@ -99,9 +100,9 @@
 	}
 }
 
-func TestRebalanceReachesTheBandAndRests(t *testing.T) {
+func TestRebalanceConvergesWithinTheBand(t *testing.T) {
 	ns := nodes(10)
-	list := spread(400, ns, 0.6)
+	list := spreadItems(400, ns, 0.6)
 	o := OptionsFor(3, 1, 1)
 	moved := 0
 	for range 50 {
@@ -116,14 +117,14 @@
 		t.Errorf("imbalance %.3f after %d moves, band %.3f", got, moved, o.Band)
 	}
 	if more := Rebalance(ns, list, o); len(more) != 0 {
-		t.Errorf("%d more moves under steady load", len(more))
+		t.Errorf("%d more moves under constant load", len(more))
 	}
 }
 
-func TestJoinMovesLittleMoreThanItsShare(t *testing.T) {
+func TestJoinMovesOnlyTheRequiredShare(t *testing.T) {
 	for _, n := range []int{6, 10} {
 		ns := nodes(n)
-		list := spread(16*n, ns, 0.4)
+		list := spreadItems(16*n, ns, 0.4)
 		joined := append(ns, Node{ID: "new", Weight: 1})
 		moves := Join(joined, list, "new")
 		total, moved := 0.0, 0.0
@@ -138,14 +139,14 @@
 		}
 		least := 1 / float64(n+1)
 		if share := moved / total; share > 1.2*least || share < 0.5*least {
-			t.Errorf("%d upstreams: %.3f of the load moved, the least is %.3f", n, share, least)
+			t.Errorf("%d upstreams: %.3f of the load moved, the minimum is %.3f", n, share, least)
 		}
 	}
 }
 
-func TestPlaceMovesOnlyOrphans(t *testing.T) {
+func TestPlaceMovesOnlyUnownedRanges(t *testing.T) {
 	ns := nodes(4)
-	list := spread(64, ns, 0.4)
+	list := spreadItems(64, ns, 0.4)
 	for i := range list {
 		if list[i].Owner == "u03" {
 			list[i].Owner = ""
@@ -170,7 +171,7 @@
 
 func TestSplitsIsolateHotKeys(t *testing.T) {
 	list := items([]string{"u00", "u01"}, []float64{100, 10})
-	hot := []Hot{{Hash: list[0].First + 77, Load: 80}}
+	hot := []HotKey{{Hash: list[0].First + 77, Load: 80}}
 	got := Splits(nodes(2), list, hot, 10)
 	want := []keyspace.Span{{First: list[0].First + 77, Last: list[0].First + 77}}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -187,7 +188,7 @@
 	for _, size := range []struct{ nodes, ranges int }{{10, 160}, {100, 6400}, {1000, 64_000}, {4000, 1_000_000}} {
 		b.Run(fmt.Sprintf("upstreams=%d/ranges=%d", size.nodes, size.ranges), func(b *testing.B) {
 			ns := nodes(size.nodes)
-			list := spread(size.ranges, ns, 0.6)
+			list := spreadItems(size.ranges, ns, 0.6)
 			o := OptionsFor(3, 1, 1)
 			b.ReportAllocs()
 			for b.Loop() {
@@ -209,11 +210,11 @@
 		cells []CellNode
 		want  []string
 	}{
-		{"the heaviest gives to the lightest", "a", cells(200, 100, 60), []string{"30>c"}},
-		{"the second heaviest waits", "b", cells(200, 150, 60), nil},
+		{"the most loaded gives to the least loaded", "a", cells(200, 100, 60), []string{"30>c"}},
+		{"the second most loaded gives nothing", "b", cells(200, 150, 60), nil},
 		{"inside the band nothing moves", "a", cells(100, 98, 96), nil},
-		{"what is given stays below half of the difference", "a", cells(160, 100, 90), nil},
-		{"a cell alone keeps all", "a", []CellNode{{"a", 2, 100}}, nil},
+		{"nothing fits into half of the difference", "a", cells(160, 100, 90), nil},
+		{"a single cell gives nothing", "a", []CellNode{{"a", 2, 100}}, nil},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
