--- a/coordination/dispatch/choice.go
+++ b/coordination/dispatch/choice.go
@@ -90,7 +90,7 @@
 	var c choice
 	s.compare(now, w, s.ranked.own, &c)
 	s.compare(now, w, s.ranked.others, &c)
-	s.compareEntrusted(now, w, &c)
+	s.compareWarming(now, w, &c)
 	return c.best
 }
 
@@ -98,11 +98,11 @@
 func (s *Service) compare(now time.Time, w *Request, list []*Upstream, c *choice) {
 	good, seen := 0, 0
 	for _, u := range list {
-		if u.limit != nil && w.heldBack || excluded(w, u.ID) || !s.usable(now, u) || !u.room(now, s.typical, w.Objective, false) {
+		if u.limit != nil && w.heldByLimit || isExcluded(w, u.ID) || !s.usable(now, u) || !u.hasCapacity(now, s.typicalWorkTime, w.Objective, false) {
 			continue
 		}
-		c.offer(u, u.score(now, s.typical, w.Objective, s.domain, s.rng))
-		if u.failures < badFailures {
+		c.offer(u, u.score(now, s.typicalWorkTime, w.Objective, s.domain, s.rng))
+		if u.failureRate < badFailures {
 			good++
 		}
 		if seen++; good == compared || seen == mostSeen {
--- a/coordination/dispatch/closed.go
+++ b/coordination/dispatch/closed.go
@@ -13,7 +13,7 @@
 		return Evacuated
 	case u.leaves():
 		return Leaving
-	case u.said.Resting(now):
+	case u.notices.Resting(now):
 		return Resting
 	}
 	return 0
@@ -25,9 +25,9 @@
 	switch {
 	case u.evacuated() && now.Sub(u.evacuatedSince) > evacuationDrain:
 		return Evacuated
-	case u.leaves() && now.Sub(u.leavingSince) > s.drain:
+	case u.leaves() && now.Sub(u.leavingSince) > s.drainTime:
 		return Leaving
-	case u.said.Resting(now):
+	case u.notices.Resting(now):
 		return Resting
 	}
 	return 0
@@ -44,8 +44,8 @@
 		return s.closedOwner(now, u)
 	}
 	reason := NoUpstream
-	for _, u := range s.order {
-		if excluded(w, u.ID) {
+	for _, u := range s.ordered {
+		if isExcluded(w, u.ID) {
 			continue
 		}
 		switch s.closed(now, u) {
@@ -68,11 +68,11 @@
 // RestLeft returns how long it takes until an upstream to which the request may go has rested.
 func (s *Service) RestLeft(now time.Time, w *Request) time.Duration {
 	least := time.Duration(0)
-	for _, u := range s.order {
-		if w.Owner != "" && u.ID != w.Owner || excluded(w, u.ID) || !u.said.Resting(now) {
+	for _, u := range s.ordered {
+		if w.Owner != "" && u.ID != w.Owner || isExcluded(w, u.ID) || !u.notices.Resting(now) {
 			continue
 		}
-		if left := u.said.RestLeft(now); least == 0 || left < least {
+		if left := u.notices.RestLeft(now); least == 0 || left < least {
 			least = left
 		}
 	}
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -51,7 +51,7 @@
 // known returns a service of one upstream whose work time is known.
 func known(work time.Duration) *Service {
 	s := newService("a1")
-	s.typical = work
+	s.typicalWorkTime = work
 	learn(s, "a1", work)
 	return s
 }
@@ -59,7 +59,7 @@
 // learn lets an upstream answer one request in the given time.
 func learn(s *Service, id string, took time.Duration) {
 	s.Done(at(took), Grant{Instance: instances.Instance{ID: id}, GrantedAt: start}, Answered)
-	s.upstreams[id].mine = 0
+	s.upstreams[id].ownInFlight = 0
 }
 
 func TestOwnDomainFirst(t *testing.T) {
@@ -83,7 +83,7 @@
 func TestFullUpstreamsAreLeftAlone(t *testing.T) {
 	s := known(10 * ms)
 	var last Grant
-	for range int(2 * slotFactor) {
+	for range int(2 * maxInFlightPerSlot) {
 		w := want()
 		w.Objective = time.Minute
 		last = mustGrant(t, s, start, w)
@@ -145,7 +145,7 @@
 	if _, r, _ := s.Offer(at(10*ms), w); r != NoCapacity {
 		t.Errorf("offered at once: %v", r)
 	}
-	now := at(10*ms + firstPause)
+	now := at(10*ms + minBackoff)
 	w.QueueUntil, w.Deadline = now.Add(time.Minute), now.Add(time.Minute)
 	trial := mustGrant(t, s, now, w)
 	if _, _, decided := s.Offer(now, w); decided {
@@ -165,12 +165,12 @@
 	now := at(200 * ms)
 	w := &Request{Objective: time.Second, Deadline: at(time.Minute), QueueUntil: at(time.Minute)}
 	mustGrant(t, s, now, w)
-	if s.upstreams["a1"].silent(now.Add(450*ms), s.typical) {
+	if s.upstreams["a1"].silent(now.Add(450*ms), s.typicalWorkTime) {
 		t.Error("one long run counts as silence")
 	}
 	mustGrant(t, s, now, w)
 	mustGrant(t, s, now, w)
-	if !s.upstreams["a1"].silent(now.Add(time.Second), s.typical) {
+	if !s.upstreams["a1"].silent(now.Add(time.Second), s.typicalWorkTime) {
 		t.Error("three overdue requests do not count as silence")
 	}
 }
@@ -178,18 +178,18 @@
 // TestSlownessIsLearned: the work time is learned without what waited ahead.
 func TestSlownessIsLearned(t *testing.T) {
 	u := newUpstream(instances.Instance{ID: "a1", Slots: 2}, start)
-	u.observe(start, 300*ms, 5)
-	if u.work != 100*ms {
-		t.Errorf("work %s, want a third: three rounds of two", u.work)
+	u.observeWorkTime(start, 300*ms, 5)
+	if u.ownWorkTime != 100*ms {
+		t.Errorf("work %s, want a third: three rounds of two", u.ownWorkTime)
 	}
-	if d := u.delay(start, 0); d != 100*ms {
+	if d := u.expectedDelay(start, 0); d != 100*ms {
 		t.Errorf("delay of an idle one %s", d)
 	}
 }
 
 func TestTooLateIsRefusedAtOnce(t *testing.T) {
 	s := known(50 * ms)
-	for range int(2 * slotFactor) {
+	for range int(2 * maxInFlightPerSlot) {
 		w := want()
 		w.Objective = time.Minute
 		mustGrant(t, s, start, w)
@@ -239,14 +239,14 @@
 	again[0].BornMs = 2
 	s.SetUpstreams(at(ms), again)
 	u := s.upstreams["a1"]
-	if u.pause != 0 || u.mine != 1 || s.waiting != 0 {
-		t.Errorf("pause %s, %d in flight, %d wait", u.pause, u.mine, s.waiting)
+	if u.backoff != 0 || u.ownInFlight != 1 || s.waiting != 0 {
+		t.Errorf("pause %s, %d in flight, %d wait", u.backoff, u.ownInFlight, s.waiting)
 	}
 	for _, g := range before[1:] {
 		s.Done(at(2*ms), g, ConnectionBroken)
 	}
-	if u.mine != 1 || u.failures != 0 {
-		t.Errorf("%d in flight, failures %v after ends of former requests", u.mine, u.failures)
+	if u.ownInFlight != 1 || u.failureRate != 0 {
+		t.Errorf("%d in flight, failures %v after ends of former requests", u.ownInFlight, u.failureRate)
 	}
 }
 
@@ -254,8 +254,8 @@
 // others all, and without news no limit holds for long.
 func TestHotKeysAreThinned(t *testing.T) {
 	s := newService("a1")
-	s.ApplyReport(start, ClusterReport{Gateways: limitsFrom, HotKeyAdmission: map[uint16]float64{7: 0.25}})
-	s.upstreams["a1"].share.part = 1
+	s.ApplyReport(start, ClusterReport{Gateways: hotKeyLimitMinGateways, HotKeyAdmission: map[uint16]float64{7: 0.25}})
+	s.upstreams["a1"].share.fraction = 1
 	through := func(now time.Time, key uint16) int {
 		n := 0
 		for range 1000 {
@@ -278,7 +278,7 @@
 	if n := through(start, 8); n != 1000 {
 		t.Errorf("%d of 1000 for another key", n)
 	}
-	if n := through(start.Add(limitTime+1), 7); n != 1000 {
+	if n := through(start.Add(hotKeyLimitTTL+1), 7); n != 1000 {
 		t.Errorf("%d of 1000 though nobody tells of a limit any more", n)
 	}
 }
@@ -287,8 +287,8 @@
 // its owner turned out to be another; a second try beside it is.
 func TestLetThroughOnce(t *testing.T) {
 	s := newService("a1")
-	s.ApplyReport(start, ClusterReport{Gateways: limitsFrom, HotKeyAdmission: map[uint16]float64{7: 0}})
-	s.upstreams["a1"].share.part = 1
+	s.ApplyReport(start, ClusterReport{Gateways: hotKeyLimitMinGateways, HotKeyAdmission: map[uint16]float64{7: 0}})
+	s.upstreams["a1"].share.fraction = 1
 	w := want()
 	w.Owner, w.Key = "a1", 7
 	if _, r, _ := s.Offer(start, w); r != HotKey {
@@ -305,14 +305,14 @@
 	s := newService()
 	one := list("a1")
 	one[0].WarmUp = time.Second
-	s.typical = 100 * ms
+	s.typicalWorkTime = 100 * ms
 	s.SetUpstreams(start, one)
 	s.ApplyReport(start, ClusterReport{Gateways: 1, WorkTimes: map[string]worktime.Estimate{"a1": {Work: 100 * ms, Slowness: 1}}})
 	u := s.upstreams["a1"]
-	if got := u.workTime(start, s.typical); got != 200*ms {
+	if got := u.currentWorkTime(start, s.typicalWorkTime); got != 200*ms {
 		t.Errorf("%s while it warms up", got)
 	}
-	if got := u.workTime(at(2*time.Second), s.typical); got != 100*ms {
+	if got := u.currentWorkTime(at(2*time.Second), s.typicalWorkTime); got != 100*ms {
 		t.Errorf("%s later", got)
 	}
 }
@@ -409,9 +409,9 @@
 	if verdicts+withdrawn != offered || s.Waiting() != 0 {
 		t.Errorf("%d offered, %d verdicts, %d withdrawn, %d wait", offered, verdicts, withdrawn, s.Waiting())
 	}
-	for _, u := range s.order {
-		if u.mine != 0 || len(u.unanswered) != 0 {
-			t.Errorf("%s: %d in flight, %d unanswered", u.ID, u.mine, len(u.unanswered))
+	for _, u := range s.ordered {
+		if u.ownInFlight != 0 || len(u.unanswered) != 0 {
+			t.Errorf("%s: %d in flight, %d unanswered", u.ID, u.ownInFlight, len(u.unanswered))
 		}
 	}
 }
@@ -437,15 +437,15 @@
 	fresh := NewService("a", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 	fresh.SetUpstreams(start, list("a1"))
 	u := fresh.upstreams["a1"]
-	u.mine = 2
-	if n := u.inflight(start); n != 2*firstGateways {
+	u.ownInFlight = 2
+	if n := u.totalInFlight(start); n != 2*assumedGateways {
 		t.Errorf("%v in flight before any report", n)
 	}
 	fresh.ApplyReport(start, ClusterReport{InFlight: map[string]float64{"a1": 3}, Gateways: 4})
-	if n := u.inflight(start); n != 5 {
+	if n := u.totalInFlight(start); n != 5 {
 		t.Errorf("%v in flight right after a report", n)
 	}
-	if n := u.inflight(at(time.Minute)); n < 7.9 || n > 8 {
+	if n := u.totalInFlight(at(time.Minute)); n < 7.9 || n > 8 {
 		t.Errorf("%v in flight after an old report, want four times 2", n)
 	}
 }
--- a/coordination/dispatch/evacuated.go
+++ b/coordination/dispatch/evacuated.go
@@ -12,8 +12,8 @@
 // SetEvacuated takes over which failure domains are evacuated. Upstreams there get nothing
 // more, but owners for a moment the requests for keys that have not moved yet.
 func (s *Service) SetEvacuated(now time.Time, evacuated func(domain string) bool) {
-	s.evacuated = evacuated
-	for _, u := range s.order {
+	s.isEvacuated = evacuated
+	for _, u := range s.ordered {
 		s.noteEvacuated(now, u)
 	}
 	s.measure(now)
@@ -21,12 +21,12 @@
 }
 
 func (s *Service) noteEvacuated(now time.Time, u *Upstream) {
-	switch evacuated := s.evacuated(u.Domain); {
+	switch evacuated := s.isEvacuated(u.Domain); {
 	case evacuated && !u.evacuated():
 		u.evacuatedSince = now
 	case !evacuated && u.evacuated():
 		u.evacuatedSince = time.Time{}
-		s.doubt(now, u)
+		s.assumeWarmUp(now, u)
 	}
 }
 
--- a/coordination/dispatch/limited.go
+++ b/coordination/dispatch/limited.go
@@ -44,7 +44,7 @@
 
 // SetLimits takes over the limits that upstreams name, by ID. Those not listed name none.
 func (s *Service) SetLimits(now time.Time, limits map[string]Limit) {
-	for _, u := range s.order {
+	for _, u := range s.ordered {
 		one, ok := limits[u.ID]
 		switch {
 		case !ok:
@@ -61,7 +61,7 @@
 // get, and returns it of those that name a limit, by ID. It is to be called for each report.
 func (s *Service) Wanted(now time.Time) map[string]float64 {
 	var out map[string]float64
-	for _, u := range s.order {
+	for _, u := range s.ordered {
 		rate := u.wanted.Rate(now)
 		if u.limit == nil {
 			continue
@@ -98,17 +98,17 @@
 
 // admits reports whether the request may go to the upstream as far as that names a limit.
 func (s *Service) admits(now time.Time, w *Request, u *Upstream) bool {
-	if u.limit == nil || s.Disabled.NoNamedLimits || w.admitted == u {
+	if u.limit == nil || s.Disabled.NoNamedLimits || w.admittedTo == u {
 		return true
 	}
-	if w.heldBack {
+	if w.heldByLimit {
 		return false
 	}
 	if u.limit.turn.Take(u.limit.Admit(now, u.wantedByAll(now)), s.rng.Float64()) {
-		w.admitted = u
+		w.admittedTo = u
 		return true
 	}
-	w.heldBack = true
+	w.heldByLimit = true
 	return false
 }
 
@@ -119,13 +119,13 @@
 		u := s.upstreams[w.Owner]
 		return u != nil && !s.admits(now, w, u)
 	}
-	return w.heldBack && !s.unlimited(now, w)
+	return w.heldByLimit && !s.unlimited(now, w)
 }
 
 // unlimited reports whether there is an upstream for the request that names no limit.
 func (s *Service) unlimited(now time.Time, w *Request) bool {
-	for _, u := range s.order {
-		if u.limit == nil && s.closed(now, u) == 0 && !excluded(w, u.ID) {
+	for _, u := range s.ordered {
+		if u.limit == nil && s.closed(now, u) == 0 && !isExcluded(w, u.ID) {
 			return true
 		}
 	}
--- a/coordination/dispatch/limited_test.go
+++ b/coordination/dispatch/limited_test.go
@@ -13,14 +13,14 @@
 // while so many requests a second are wanted of each, and so many are asked for here.
 func limited(limits map[string]float64, wanted, here float64, ids ...string) *Service {
 	s := newService(ids...)
-	s.typical = 10 * ms
+	s.typicalWorkTime = 10 * ms
 	news := ClusterReport{Gateways: 3, Limits: make(map[string]Limit)}
 	for id, perSecond := range limits {
 		news.Limits[id] = Limit{PerSecond: perSecond, Wanted: wanted - here}
 	}
 	s.ApplyReport(start, news)
 	s.Wanted(start.Add(-time.Second))
-	for _, u := range s.order {
+	for _, u := range s.ordered {
 		for range int(here) {
 			u.wanted.Add()
 		}
--- a/coordination/dispatch/notices.go
+++ b/coordination/dispatch/notices.go
@@ -15,11 +15,11 @@
 	if u == nil {
 		return s.unlisted.Note(now, g.Instance.ID, g.Instance.Incarnation(), n)
 	}
-	c := u.said.Note(now, n)
+	c := u.notices.Note(now, n)
 	if c.Leaves {
 		s.noteLeaving(now, u)
 	}
-	u.proving = u.proving || n.Rest > 0
+	u.probing = u.probing || n.Rest > 0
 	return c
 }
 
@@ -38,24 +38,24 @@
 	switch {
 	case !u.leaves():
 		u.leavingSince = time.Time{}
-	case u.leavingSince.IsZero() && u.said.Leaving():
+	case u.leavingSince.IsZero() && u.notices.Leaving():
 		// It may have said so before it was not listed for a while.
-		u.leavingSince = u.said.LeavingSince
+		u.leavingSince = u.notices.LeavingSince
 	case u.leavingSince.IsZero():
 		u.leavingSince = now
 	}
 }
 
 // leaves reports whether the upstream is about to end, as its entry or its answers say.
-func (u *Upstream) leaves() bool { return u.Leaving || u.said.Leaving() }
+func (u *Upstream) leaves() bool { return u.Leaving || u.notices.Leaving() }
 
 // Noticing counts the upstreams that have said that they leave, and those that rest.
 func (s *Service) Noticing(now time.Time) (leaving, resting int) {
-	for _, u := range s.order {
-		if u.said.Leaving() {
+	for _, u := range s.ordered {
+		if u.notices.Leaving() {
 			leaving++
 		}
-		if u.said.Resting(now) {
+		if u.notices.Resting(now) {
 			resting++
 		}
 	}
@@ -65,7 +65,7 @@
 // Said returns what the upstream of a grant has said of itself.
 func (s *Service) Said(g Grant) notice.Standing {
 	if u := s.granted(g); u != nil {
-		return u.said
+		return u.notices
 	}
 	return notice.Standing{}
 }
--- a/coordination/dispatch/notices_test.go
+++ b/coordination/dispatch/notices_test.go
@@ -43,22 +43,22 @@
 	s := newService("a1")
 	g := mustGrant(t, s, start, forOwner("a1"))
 	notices(s, start, g, notice.Notice{Leaving: true})
-	granted := mustGrant(t, s, at(s.drain), forOwner("a1"))
+	granted := mustGrant(t, s, at(s.drainTime), forOwner("a1"))
 	for range 8 {
-		s.Offer(at(s.drain), forOwner("a1"))
+		s.Offer(at(s.drainTime), forOwner("a1"))
 	}
 	refused := Refusal(0)
 	w := forOwner("a1")
 	w.QueueUntil, w.Deadline = at(time.Minute), at(time.Hour)
 	w.Objective = time.Hour
 	w.OnDecision = func(_ Grant, r Refusal) { refused = r }
-	if _, r, decided := s.Offer(at(s.drain), w); decided {
+	if _, r, decided := s.Offer(at(s.drainTime), w); decided {
 		t.Fatalf("decided at once: %v", r)
 	}
-	if !s.MaySend(at(s.drain), granted) {
+	if !s.MaySend(at(s.drainTime), granted) {
 		t.Error("not sent within the time")
 	}
-	after := at(s.drain + ms)
+	after := at(s.drainTime + ms)
 	s.Tick(after)
 	if refused != Leaving {
 		t.Errorf("what waits: %v", refused)
@@ -86,7 +86,7 @@
 	notices(s, start, Grant{Instance: *born[0], GrantedAt: start}, notice.Notice{Leaving: true})
 	s.SetUpstreams(at(ms), list("b1"))
 	s.SetUpstreams(at(time.Minute), born)
-	if s.closedOwner(at(time.Minute+s.drain+ms), s.upstreams["a1"]) != Leaving {
+	if s.closedOwner(at(time.Minute+s.drainTime+ms), s.upstreams["a1"]) != Leaving {
 		t.Error("forgotten")
 	}
 	again := list("a1", "b1")
@@ -112,7 +112,7 @@
 	g := mustGrant(t, s, at(time.Minute), forOwner("a1"))
 	s.Done(at(time.Minute), g, Answered)
 	s.SetUpstreams(at(2*time.Minute), leaving)
-	if r := s.closedOwner(at(2*time.Minute+s.drain), s.upstreams["a1"]); r != 0 {
+	if r := s.closedOwner(at(2*time.Minute+s.drainTime), s.upstreams["a1"]); r != 0 {
 		t.Errorf("within its time: %v", r)
 	}
 }
@@ -160,7 +160,7 @@
 func TestWaitingForRestingIsRefused(t *testing.T) {
 	s := known(10 * ms)
 	var last Grant
-	for range int(2 * slotFactor) {
+	for range int(2 * maxInFlightPerSlot) {
 		w := want()
 		w.Objective = time.Minute
 		last = mustGrant(t, s, start, w)
--- a/coordination/dispatch/report.go
+++ b/coordination/dispatch/report.go
@@ -28,20 +28,20 @@
 // with troubles.
 func (s *Service) Loads(now time.Time) []Load {
 	var out []Load
-	for _, u := range s.order {
-		u.advance(now)
-		span := now.Sub(u.reportedAt).Seconds()
-		mean := u.alive()
+	for _, u := range s.ordered {
+		u.integrateInFlight(now)
+		span := now.Sub(u.lastReportAt).Seconds()
+		mean := u.activeInFlight()
 		if span > 0 {
-			mean = u.area / span
+			mean = u.inFlightSeconds / span
 		}
-		u.area, u.reportedAt = 0, now
-		l := Load{Instance: u.ID, Incarnation: u.Incarnation(), Inflight: mean, Runs: u.runs, Refused: u.refused}
-		u.runs = worktime.Sum{}
-		if u.pause > 0 || u.silent(now, s.typical) {
-			l.Silent = max(now.Sub(u.lastAnswer), time.Millisecond)
+		u.inFlightSeconds, u.lastReportAt = 0, now
+		l := Load{Instance: u.ID, Incarnation: u.Incarnation(), Inflight: mean, Runs: u.unreportedRuns, Refused: u.connectionRefused}
+		u.unreportedRuns = worktime.Sum{}
+		if u.backoff > 0 || u.silent(now, s.typicalWorkTime) {
+			l.Silent = max(now.Sub(u.lastAnswerAt), time.Millisecond)
 		}
-		l.Leaving, l.Rest = u.said.Leaving(), u.said.RestLeft(now)
+		l.Leaving, l.Rest = u.notices.Leaving(), u.notices.RestLeft(now)
 		if mean > 0 || l.Silent > 0 || l.Runs.Runs > 0 || l.Leaving || l.Rest > 0 {
 			out = append(out, l)
 		}
@@ -81,8 +81,8 @@
 // Explain returns what a decision for the owner, or for any upstream, would be
 // made from.
 func (s *Service) Explain(now time.Time, owner string) Explanation {
-	e := Explanation{Waiting: s.waiting, Work: s.typical, Part: s.part}
-	for _, u := range s.order {
+	e := Explanation{Waiting: s.waiting, Work: s.typicalWorkTime, Part: s.demandFraction}
+	for _, u := range s.ordered {
 		if owner != "" && u.ID != owner {
 			continue
 		}
@@ -90,12 +90,12 @@
 		if s.usable(now, u) {
 			e.Usable++
 		}
-		e.Mine += u.mine
+		e.Mine += u.ownInFlight
 		e.Hung += u.hung
-		e.Others += u.others
+		e.Others += u.othersInFlight
 		e.Slots += u.Slots
-		if !u.othersAt.IsZero() {
-			e.ReportAge = max(e.ReportAge, now.Sub(u.othersAt))
+		if !u.othersInFlightAt.IsZero() {
+			e.ReportAge = max(e.ReportAge, now.Sub(u.othersInFlightAt))
 		}
 		if u.limit != nil {
 			e.Limited++
@@ -104,8 +104,8 @@
 			e.Limit, e.Wanted = u.limit.PerSecond, u.wantedByAll(now)
 		}
 		if owner != "" {
-			e.Work = u.workTime(now, s.typical)
-			e.Saved = u.share.saved
+			e.Work = u.currentWorkTime(now, s.typicalWorkTime)
+			e.Saved = u.share.credit
 		}
 	}
 	return e
--- a/coordination/dispatch/service.go
+++ b/coordination/dispatch/service.go
@@ -13,35 +13,35 @@
 	// drainShare is the part of the time allowed that an owner which is leaving
 	// gets requests for keys that have not moved yet; the rest is for the news of
 	// its leaving to arrive.
-	drainShare = 0.6
+	drainTimeShare = 0.6
 	// firstWorkPart is the part of a route's objective that a run is assumed to
 	// take before any answer was seen.
-	firstWorkPart = 3
+	initialWorkTimeDivisor = 3
 	// demandTime is how long requests count in the rate of requests.
-	demandTime = time.Second
+	demandWindow = time.Second
 	// demandKnown is how long after its first report a gateway compares demands: right
 	// after a start of all only some have reported theirs.
-	demandKnown = time.Second
+	minDemandSpan = time.Second
 	// leastPart is the least part of this gateway, in parts of an equal one: clients move
 	// to a gateway that has started faster than its demand is known.
-	leastPart = 0.5
+	minRelativeFraction = 0.5
 	// demandFloor is added to every gateway's rate of requests, in requests a second, so
 	// that one that had none lately has a part of the room.
 	demandFloor = 0.5
 	// coldShare is the part of an owner's slots up to which requests for cold keys get
 	// through: the other half stays for the owner's other keys.
-	coldShare = 0.5
+	maxColdUtilization = 0.5
 	// limitsFrom is the number of gateways from which the limits of hot keys hold. A dozen
 	// each see enough of a hot key to share its owner's room exactly, and a limit that follows
 	// estimates refuses what could be run; hundreds see a fraction of a request between two
 	// reports.
-	limitsFrom = 24
+	hotKeyLimitMinGateways = 24
 	// limitTime is how long the limit of a hot key holds when no news come: without a
 	// leader nobody sees that the key is not hot any more.
-	limitTime = 2 * time.Second
+	hotKeyLimitTTL = 2 * time.Second
 	// firstColdFactor is how many times as long a request for a cold key is assumed to
 	// run before any was answered.
-	firstColdFactor = 3
+	initialColdFactor = 3
 )
 
 // Service decides for the upstreams of one service. It is not safe for
@@ -52,10 +52,10 @@
 	domain   string
 	// drain is how long after it was seen to be leaving an owner may get
 	// requests.
-	drain     time.Duration
+	drainTime time.Duration
 	rng       *rand.Rand
 	upstreams map[string]*Upstream
-	order     []*Upstream
+	ordered   []*Upstream
 	// unlisted is what upstreams have said that are not among them any more.
 	unlisted notice.Book
 	// ranked are the same in this gateway's order of preference.
@@ -65,29 +65,29 @@
 	queue   queue
 	waiting int
 	// typical is the mean work time over all upstreams.
-	typical time.Duration
+	typicalWorkTime time.Duration
 	// gateways is the number of all gateways; zero before any report.
 	gateways int
 	// part is this gateway's part of all requests for the service.
-	part float64
+	demandFraction float64
 	// asked counts requests since demandAt, demand is their rate a second.
-	asked      int
-	demand     float64
-	demandAt   time.Time
-	demandSpan time.Duration
+	offered          int
+	demand           float64
+	demandMeasuredAt time.Time
+	demandSpan       time.Duration
 	// coldFactor is how many times as long requests for cold keys run.
 	coldFactor float64
 	// admit is the part of the requests that can be run, of hot keys, as told at admitAt.
-	admit   map[uint16]float64
-	admitAt time.Time
+	hotKeyAdmission   map[uint16]float64
+	hotKeyAdmissionAt time.Time
 	// rate is what all usable upstreams end in a second, as of the last tick.
-	rate float64
+	totalThroughput float64
 	// evacuated reports whether a failure domain is evacuated.
-	evacuated func(domain string) bool
+	isEvacuated func(domain string) bool
 	// warmUp bounds requests to upstreams that warm up. entrusted are those to which this
 	// gateway may send.
-	warmUp    WarmUp
-	entrusted []*Upstream
+	warmUp           WarmUp
+	warmingWithRight []*Upstream
 }
 
 // NewService returns a service without upstreams, seen from a failure domain.
@@ -95,9 +95,9 @@
 // requests.
 func NewService(domain string, drain time.Duration, rng *rand.Rand) *Service {
 	return &Service{
-		domain: domain, drain: time.Duration(drainShare * float64(drain)), rng: rng,
-		evacuated: func(string) bool { return false },
-		ranked:    ranking{salt: rng.Uint64()}, upstreams: make(map[string]*Upstream), part: 1.0 / firstGateways, coldFactor: firstColdFactor,
+		domain: domain, drainTime: time.Duration(drainTimeShare * float64(drain)), rng: rng,
+		isEvacuated: func(string) bool { return false },
+		ranked:      ranking{salt: rng.Uint64()}, upstreams: make(map[string]*Upstream), demandFraction: 1.0 / assumedGateways, coldFactor: initialColdFactor,
 	}
 }
 
@@ -105,27 +105,27 @@
 // that stay is kept; what waits for one that is gone is refused.
 func (s *Service) SetUpstreams(now time.Time, list []*instances.Instance) {
 	known := make(map[string]*Upstream, len(list))
-	s.order = s.order[:0]
-	for _, one := range list {
-		u := s.upstreams[one.ID]
-		if u == nil || u.Incarnation().Other(one.Incarnation()) {
-			u = s.begin(now, *one, u)
+	s.ordered = s.ordered[:0]
+	for _, instance := range list {
+		u := s.upstreams[instance.ID]
+		if u == nil || u.Incarnation().Other(instance.Incarnation()) {
+			u = s.newUpstreamState(now, *instance, u)
 		}
-		s.noteEntry(now, u, *one)
-		u.off = s.Disabled
+		s.updateEntry(now, u, *instance)
+		u.disabled = s.Disabled
 		s.noteLeaving(now, u)
 		s.noteEvacuated(now, u)
-		known[one.ID] = u
-		s.order = append(s.order, u)
-		delete(s.upstreams, one.ID)
+		known[instance.ID] = u
+		s.ordered = append(s.ordered, u)
+		delete(s.upstreams, instance.ID)
 	}
-	for _, gone := range s.upstreams {
-		s.refuseAll(gone, NoUpstream)
-		s.unlisted.Keep(now, gone.ID, gone.Incarnation(), gone.said)
+	for _, removed := range s.upstreams {
+		s.refuseAll(removed, NoUpstream)
+		s.unlisted.Keep(now, removed.ID, removed.Incarnation(), removed.notices)
 	}
 	s.upstreams = known
-	s.entrusted = slices.DeleteFunc(s.entrusted, func(u *Upstream) bool { return known[u.ID] != u })
-	s.ranked.set(s.order, s.domain)
+	s.warmingWithRight = slices.DeleteFunc(s.warmingWithRight, func(u *Upstream) bool { return known[u.ID] != u })
+	s.ranked.set(s.ordered, s.domain)
 	s.measure(now)
 	s.pumpAll(now)
 }
@@ -133,39 +133,39 @@
 // begin returns an upstream of which nothing is known. former is the one that had its ID
 // before, or nil: what was learned of that, and its requests in flight, are not the new
 // one's, but requests that wait for the owner of their keys wait on.
-func (s *Service) begin(now time.Time, one instances.Instance, former *Upstream) *Upstream {
-	u := newUpstream(one, now)
+func (s *Service) newUpstreamState(now time.Time, instance instances.Instance, former *Upstream) *Upstream {
+	u := newUpstream(instance, now)
 	if s.gateways > 0 {
 		u.gateways = s.gateways
-		u.share.part = s.part
+		u.share.fraction = s.demandFraction
 	}
 	if former != nil {
 		u.queue = former.queue
 	}
-	u.said = s.unlisted.Take(one.ID, one.Incarnation())
-	if s.evacuated(one.Domain) {
+	u.notices = s.unlisted.Take(instance.ID, instance.Incarnation())
+	if s.isEvacuated(instance.Domain) {
 		// Since when it is evacuated is not known of one that is listed only now.
 		u.evacuatedSince = now.Add(-2 * evacuationDrain)
 	}
-	s.noteWarming(now, u)
+	s.scheduleFirstSend(now, u)
 	return u
 }
 
 // ReportAll takes over what the other gateways reported.
-func (s *Service) ApplyReport(now time.Time, news ClusterReport) {
-	s.gateways = max(news.Gateways, 1)
-	s.part = s.partOf(news)
-	s.admit, s.admitAt = news.HotKeyAdmission, now
-	s.takeRights(news.Rights)
-	s.SetLimits(now, news.Limits)
-	for _, u := range s.order {
+func (s *Service) ApplyReport(now time.Time, report ClusterReport) {
+	s.gateways = max(report.Gateways, 1)
+	s.demandFraction = s.partOf(report)
+	s.hotKeyAdmission, s.hotKeyAdmissionAt = report.HotKeyAdmission, now
+	s.applyRights(report.Rights)
+	s.SetLimits(now, report.Limits)
+	for _, u := range s.ordered {
 		u.gateways = s.gateways
-		u.others = news.InFlight[u.ID]
-		if told := news.WorkTimes[u.ID]; told.Work > 0 {
-			u.told, u.usual = told.Work, told.Slowness
+		u.othersInFlight = report.InFlight[u.ID]
+		if workTime := report.WorkTimes[u.ID]; workTime.Work > 0 {
+			u.clusterWorkTime, u.clusterSlowness = workTime.Work, workTime.Slowness
 		}
-		u.othersAt = now
-		u.share.report(now, u.rate(now, s.typical), s.part, u.inflight(now), u.Slots)
+		u.othersInFlightAt = now
+		u.share.applyReport(now, u.throughput(now, s.typicalWorkTime), s.demandFraction, u.totalInFlight(now), u.Slots)
 	}
 	s.measure(now)
 	s.pumpAll(now)
@@ -173,37 +173,37 @@
 
 // Offer asks for an upstream. Without a grant or a refusal the request waits
 // for its verdict.
-func (s *Service) Offer(now time.Time, w *Request) (Grant, Refusal, bool) {
-	s.asked++
-	if s.typical == 0 {
-		s.typical = w.Objective / firstWorkPart
+func (s *Service) Offer(now time.Time, req *Request) (Grant, Refusal, bool) {
+	s.offered++
+	if s.typicalWorkTime == 0 {
+		s.typicalWorkTime = req.Objective / initialWorkTimeDivisor
 	}
-	if w.Owner != "" && !w.Retry && s.tooHot(now, w.Key) {
+	if req.Owner != "" && !req.Retry && s.rejectsHotKey(now, req.Key) {
 		return Grant{}, HotKey, true
 	}
-	if w.Cold && !s.Disabled.NoCold {
-		return s.offerCold(now, w)
+	if req.Cold && !s.Disabled.NoCold {
+		return s.offerCold(now, req)
 	}
 	q, u := &s.queue, (*Upstream)(nil)
-	if w.Owner != "" {
-		if u = s.upstreams[w.Owner]; u == nil {
+	if req.Owner != "" {
+		if u = s.upstreams[req.Owner]; u == nil {
 			return Grant{}, NoUpstream, true
 		}
 		u.wanted.Add()
-		if !s.admits(now, w, u) {
+		if !s.admits(now, req, u) {
 			return Grant{}, Limited, true
 		}
 		q = &u.queue
 	}
-	if q.ahead(w.Priority) == 0 {
-		if g, ok := s.grant(now, w); ok {
+	if q.ahead(req.Priority) == 0 {
+		if g, ok := s.tryGrant(now, req); ok {
 			return g, 0, true
 		}
 	}
-	if r := s.hopeless(now, w, u, q.ahead(w.Priority)); r != 0 {
+	if r := s.hopeless(now, req, u, q.ahead(req.Priority)); r != 0 {
 		return Grant{}, r, true
 	}
-	q.add(w)
+	q.add(req)
 	s.waiting++
 	return Grant{}, 0, false
 }
@@ -212,70 +212,70 @@
 // sees two or three of its requests a second, and together they let through about what its
 // owner can run. Without it all of them filled the owner each time that a report showed room,
 // and it broke what it could not queue.
-func (s *Service) tooHot(now time.Time, key uint16) bool {
-	admit, hot := s.admit[key]
-	if !hot || s.Disabled.NoLimits || s.gateways < limitsFrom || now.Sub(s.admitAt) > limitTime {
+func (s *Service) rejectsHotKey(now time.Time, key uint16) bool {
+	admission, hot := s.hotKeyAdmission[key]
+	if !hot || s.Disabled.NoLimits || s.gateways < hotKeyLimitMinGateways || now.Sub(s.hotKeyAdmissionAt) > hotKeyLimitTTL {
 		return false
 	}
-	return s.rng.Float64() >= admit
+	return s.rng.Float64() >= admission
 }
 
 // offerCold lets a request for a cold key through only while its owner is half idle: in
 // the time of its run the owner answers several others on time, and it is late in any
 // case. It does not wait.
-func (s *Service) offerCold(now time.Time, w *Request) (Grant, Refusal, bool) {
-	u := s.upstreams[w.Owner]
+func (s *Service) offerCold(now time.Time, req *Request) (Grant, Refusal, bool) {
+	u := s.upstreams[req.Owner]
 	switch {
 	case u == nil:
 		return Grant{}, NoUpstream, true
 	case s.closedOwner(now, u) != 0:
 		return Grant{}, s.closedOwner(now, u), true
-	case !s.answers(now, u):
+	case !s.ownerResponsive(now, u):
 		return Grant{}, OwnerUnresponsive, true
-	case !s.mayStart(now, u):
+	case !s.warmUpAllows(now, u):
 		return Grant{}, WarmingUp, true
-	case u.inflight(now)+1 > coldShare*float64(u.Slots):
+	case u.totalInFlight(now)+1 > maxColdUtilization*float64(u.Slots):
 		return Grant{}, ColdKey, true
 	}
 	u.wanted.Add()
-	if !s.admits(now, w, u) {
+	if !s.admits(now, req, u) {
 		return Grant{}, Limited, true
 	}
-	g := s.send(now, u)
+	g := s.issueGrant(now, u)
 	g.Cold = true
 	g.ExpectedLatency = time.Duration(s.coldFactor * float64(g.ExpectedLatency))
 	return g, 0, true
 }
 
 // grant gives the request to the best upstream that has room.
-func (s *Service) grant(now time.Time, w *Request) (Grant, bool) {
+func (s *Service) tryGrant(now time.Time, req *Request) (Grant, bool) {
 	var best *Upstream
-	if w.Owner != "" {
-		best = s.owner(now, w)
+	if req.Owner != "" {
+		best = s.availableOwner(now, req)
 	} else {
-		best = s.best(now, w)
+		best = s.best(now, req)
 	}
 	if best == nil {
 		return Grant{}, false
 	}
-	return s.send(now, best), true
+	return s.issueGrant(now, best), true
 }
 
 // send gives the right to send one request to the upstream.
-func (s *Service) send(now time.Time, u *Upstream) Grant {
-	inflight := u.inflight(now)
+func (s *Service) issueGrant(now time.Time, u *Upstream) Grant {
+	inFlight := u.totalInFlight(now)
 	g := Grant{
-		Instance: u.Instance, GrantedAt: now, InFlight: inflight, ExpectedLatency: u.delayBehind(now, inflight, s.typical),
-		Warming: s.bounded(now, u),
+		Instance: u.Instance, GrantedAt: now, InFlight: inFlight, ExpectedLatency: u.expectedDelayBehind(now, inFlight, s.typicalWorkTime),
+		Warming: s.warmUpLimited(now, u),
 	}
-	u.sent(now, s.typical)
-	s.started(now, u)
+	u.recordSend(now, s.typicalWorkTime)
+	s.recordWarmUpSend(now, u)
 	return g
 }
 
-func (s *Service) owner(now time.Time, w *Request) *Upstream {
-	u := s.upstreams[w.Owner]
-	if u == nil || !s.answers(now, u) || !s.mayStart(now, u) || !u.room(now, s.typical, w.Objective, true) {
+func (s *Service) availableOwner(now time.Time, req *Request) *Upstream {
+	u := s.upstreams[req.Owner]
+	if u == nil || !s.ownerResponsive(now, u) || !s.warmUpAllows(now, u) || !u.hasCapacity(now, s.typicalWorkTime, req.Objective, true) {
 		return nil
 	}
 	return u
@@ -283,17 +283,17 @@
 
 // answers reports whether an owner takes requests: it is not about to end, was
 // reached lately and has not fallen silent.
-func (s *Service) answers(now time.Time, u *Upstream) bool {
-	return s.closedOwner(now, u) == 0 && u.answers(now, s.typical)
+func (s *Service) ownerResponsive(now time.Time, u *Upstream) bool {
+	return s.closedOwner(now, u) == 0 && u.responsive(now, s.typicalWorkTime)
 }
 
 // usable reports whether the upstream may get a request that any may run.
 func (s *Service) usable(now time.Time, u *Upstream) bool {
-	return s.closed(now, u) == 0 && u.usable(now, s.typical) && s.mayStart(now, u)
+	return s.closed(now, u) == 0 && u.usable(now, s.typicalWorkTime) && s.warmUpAllows(now, u)
 }
 
-func excluded(w *Request, id string) bool {
-	for _, other := range w.Exclude {
+func isExcluded(req *Request, id string) bool {
+	for _, other := range req.Exclude {
 		if other == id {
 			return true
 		}
@@ -308,18 +308,18 @@
 		return
 	}
 	if g.Cold && o == Answered {
-		s.learnCold(now.Sub(g.GrantedAt), u.workTime(now, s.typical))
+		s.updateColdFactor(now.Sub(g.GrantedAt), u.currentWorkTime(now, s.typicalWorkTime))
 	}
-	u.ended(now, g, o, s.typical)
-	if o == Answered && u.work > 0 && !g.Cold && !g.Warming {
-		s.typical += time.Duration(workWeight / 4 * (u.usualSlowness()*float64(u.work) - float64(s.typical)))
+	u.recordOutcome(now, g, o, s.typicalWorkTime)
+	if o == Answered && u.ownWorkTime > 0 && !g.Cold && !g.Warming {
+		s.typicalWorkTime += time.Duration(workTimeWeight / 4 * (u.meanSlowness()*float64(u.ownWorkTime) - float64(s.typicalWorkTime)))
 	}
 	s.pump(now, &u.queue)
 	s.pump(now, &s.queue)
 }
 
 // learnCold learns how much longer requests for cold keys run.
-func (s *Service) learnCold(took, work time.Duration) {
-	sample := max(1, took.Seconds()/max(work, leastWork).Seconds())
-	s.coldFactor += workWeight * (sample - s.coldFactor)
+func (s *Service) updateColdFactor(took, work time.Duration) {
+	sample := max(1, took.Seconds()/max(work, minWorkTime).Seconds())
+	s.coldFactor += workTimeWeight * (sample - s.coldFactor)
 }
--- a/coordination/dispatch/upstream.go
+++ b/coordination/dispatch/upstream.go
@@ -15,58 +15,58 @@
 	// slots: one part runs, the rest waits there so that no slot idles while
 	// an answer travels. Instances queue about four times their slots before
 	// they refuse, reset or hang, so estimates that are off by two do no harm.
-	slotFactor = 2.5
+	maxInFlightPerSlot = 2.5
 	// objectiveShare bounds the estimated delay, in multiples of a route's objective. The
 	// estimate rests on reports that are old by two or three runs: a bound below the
 	// objective refuses requests whose upstream has slots free by now.
-	objectiveShare = 1.6
+	maxDelayPerObjective = 1.6
 	// crossDomainCost makes an upstream of another failure domain look slower, by
 	// crossDomainMost of the route's objective at most: bytes between domains are priced,
 	// and a queue in the own domain that makes answers late costs more than they do.
-	crossDomainCost = 2.5
-	crossDomainMost = 0.3
+	crossDomainFactor     = 2.5
+	crossDomainMaxPenalty = 0.3
 	// jitter spreads scores evenly by this share to both sides, so that
 	// gateways with the same view do not all choose the same upstream.
-	jitter = 0.12
+	scoreJitter = 0.12
 	// workWeight is the weight of a new sample in the mean work time.
-	workWeight = 0.1
+	workTimeWeight = 0.1
 	// queuedWeight is the same for a request that found all slots taken: how long it had to
 	// wait is only estimated, and mostly from too few ahead, as the others' requests since
 	// their last report are not known. With the full weight a full upstream seems slower than
 	// it is, and is given less than it can run.
-	queuedWeight = 0.02
+	queuedWorkTimeWeight = 0.02
 	// failureWeight is the weight of a new outcome in the share of failures.
 	failureWeight = 0.08
 	// firstPause and longestPause bound the time without requests after an
 	// upstream could not be reached. It doubles with each failure in a row.
-	firstPause   = 200 * time.Millisecond
-	longestPause = 1600 * time.Millisecond
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 1600 * time.Millisecond
 	// overdueFactor is how many times the estimated delay a request may take
 	// before it is overdue: work times have tails of three to five times the
 	// mean.
 	overdueFactor = 2
 	// silentLeast is the least time without any answer after which an upstream
 	// counts as silent.
-	silentLeast = 350 * time.Millisecond
+	minSilence = 350 * time.Millisecond
 	// reportHalf is the age at which a report of other gateways' requests
 	// counts for half; they are collected a few times a second.
-	reportHalf = time.Second
+	reportHalfLife = time.Second
 	// firstGateways is the number of gateways assumed before any report: after a
 	// start of all at once each would else fill the upstreams by itself. Small
 	// deployments have 8 to 12; larger ones tell the number with the first news.
-	firstGateways = 12
+	assumedGateways = 12
 	// fullPause is how long an upstream that refused for want of room, or broke the
 	// connection with all slots taken, gets nothing more than it already has. One that
 	// does so with slots free fails in another way, and a pause would only waste
 	// these.
-	fullPause = 60 * time.Millisecond
+	overloadBackoff = 60 * time.Millisecond
 	// warmUpSlowness is how much slower an upstream is taken to be while it
 	// warms up.
-	warmUpSlowness = 2
+	warmUpSlowdown = 2
 	// hungAfter is how many requests that were sent later must have been answered
 	// before one that is overdue counts as hung: upstreams take requests in order, so
 	// one that waits in a queue or runs long is passed by few.
-	hungAfter = 3
+	hungAfterOvertaken = 3
 )
 
 // silentFactors are how many times the estimated delay an upstream may leave
@@ -78,64 +78,64 @@
 // concurrent use.
 type Upstream struct {
 	instances.Instance
-	off Mechanisms
+	disabled Mechanisms
 	// mine counts the requests sent from here and not answered, hung those of them
 	// that the upstream seems to have forgotten.
-	mine, hung int
+	ownInFlight, hung int
 	// others is the number that the other gateways reported at othersAt.
-	others   float64
-	othersAt time.Time
+	othersInFlight   float64
+	othersInFlightAt time.Time
 	// gateways is the number of all gateways, as last reported.
 	gateways int
 	// share is this gateway's part of the room.
-	share share
+	share fairShare
 	// work is the mean time of a run without waiting as seen from here, at a slowness of 1;
 	// zero when unknown.
-	work time.Duration
+	ownWorkTime time.Duration
 	// told is the same as all gateways together have seen it; zero when unknown.
-	told time.Duration
+	clusterWorkTime time.Duration
 	// runs are those seen since the last report.
-	runs worktime.Sum
+	unreportedRuns worktime.Sum
 	// failures is the share of requests that failed lately.
-	failures float64
+	failureRate float64
 	// pausedUntil is when a request may be tried again after the upstream
 	// could not be reached.
-	pausedUntil time.Time
-	pause       time.Duration
-	refused     bool
-	fullUntil   time.Time
+	backoffUntil      time.Time
+	backoff           time.Duration
+	connectionRefused bool
+	overloadedUntil   time.Time
 	// warmUntil is when it has warmed up, doubtUntil how long it is taken to warm up
 	// whatever its entry says.
-	warmUntil, doubtUntil time.Time
+	warmUpUntil, assumedWarmUpUntil time.Time
 	// rightUntil is until when this gateway may send requests to it while it warms up,
 	// nextStart when it may send the next one.
-	rightUntil, nextStart time.Time
+	rightUntil, nextSendAt time.Time
 	// slowness is what it said of its slowness at slowAt, usual the mean as all gateways have
 	// heard it, and heard that of heardRuns answers to this one.
-	slowness         float64
-	slowAt           time.Time
-	usual            float64
-	heard, heardRuns float64
+	slowness                        float64
+	slownessAt                      time.Time
+	clusterSlowness                 float64
+	ownSlowness, ownSlownessSamples float64
 	// toldOthers is how many requests of other gateways it had at toldAt, as it said.
-	toldOthers float64
-	toldAt     time.Time
+	selfReportedOthers float64
+	selfReportedAt     time.Time
 	// said is what it has said of itself to this gateway.
-	said notice.Standing
+	notices notice.Standing
 	// proving says that it has rested and not answered a request since: one at a time goes there.
-	proving bool
+	probing bool
 	// leavingSince is when it was first known to be leaving; zero when it is not.
 	leavingSince time.Time
 	// evacuatedSince is when its failure domain was first seen to be evacuated; zero when
 	// it is not.
 	evacuatedSince time.Time
-	lastAnswer     time.Time
+	lastAnswerAt   time.Time
 	// unanswered are the requests in flight in the order in which they were sent.
-	unanswered []flight
+	unanswered []inFlightRequest
 	// area is the sum of requests in flight over time since reportedAt, for
 	// the report to the other gateways.
-	area       float64
-	areaAt     time.Time
-	reportedAt time.Time
+	inFlightSeconds   float64
+	inFlightSecondsAt time.Time
+	lastReportAt      time.Time
 	// rank is its place in this gateway's order of preference.
 	rank uint64
 	// wanted measures the requests from here that it would get, limit is the limit that it
@@ -147,217 +147,217 @@
 }
 
 // flight is one request in flight.
-type flight struct {
-	at time.Time
+type inFlightRequest struct {
+	sentAt time.Time
 	// passed counts answers to requests that were sent later.
-	passed int
-	hung   bool
+	overtaken int
+	hung      bool
 }
 
-func newUpstream(one instances.Instance, now time.Time) *Upstream {
+func newUpstream(instance instances.Instance, now time.Time) *Upstream {
 	return &Upstream{
-		Instance: one, gateways: firstGateways, share: newShare(now),
-		warmUntil: now.Add(one.WarmUp), areaAt: now, reportedAt: now,
+		Instance: instance, gateways: assumedGateways, share: newFairShare(now),
+		warmUpUntil: now.Add(instance.WarmUp), inFlightSecondsAt: now, lastReportAt: now,
 	}
 }
 
 // alive is the number of requests from here that the upstream still has.
-func (u *Upstream) alive() float64 { return float64(u.mine - u.hung) }
+func (u *Upstream) activeInFlight() float64 { return float64(u.ownInFlight - u.hung) }
 
 // inflight estimates the requests of all gateways at the upstream. As a report
 // ages, the others are taken to have as many as this one each.
-func (u *Upstream) inflight(now time.Time) float64 {
-	return u.alive() + u.atOthers(now, u.reported(now))
+func (u *Upstream) totalInFlight(now time.Time) float64 {
+	return u.activeInFlight() + u.othersEstimate(now, u.othersFromReports(now))
 }
 
 // reported estimates the requests of the others from their reports.
-func (u *Upstream) reported(now time.Time) float64 {
-	alike := u.alive() * float64(u.gateways-1)
-	if u.othersAt.IsZero() {
-		return alike
+func (u *Upstream) othersFromReports(now time.Time) float64 {
+	assumed := u.activeInFlight() * float64(u.gateways-1)
+	if u.othersInFlightAt.IsZero() {
+		return assumed
 	}
-	fresh := float64(reportHalf) / float64(reportHalf+max(now.Sub(u.othersAt), 0))
-	return fresh*u.others + (1-fresh)*alike
+	freshness := float64(reportHalfLife) / float64(reportHalfLife+max(now.Sub(u.othersInFlightAt), 0))
+	return freshness*u.othersInFlight + (1-freshness)*assumed
 }
 
 // silentFor is how long everything at the upstream has been unanswered.
-func (u *Upstream) silentFor(now time.Time) time.Duration {
+func (u *Upstream) silenceDuration(now time.Time) time.Duration {
 	if len(u.unanswered) == 0 {
 		return 0
 	}
-	since := u.unanswered[0].at
-	if u.lastAnswer.After(since) {
-		since = u.lastAnswer
+	since := u.unanswered[0].sentAt
+	if u.lastAnswerAt.After(since) {
+		since = u.lastAnswerAt
 	}
 	return now.Sub(since)
 }
 
 // silent reports whether the upstream is taken to be lost or cut off. The more
 // requests are overdue, the sooner: one may just run long.
-func (u *Upstream) silent(now time.Time, typical time.Duration) bool {
-	if u.silentFor(now) <= silentLeast {
+func (u *Upstream) silent(now time.Time, typicalWorkTime time.Duration) bool {
+	if u.silenceDuration(now) <= minSilence {
 		return false
 	}
-	delay := u.delay(now, typical)
-	overdue := 0
+	delay := u.expectedDelay(now, typicalWorkTime)
+	overdueCount := 0
 	for i := range u.unanswered {
-		if now.Sub(u.unanswered[i].at) > overdueFactor*delay {
-			overdue++
+		if now.Sub(u.unanswered[i].sentAt) > overdueFactor*delay {
+			overdueCount++
 		}
 	}
-	if overdue == 0 {
+	if overdueCount == 0 {
 		return false
 	}
-	factor := silentFactors[min(overdue, len(silentFactors))-1]
-	return u.silentFor(now) > factor*delay
+	factor := silentFactors[min(overdueCount, len(silentFactors))-1]
+	return u.silenceDuration(now) > factor*delay
 }
 
 // workTime is the time of one run without waiting at the moment: as all gateways have seen
 // it, else as this one has.
-func (u *Upstream) workTime(now time.Time, typical time.Duration) time.Duration {
-	return time.Duration(u.slow(now) * float64(u.meanWork(now, typical)))
+func (u *Upstream) currentWorkTime(now time.Time, typicalWorkTime time.Duration) time.Duration {
+	return time.Duration(u.relativeSlowness(now) * float64(u.meanWorkTime(now, typicalWorkTime)))
 }
 
 // meanWork is the same in the mean over the upstream's slow and fast moments.
-func (u *Upstream) meanWork(now time.Time, typical time.Duration) time.Duration {
-	warming := now.Before(u.warmUntil)
+func (u *Upstream) meanWorkTime(now time.Time, typicalWorkTime time.Duration) time.Duration {
+	warming := now.Before(u.warmUpUntil)
 	switch {
-	case u.told != 0 && warming:
+	case u.clusterWorkTime != 0 && warming:
 		// Of one that has just started all others know little, too.
-		return max(u.told, typical*warmUpSlowness)
-	case u.told != 0:
-		return u.told
-	case u.work != 0:
-		return time.Duration(u.usualSlowness() * float64(u.work))
+		return max(u.clusterWorkTime, typicalWorkTime*warmUpSlowdown)
+	case u.clusterWorkTime != 0:
+		return u.clusterWorkTime
+	case u.ownWorkTime != 0:
+		return time.Duration(u.meanSlowness() * float64(u.ownWorkTime))
 	case warming:
-		return typical * warmUpSlowness
+		return typicalWorkTime * warmUpSlowdown
 	}
-	return typical
+	return typicalWorkTime
 }
 
 // rate is how many requests the upstream ends in a second when all slots are busy.
-func (u *Upstream) rate(now time.Time, typical time.Duration) float64 {
-	return float64(u.Slots) / max(u.workTime(now, typical).Seconds(), leastWork.Seconds())
+func (u *Upstream) throughput(now time.Time, typicalWorkTime time.Duration) float64 {
+	return float64(u.Slots) / max(u.currentWorkTime(now, typicalWorkTime).Seconds(), minWorkTime.Seconds())
 }
 
 // leastWork keeps rates finite before any work time is known.
-const leastWork = time.Millisecond
+const minWorkTime = time.Millisecond
 
 // delay estimates the time until one more request is answered.
-func (u *Upstream) delay(now time.Time, typical time.Duration) time.Duration {
-	return u.delayBehind(now, u.inflight(now), typical)
+func (u *Upstream) expectedDelay(now time.Time, typicalWorkTime time.Duration) time.Duration {
+	return u.expectedDelayBehind(now, u.totalInFlight(now), typicalWorkTime)
 }
 
 // delayBehind estimates the time until a request is answered that has so many ahead.
-func (u *Upstream) delayBehind(now time.Time, inflight float64, typical time.Duration) time.Duration {
-	ahead := inflight / float64(u.Slots)
-	full := max(1, ahead+1/float64(u.Slots)) + min(1, ahead)/2
-	return time.Duration(full * float64(u.workTime(now, typical)))
+func (u *Upstream) expectedDelayBehind(now time.Time, inFlight float64, typicalWorkTime time.Duration) time.Duration {
+	inFlightPerSlot := inFlight / float64(u.Slots)
+	runs := max(1, inFlightPerSlot+1/float64(u.Slots)) + min(1, inFlightPerSlot)/2
+	return time.Duration(runs * float64(u.currentWorkTime(now, typicalWorkTime)))
 }
 
 // room reports whether one more request keeps within the bounds. Only owners' room is
 // shared out: requests that may go anywhere go where there is room, and holding them to
 // shares sends them to slower upstreams and other failure domains.
-func (u *Upstream) room(now time.Time, typical, objective time.Duration, owner bool) bool {
-	inflight := u.inflight(now)
+func (u *Upstream) hasCapacity(now time.Time, typicalWorkTime, objective time.Duration, owner bool) bool {
+	inFlight := u.totalInFlight(now)
 	slots := float64(u.Slots)
-	idle := inflight+1 <= slots
-	if owner && !u.off.NoShares && !u.share.allows(now, u.rate(now, typical), u.Slots, inflight) {
+	slotFree := inFlight+1 <= slots
+	if owner && !u.disabled.NoShares && !u.share.allows(now, u.throughput(now, typicalWorkTime), u.Slots, inFlight) {
 		return false
 	}
-	if u.mine == 0 && inflight < slots {
+	if u.ownInFlight == 0 && inFlight < slots {
 		return true
 	}
-	if now.Before(u.fullUntil) || inflight+1 > slotFactor*slots {
+	if now.Before(u.overloadedUntil) || inFlight+1 > maxInFlightPerSlot*slots {
 		return false
 	}
-	allowed := time.Duration(objectiveShare * float64(objective))
-	return idle || u.delayBehind(now, inflight, typical) <= allowed
+	maxDelay := time.Duration(maxDelayPerObjective * float64(objective))
+	return slotFree || u.expectedDelayBehind(now, inFlight, typicalWorkTime) <= maxDelay
 }
 
 // usable reports whether the upstream seems to answer requests.
-func (u *Upstream) usable(now time.Time, typical time.Duration) bool {
-	if u.pause > 0 && u.mine > 0 {
+func (u *Upstream) usable(now time.Time, typicalWorkTime time.Duration) bool {
+	if u.backoff > 0 && u.ownInFlight > 0 {
 		// One trial at a time after a failure.
 		return false
 	}
-	return u.answers(now, typical)
+	return u.responsive(now, typicalWorkTime)
 }
 
 // answers reports whether the upstream was reached lately, has not fallen silent, and is not tried
 // by another request after a rest.
-func (u *Upstream) answers(now time.Time, typical time.Duration) bool {
-	if now.Before(u.pausedUntil) || u.proving && u.alive() > 0 {
+func (u *Upstream) responsive(now time.Time, typicalWorkTime time.Duration) bool {
+	if now.Before(u.backoffUntil) || u.probing && u.activeInFlight() > 0 {
 		return false
 	}
-	return !u.silent(now, typical)
+	return !u.silent(now, typicalWorkTime)
 }
 
 // score is the estimated delay weighed with what speaks against the upstream.
-func (u *Upstream) score(now time.Time, typical, objective time.Duration, domain string, rng *rand.Rand) float64 {
-	score := float64(u.delay(now, typical) + u.silentFor(now)/2)
+func (u *Upstream) score(now time.Time, typicalWorkTime, objective time.Duration, domain string, rng *rand.Rand) float64 {
+	score := float64(u.expectedDelay(now, typicalWorkTime) + u.silenceDuration(now)/2)
 	if u.Domain != domain {
-		score += min((crossDomainCost-1)*score, crossDomainMost*float64(objective))
+		score += min((crossDomainFactor-1)*score, crossDomainMaxPenalty*float64(objective))
 	}
-	works := 1 - min(u.failures, 0.9)
-	return score / (works * works) * (1 - jitter + 2*jitter*rng.Float64())
+	successRate := 1 - min(u.failureRate, 0.9)
+	return score / (successRate * successRate) * (1 - scoreJitter + 2*scoreJitter*rng.Float64())
 }
 
-func (u *Upstream) advance(now time.Time) {
-	u.area += now.Sub(u.areaAt).Seconds() * u.alive()
-	u.areaAt = now
+func (u *Upstream) integrateInFlight(now time.Time) {
+	u.inFlightSeconds += now.Sub(u.inFlightSecondsAt).Seconds() * u.activeInFlight()
+	u.inFlightSecondsAt = now
 }
 
-func (u *Upstream) sent(now time.Time, typical time.Duration) {
-	u.advance(now)
-	u.share.take(now, u.rate(now, typical))
-	u.mine++
-	u.unanswered = append(u.unanswered, flight{at: now})
+func (u *Upstream) recordSend(now time.Time, typicalWorkTime time.Duration) {
+	u.integrateInFlight(now)
+	u.share.take(now, u.throughput(now, typicalWorkTime))
+	u.ownInFlight++
+	u.unanswered = append(u.unanswered, inFlightRequest{sentAt: now})
 }
 
 // ended notes the end of a try.
-func (u *Upstream) ended(now time.Time, g Grant, o Outcome, typical time.Duration) {
-	began, ahead := g.GrantedAt, g.InFlight
-	u.advance(now)
-	u.forget(began)
+func (u *Upstream) recordOutcome(now time.Time, g Grant, o Outcome, typicalWorkTime time.Duration) {
+	grantedAt, inFlight := g.GrantedAt, g.InFlight
+	u.integrateInFlight(now)
+	u.removeInFlight(grantedAt)
 	switch o {
 	case Answered:
-		u.reached(now, began, typical)
+		u.recordAnswer(now, grantedAt, typicalWorkTime)
 		if !g.Cold && !g.Warming {
-			u.observe(now, now.Sub(began), ahead)
+			u.observeWorkTime(now, now.Sub(grantedAt), inFlight)
 		}
-		u.failures -= failureWeight * u.failures
-		u.proving = u.proving && began.Before(u.said.RestUntil)
+		u.failureRate -= failureWeight * u.failureRate
+		u.probing = u.probing && grantedAt.Before(u.notices.RestUntil)
 	case Failed:
-		u.reached(now, began, typical)
-		u.failures += failureWeight * (1 - u.failures)
-		u.proving = u.proving && began.Before(u.said.RestUntil)
+		u.recordAnswer(now, grantedAt, typicalWorkTime)
+		u.failureRate += failureWeight * (1 - u.failureRate)
+		u.probing = u.probing && grantedAt.Before(u.notices.RestUntil)
 	case Overloaded, ConnectionBroken:
-		u.reached(now, now, typical)
-		u.failures += failureWeight * (1 - u.failures)
-		if ahead+1 > float64(u.Slots) {
-			u.fullUntil = now.Add(fullPause)
+		u.recordAnswer(now, now, typicalWorkTime)
+		u.failureRate += failureWeight * (1 - u.failureRate)
+		if inFlight+1 > float64(u.Slots) {
+			u.overloadedUntil = now.Add(overloadBackoff)
 		}
 	case NotOwner:
-		u.reached(now, now, typical)
+		u.recordAnswer(now, now, typicalWorkTime)
 	case Unreachable, ConnectionRefused:
-		u.refused = o == ConnectionRefused
-		u.pause = min(max(firstPause, 2*u.pause), longestPause)
-		u.pausedUntil = now.Add(u.pause)
+		u.connectionRefused = o == ConnectionRefused
+		u.backoff = min(max(minBackoff, 2*u.backoff), maxBackoff)
+		u.backoffUntil = now.Add(u.backoff)
 	case TimedOut:
-		if now.Sub(u.lastAnswer) > now.Sub(began) {
-			u.pause = min(max(firstPause, 2*u.pause), longestPause)
-			u.pausedUntil = now.Add(u.pause)
+		if now.Sub(u.lastAnswerAt) > now.Sub(grantedAt) {
+			u.backoff = min(max(minBackoff, 2*u.backoff), maxBackoff)
+			u.backoffUntil = now.Add(u.backoff)
 		}
 	case Canceled:
 	}
 }
 
 // forget takes a request off those in flight.
-func (u *Upstream) forget(began time.Time) {
-	u.mine--
+func (u *Upstream) removeInFlight(grantedAt time.Time) {
+	u.ownInFlight--
 	for i := range u.unanswered {
-		if !u.unanswered[i].at.Equal(began) {
+		if !u.unanswered[i].sentAt.Equal(grantedAt) {
 			continue
 		}
 		if u.unanswered[i].hung {
@@ -371,18 +371,18 @@
 // reached notes an answer to a request that was sent at began. Requests that were
 // sent before it and are passed again and again have hung: the upstream takes
 // requests in order, and one that it could not queue it never answers.
-func (u *Upstream) reached(now, began time.Time, typical time.Duration) {
-	u.lastAnswer = now
-	u.pause = 0
-	u.refused = false
-	u.pausedUntil = time.Time{}
+func (u *Upstream) recordAnswer(now, grantedAt time.Time, typicalWorkTime time.Duration) {
+	u.lastAnswerAt = now
+	u.backoff = 0
+	u.connectionRefused = false
+	u.backoffUntil = time.Time{}
 	for i := range u.unanswered {
 		f := &u.unanswered[i]
-		if !f.at.Before(began) {
+		if !f.sentAt.Before(grantedAt) {
 			return
 		}
-		f.passed++
-		if !u.off.NoHung && !f.hung && f.passed >= hungAfter && now.Sub(f.at) > overdueFactor*u.delay(now, typical) {
+		f.overtaken++
+		if !u.disabled.NoHung && !f.hung && f.overtaken >= hungAfterOvertaken && now.Sub(f.sentAt) > overdueFactor*u.expectedDelay(now, typicalWorkTime) {
 			f.hung = true
 			u.hung++
 		}
@@ -391,19 +391,19 @@
 
 // observe learns the work time from a whole run: what the requests ahead took
 // is counted out, and how slow the upstream said that it was.
-func (u *Upstream) observe(now time.Time, took time.Duration, ahead float64) {
-	rounds := (ahead + 1) / float64(u.Slots)
-	slowness := u.saidSlowness(now)
+func (u *Upstream) observeWorkTime(now time.Time, took time.Duration, inFlight float64) {
+	rounds := (inFlight + 1) / float64(u.Slots)
+	slowness := u.answerSlowness(now)
 	sample := time.Duration(float64(took) / max(1, rounds) / slowness)
-	weight := float64(workWeight)
+	weight := float64(workTimeWeight)
 	if rounds > 1 {
-		weight = queuedWeight
+		weight = queuedWorkTimeWeight
 	}
-	seen := weight / workWeight
-	u.runs = u.runs.Add(worktime.Sum{Total: time.Duration(seen * float64(sample)), Runs: seen, Slowness: seen * slowness})
-	if u.work == 0 {
-		u.work = sample
+	sampleCount := weight / workTimeWeight
+	u.unreportedRuns = u.unreportedRuns.Add(worktime.Sum{Total: time.Duration(sampleCount * float64(sample)), Runs: sampleCount, Slowness: sampleCount * slowness})
+	if u.ownWorkTime == 0 {
+		u.ownWorkTime = sample
 		return
 	}
-	u.work += time.Duration(weight * float64(sample-u.work))
+	u.ownWorkTime += time.Duration(weight * float64(sample-u.ownWorkTime))
 }
--- a/coordination/dispatch/waiting.go
+++ b/coordination/dispatch/waiting.go
@@ -13,10 +13,10 @@
 	if s.limitedOut(now, w) {
 		return Limited
 	}
-	if u != nil && !s.mayStart(now, u) && u.nextStart.After(w.QueueUntil) {
+	if u != nil && !s.warmUpAllows(now, u) && u.nextSendAt.After(w.QueueUntil) {
 		return WarmingUp
 	}
-	if now.Add(s.typical / 2).After(w.Deadline) {
+	if now.Add(s.typicalWorkTime / 2).After(w.Deadline) {
 		return TooLate
 	}
 	wait := s.expectedWait(now, w, u, ahead)
@@ -34,30 +34,30 @@
 // alone, half of those who waited longest are late.
 func (s *Service) likelyRun(now time.Time, u *Upstream) time.Duration {
 	if u == nil {
-		return 2 * s.typical
+		return 2 * s.typicalWorkTime
 	}
-	expected := u.delayBehind(now, min(u.inflight(now), roomTarget*float64(u.Slots)), s.typical)
-	return expected + u.workTime(now, s.typical)
+	expected := u.expectedDelayBehind(now, min(u.totalInFlight(now), targetLoad*float64(u.Slots)), s.typicalWorkTime)
+	return expected + u.currentWorkTime(now, s.typicalWorkTime)
 }
 
 // expectedWait estimates how long the request would wait behind those that go
 // first: for this gateway's part of what its upstreams end.
 func (s *Service) expectedWait(now time.Time, w *Request, u *Upstream, ahead int) time.Duration {
 	if u == nil {
-		return time.Duration(float64(ahead) / max(s.part*s.rate, leastRate) * float64(time.Second))
+		return time.Duration(float64(ahead) / max(s.demandFraction*s.totalThroughput, minRate) * float64(time.Second))
 	}
-	rate := u.rate(now, s.typical)
+	rate := u.throughput(now, s.typicalWorkTime)
 	u.share.refill(now, rate)
-	return u.share.wait(float64(ahead+1), rate)
+	return u.share.waitTime(float64(ahead+1), rate)
 }
 
 // Withdraw takes a waiting request out. It reports false when the verdict was
 // given already.
 func (s *Service) Withdraw(w *Request) bool {
-	if w.gone {
+	if w.dequeued {
 		return false
 	}
-	w.gone = true
+	w.dequeued = true
 	s.waiting--
 	if u := s.upstreams[w.Owner]; u != nil {
 		u.queue.remove(w)
@@ -76,7 +76,7 @@
 	}
 	s.pumpAll(now)
 	late := func(w *Request) { s.refuse(w, s.lateReason(now, w)) }
-	for _, u := range s.order {
+	for _, u := range s.ordered {
 		if r := s.closedOwner(now, u); r != 0 {
 			s.refuseAll(u, r)
 		}
@@ -100,7 +100,7 @@
 
 // refuse gives a waiting request its verdict.
 func (s *Service) refuse(w *Request, r Refusal) {
-	w.gone = true
+	w.dequeued = true
 	s.waiting--
 	w.OnDecision(Grant{}, r)
 }
@@ -125,7 +125,7 @@
 	if s.waiting == 0 {
 		return
 	}
-	for _, u := range s.order {
+	for _, u := range s.ordered {
 		s.pump(now, &u.queue)
 	}
 	s.pump(now, &s.queue)
@@ -142,11 +142,11 @@
 			s.refuse(w, Limited)
 			return true, false
 		}
-		g, ok := s.grant(now, w)
+		g, ok := s.tryGrant(now, w)
 		if !ok {
 			return false, len(w.Exclude) == 0
 		}
-		w.gone = true
+		w.dequeued = true
 		s.waiting--
 		w.OnDecision(g, 0)
 		return true, false
--- a/coordination/dispatch/want.go
+++ b/coordination/dispatch/want.go
@@ -91,11 +91,11 @@
 	// Verdict is called once for a request that had to wait.
 	OnDecision func(Grant, Refusal)
 
-	gone bool
+	dequeued bool
 	// admitted is the upstream within whose limit it goes, heldBack says that a limit has held
 	// it back.
-	admitted *Upstream
-	heldBack bool
+	admittedTo  *Upstream
+	heldByLimit bool
 }
 
 // Grant is the right to send one request to an upstream.
--- a/coordination/dispatch/warming.go
+++ b/coordination/dispatch/warming.go
@@ -14,14 +14,14 @@
 	// rightsAtOnce is how many gateways may send to a warming upstream at the same time at
 	// worst, when one was named while the former's right was on its way: each paces itself
 	// to that part of the bound.
-	rightsAtOnce = 2
+	maxConcurrentRights = 2
 	// ownerShare is the part of the bound at which an owner that warms up gets requests,
 	// evenly from all gateways. They do not know of each other: at a mean of 4.2 in a second
 	// more than the 16.7 of the bound are seen three times in a million seconds.
-	ownerShare = 0.25
+	ownerRateShare = 0.25
 	// entryAge is how old what an upstream's entry says may be: a heartbeat, and a watch
 	// that hears of a compaction only the next time.
-	entryAge = 2 * time.Second
+	maxEntryAge = 2 * time.Second
 )
 
 // WarmUp bounds the requests to upstreams of a service while they warm up.
@@ -35,10 +35,10 @@
 }
 
 // pace is the least time between two requests from this gateway to a warming upstream.
-func (s *Service) pace() time.Duration {
-	rate := max(s.warmUp.MaxPerSecond/rightsAtOnce-1, s.warmUp.MaxPerSecond/(2*rightsAtOnce))
+func (s *Service) sendInterval() time.Duration {
+	rate := max(s.warmUp.MaxPerSecond/maxConcurrentRights-1, s.warmUp.MaxPerSecond/(2*maxConcurrentRights))
 	if s.warmUp.Keyed {
-		rate = ownerShare * s.warmUp.MaxPerSecond / float64(max(s.gateways, firstGateways))
+		rate = ownerRateShare * s.warmUp.MaxPerSecond / float64(max(s.gateways, assumedGateways))
 	}
 	return time.Duration(float64(time.Second) / rate)
 }
@@ -49,89 +49,89 @@
 		return
 	}
 	s.warmUp = w
-	for _, u := range s.order {
-		s.noteWarming(now, u)
+	for _, u := range s.ordered {
+		s.scheduleFirstSend(now, u)
 	}
 	s.measure(now)
 }
 
 // bounded reports whether the upstream warms up and its requests are bounded.
-func (s *Service) bounded(now time.Time, u *Upstream) bool {
-	return s.warmUp.MaxPerSecond > 0 && now.Before(u.warmUntil)
+func (s *Service) warmUpLimited(now time.Time, u *Upstream) bool {
+	return s.warmUp.MaxPerSecond > 0 && now.Before(u.warmUpUntil)
 }
 
 // noteEntry takes over what the upstream's entry says now.
-func (s *Service) noteEntry(now time.Time, u *Upstream, one instances.Instance) {
-	news := one.Revision != u.Revision
-	u.Instance = one
-	if !news {
+func (s *Service) updateEntry(now time.Time, u *Upstream, instance instances.Instance) {
+	changed := instance.Revision != u.Revision
+	u.Instance = instance
+	if !changed {
 		return
 	}
-	u.warmUntil = later(u.doubtUntil, now.Add(one.WarmUp))
-	s.noteWarming(now, u)
+	u.warmUpUntil = later(u.assumedWarmUpUntil, now.Add(instance.WarmUp))
+	s.scheduleFirstSend(now, u)
 }
 
 // doubt takes an upstream for one that warms up until its entry would have said so: it was
 // left alone for a while, as its failure domain was evacuated, and may have started again.
-func (s *Service) doubt(now time.Time, u *Upstream) {
-	u.doubtUntil = now.Add(entryAge)
-	u.warmUntil = later(u.warmUntil, u.doubtUntil)
-	s.noteWarming(now, u)
+func (s *Service) assumeWarmUp(now time.Time, u *Upstream) {
+	u.assumedWarmUpUntil = now.Add(maxEntryAge)
+	u.warmUpUntil = later(u.warmUpUntil, u.assumedWarmUpUntil)
+	s.scheduleFirstSend(now, u)
 }
 
 // noteWarming draws when this gateway's first request may go to an owner that warms up:
 // else the first ones of all gateways would come at once.
-func (s *Service) noteWarming(now time.Time, u *Upstream) {
-	if s.warmUp.Keyed && s.bounded(now, u) && u.nextStart.Before(now) {
-		u.nextStart = now.Add(time.Duration(s.rng.Float64() * float64(s.pace())))
+func (s *Service) scheduleFirstSend(now time.Time, u *Upstream) {
+	if s.warmUp.Keyed && s.warmUpLimited(now, u) && u.nextSendAt.Before(now) {
+		u.nextSendAt = now.Add(time.Duration(s.rng.Float64() * float64(s.sendInterval())))
 	}
 }
 
 // mayStart reports whether this gateway may send a request to the upstream as far as it
 // warms up.
-func (s *Service) mayStart(now time.Time, u *Upstream) bool {
-	if !s.bounded(now, u) {
+func (s *Service) warmUpAllows(now time.Time, u *Upstream) bool {
+	if !s.warmUpLimited(now, u) {
 		return true
 	}
-	if now.Before(u.nextStart) {
+	if now.Before(u.nextSendAt) {
 		return false
 	}
 	return s.warmUp.Keyed && s.gateways > 0 || now.Before(u.rightUntil)
 }
 
 // started notes that a request is sent to the upstream.
-func (s *Service) started(now time.Time, u *Upstream) {
-	if s.bounded(now, u) {
-		u.nextStart = now.Add(s.pace())
+func (s *Service) recordWarmUpSend(now time.Time, u *Upstream) {
+	if s.warmUpLimited(now, u) {
+		u.nextSendAt = now.Add(s.sendInterval())
 	}
 }
 
 // takeRights takes over until when this gateway may send to upstreams that warm up.
-func (s *Service) takeRights(rights map[string]time.Time) {
-	for _, u := range s.entrusted {
+func (s *Service) applyRights(rights map[string]time.Time) {
+	for _, u := range s.warmingWithRight {
 		u.rightUntil = time.Time{}
 	}
-	s.entrusted = s.entrusted[:0]
+	s.warmingWithRight = s.warmingWithRight[:0]
 	if len(rights) == 0 {
 		return
 	}
-	for _, u := range s.order {
+	for _, u := range s.ordered {
 		u.rightUntil = rights[u.ID]
 		if !u.rightUntil.IsZero() {
-			s.entrusted = append(s.entrusted, u)
+			s.warmingWithRight = append(s.warmingWithRight, u)
 		}
 	}
 }
 
 // compareEntrusted looks at the upstreams that this gateway alone sends to while they warm
 // up. They are slow: a request goes there when its answer would be on time.
-func (s *Service) compareEntrusted(now time.Time, w *Request, c *choice) {
-	for _, u := range s.entrusted {
-		if !s.bounded(now, u) || u.limit != nil && w.heldBack || excluded(w, u.ID) || !s.usable(now, u) || !u.room(now, s.typical, w.Objective, false) {
+func (s *Service) compareWarming(now time.Time, req *Request, c *choice) {
+	for _, u := range s.warmingWithRight {
+		if !s.warmUpLimited(now, u) || u.limit != nil && req.heldByLimit || isExcluded(req, u.ID) || !s.usable(now, u) || !u.hasCapacity(now, s.typicalWorkTime, req.Objective, false) {
 			continue
 		}
-		if u.delay(now, s.typical) <= w.Objective {
-			c.offer(u, u.score(now, s.typical, w.Objective, s.domain, s.rng))
+		if u.expectedDelay(now, s.typicalWorkTime) <= req.Objective {
+			c.offer(u, u.score(now, s.typicalWorkTime, req.Objective, s.domain, s.rng))
 		}
 	}
 }
@@ -139,8 +139,8 @@
 // Warming returns the upstreams whose requests are bounded as they warm up.
 func (s *Service) Warming(now time.Time) []instances.Instance {
 	var out []instances.Instance
-	for _, u := range s.order {
-		if s.bounded(now, u) {
+	for _, u := range s.ordered {
+		if s.warmUpLimited(now, u) {
 			out = append(out, u.Instance)
 		}
 	}
--- a/coordination/dispatch/warming_test.go
+++ b/coordination/dispatch/warming_test.go
@@ -10,29 +10,29 @@
 
 // bound is that of an upstream which bears 5.8 requests a second, with an overage of 1.5 and
 // a slack of 8.
-const bound = 16.7
+const maxWarmUpRate = 16.7
 
 // warmed returns upstreams as their entries tell, each change with a new revision.
-func warmed(revision uint64, left time.Duration, ids ...string) []*instances.Instance {
+func warmingInstances(revision uint64, remaining time.Duration, ids ...string) []*instances.Instance {
 	out := list(ids...)
 	for _, one := range out {
-		one.Revision, one.WarmUp = revision, left
+		one.Revision, one.WarmUp = revision, remaining
 	}
 	return out
 }
 
 // fleet is the decisions of several gateways about the same upstreams.
-type fleet struct {
+type gatewayGroup struct {
 	services []*Service
 	arrivals map[string][]time.Time
 }
 
-func newFleet(gateways int, w WarmUp, ids ...string) *fleet {
-	f := &fleet{arrivals: make(map[string][]time.Time)}
+func newGatewayGroup(gateways int, warmUp WarmUp, ids ...string) *gatewayGroup {
+	f := &gatewayGroup{arrivals: make(map[string][]time.Time)}
 	for i := range gateways {
 		s := NewService("a", 2*time.Second, rand.New(rand.NewPCG(uint64(i), 7)))
-		s.SetWarmUp(start, w)
-		s.SetUpstreams(start, warmed(1, 0, ids...))
+		s.SetWarmUp(start, warmUp)
+		s.SetUpstreams(start, warmingInstances(1, 0, ids...))
 		s.ApplyReport(start, ClusterReport{Gateways: gateways})
 		f.services = append(f.services, s)
 	}
@@ -41,11 +41,11 @@
 
 // press lets each gateway ask again and again from one time to another. owner names the
 // only upstream that may run the requests; empty means any.
-func (f *fleet) press(from, to time.Duration, owner string) {
+func (f *gatewayGroup) offerLoad(from, to time.Duration, owner string) {
 	for now := from; now < to; now += 10 * ms {
 		for _, s := range f.services {
-			w := &Request{Owner: owner, Objective: 300 * ms, Deadline: at(now + time.Second), QueueUntil: at(now), OnDecision: func(Grant, Refusal) {}}
-			g, r, decided := s.Offer(at(now), w)
+			req := &Request{Owner: owner, Objective: 300 * ms, Deadline: at(now + time.Second), QueueUntil: at(now), OnDecision: func(Grant, Refusal) {}}
+			g, r, decided := s.Offer(at(now), req)
 			if !decided || r != 0 {
 				continue
 			}
@@ -57,7 +57,7 @@
 
 // most is the highest number of arrivals at the upstream in any second that begins between
 // the times.
-func (f *fleet) most(id string, from, to time.Duration) int {
+func (f *gatewayGroup) maxArrivals(id string, from, to time.Duration) int {
 	most := 0
 	list := f.arrivals[id]
 	for i, first := range list {
@@ -77,44 +77,44 @@
 
 // TestWarmingUpstreamIsNotFlooded: of 20 gateways only those with the right send to it, and
 // the bound holds even while two have it.
-func TestWarmingUpstreamIsNotFlooded(t *testing.T) {
-	f := newFleet(20, WarmUp{MaxPerSecond: bound}, "a1", "a2")
+func TestWarmUpRateLimitHoldsAcrossGateways(t *testing.T) {
+	f := newGatewayGroup(20, WarmUp{MaxPerSecond: maxWarmUpRate}, "a1", "a2")
 	for _, s := range f.services {
-		s.SetUpstreams(start, warmed(2, 3*time.Second, "a1"))
+		s.SetUpstreams(start, warmingInstances(2, 3*time.Second, "a1"))
 	}
-	f.press(0, time.Second, "")
+	f.offerLoad(0, time.Second, "")
 	if n := len(f.arrivals["a1"]); n != 0 {
 		t.Errorf("%d requests without a right", n)
 	}
 	for _, s := range f.services[:2] {
 		s.ApplyReport(at(time.Second), ClusterReport{Gateways: 20, Rights: map[string]time.Time{"a1": at(3 * time.Second)}})
 	}
-	f.press(time.Second, 3*time.Second, "")
-	if n := f.most("a1", 0, 3*time.Second); float64(n) > bound || float64(n) < bound/2 {
-		t.Errorf("%d requests in a second, the bound is %g", n, bound)
+	f.offerLoad(time.Second, 3*time.Second, "")
+	if n := f.maxArrivals("a1", 0, 3*time.Second); float64(n) > maxWarmUpRate || float64(n) < maxWarmUpRate/2 {
+		t.Errorf("%d requests in a second, the bound is %g", n, maxWarmUpRate)
 	}
-	f.press(3*time.Second, 4*time.Second, "")
-	if n := f.most("a1", 3*time.Second, 4*time.Second); float64(n) < 2*bound {
+	f.offerLoad(3*time.Second, 4*time.Second, "")
+	if n := f.maxArrivals("a1", 3*time.Second, 4*time.Second); float64(n) < 2*maxWarmUpRate {
 		t.Errorf("%d requests in a second when it has warmed up", n)
 	}
 }
 
 // TestWarmingOwner: its keys can be served nowhere else; each gateway sends its part, spread
 // over time from the first request on, and refuses the rest at once.
-func TestWarmingOwner(t *testing.T) {
-	f := newFleet(74, WarmUp{MaxPerSecond: bound, Keyed: true}, "a1")
+func TestWarmingOwnerIsLimitedAcrossGateways(t *testing.T) {
+	f := newGatewayGroup(74, WarmUp{MaxPerSecond: maxWarmUpRate, Keyed: true}, "a1")
 	for _, s := range f.services {
-		s.SetUpstreams(start, warmed(2, 3*time.Second, "a1"))
+		s.SetUpstreams(start, warmingInstances(2, 3*time.Second, "a1"))
 	}
-	f.press(0, 3*time.Second, "a1")
-	if n, all := f.most("a1", 0, 3*time.Second), len(f.arrivals["a1"]); float64(n) > bound || all < 6 {
+	f.offerLoad(0, 3*time.Second, "a1")
+	if n, all := f.maxArrivals("a1", 0, 3*time.Second), len(f.arrivals["a1"]); float64(n) > maxWarmUpRate || all < 6 {
 		t.Errorf("%d requests in a second, %d in all", n, all)
 	}
-	w := want()
-	w.Owner, w.QueueUntil, w.Deadline = "a1", at(time.Second+60*ms), at(2*time.Second)
+	req := want()
+	req.Owner, req.QueueUntil, req.Deadline = "a1", at(time.Second+60*ms), at(2*time.Second)
 	refused := 0
 	for _, s := range f.services {
-		if _, r, decided := s.Offer(at(time.Second), w); decided && r == WarmingUp {
+		if _, r, decided := s.Offer(at(time.Second), req); decided && r == WarmingUp {
 			refused++
 		}
 	}
@@ -125,43 +125,43 @@
 
 // TestTakenBackDomainIsDoubted: after an evacuation an upstream may be cold though its entry
 // said otherwise a moment ago.
-func TestTakenBackDomainIsDoubted(t *testing.T) {
-	f := newFleet(20, WarmUp{MaxPerSecond: bound}, "a1")
+func TestWarmUpIsAssumedAfterEvacuationEnds(t *testing.T) {
+	f := newGatewayGroup(20, WarmUp{MaxPerSecond: maxWarmUpRate}, "a1")
 	for _, s := range f.services {
 		s.SetEvacuated(start, inDomain("a"))
 		s.SetEvacuated(at(time.Second), inDomain(""))
-		s.SetUpstreams(at(1100*ms), warmed(2, 0, "a1"))
+		s.SetUpstreams(at(1100*ms), warmingInstances(2, 0, "a1"))
 	}
-	f.press(1100*ms, time.Second+entryAge, "")
+	f.offerLoad(1100*ms, time.Second+maxEntryAge, "")
 	if n := len(f.arrivals["a1"]); n != 0 {
 		t.Errorf("%d requests to an upstream that may be cold", n)
 	}
-	f.press(time.Second+entryAge, 2*time.Second+entryAge, "")
-	if n := len(f.arrivals["a1"]); float64(n) < 2*bound {
+	f.offerLoad(time.Second+maxEntryAge, 2*time.Second+maxEntryAge, "")
+	if n := len(f.arrivals["a1"]); float64(n) < 2*maxWarmUpRate {
 		t.Errorf("%d requests when it must have said that it is cold", n)
 	}
 }
 
 // TestRunsWhileWarmingAreNotLearned: how long they took says nothing of the upstream when it
 // has warmed up.
-func TestRunsWhileWarmingAreNotLearned(t *testing.T) {
+func TestWorkTimeIsNotLearnedDuringWarmUp(t *testing.T) {
 	s := newService("a1")
-	s.SetWarmUp(start, WarmUp{MaxPerSecond: bound})
+	s.SetWarmUp(start, WarmUp{MaxPerSecond: maxWarmUpRate})
 	learn(s, "a1", 100*ms)
-	s.SetUpstreams(at(100*ms), warmed(2, 3*time.Second, "a1"))
+	s.SetUpstreams(at(100*ms), warmingInstances(2, 3*time.Second, "a1"))
 	s.ApplyReport(at(100*ms), ClusterReport{Gateways: 1, Rights: map[string]time.Time{"a1": at(4 * time.Second)}})
-	before := s.upstreams["a1"].work
+	before := s.upstreams["a1"].ownWorkTime
 	g := mustGrant(t, s, at(100*ms), want())
 	s.Done(at(900*ms), g, Answered)
-	if u := s.upstreams["a1"]; u.work != before || u.runs.Runs > 1 {
-		t.Errorf("work %s after %s", u.work, before)
+	if u := s.upstreams["a1"]; u.ownWorkTime != before || u.unreportedRuns.Runs > 1 {
+		t.Errorf("work %s after %s", u.ownWorkTime, before)
 	}
 }
 
 // TestUnboundedWarmUp: where no bound is named, an upstream that warms up is only taken to
 // be slow.
-func TestUnboundedWarmUp(t *testing.T) {
+func TestWarmUpWithoutRateLimit(t *testing.T) {
 	s := newService("a1")
-	s.SetUpstreams(start, warmed(2, 3*time.Second, "a1"))
+	s.SetUpstreams(start, warmingInstances(2, 3*time.Second, "a1"))
 	mustGrant(t, s, start, want())
 }
--- a/coordination/dispatch/words_test.go
+++ b/coordination/dispatch/words_test.go
@@ -12,85 +12,85 @@
 
 // What upstreams that have said something may get, as the checker of this file knows it.
 const (
-	wordDrain   = 2 * time.Second
-	wordEvacuee = 1500 * time.Millisecond
-	longestRest = 5 * time.Minute
+	drainLimit      = 2 * time.Second
+	evacuationLimit = 1500 * time.Millisecond
+	maxRest         = 5 * time.Minute
 )
 
 // wordedStart is one start of an upstream and what it has said to this gateway.
-type wordedStart struct {
+type modelIncarnation struct {
 	instances.Instance
-	left      time.Time
+	leavingAt time.Time
 	restUntil time.Time
 }
 
 // worded plays what upstreams say against a service at random, and checks what is sent. It knows the
 // promises only.
-type worded struct {
-	t         *testing.T
-	seed      uint64
-	rng       *rand.Rand
-	now       time.Time
-	service   *Service
-	starts    map[string]*wordedStart
-	evacuated map[string]time.Time
-	granted   []Grant
-	inFlight  []Grant
-	byStart   map[string]*wordedStart
+type noticeModel struct {
+	t             *testing.T
+	seed          uint64
+	rng           *rand.Rand
+	now           time.Time
+	service       *Service
+	current       map[string]*modelIncarnation
+	evacuatedAt   map[string]time.Time
+	granted       []Grant
+	inFlight      []Grant
+	byIncarnation map[string]*modelIncarnation
 }
 
-func startKey(one instances.Instance) string { return fmt.Sprint(one.ID, "/", one.BornMs) }
+func incarnationKey(i instances.Instance) string { return fmt.Sprint(i.ID, "/", i.BornMs) }
 
-func newWorded(t *testing.T, seed uint64) *worded {
+func newNoticeModel(t *testing.T, seed uint64) *noticeModel {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	w := &worded{
-		t: t, seed: seed, rng: rng, now: start, service: NewService("a", wordDrain, rng),
-		starts: make(map[string]*wordedStart), evacuated: make(map[string]time.Time), byStart: make(map[string]*wordedStart),
+	m := &noticeModel{
+		t: t, seed: seed, rng: rng, now: start, service: NewService("a", drainLimit, rng),
+		current: make(map[string]*modelIncarnation), evacuatedAt: make(map[string]time.Time), byIncarnation: make(map[string]*modelIncarnation),
 	}
 	for _, id := range []string{"a1", "a2", "b1", "b2"} {
-		w.begin(id, 1)
+		m.startUpstream(id, 1)
 	}
-	w.list()
-	w.service.ApplyReport(w.now, ClusterReport{Gateways: 1})
-	return w
+	m.updateList()
+	m.service.ApplyReport(m.now, ClusterReport{Gateways: 1})
+	return m
 }
 
 // begin starts an upstream under an ID.
-func (w *worded) begin(id string, born uint64) {
-	one := &wordedStart{Instance: instances.Instance{ID: id, Domain: id[:1], Slots: 2, BornMs: born}}
-	w.starts[id] = one
-	w.byStart[startKey(one.Instance)] = one
+func (m *noticeModel) startUpstream(id string, born uint64) {
+	upstream := &modelIncarnation{Instance: instances.Instance{ID: id, Domain: id[:1], Slots: 2, BornMs: born}}
+	m.current[id] = upstream
+	m.byIncarnation[incarnationKey(upstream.Instance)] = upstream
 }
 
 // list tells the service of the upstreams, at times without some of them.
-func (w *worded) list() {
+func (m *noticeModel) updateList() {
 	var out []*instances.Instance
 	for _, id := range []string{"a1", "a2", "b1", "b2"} {
-		if w.rng.IntN(6) > 0 {
-			one := w.starts[id].Instance
-			out = append(out, &one)
+		if m.rng.IntN(6) > 0 {
+			instance := m.current[id].Instance
+			out = append(out, &instance)
 		}
 	}
-	w.service.SetUpstreams(w.now, out)
+	m.service.SetUpstreams(m.now, out)
 }
 
 // ask offers a request for an owner or for any.
-func (w *worded) ask() {
-	want := &Request{Objective: time.Second, Deadline: w.now.Add(2 * time.Second), QueueUntil: w.now.Add(600 * ms)}
-	if w.rng.IntN(2) == 0 {
-		want.Owner = []string{"a1", "a2", "b1", "b2"}[w.rng.IntN(4)]
+func (m *noticeModel) offerRequest() {
+	request := &Request{Objective: time.Second, Deadline: m.now.Add(2 * time.Second), QueueUntil: m.now.Add(600 * ms)}
+	if m.rng.IntN(2) == 0 {
+		request.Owner = []string{"a1", "a2", "b1", "b2"}[m.rng.IntN(4)]
 	}
-	want.OnDecision = func(g Grant, r Refusal) {
+	request.OnDecision = func(g Grant, r Refusal) {
 		if r == 0 {
-			w.granted = append(w.granted, g)
+			m.granted = append(m.granted, g)
 		}
 	}
-	if g, r, decided := w.service.Offer(w.now, want); decided && r == 0 {
-		w.granted = append(w.granted, g)
+	if g, r, decided := m.service.Offer(m.now, request); decided && r == 0 {
+		m.granted = append(m.granted, g)
 	}
 }
 
-func take(rng *rand.Rand, list *[]Grant) (Grant, bool) {
+func takeRandom(rng *rand.Rand, list *[]Grant) (Grant, bool) {
 	if len(*list) == 0 {
 		return Grant{}, false
 	}
@@ -101,97 +101,97 @@
 }
 
 // send lets a connection be there for a request that was granted.
-func (w *worded) send() {
-	g, ok := take(w.rng, &w.granted)
+func (m *noticeModel) sendGranted() {
+	g, ok := takeRandom(m.rng, &m.granted)
 	if !ok {
 		return
 	}
-	if !w.service.MaySend(w.now, g) {
-		w.service.Done(w.now, g, Canceled)
+	if !m.service.MaySend(m.now, g) {
+		m.service.Done(m.now, g, Canceled)
 		return
 	}
-	one := w.byStart[startKey(g.Instance)]
-	if !one.left.IsZero() && w.now.Sub(one.left) > wordDrain {
-		w.t.Fatalf("seed %d: sent to %s %s after it had told that it leaves", w.seed, startKey(g.Instance), w.now.Sub(one.left))
+	upstream := m.byIncarnation[incarnationKey(g.Instance)]
+	if !upstream.leavingAt.IsZero() && m.now.Sub(upstream.leavingAt) > drainLimit {
+		m.t.Fatalf("seed %d: sent to %s %s after it had told that it leaves", m.seed, incarnationKey(g.Instance), m.now.Sub(upstream.leavingAt))
 	}
-	if w.now.Before(one.restUntil) {
-		w.t.Fatalf("seed %d: sent to %s %s before its rest ends", w.seed, startKey(g.Instance), one.restUntil.Sub(w.now))
+	if m.now.Before(upstream.restUntil) {
+		m.t.Fatalf("seed %d: sent to %s %s before its rest ends", m.seed, incarnationKey(g.Instance), upstream.restUntil.Sub(m.now))
 	}
-	if since, ok := w.evacuated[g.Instance.Domain]; ok && w.now.Sub(since) > wordEvacuee {
-		w.t.Fatalf("seed %d: sent to %s %s after its failure domain was evacuated", w.seed, startKey(g.Instance), w.now.Sub(since))
+	if since, ok := m.evacuatedAt[g.Instance.Domain]; ok && m.now.Sub(since) > evacuationLimit {
+		m.t.Fatalf("seed %d: sent to %s %s after its failure domain was evacuated", m.seed, incarnationKey(g.Instance), m.now.Sub(since))
 	}
-	w.inFlight = append(w.inFlight, g)
+	m.inFlight = append(m.inFlight, g)
 }
 
 // answer lets an upstream answer, and say something.
-func (w *worded) answer() {
-	g, ok := take(w.rng, &w.inFlight)
+func (m *noticeModel) answerRequest() {
+	g, ok := takeRandom(m.rng, &m.inFlight)
 	if !ok {
 		return
 	}
-	one := w.byStart[startKey(g.Instance)]
+	upstream := m.byIncarnation[incarnationKey(g.Instance)]
 	var n notice.Notice
 	outcome := Answered
-	switch w.rng.IntN(8) {
+	switch m.rng.IntN(8) {
 	case 0:
 		n.Leaving = true
 	case 1, 2:
-		n.Rest = []time.Duration{0, 300 * ms, time.Second, 10 * time.Second, 24 * time.Hour}[w.rng.IntN(5)]
+		n.Rest = []time.Duration{0, 300 * ms, time.Second, 10 * time.Second, 24 * time.Hour}[m.rng.IntN(5)]
 		outcome = Overloaded
 	}
-	n.Leaving = n.Leaving || !one.left.IsZero() && w.rng.IntN(4) > 0
-	if n.Leaving && one.left.IsZero() {
-		one.left = w.now
+	n.Leaving = n.Leaving || !upstream.leavingAt.IsZero() && m.rng.IntN(4) > 0
+	if n.Leaving && upstream.leavingAt.IsZero() {
+		upstream.leavingAt = m.now
 	}
-	if until := w.now.Add(min(n.Rest, longestRest)); n.Rest > 0 && until.After(one.restUntil) {
-		one.restUntil = until
+	if until := m.now.Add(min(n.Rest, maxRest)); n.Rest > 0 && until.After(upstream.restUntil) {
+		upstream.restUntil = until
 	}
-	w.service.Noticed(w.now, g, n)
-	w.service.Done(w.now, g, outcome)
+	m.service.Noticed(m.now, g, n)
+	m.service.Done(m.now, g, outcome)
 }
 
 // evacuate evacuates a failure domain or takes it back.
-func (w *worded) evacuate() {
-	domain := []string{"a", "b"}[w.rng.IntN(2)]
-	if _, ok := w.evacuated[domain]; ok {
-		delete(w.evacuated, domain)
+func (m *noticeModel) toggleEvacuation() {
+	domain := []string{"a", "b"}[m.rng.IntN(2)]
+	if _, ok := m.evacuatedAt[domain]; ok {
+		delete(m.evacuatedAt, domain)
 	} else {
-		w.evacuated[domain] = w.now
+		m.evacuatedAt[domain] = m.now
 	}
-	w.service.SetEvacuated(w.now, func(d string) bool { _, ok := w.evacuated[d]; return ok })
+	m.service.SetEvacuated(m.now, func(d string) bool { _, ok := m.evacuatedAt[d]; return ok })
 }
 
-func (w *worded) step() {
-	w.now = w.now.Add(time.Duration(w.rng.Int64N(int64(120 * ms))))
-	switch n := w.rng.IntN(40); {
+func (m *noticeModel) step() {
+	m.now = m.now.Add(time.Duration(m.rng.Int64N(int64(120 * ms))))
+	switch n := m.rng.IntN(40); {
 	case n < 14:
-		w.ask()
+		m.offerRequest()
 	case n < 24:
-		w.send()
+		m.sendGranted()
 	case n < 34:
-		w.answer()
+		m.answerRequest()
 	case n < 36:
-		w.list()
+		m.updateList()
 	case n == 36:
-		id := []string{"a1", "a2", "b1", "b2"}[w.rng.IntN(4)]
-		w.begin(id, w.starts[id].BornMs+1)
-		w.list()
+		id := []string{"a1", "a2", "b1", "b2"}[m.rng.IntN(4)]
+		m.startUpstream(id, m.current[id].BornMs+1)
+		m.updateList()
 	case n == 37:
-		w.evacuate()
+		m.toggleEvacuation()
 	case n == 38:
-		w.now = w.now.Add(time.Duration(w.rng.Int64N(int64(8 * time.Second))))
+		m.now = m.now.Add(time.Duration(m.rng.Int64N(int64(8 * time.Second))))
 	default:
-		w.service.Tick(w.now)
+		m.service.Tick(m.now)
 	}
 }
 
 // TestWordsAreKept: whatever upstreams say, in whichever order, with starts under the same ID, lists
 // without some, evacuations, requests that wait and connections that open meanwhile, nothing is
 // sent to one that has told this gateway not to.
-func TestWordsAreKept(t *testing.T) {
+func TestNoticesAreObeyed(t *testing.T) {
 	const series, steps = 2000, 400
 	for seed := range uint64(series) {
-		w := newWorded(t, seed)
+		w := newNoticeModel(t, seed)
 		for range steps {
 			w.step()
 		}
