--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -23,7 +23,7 @@
 func newService(ids ...string) *Service {
 	s := NewService("a", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 	s.SetUpstreams(start, list(ids...))
-	s.ReportAll(start, News{Gateways: 1})
+	s.ApplyReport(start, ClusterReport{Gateways: 1})
 	return s
 }
 
@@ -35,11 +35,11 @@
 	return out
 }
 
-func want() *Want {
-	return &Want{Objective: 300 * ms, Deadline: at(time.Second), Until: at(60 * ms), Verdict: func(Grant, Refusal) {}}
+func want() *Request {
+	return &Request{Objective: 300 * ms, Deadline: at(time.Second), QueueUntil: at(60 * ms), OnDecision: func(Grant, Refusal) {}}
 }
 
-func mustGrant(t *testing.T, s *Service, now time.Time, w *Want) Grant {
+func mustGrant(t *testing.T, s *Service, now time.Time, w *Request) Grant {
 	t.Helper()
 	g, r, decided := s.Offer(now, w)
 	if !decided || r != 0 {
@@ -51,15 +51,15 @@
 // known returns a service of one upstream whose work time is known.
 func known(work time.Duration) *Service {
 	s := newService("a1")
-	s.typical = work
+	s.typicalWorkTime = work
 	learn(s, "a1", work)
 	return s
 }
 
 // learn lets an upstream answer one request in the given time.
 func learn(s *Service, id string, took time.Duration) {
-	s.Done(at(took), Grant{Instance: instances.Instance{ID: id}, Began: start}, Answered)
-	s.upstreams[id].mine = 0
+	s.Done(at(took), Grant{Instance: instances.Instance{ID: id}, GrantedAt: start}, Answered)
+	s.upstreams[id].ownInFlight = 0
 }
 
 func TestOwnDomainFirst(t *testing.T) {
@@ -73,7 +73,7 @@
 	s := newService("a1", "b1")
 	learn(s, "a1", 300*ms)
 	learn(s, "b1", 50*ms)
-	if g := mustGrant(t, s, at(400*ms), &Want{Objective: 2 * time.Second, Deadline: at(time.Minute), Until: at(time.Minute)}); g.Instance.ID != "b1" {
+	if g := mustGrant(t, s, at(400*ms), &Request{Objective: 2 * time.Second, Deadline: at(time.Minute), QueueUntil: at(time.Minute)}); g.Instance.ID != "b1" {
 		t.Errorf("sent to %s", g.Instance.ID)
 	}
 }
@@ -83,7 +83,7 @@
 func TestFullUpstreamsAreLeftAlone(t *testing.T) {
 	s := known(10 * ms)
 	var last Grant
-	for range int(2 * slotFactor) {
+	for range int(2 * maxInFlightPerSlot) {
 		w := want()
 		w.Objective = time.Minute
 		last = mustGrant(t, s, start, w)
@@ -92,7 +92,7 @@
 	for _, priority := range []int{2, 0, 1} {
 		w := want()
 		w.Priority = priority
-		w.Verdict = func(_ Grant, r Refusal) { verdicts[priority] = r == 0 }
+		w.OnDecision = func(_ Grant, r Refusal) { verdicts[priority] = r == 0 }
 		if _, r, decided := s.Offer(start, w); decided {
 			t.Fatalf("priority %d decided at once: %v", priority, r)
 		}
@@ -109,11 +109,11 @@
 
 func TestOthersRequestsCount(t *testing.T) {
 	s := newService("a1", "b1")
-	s.ReportAll(start, News{InFlight: map[string]float64{"a1": 6}, Gateways: 3})
+	s.ApplyReport(start, ClusterReport{InFlight: map[string]float64{"a1": 6}, Gateways: 3})
 	if g := mustGrant(t, s, start, want()); g.Instance.ID != "b1" {
 		t.Errorf("sent to the full one")
 	}
-	s.ReportAll(start, News{Gateways: 3})
+	s.ApplyReport(start, ClusterReport{Gateways: 3})
 	if g := mustGrant(t, s, start, want()); g.Instance.ID != "a1" {
 		t.Errorf("an old report still counts")
 	}
@@ -141,12 +141,12 @@
 	s := newService("a1")
 	s.Done(at(10*ms), mustGrant(t, s, start, want()), Unreachable)
 	w := want()
-	w.Until = at(10 * ms)
-	if _, r, _ := s.Offer(at(10*ms), w); r != NoRoom {
+	w.QueueUntil = at(10 * ms)
+	if _, r, _ := s.Offer(at(10*ms), w); r != NoCapacity {
 		t.Errorf("offered at once: %v", r)
 	}
-	now := at(10*ms + firstPause)
-	w.Until, w.Deadline = now.Add(time.Minute), now.Add(time.Minute)
+	now := at(10*ms + minBackoff)
+	w.QueueUntil, w.Deadline = now.Add(time.Minute), now.Add(time.Minute)
 	trial := mustGrant(t, s, now, w)
 	if _, _, decided := s.Offer(now, w); decided {
 		t.Error("a second trial beside the first")
@@ -163,14 +163,14 @@
 	s := newService("a1")
 	learn(s, "a1", 100*ms)
 	now := at(200 * ms)
-	w := &Want{Objective: time.Second, Deadline: at(time.Minute), Until: at(time.Minute)}
+	w := &Request{Objective: time.Second, Deadline: at(time.Minute), QueueUntil: at(time.Minute)}
 	mustGrant(t, s, now, w)
-	if s.upstreams["a1"].silent(now.Add(450*ms), s.typical) {
+	if s.upstreams["a1"].silent(now.Add(450*ms), s.typicalWorkTime) {
 		t.Error("one long run counts as silence")
 	}
 	mustGrant(t, s, now, w)
 	mustGrant(t, s, now, w)
-	if !s.upstreams["a1"].silent(now.Add(time.Second), s.typical) {
+	if !s.upstreams["a1"].silent(now.Add(time.Second), s.typicalWorkTime) {
 		t.Error("three overdue requests do not count as silence")
 	}
 }
@@ -178,18 +178,18 @@
 // TestSlownessIsLearned: the work time is learned without what waited ahead.
 func TestSlownessIsLearned(t *testing.T) {
 	u := newUpstream(instances.Instance{ID: "a1", Slots: 2}, start)
-	u.observe(start, 300*ms, 5)
-	if u.work != 100*ms {
-		t.Errorf("work %s, want a third: three rounds of two", u.work)
+	u.observeWorkTime(start, 300*ms, 5)
+	if u.ownWorkTime != 100*ms {
+		t.Errorf("work %s, want a third: three rounds of two", u.ownWorkTime)
 	}
-	if d := u.delay(start, 0); d != 100*ms {
+	if d := u.expectedDelay(start, 0); d != 100*ms {
 		t.Errorf("delay of an idle one %s", d)
 	}
 }
 
 func TestTooLateIsRefusedAtOnce(t *testing.T) {
 	s := known(50 * ms)
-	for range int(2 * slotFactor) {
+	for range int(2 * maxInFlightPerSlot) {
 		w := want()
 		w.Objective = time.Minute
 		mustGrant(t, s, start, w)
@@ -239,14 +239,14 @@
 	again[0].BornMs = 2
 	s.SetUpstreams(at(ms), again)
 	u := s.upstreams["a1"]
-	if u.pause != 0 || u.mine != 1 || s.waiting != 0 {
-		t.Errorf("pause %s, %d in flight, %d wait", u.pause, u.mine, s.waiting)
+	if u.backoff != 0 || u.ownInFlight != 1 || s.waiting != 0 {
+		t.Errorf("pause %s, %d in flight, %d wait", u.backoff, u.ownInFlight, s.waiting)
 	}
 	for _, g := range before[1:] {
-		s.Done(at(2*ms), g, Broken)
+		s.Done(at(2*ms), g, ConnectionBroken)
 	}
-	if u.mine != 1 || u.failures != 0 {
-		t.Errorf("%d in flight, failures %v after ends of former requests", u.mine, u.failures)
+	if u.ownInFlight != 1 || u.failureRate != 0 {
+		t.Errorf("%d in flight, failures %v after ends of former requests", u.ownInFlight, u.failureRate)
 	}
 }
 
@@ -254,8 +254,8 @@
 // others all, and without news no limit holds for long.
 func TestHotKeysAreThinned(t *testing.T) {
 	s := newService("a1")
-	s.ReportAll(start, News{Gateways: limitsFrom, Admit: map[uint16]float64{7: 0.25}})
-	s.upstreams["a1"].share.part = 1
+	s.ApplyReport(start, ClusterReport{Gateways: hotKeyLimitMinGateways, HotKeyAdmission: map[uint16]float64{7: 0.25}})
+	s.upstreams["a1"].share.fraction = 1
 	through := func(now time.Time, key uint16) int {
 		n := 0
 		for range 1000 {
@@ -267,7 +267,7 @@
 			}
 			if r == 0 {
 				n++
-				s.Done(now, g, Left)
+				s.Done(now, g, Canceled)
 			}
 		}
 		return n
@@ -278,7 +278,7 @@
 	if n := through(start, 8); n != 1000 {
 		t.Errorf("%d of 1000 for another key", n)
 	}
-	if n := through(start.Add(limitTime+1), 7); n != 1000 {
+	if n := through(start.Add(hotKeyLimitTTL+1), 7); n != 1000 {
 		t.Errorf("%d of 1000 though nobody tells of a limit any more", n)
 	}
 }
@@ -287,15 +287,15 @@
 // its owner turned out to be another; a second try beside it is.
 func TestLetThroughOnce(t *testing.T) {
 	s := newService("a1")
-	s.ReportAll(start, News{Gateways: limitsFrom, Admit: map[uint16]float64{7: 0}})
-	s.upstreams["a1"].share.part = 1
+	s.ApplyReport(start, ClusterReport{Gateways: hotKeyLimitMinGateways, HotKeyAdmission: map[uint16]float64{7: 0}})
+	s.upstreams["a1"].share.fraction = 1
 	w := want()
 	w.Owner, w.Key = "a1", 7
 	if _, r, _ := s.Offer(start, w); r != HotKey {
 		t.Errorf("refusal %v", r)
 	}
 	w = want()
-	w.Owner, w.Key, w.Again = "a1", 7, true
+	w.Owner, w.Key, w.Retry = "a1", 7, true
 	mustGrant(t, s, start, w)
 }
 
@@ -305,14 +305,14 @@
 	s := newService()
 	one := list("a1")
 	one[0].WarmUp = time.Second
-	s.typical = 100 * ms
+	s.typicalWorkTime = 100 * ms
 	s.SetUpstreams(start, one)
-	s.ReportAll(start, News{Gateways: 1, Work: map[string]worktime.Estimate{"a1": {Work: 100 * ms, Slowness: 1}}})
+	s.ApplyReport(start, ClusterReport{Gateways: 1, WorkTimes: map[string]worktime.Estimate{"a1": {Work: 100 * ms, Slowness: 1}}})
 	u := s.upstreams["a1"]
-	if got := u.workTime(start, s.typical); got != 200*ms {
+	if got := u.currentWorkTime(start, s.typicalWorkTime); got != 200*ms {
 		t.Errorf("%s while it warms up", got)
 	}
-	if got := u.workTime(at(2*time.Second), s.typical); got != 100*ms {
+	if got := u.currentWorkTime(at(2*time.Second), s.typicalWorkTime); got != 100*ms {
 		t.Errorf("%s later", got)
 	}
 }
@@ -327,7 +327,7 @@
 	used := func(seed uint64, fail bool) map[string]bool {
 		s := NewService("a", 2*time.Second, rand.New(rand.NewPCG(seed, 2)))
 		s.SetUpstreams(start, list(ids...))
-		s.ReportAll(start, News{Gateways: 300})
+		s.ApplyReport(start, ClusterReport{Gateways: 300})
 		out := make(map[string]bool)
 		for i := range 100 {
 			now := at(time.Duration(i) * 100 * ms)
@@ -360,21 +360,21 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	var running []Grant
 	now, verdicts, offered, withdrawn := start, 0, 0, 0
-	var waiting []*Want
+	var waiting []*Request
 	for range 5000 {
 		now = now.Add(time.Duration(rng.IntN(8)) * ms)
 		switch rng.IntN(4) {
 		case 0, 1:
 			offered++
-			w := &Want{Objective: 200 * ms, Deadline: now.Add(400 * ms), Until: now.Add(50 * ms), Priority: rng.IntN(3)}
-			w.Verdict = func(g Grant, r Refusal) {
+			w := &Request{Objective: 200 * ms, Deadline: now.Add(400 * ms), QueueUntil: now.Add(50 * ms), Priority: rng.IntN(3)}
+			w.OnDecision = func(g Grant, r Refusal) {
 				verdicts++
 				if r == 0 {
 					running = append(running, g)
 				}
 			}
 			if g, r, decided := s.Offer(now, w); decided {
-				w.Verdict(g, r)
+				w.OnDecision(g, r)
 			} else {
 				waiting = append(waiting, w)
 			}
@@ -383,7 +383,7 @@
 				i := rng.IntN(len(running))
 				g := running[i]
 				running = append(running[:i], running[i+1:]...)
-				s.Done(now, g, Outcome(rng.IntN(int(Left)+1)))
+				s.Done(now, g, Outcome(rng.IntN(int(Canceled)+1)))
 			}
 		case 3:
 			if len(waiting) > 0 && rng.IntN(4) == 0 {
@@ -409,9 +409,9 @@
 	if verdicts+withdrawn != offered || s.Waiting() != 0 {
 		t.Errorf("%d offered, %d verdicts, %d withdrawn, %d wait", offered, verdicts, withdrawn, s.Waiting())
 	}
-	for _, u := range s.order {
-		if u.mine != 0 || len(u.unanswered) != 0 {
-			t.Errorf("%s: %d in flight, %d unanswered", u.ID, u.mine, len(u.unanswered))
+	for _, u := range s.ordered {
+		if u.ownInFlight != 0 || len(u.unanswered) != 0 {
+			t.Errorf("%s: %d in flight, %d unanswered", u.ID, u.ownInFlight, len(u.unanswered))
 		}
 	}
 }
@@ -424,7 +424,7 @@
 	leaving[0].Leaving = true
 	s.SetUpstreams(start, leaving)
 	w := want()
-	w.Owner, w.Until, w.Deadline = "a1", at(time.Minute), at(time.Minute)
+	w.Owner, w.QueueUntil, w.Deadline = "a1", at(time.Minute), at(time.Minute)
 	mustGrant(t, s, at(time.Second), w)
 	if _, r, decided := s.Offer(at(2*time.Second), w); decided && r == 0 {
 		t.Error("a request two seconds after it was seen to be leaving")
@@ -437,15 +437,15 @@
 	fresh := NewService("a", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 	fresh.SetUpstreams(start, list("a1"))
 	u := fresh.upstreams["a1"]
-	u.mine = 2
-	if n := u.inflight(start); n != 2*firstGateways {
+	u.ownInFlight = 2
+	if n := u.totalInFlight(start); n != 2*assumedGateways {
 		t.Errorf("%v in flight before any report", n)
 	}
-	fresh.ReportAll(start, News{InFlight: map[string]float64{"a1": 3}, Gateways: 4})
-	if n := u.inflight(start); n != 5 {
+	fresh.ApplyReport(start, ClusterReport{InFlight: map[string]float64{"a1": 3}, Gateways: 4})
+	if n := u.totalInFlight(start); n != 5 {
 		t.Errorf("%v in flight right after a report", n)
 	}
-	if n := u.inflight(at(time.Minute)); n < 7.9 || n > 8 {
+	if n := u.totalInFlight(at(time.Minute)); n < 7.9 || n > 8 {
 		t.Errorf("%v in flight after an old report, want four times 2", n)
 	}
 }
@@ -466,10 +466,10 @@
 		for range c.running {
 			last = mustGrant(t, s, start, w)
 		}
-		s.Done(at(ms), last, Broken)
+		s.Done(at(ms), last, ConnectionBroken)
 		again := want()
 		again.Objective = time.Minute
-		again.Verdict = func(Grant, Refusal) {}
+		again.OnDecision = func(Grant, Refusal) {}
 		if _, _, decided := s.Offer(at(ms), again); decided != c.want {
 			t.Errorf("%s: tried again at once: %t", name, decided)
 		}
--- /dev/null
+++ b/coordination/dispatch/request.go
@@ -0,0 +1,141 @@
+package dispatch
+
+import (
+	"time"
+
+	"github.com/rockcroft/rockcroft/coordination/worktime"
+	"github.com/rockcroft/rockcroft/state/instances"
+)
+
+// Refusal is the reason why a request was not admitted.
+type Refusal int
+
+// The reasons for a refusal.
+const (
+	// NoCapacity means that all upstreams that could run the request are full.
+	NoCapacity Refusal = iota + 1
+	// NoUpstream means that no upstream that could run the request is known or reachable.
+	NoUpstream
+	// TooLate means that the request can no longer be answered within its deadline.
+	TooLate
+	// OwnerUnresponsive means that the owner of a cold key does not answer.
+	OwnerUnresponsive
+	// ColdKey means that the key is cold, so that the request would run several times as long, and
+	// its owner is too busy for that.
+	ColdKey
+	// HotKey means that the key gets more requests than its owner can run.
+	HotKey
+	// Evacuated means that the owner still has the key but is in a failure domain that is being
+	// evacuated.
+	Evacuated
+	// WarmingUp means that the owner is warming up and takes no more requests at the moment.
+	WarmingUp
+	// Leaving means that the owner still has the key but is about to stop.
+	Leaving
+	// Resting means that all upstreams that could run the request have asked to get none for a
+	// while.
+	Resting
+	// Limited means that all upstreams that could run the request have set a rate limit, and
+	// demand exceeds it.
+	Limited
+)
+
+// String returns the reason in words.
+func (r Refusal) String() string {
+	switch r {
+	case NoCapacity:
+		return "no room"
+	case NoUpstream:
+		return "no upstream"
+	case TooLate:
+		return "too late"
+	case OwnerUnresponsive:
+		return "owner silent"
+	case ColdKey:
+		return "cold key"
+	case HotKey:
+		return "hot key"
+	case Evacuated:
+		return "evacuated"
+	case WarmingUp:
+		return "warming up"
+	case Leaving:
+		return "leaving"
+	case Resting:
+		return "resting"
+	case Limited:
+		return "limited"
+	}
+	return "none"
+}
+
+// Request describes a request that needs an upstream.
+type Request struct {
+	// Owner is the only upstream that may run the request; empty if any may.
+	Owner string
+	// Key is the request's key if Owner is set.
+	Key uint16
+	// Retry is set when the request was granted before and this is not a hedge, a second try that
+	// runs beside the first.
+	Retry bool
+	// Cold is set when the owner got the key without a handover, so that the request runs several
+	// times as long.
+	Cold bool
+	// Exclude lists upstreams that the request must not go to, such as those that already got it.
+	Exclude []string
+	// Priority ranks requests; zero is the most important.
+	Priority int
+	// Objective is the latency within which an answer is on time.
+	Objective time.Duration
+	// Deadline is when the answer must arrive, and QueueUntil the last moment at which the request
+	// may be granted. An answer after LateAt is late: a request that would not be answered by then
+	// does not wait. A zero LateAt turns this check off, for a request that is late in any case.
+	Deadline   time.Time
+	QueueUntil time.Time
+	LateAt     time.Time
+	// OnDecision is called once for a request that had to wait, unless it is withdrawn.
+	OnDecision func(Grant, Refusal)
+
+	dequeued bool
+	// dequeued is set when the request no longer waits. admittedTo is the upstream whose rate
+	// limit admitted it, and heldByLimit is set when a rate limit held it back.
+	admittedTo  *Upstream
+	heldByLimit bool
+}
+
+// Grant is the permission to send one request to an upstream.
+type Grant struct {
+	Instance instances.Instance
+	// GrantedAt is when the grant was issued. InFlight is the estimated number of requests at the
+	// upstream at that time.
+	GrantedAt time.Time
+	InFlight  float64
+	// ExpectedLatency is the estimated time until the answer.
+	ExpectedLatency time.Duration
+	// Cold is copied from the request.
+	Cold bool
+	// Warming is set if the upstream was warming up and its requests were rate-limited.
+	Warming bool
+}
+
+// ClusterReport holds what the other gateways reported.
+type ClusterReport struct {
+	// InFlight is how many requests they have at each upstream. Upstreams that are not listed have
+	// none.
+	InFlight map[string]float64
+	// WorkTimes are estimates from the runs that all gateways have measured, by upstream. For
+	// upstreams that are not listed, the previous estimate stays.
+	WorkTimes map[string]worktime.Estimate
+	// Demand is the rate of requests that the other gateways receive, per second.
+	Demand float64
+	// Gateways is the number of all gateways, including this one.
+	Gateways int
+	// HotKeyAdmission is the fraction of requests that can be run, by key. For keys that are not
+	// listed it is all of them.
+	HotKeyAdmission map[uint16]float64
+	// Rights are the times until which this gateway may send to upstreams that are warming up, by
+	// upstream.
+	Rights map[string]time.Time
+	// Limits are the rate limits that upstreams have set, by upstream.
+	Limits map[string]Limit
+}
