--- a/coordination/poison/poison.go
+++ b/coordination/poison/poison.go
@@ -100,8 +100,8 @@
 	incarnation instances.Incarnation
 }
 
-// Book is what one gateway knows. It is not safe for concurrent use.
-type Book struct {
+// Tracker is what one gateway knows. It is not safe for concurrent use.
+type Tracker struct {
 	suspects map[Digest]*suspect
 	// broken are runs that broke off at starts of upstreams which may have ended, ended when
 	// starts were seen to have.
@@ -112,9 +112,9 @@
 	ends map[Event]*end
 }
 
-// NewBook returns a book that suspects no request.
-func NewBook() *Book {
-	return &Book{
+// NewTracker returns a book that suspects no request.
+func NewTracker() *Tracker {
+	return &Tracker{
 		suspects: make(map[Digest]*suspect),
 		broken:   make(map[start][]broken),
 		ended:    make(map[start]time.Time),
@@ -123,10 +123,10 @@
 }
 
 // Empty reports whether nothing is suspected.
-func (b *Book) Empty() bool { return len(b.suspects) == 0 }
+func (b *Tracker) Empty() bool { return len(b.suspects) == 0 }
 
-// Crashes returns how many upstreams have ended with the request on them.
-func (b *Book) Crashes(d Digest) int {
+// CrashCount returns how many upstreams have ended with the request on them.
+func (b *Tracker) CrashCount(d Digest) int {
 	s := b.suspects[d]
 	if s == nil {
 		return 0
@@ -136,7 +136,7 @@
 
 // Refused reports whether the request is not to be sent. chance is a random number from 0 to 1:
 // long after its last crash one of so many gateways lets it through to try.
-func (b *Book) Refused(now time.Time, d Digest, gateways int, chance float64) bool {
+func (b *Tracker) Refused(now time.Time, d Digest, gateways int, chance float64) bool {
 	s := b.suspects[d]
 	if s == nil || !s.refused {
 		return false
@@ -144,9 +144,9 @@
 	return now.Sub(s.last) < forgetAfter || chance*float64(max(gateways, 1)) >= 1
 }
 
-// Broke notes that a run broke off without an answer, and returns the crash if that start of the
+// RequestAborted notes that a run broke off without an answer, and returns the crash if that start of the
 // upstream is known to have ended.
-func (b *Book) Broke(now time.Time, d Digest, upstream string, incarnation instances.Incarnation) []Crash {
+func (b *Tracker) RequestAborted(now time.Time, d Digest, upstream string, incarnation instances.Incarnation) []Crash {
 	at, one := start{upstream, incarnation}, broken{digest: d, at: now}
 	if ended, ok := b.ended[at]; ok && now.Sub(ended) < endsBefore {
 		return b.add(one.crash(at))
@@ -163,9 +163,9 @@
 	return Crash{Digest: r.digest, Event: eventOf(at.upstream, at.incarnation), At: r.at}
 }
 
-// Answered notes that a start of an upstream has answered a request which was sent at a time: it
+// RequestAnswered notes that a start of an upstream has answered a request which was sent at a time: it
 // has not ended by what broke off before.
-func (b *Book) Answered(upstream string, incarnation instances.Incarnation, sent time.Time) {
+func (b *Tracker) RequestAnswered(upstream string, incarnation instances.Incarnation, sent time.Time) {
 	at := start{upstream, incarnation}
 	list := b.broken[at]
 	if len(list) == 0 {
@@ -175,7 +175,7 @@
 }
 
 // keep replaces the runs that broke off at a start, which were more.
-func (b *Book) keep(at start, list []broken) {
+func (b *Tracker) keep(at start, list []broken) {
 	b.count -= len(b.broken[at]) - len(list)
 	if len(list) == 0 {
 		delete(b.broken, at)
@@ -184,8 +184,8 @@
 	b.broken[at] = list
 }
 
-// Ended notes that a start of an upstream has ended, and returns the crashes that this shows.
-func (b *Book) Ended(now time.Time, upstream string, incarnation instances.Incarnation) []Crash {
+// UpstreamEnded notes that a start of an upstream has ended, and returns the crashes that this shows.
+func (b *Tracker) UpstreamEnded(now time.Time, upstream string, incarnation instances.Incarnation) []Crash {
 	at := start{upstream, incarnation}
 	if known, ok := b.ended[at]; !ok || now.Before(known) {
 		b.ended[at] = now
@@ -209,8 +209,8 @@
 	At          time.Time
 }
 
-// Unsettled returns the starts of upstreams at which runs broke off that may have been their ends.
-func (b *Book) Unsettled() []End {
+// UnconfirmedEnds returns the starts of upstreams at which runs broke off that may have been their ends.
+func (b *Tracker) UnconfirmedEnds() []End {
 	out := make([]End, 0, len(b.broken))
 	for at := range b.broken {
 		out = append(out, End{Upstream: at.upstream, Incarnation: at.incarnation})
@@ -218,8 +218,8 @@
 	return out
 }
 
-// EndsOfLate returns the ends of upstreams that others are to be told.
-func (b *Book) EndsOfLate(now time.Time) []End {
+// RecentEnds returns the ends of upstreams that others are to be told.
+func (b *Tracker) RecentEnds(now time.Time) []End {
 	var out []End
 	for at, ended := range b.ended {
 		if now.Sub(ended) < endToldFor && len(out) < mostTold {
@@ -230,7 +230,7 @@
 }
 
 // add takes a crash over and returns it if it was not known.
-func (b *Book) add(c Crash) []Crash {
+func (b *Tracker) add(c Crash) []Crash {
 	s := b.suspects[c.Digest]
 	if s == nil {
 		if len(b.suspects) >= mostSuspects {
@@ -252,8 +252,8 @@
 	return []Crash{c}
 }
 
-// Told takes over what another gateway tells, and returns what was not known.
-func (b *Book) Told(list []Crash) []Crash {
+// Merge takes over what another gateway tells, and returns what was not known.
+func (b *Tracker) Merge(list []Crash) []Crash {
 	var out []Crash
 	for _, c := range list {
 		out = append(out, b.add(c)...)
@@ -263,7 +263,7 @@
 
 // Clear forgets the crashes of requests until a time: they have ended well, or an operator says
 // that they may be sent.
-func (b *Book) Clear(list ...Clearing) {
+func (b *Tracker) Clear(list ...Clearing) {
 	for _, c := range list {
 		s := b.suspects[c.Digest]
 		if s == nil {
@@ -284,9 +284,9 @@
 	}
 }
 
-// Tell returns what others are to be told: crashes of late, those of requests that are refused,
+// Export returns what others are to be told: crashes of late, those of requests that are refused,
 // and clearings of late; the requests with most crashes first, as many as one message bears.
-func (b *Book) Tell(now time.Time) (crashes []Crash, clearings []Clearing) {
+func (b *Tracker) Export(now time.Time) (crashes []Crash, clearings []Clearing) {
 	for _, d := range b.list(func(s *suspect) bool {
 		return s.refused || now.Sub(s.last) < toldFor || now.Sub(s.cleared) < toldFor
 	}) {
@@ -304,7 +304,7 @@
 }
 
 // list returns the suspects of a kind, those with most crashes first.
-func (b *Book) list(is func(*suspect) bool) []Digest {
+func (b *Tracker) list(is func(*suspect) bool) []Digest {
 	var out []Digest
 	for d, s := range b.suspects {
 		if is(s) {
@@ -330,7 +330,7 @@
 }
 
 // Suspects returns the requests with crashes, those with most of them first.
-func (b *Book) Suspects() []Suspect {
+func (b *Tracker) Suspects() []Suspect {
 	var out []Suspect
 	for _, d := range b.list(func(s *suspect) bool { return len(s.crashes) > 0 }) {
 		s := b.suspects[d]
@@ -339,9 +339,9 @@
 	return out
 }
 
-// Forget drops what is too old to matter. A request that is refused is remembered twice as long as
+// Prune drops what is too old to matter. A request that is refused is remembered twice as long as
 // it is refused: a trial that ends another upstream has it refused again at once.
-func (b *Book) Forget(now time.Time) {
+func (b *Tracker) Prune(now time.Time) {
 	for at, list := range b.broken {
 		b.keep(at, slices.DeleteFunc(list, func(one broken) bool { return now.Sub(one.at) >= endsWithin }))
 	}
--- a/coordination/poison/poison_test.go
+++ b/coordination/poison/poison_test.go
@@ -16,14 +16,14 @@
 const ms = time.Millisecond
 
 // crash lets a request end a start of an upstream, as one gateway sees it.
-func crash(b *Book, now time.Duration, d Digest, upstream string, incarnation instances.Incarnation) []Crash {
-	b.Broke(at(now), d, upstream, incarnation)
-	return b.Ended(at(now+100*ms), upstream, incarnation)
+func crash(b *Tracker, now time.Duration, d Digest, upstream string, incarnation instances.Incarnation) []Crash {
+	b.RequestAborted(at(now), d, upstream, incarnation)
+	return b.UpstreamEnded(at(now+100*ms), upstream, incarnation)
 }
 
 // TestThirdCrashIsTheLast: a request is refused once three upstreams have ended with it on them.
 func TestThirdCrashIsTheLast(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	guilty := DigestOf("/a", "caller", []byte("body"))
 	for i := range refusedFrom {
 		if b.Refused(at(time.Duration(i)*time.Second), guilty, 1, 0) {
@@ -37,7 +37,7 @@
 		t.Error("sent again after three crashes")
 	}
 	for _, innocent := range []Digest{DigestOf("/a", "caller", []byte("other")), DigestOf("/a", "other", []byte("body")), DigestOf("/b", "caller", []byte("body"))} {
-		if b.Crashes(innocent) > 0 {
+		if b.CrashCount(innocent) > 0 {
 			t.Error("another request is taken for it")
 		}
 	}
@@ -45,54 +45,54 @@
 
 // TestOneEndCountsOnce however many gateways have seen it and in whichever order they tell.
 func TestOneEndCountsOnce(t *testing.T) {
-	x, y, z := NewBook(), NewBook(), NewBook()
+	x, y, z := NewTracker(), NewTracker(), NewTracker()
 	const d = Digest(7)
 	first, second := crash(x, 0, d, "u", 1), crash(y, 50*ms, d, "u", 1)
 	third := crash(y, time.Second, d, "v", 1)
-	z.Told(second)
-	z.Told(third)
-	if got := z.Told(append(first, first...)); len(got) != 0 || z.Crashes(d) != 2 {
-		t.Errorf("%d crashes, two upstreams ended; news: %v", z.Crashes(d), got)
+	z.Merge(second)
+	z.Merge(third)
+	if got := z.Merge(append(first, first...)); len(got) != 0 || z.CrashCount(d) != 2 {
+		t.Errorf("%d crashes, two upstreams ended; news: %v", z.CrashCount(d), got)
 	}
 }
 
 // TestBrokenRunsAloneAreNoCrash: full upstreams break connections, connections are reset, and the
 // upstream answers on.
 func TestBrokenRunsAloneAreNoCrash(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	const d = Digest(7)
 	for i := range 20 {
 		now := time.Duration(i) * 100 * ms
-		b.Broke(at(now), d, "u", 1)
-		b.Answered("u", 1, at(now+ms))
+		b.RequestAborted(at(now), d, "u", 1)
+		b.RequestAnswered("u", 1, at(now+ms))
 	}
-	if got := b.Ended(at(3*time.Second), "u", 1); len(got) != 0 || b.Crashes(d) != 0 {
+	if got := b.UpstreamEnded(at(3*time.Second), "u", 1); len(got) != 0 || b.CrashCount(d) != 0 {
 		t.Errorf("crashes: %v", got)
 	}
-	b.Broke(at(4*time.Second), d, "u", 1)
-	if got := b.Ended(at(4*time.Second+endsWithin), "u", 1); len(got) != 0 {
+	b.RequestAborted(at(4*time.Second), d, "u", 1)
+	if got := b.UpstreamEnded(at(4*time.Second+endsWithin), "u", 1); len(got) != 0 {
 		t.Errorf("an end long after is its effect: %v", got)
 	}
 }
 
 // TestAnswersToEarlierRequestsClearNothing: they were on their way when the upstream ended.
 func TestAnswersToEarlierRequestsClearNothing(t *testing.T) {
-	b := NewBook()
-	b.Broke(at(100*ms), 7, "u", 1)
-	b.Answered("u", 1, at(50*ms))
-	if got := b.Ended(at(200*ms), "u", 1); len(got) != 1 {
+	b := NewTracker()
+	b.RequestAborted(at(100*ms), 7, "u", 1)
+	b.RequestAnswered("u", 1, at(50*ms))
+	if got := b.UpstreamEnded(at(200*ms), "u", 1); len(got) != 1 {
 		t.Errorf("crashes: %v", got)
 	}
 }
 
 // TestEndIsKnownFirst: another gateway's word of the end comes before the run breaks off here.
 func TestEndIsKnownFirst(t *testing.T) {
-	b := NewBook()
-	b.Ended(at(0), "u", 1)
-	if got := b.Broke(at(20*ms), 7, "u", 1); len(got) != 1 {
+	b := NewTracker()
+	b.UpstreamEnded(at(0), "u", 1)
+	if got := b.RequestAborted(at(20*ms), 7, "u", 1); len(got) != 1 {
 		t.Errorf("crashes: %v", got)
 	}
-	if got := b.Broke(at(20*ms), 7, "u", 2); len(got) != 0 {
+	if got := b.RequestAborted(at(20*ms), 7, "u", 2); len(got) != 0 {
 		t.Errorf("the end of another start counts: %v", got)
 	}
 }
@@ -100,27 +100,27 @@
 // TestClearing: what ended well, or what an operator lets through, has no crashes from before, also
 // when others tell of them later.
 func TestClearing(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	const d = Digest(7)
 	var all []Crash
 	for i := range refusedFrom {
 		all = append(all, crash(b, time.Duration(i)*time.Second, d, fmt.Sprint("u", i), 1)...)
 	}
 	b.Clear(Clearing{Digest: d, At: at(5 * time.Second)})
-	if b.Told(all); b.Crashes(d) != 0 {
-		t.Errorf("%d crashes after it was cleared", b.Crashes(d))
+	if b.Merge(all); b.CrashCount(d) != 0 {
+		t.Errorf("%d crashes after it was cleared", b.CrashCount(d))
 	}
-	if _, told := b.Tell(at(5 * time.Second)); len(told) != 1 {
+	if _, told := b.Export(at(5 * time.Second)); len(told) != 1 {
 		t.Errorf("told: %v", told)
 	}
-	if crash(b, 6*time.Second, d, "u9", 1); b.Crashes(d) != 1 {
-		t.Errorf("%d crashes after one more", b.Crashes(d))
+	if crash(b, 6*time.Second, d, "u9", 1); b.CrashCount(d) != 1 {
+		t.Errorf("%d crashes after one more", b.CrashCount(d))
 	}
 }
 
 // TestTriedAgainByOne: long after its last crash about one gateway of all lets a request through.
 func TestTriedAgainByOne(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	const d = Digest(7)
 	for i := range refusedFrom {
 		crash(b, 0, d, fmt.Sprint("u", i), 1)
@@ -139,7 +139,7 @@
 	if !b.Refused(at(forgetAfter-time.Second), d, gateways, 0) {
 		t.Error("let through too soon")
 	}
-	b.Forget(at(3 * forgetAfter))
+	b.Prune(at(3 * forgetAfter))
 	if !b.Empty() {
 		t.Error("remembered for ever")
 	}
@@ -147,16 +147,16 @@
 
 // TestBounds: whatever breaks, what is remembered and told stays bounded.
 func TestBounds(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for i := range 3 * mostSuspects {
-		b.Broke(at(0), Digest(i), "u", 1)
+		b.RequestAborted(at(0), Digest(i), "u", 1)
 	}
-	b.Ended(at(ms), "u", 1)
+	b.UpstreamEnded(at(ms), "u", 1)
 	if b.count != 0 || len(b.suspects) > mostSuspects {
 		t.Errorf("%d runs and %d suspects remembered", b.count, len(b.suspects))
 	}
 	crash(b, 2*ms, 1, "v", 1)
-	told, _ := b.Tell(at(3 * ms))
+	told, _ := b.Export(at(3 * ms))
 	if len(told) > mostTold || told[0].Digest != 1 {
 		t.Errorf("%d crashes told, the first of %d", len(told), told[0].Digest)
 	}
@@ -185,9 +185,9 @@
 	for _, gateways := range []int{12, 74} {
 		for seed := range seeds {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			books := make([]*Book, gateways)
+			books := make([]*Tracker, gateways)
 			for i := range books {
-				books[i] = NewBook()
+				books[i] = NewTracker()
 			}
 			const upstreams, tell = 11, 200 * ms
 			incarnation := make([]instances.Incarnation, upstreams)
@@ -209,27 +209,27 @@
 						if crashes > refusedFrom && now > third+3*time.Second {
 							after++
 						}
-						books[g].Broke(at(now), 1, name, incarnation[u])
+						books[g].RequestAborted(at(now), 1, name, incarnation[u])
 					}
 				}
 				if ends {
 					// Innocent ones on it.
 					for range 4 {
-						books[rng.IntN(gateways)].Broke(at(now), innocent(rng, now), name, incarnation[u])
+						books[rng.IntN(gateways)].RequestAborted(at(now), innocent(rng, now), name, incarnation[u])
 					}
 					for _, b := range books {
-						b.Ended(at(now+50*ms), name, incarnation[u])
+						b.UpstreamEnded(at(now+50*ms), name, incarnation[u])
 					}
 					incarnation[u]++
 				}
 				if now%tell == 0 {
 					var all []Crash
 					for _, b := range books {
-						crashes, _ := b.Tell(at(now))
+						crashes, _ := b.Export(at(now))
 						all = append(all, crashes...)
 					}
 					for _, b := range books {
-						b.Told(all)
+						b.Merge(all)
 					}
 				}
 			}
@@ -238,7 +238,7 @@
 			}
 			for d := Digest(2); d < 2+innocents; d++ {
 				if books[0].Refused(at(30*time.Second), d, gateways, 1) {
-					t.Errorf("seed %d, %d gateways: innocent request refused after %d", seed, gateways, books[0].Crashes(d))
+					t.Errorf("seed %d, %d gateways: innocent request refused after %d", seed, gateways, books[0].CrashCount(d))
 				}
 			}
 		}
--- a/coordination/poison/runs.go
+++ b/coordination/poison/runs.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// Runs keeps at which upstreams suspects run that one gateway has sent, so that they do not meet: one
+// ActiveRuns keeps at which upstreams suspects run that one gateway has sent, so that they do not meet: one
 // that ends upstreams else brings the others to the ends that it causes. It is not safe for
 // concurrent use.
-type Runs struct {
+type ActiveRuns struct {
 	at map[string][]Digest
 }
 
-// NewRuns returns runs of which there are none.
-func NewRuns() *Runs { return &Runs{at: make(map[string][]Digest)} }
+// NewActiveRuns returns runs of which there are none.
+func NewActiveRuns() *ActiveRuns { return &ActiveRuns{at: make(map[string][]Digest)} }
 
 // Begin notes that a suspect is sent to an upstream.
-func (r *Runs) Begin(upstream string, d Digest) {
+func (r *ActiveRuns) Begin(upstream string, d Digest) {
 	r.at[upstream] = append(r.at[upstream], d)
 }
 
 // End notes that a run which began has ended.
-func (r *Runs) End(upstream string, d Digest) {
+func (r *ActiveRuns) End(upstream string, d Digest) {
 	list := r.at[upstream]
 	i := slices.Index(list, d)
 	if i < 0 {
@@ -31,9 +31,9 @@
 	r.at[upstream] = slices.Delete(list, i, i+1)
 }
 
-// Occupied returns the upstreams at which a suspect with so many ends is not to run, in order: those
+// UpstreamsToAvoid returns the upstreams at which a suspect with so many ends is not to run, in order: those
 // where others run, if it has enough of them.
-func (r *Runs) Occupied(d Digest, ends int) []string {
+func (r *ActiveRuns) UpstreamsToAvoid(d Digest, ends int) []string {
 	if ends < apartFrom {
 		return nil
 	}
--- a/coordination/poison/verdict.go
+++ b/coordination/poison/verdict.go
@@ -31,7 +31,7 @@
 }
 
 // endAdd notes a suspect on an end.
-func (b *Book) endAdd(c Crash, refused bool) {
+func (b *Tracker) endAdd(c Crash, refused bool) {
 	one := b.ends[c.Event]
 	if one == nil {
 		one = &end{at: c.At}
@@ -47,7 +47,7 @@
 }
 
 // endRemove forgets a suspect on an end.
-func (b *Book) endRemove(event Event, refused bool) {
+func (b *Tracker) endRemove(event Event, refused bool) {
 	one := b.ends[event]
 	one.on--
 	if refused {
@@ -56,7 +56,7 @@
 }
 
 // forgetEnds drops ends that are too old to matter.
-func (b *Book) forgetEnds(now time.Time) {
+func (b *Tracker) forgetEnds(now time.Time) {
 	for event, one := range b.ends {
 		if one.on == 0 && now.Sub(one.at) >= endMemory {
 			delete(b.ends, event)
@@ -65,7 +65,7 @@
 }
 
 // refuse has a suspect refused from now on: its ends are explained.
-func (b *Book) refuse(s *suspect) {
+func (b *Tracker) refuse(s *suspect) {
 	s.refused = true
 	for event := range s.crashes {
 		b.ends[event].refused++
@@ -73,7 +73,7 @@
 }
 
 // acquit lets a suspect through again that too little is left against.
-func (b *Book) acquit(s *suspect) {
+func (b *Tracker) acquit(s *suspect) {
 	if !s.refused || len(s.crashes) >= refusedFrom {
 		return
 	}
@@ -84,7 +84,7 @@
 }
 
 // guilty reports whether a suspect that is not refused yet is to be.
-func (b *Book) guilty(s *suspect) bool {
+func (b *Tracker) guilty(s *suspect) bool {
 	count := 0
 	var first, last time.Time
 	for event, at := range s.crashes {
@@ -105,7 +105,7 @@
 
 // byChance reports whether a suspect may well have been at its ends by chance, the first and the last
 // of them at these times: others that nothing explains passed it by.
-func (b *Book) byChance(s *suspect, first, last time.Time) bool {
+func (b *Tracker) byChance(s *suspect, first, last time.Time) bool {
 	others := 0
 	for event, one := range b.ends {
 		if _, on := s.crashes[event]; on || one.refused > 0 || !one.at.Before(last) {
--- a/coordination/poison/verdict_test.go
+++ b/coordination/poison/verdict_test.go
@@ -12,15 +12,15 @@
 )
 
 // ended lets a start of an upstream end with suspects on it, one second after the other.
-func ended(b *Book, n int, suspects ...Digest) {
+func ended(b *Tracker, n int, suspects ...Digest) {
 	now := at(time.Duration(n) * time.Second)
 	for _, d := range suspects {
-		b.Broke(now, d, "u", instances.Incarnation(n))
+		b.RequestAborted(now, d, "u", instances.Incarnation(n))
 	}
-	b.Ended(now, "u", instances.Incarnation(n))
+	b.UpstreamEnded(now, "u", instances.Incarnation(n))
 }
 
-func refused(b *Book, d Digest) bool { return b.Refused(at(59*time.Second), d, 1, 0) }
+func refused(b *Tracker, d Digest) bool { return b.Refused(at(59*time.Second), d, 1, 0) }
 
 // TestChance guards against innocent requests that are refused because they were on three of many
 // ends, while one that nothing passes by is refused after three.
@@ -45,7 +45,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			b := NewBook()
+			b := NewTracker()
 			for i, on := range tt.ends {
 				ended(b, i, on...)
 			}
@@ -59,7 +59,7 @@
 // TestClearedRequestExplainsNothing: ends that were explained by a request which has turned out to
 // do no harm speak against others again, and nothing is left over of what is forgotten.
 func TestClearedRequestExplainsNothing(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for i := range 4 {
 		ended(b, i, 1)
 	}
@@ -67,7 +67,7 @@
 	if refused(b, 1) {
 		t.Error("refused after it was cleared")
 	}
-	b.Forget(at(time.Minute))
+	b.Prune(at(time.Minute))
 	if len(b.ends) != 0 {
 		t.Errorf("%d ends of nobody", len(b.ends))
 	}
@@ -77,8 +77,8 @@
 	if !refused(b, 2) {
 		t.Error("not refused after three ends")
 	}
-	b.Forget(at(time.Hour))
-	b.Forget(at(time.Hour))
+	b.Prune(at(time.Hour))
+	b.Prune(at(time.Hour))
 	if len(b.ends) != 0 {
 		t.Errorf("%d ends are never forgotten", len(b.ends))
 	}
@@ -86,7 +86,7 @@
 
 // TestOccupied: from two ends on a suspect avoids upstreams where others run, not where it runs itself.
 func TestOccupied(t *testing.T) {
-	r := NewRuns()
+	r := NewActiveRuns()
 	r.Begin("u", 1)
 	r.Begin("v", 2)
 	r.Begin("v", 1)
@@ -95,13 +95,13 @@
 		ends   int
 		want   []string
 	}{{1, 2, []string{"v"}}, {2, 2, []string{"u", "v"}}, {3, 3, []string{"u", "v"}}, {3, 1, nil}} {
-		if d := cmp.Diff(tt.want, r.Occupied(tt.digest, tt.ends)); d != "" {
+		if d := cmp.Diff(tt.want, r.UpstreamsToAvoid(tt.digest, tt.ends)); d != "" {
 			t.Errorf("%d with %d ends: %s", tt.digest, tt.ends, d)
 		}
 	}
 	r.End("v", 2)
 	r.End("w", 2)
-	if got := r.Occupied(1, 2); len(got) > 0 {
+	if got := r.UpstreamsToAvoid(1, 2); len(got) > 0 {
 		t.Errorf("%v avoided after the other run has ended", got)
 	}
 	r.End("u", 1)
@@ -119,7 +119,7 @@
 	const callers, upstreams, tick = 400, 11, 100 * ms
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		b := NewBook()
+		b := NewTracker()
 		incarnation := make([]instances.Incarnation, upstreams)
 		reached, turnedAway := 0, 0
 		for now := time.Duration(0); now < 30*time.Second; now += tick {
@@ -127,7 +127,7 @@
 				d := Digest(2 + rng.IntN(callers))
 				if b.Refused(at(now), d, 1, 1) {
 					turnedAway++
-				} else if b.Crashes(d) > 0 {
+				} else if b.CrashCount(d) > 0 {
 					b.Clear(Clearing{Digest: d, At: at(now)})
 				}
 			}
@@ -139,12 +139,12 @@
 			}
 			if guilty {
 				reached++
-				b.Broke(at(now), 1, name, incarnation[u])
+				b.RequestAborted(at(now), 1, name, incarnation[u])
 			}
 			for range 4 {
-				b.Broke(at(now), Digest(2+rng.IntN(callers)), name, incarnation[u])
+				b.RequestAborted(at(now), Digest(2+rng.IntN(callers)), name, incarnation[u])
 			}
-			b.Ended(at(now+50*ms), name, incarnation[u])
+			b.UpstreamEnded(at(now+50*ms), name, incarnation[u])
 			incarnation[u]++
 		}
 		if reached > refusedAnyway || turnedAway > 0 {
--- a/gateway/suspectnews.go
+++ b/gateway/suspectnews.go
@@ -31,8 +31,8 @@
 
 // pack makes the message; nil when there is nothing to be told. The lock is held.
 func (s *suspects) pack(now time.Time) *syncpb.Suspects {
-	crashes, clearings := s.book.Tell(now)
-	ends := s.book.EndsOfLate(now)
+	crashes, clearings := s.book.Export(now)
+	ends := s.book.RecentEnds(now)
 	if len(crashes) == 0 && len(clearings) == 0 && len(ends) == 0 {
 		return nil
 	}
@@ -69,9 +69,9 @@
 	for _, c := range m.Crashes {
 		crashes = append(crashes, poison.Crash{Digest: poison.Digest(c.Digest), Event: poison.Event(c.Event), At: ago(c.AgeMs)})
 	}
-	s.book.Told(crashes)
+	s.book.Merge(crashes)
 	for _, e := range m.Ends {
-		own = append(own, s.book.Ended(ago(e.AgeMs), e.Upstream, instances.Incarnation(e.Incarnation))...)
+		own = append(own, s.book.UpstreamEnded(ago(e.AgeMs), e.Upstream, instances.Incarnation(e.Incarnation))...)
 	}
 	s.mu.Unlock()
 	s.logCrashes(own, "", "gateway")
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -29,9 +29,9 @@
 	gateways func() int
 
 	mu   sync.Mutex
-	book *poison.Book
+	book *poison.Tracker
 	// runs are those of suspects that this gateway has sent.
-	runs *poison.Runs
+	runs *poison.ActiveRuns
 	rng  *rand.Rand
 	// packed is the message that was made at packedAt.
 	packed   *syncpb.Suspects
@@ -39,7 +39,7 @@
 }
 
 func newSuspects(v *view, gateways func() int, now func() time.Time, log *slog.Logger, m *meters, rng *rand.Rand) *suspects {
-	return &suspects{view: v, now: now, log: log, meters: m, gateways: gateways, book: poison.NewBook(), runs: poison.NewRuns(), rng: rng}
+	return &suspects{view: v, now: now, log: log, meters: m, gateways: gateways, book: poison.NewTracker(), runs: poison.NewActiveRuns(), rng: rng}
 }
 
 // digest tells the request again when it comes another time, by path, caller and body. It is
@@ -69,7 +69,7 @@
 	if !q.route.Idempotent {
 		kind = answer.HarmfulOnce
 	}
-	err := answer.New(kind, "%d upstreams have ended with this request on them, digest %s", s.book.Crashes(q.digest()), digestText(q.digest()))
+	err := answer.New(kind, "%d upstreams have ended with this request on them, digest %s", s.book.CrashCount(q.digest()), digestText(q.digest()))
 	// Not the short time of a refusal for want of room: it is refused for a minute at least.
 	err.RetryAfter = kind.Row().RetryAfter
 	return err
@@ -80,7 +80,7 @@
 func (s *suspects) suspected(q *request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.book.Empty() && s.book.Crashes(q.digest()) > 0
+	return !s.book.Empty() && s.book.CrashCount(q.digest()) > 0
 }
 
 // avoid returns the upstreams at which a suspect is not to run, as others do. Where that would be
@@ -91,7 +91,7 @@
 	if s.book.Empty() {
 		return nil
 	}
-	occupied := s.runs.Occupied(q.digest(), s.book.Crashes(q.digest()))
+	occupied := s.runs.UpstreamsToAvoid(q.digest(), s.book.CrashCount(q.digest()))
 	if 2*len(occupied) >= len(s.view.inst.Load().Service(q.service.Name)) {
 		return nil
 	}
@@ -102,7 +102,7 @@
 func (s *suspects) began(q *request, g dispatch.Grant) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Empty() || s.book.Crashes(q.digest()) == 0 {
+	if s.book.Empty() || s.book.CrashCount(q.digest()) == 0 {
 		return false
 	}
 	s.runs.Begin(g.Instance.ID, q.digest())
@@ -119,12 +119,12 @@
 	}
 	switch o {
 	case dispatch.Broken:
-		crashes = s.book.Broke(s.now(), q.digest(), one.ID, one.Incarnation())
+		crashes = s.book.RequestAborted(s.now(), q.digest(), one.ID, one.Incarnation())
 	case dispatch.Refused:
-		crashes = s.book.Ended(s.now(), one.ID, one.Incarnation())
+		crashes = s.book.UpstreamEnded(s.now(), one.ID, one.Incarnation())
 	case dispatch.Answered, dispatch.Failed, dispatch.Full:
-		s.book.Answered(one.ID, one.Incarnation(), g.Began)
-		if o == dispatch.Answered && !s.book.Empty() && s.book.Crashes(q.digest()) > 0 {
+		s.book.RequestAnswered(one.ID, one.Incarnation(), g.Began)
+		if o == dispatch.Answered && !s.book.Empty() && s.book.CrashCount(q.digest()) > 0 {
 			s.book.Clear(poison.Clearing{Digest: q.digest(), At: s.now()})
 		}
 	}
@@ -136,12 +136,12 @@
 func (s *suspects) viewChanged(v *instances.View) {
 	var crashes []poison.Crash
 	s.mu.Lock()
-	for _, end := range s.book.Unsettled() {
+	for _, end := range s.book.UnconfirmedEnds() {
 		if one := v.Get(end.Upstream); one == nil || one.Incarnation().Other(end.Incarnation) {
-			crashes = append(crashes, s.book.Ended(s.now(), end.Upstream, end.Incarnation)...)
+			crashes = append(crashes, s.book.UpstreamEnded(s.now(), end.Upstream, end.Incarnation)...)
 		}
 	}
-	s.book.Forget(s.now())
+	s.book.Prune(s.now())
 	s.mu.Unlock()
 	s.logCrashes(crashes, "", "entry")
 }
@@ -151,7 +151,7 @@
 	for _, c := range crashes {
 		s.meters.inc(suspectsCrashes)
 		s.mu.Lock()
-		count := s.book.Crashes(c.Digest)
+		count := s.book.CrashCount(c.Digest)
 		s.mu.Unlock()
 		s.log.Warn("upstream ended with a request on it", "digest", digestText(c.Digest), "crashes", count,
 			"upstream", upstream, "from", from, "after_ms", s.now().Sub(c.At).Milliseconds())
@@ -170,7 +170,7 @@
 func (s *suspects) list() []poison.Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Forget(s.now())
+	s.book.Prune(s.now())
 	return s.book.Suspects()
 }
 
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -148,7 +148,7 @@
 		t.Error("a request is watched that nothing is known of")
 	}
 	for i, d := range []poison.Digest{1, 2, 2} {
-		s.book.Told([]poison.Crash{{Digest: d, Event: poison.Event(i), At: s.now()}})
+		s.book.Merge([]poison.Crash{{Digest: d, Event: poison.Event(i), At: s.now()}})
 	}
 	first := s.began(ask(1, "read"), sent("u1"))
 	if got := s.avoid(ask(2, "read")); !slices.Equal(got, []string{"u1"}) {
@@ -190,7 +190,7 @@
 			event++
 			crashes = append(crashes, poison.Crash{Digest: q.digest(), Event: event, At: f.now()})
 		}
-		f.suspects.book.Told(crashes)
+		f.suspects.book.Merge(crashes)
 		if _, err = f.deliver(r.Context(), q); answer.KindOf(err) != tt.want {
 			t.Errorf("%s %s: %v", tt.method, tt.path, err)
 		}
@@ -219,8 +219,8 @@
 	one := b.gateways[0].suspects
 	one.mu.Lock()
 	for i := range crashes {
-		one.book.Broke(one.now(), d, "i-p0", instances.Incarnation(i+1))
-		one.book.Ended(one.now(), "i-p0", instances.Incarnation(i+1))
+		one.book.RequestAborted(one.now(), d, "i-p0", instances.Incarnation(i+1))
+		one.book.UpstreamEnded(one.now(), "i-p0", instances.Incarnation(i+1))
 	}
 	one.mu.Unlock()
 	// Not asked for before all know: answered well meanwhile, it would be cleared.
