--- a/coordination/gate/gate.go
+++ b/coordination/gate/gate.go
@@ -53,13 +53,13 @@
 	return g
 }
 
-// Where says how a key is reached.
-type Where int
+// Destination says how a key is reached.
+type Destination int
 
 // The ways to reach a key.
 const (
-	// Nowhere: no such service, or nobody is named for the key.
-	Nowhere Where = iota
+	// NoDestination: no such service, or nobody is named for the key.
+	NoDestination Destination = iota
 	// Local: an upstream of this cell owns the key.
 	Local
 	// Remote: another cell has authority over the key.
@@ -70,7 +70,7 @@
 
 // Route is the decision for one key.
 type Route struct {
-	Where Where
+	Destination Destination
 	// Slot is set when Where is Local.
 	Slot *Slot
 	// Cell is set when Where is Remote.
@@ -91,51 +91,51 @@
 	}
 	if slot := st.slot(h); slot != nil {
 		if slot.Phase == cell.Owned {
-			return Route{Where: Local, Slot: slot, table: t}
+			return Route{Destination: Local, Slot: slot, table: t}
 		}
-		return Route{Where: Pending, table: t}
+		return Route{Destination: Pending, table: t}
 	}
 	name := st.cell(h)
 	switch name {
 	case "":
 		return Route{table: t}
 	case g.self.Cell:
-		return Route{Where: Pending, table: t}
+		return Route{Destination: Pending, table: t}
 	}
-	return Route{Where: Remote, Cell: name, table: t}
+	return Route{Destination: Remote, Cell: name, table: t}
 }
 
-// Knows reports whether any document names the service.
-func (g *Gate) Knows(service string) bool {
+// HasService reports whether any document names the service.
+func (g *Gate) HasService(service string) bool {
 	return g.table.Load().services[service] != nil
 }
 
-// Refusal says why Enter did not let a request pass.
-type Refusal int
+// EnterResult says why Enter did not let a request pass.
+type EnterResult int
 
 // The refusals.
 const (
-	// Passed: the request may be sent; call Leave when it has ended.
-	Passed Refusal = iota
-	// Moved: the table changed since the route was decided.
-	Moved
+	// Admitted: the request may be sent; call Leave when it has ended.
+	Admitted EnterResult = iota
+	// RouteChanged: the table changed since the route was decided.
+	RouteChanged
 	// NoRight: the entry may not send at the moment.
 	NoRight
 )
 
 // Enter lets one request to a Local route pass. It must be called after the
 // last blocking step before the send.
-func (g *Gate) Enter(r Route) Refusal {
+func (g *Gate) Enter(r Route) EnterResult {
 	r.Slot.inflight.Add(1)
 	if g.table.Load() != r.table && !g.stillCurrent(r) {
 		r.Slot.inflight.Add(-1)
-		return Moved
+		return RouteChanged
 	}
 	if !g.MaySend() {
 		r.Slot.inflight.Add(-1)
 		return NoRight
 	}
-	return Passed
+	return Admitted
 }
 
 // stillCurrent reports whether the current table has the same slot.
@@ -190,8 +190,8 @@
 	g.refresh(now)
 }
 
-// Direct takes a directory into use. Older directories are ignored.
-func (g *Gate) Direct(d *cell.Directory) {
+// ApplyDirectory takes a directory into use. Older directories are ignored.
+func (g *Gate) ApplyDirectory(d *cell.Directory) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if known := g.directories[d.Service]; known != nil && known.Version >= d.Version {
@@ -229,9 +229,9 @@
 	keyspace.Span
 }
 
-// Busy returns the ranges that this entry no longer routes to and that still
+// BusyRanges returns the ranges that this entry no longer routes to and that still
 // have requests in flight. A grant that was only split is not busy.
-func (g *Gate) Busy() []BusyRange {
+func (g *Gate) BusyRanges() []BusyRange {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []BusyRange
@@ -269,9 +269,9 @@
 	return g.voter.Promise(g.clock(), name, version, guest)
 }
 
-// Raise follows a fence of the named cell. When it is the gate's own cell and
+// RaiseFence follows a fence of the named cell. When it is the gate's own cell and
 // the document is older, the entry stops sending until it has a newer one.
-func (g *Gate) Raise(name string, floor uint64) fence.Ack {
+func (g *Gate) RaiseFence(name string, floor uint64) fence.Ack {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
@@ -282,8 +282,8 @@
 	return ack
 }
 
-// Promised notes the promise of a voter to a question asked at askedAt.
-func (g *Gate) Promised(voter string, askedAt time.Time) {
+// RecordPromise notes the promise of a voter to a question asked at askedAt.
+func (g *Gate) RecordPromise(voter string, askedAt time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.holder.Record(voter, askedAt)
--- a/coordination/gate/gate_test.go
+++ b/coordination/gate/gate_test.go
@@ -41,14 +41,14 @@
 func TestEnterSeesTheNewTable(t *testing.T) {
 	g := newGate(t, document(1, 4, cell.Owned, "u"))
 	r := g.Route("s", 0)
-	if r.Where != Local {
-		t.Fatalf("routed to %v", r.Where)
+	if r.Destination != Local {
+		t.Fatalf("routed to %v", r.Destination)
 	}
 	g.Apply(document(2, 4, cell.Releasing, "u"))
-	if got := g.Enter(r); got != Moved {
+	if got := g.Enter(r); got != RouteChanged {
 		t.Errorf("Enter returned %v, want Moved", got)
 	}
-	if len(g.Busy()) > 0 {
+	if len(g.BusyRanges()) > 0 {
 		t.Error("a refused request is counted as in flight")
 	}
 }
@@ -72,7 +72,7 @@
 				default:
 				}
 				r := g.Route("s", 0)
-				if r.Where != Local || g.Enter(r) != Passed {
+				if r.Destination != Local || g.Enter(r) != Admitted {
 					continue
 				}
 				inside.Store(i, r.Slot.Epoch)
@@ -83,7 +83,7 @@
 	}
 	for version := uint64(2); version < 400; version += 2 {
 		g.Apply(document(version, 4, cell.Releasing, "u"))
-		for len(g.Busy()) > 0 {
+		for len(g.BusyRanges()) > 0 {
 			time.Sleep(time.Microsecond)
 		}
 		inside.Range(func(_, epoch any) bool {
@@ -108,15 +108,15 @@
 	if got := g.Enter(r); got != NoRight {
 		t.Fatalf("Enter returned %v, want NoRight", got)
 	}
-	g.Promised("stranger", time.Now())
+	g.RecordPromise("stranger", time.Now())
 	if g.MaySend() {
 		t.Error("the promise of a stranger counts")
 	}
-	g.Promised(other.ID, time.Now())
+	g.RecordPromise(other.ID, time.Now())
 	if !g.MaySend() {
 		t.Error("two of three promises do not count")
 	}
-	g.Raise("c", 2)
+	g.RaiseFence("c", 2)
 	if g.MaySend() {
 		t.Error("a raised fence does not stop an older document")
 	}
@@ -128,10 +128,10 @@
 		t.Errorf("owner %q", r.Slot.Owner)
 	}
 	d := &cell.Directory{Service: "x", Version: 2, Segments: []cell.Segment{{Span: keyspace.Whole(), Cell: "b"}}}
-	g.Direct(d)
-	g.Direct(&cell.Directory{Service: "x", Version: 1, Segments: []cell.Segment{{Span: keyspace.Whole(), Cell: "z"}}})
-	if r := g.Route("x", 7); r.Where != Remote || r.Cell != "b" {
-		t.Errorf("routed to %v %q", r.Where, r.Cell)
+	g.ApplyDirectory(d)
+	g.ApplyDirectory(&cell.Directory{Service: "x", Version: 1, Segments: []cell.Segment{{Span: keyspace.Whole(), Cell: "z"}}})
+	if r := g.Route("x", 7); r.Destination != Remote || r.Cell != "b" {
+		t.Errorf("routed to %v %q", r.Destination, r.Cell)
 	}
 }
 
@@ -150,7 +150,7 @@
 			b.ResetTimer()
 			for i := 0; b.Loop(); i++ {
 				sink = g.Route("s", keyspace.Of(keys[i%len(keys)]))
-				if g.Enter(sink) == Passed {
+				if g.Enter(sink) == Admitted {
 					g.Leave(sink.Slot)
 				}
 			}
--- a/coordination/gate/table.go
+++ b/coordination/gate/table.go
@@ -21,14 +21,14 @@
 	busy     atomic.Uint64
 }
 
-// Took adds one finished request of the given duration in microseconds.
-func (s *Slot) Took(micros uint64) {
+// RecordRequest adds one finished request of the given duration in microseconds.
+func (s *Slot) RecordRequest(micros uint64) {
 	s.requests.Add(1)
 	s.busy.Add(micros)
 }
 
-// Traffic returns and clears the counters of finished requests.
-func (s *Slot) Traffic() (requests, busyMicros uint64) {
+// TakeTraffic returns and clears the counters of finished requests.
+func (s *Slot) TakeTraffic() (requests, busyMicros uint64) {
 	return s.requests.Swap(0), s.busy.Swap(0)
 }
 
--- a/entry/beats.go
+++ b/entry/beats.go
@@ -85,7 +85,7 @@
 	}
 	telemetry.Counter(e.registry, "beats.answered").Inc(1)
 	if resp.Granted && version == req.Version {
-		e.gate.Promised(resp.Responder.GetId(), askedAt)
+		e.gate.RecordPromise(resp.Responder.GetId(), askedAt)
 	}
 	e.heard(memberFrom(resp.Responder), resp.Version)
 	if e.behind(resp) {
@@ -274,7 +274,7 @@
 		Requests:   make([]uint32, len(slots)),
 	}
 	for i, s := range slots {
-		requests, _ := s.Traffic()
+		requests, _ := s.TakeTraffic()
 		req.Requests[i] = uint32(min(requests, math.MaxUint32))
 	}
 	for _, k := range e.tracker.Take() {
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -208,7 +208,7 @@
 			e.gate.Apply(doc)
 			_, slots := e.gate.Slots()
 			for _, s := range slots {
-				s.Took(1000)
+				s.RecordRequest(1000)
 			}
 			req := e.loadRequest()
 			ctx := context.Background()
--- a/entry/control.go
+++ b/entry/control.go
@@ -235,13 +235,13 @@
 	e.takeCell(doc)
 	const look = 2 * time.Millisecond
 	until := e.clock().Add(wait)
-	for len(e.gate.Busy()) > 0 && e.clock().Before(until) && ctx.Err() == nil {
+	for len(e.gate.BusyRanges()) > 0 && e.clock().Before(until) && ctx.Err() == nil {
 		time.Sleep(look)
 	}
 	return controller.Applied{
-		Ack:     e.gate.Raise(e.self.Cell, doc.Fence),
+		Ack:     e.gate.RaiseFence(e.self.Cell, doc.Fence),
 		Version: doc.Version,
-		Busy:    e.gate.Busy(),
+		Busy:    e.gate.BusyRanges(),
 		Leases:  e.watched.lost(e.clock()),
 	}
 }
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -70,7 +70,7 @@
 func (e *Entry) onDocument(d *docstore.Document) {
 	switch d.Kind {
 	case docstore.Directory:
-		e.gate.Direct(d.Directory)
+		e.gate.ApplyDirectory(d.Directory)
 		e.control.note(func(core *controller.Core, _ time.Time) { core.OnDirectory(d.Directory) })
 	case docstore.Roster:
 		e.control.note(func(core *controller.Core, now time.Time) { core.OnRoster(now, d.Roster) })
--- a/entry/peerserver.go
+++ b/entry/peerserver.go
@@ -122,7 +122,7 @@
 	if req.Fence == 0 {
 		return nil, twirp.RequiredArgumentError("fence")
 	}
-	return applyResponse(controller.Applied{Ack: e.gate.Raise(req.Cell, req.Fence)}), nil
+	return applyResponse(controller.Applied{Ack: e.gate.RaiseFence(req.Cell, req.Fence)}), nil
 }
 
 func applyResponse(a controller.Applied) *peerpb.ApplyResponse {
--- a/proof/fuzz_test.go
+++ b/proof/fuzz_test.go
@@ -261,7 +261,7 @@
 			t.Fatalf("%s may not send after all faults ended: %s", e.self.ID, m.describe(pointOf(0)))
 		}
 		for i := range points {
-			if r := e.gate.Route(serviceName, pointOf(i)); r.Where != gate.Local {
+			if r := e.gate.Route(serviceName, pointOf(i)); r.Destination != gate.Local {
 				t.Fatalf("%s: point %d has no owner after all faults ended: %s", e.self.ID, i, m.describe(pointOf(i)))
 			}
 		}
--- a/proof/nodes_test.go
+++ b/proof/nodes_test.go
@@ -181,7 +181,7 @@
 				return
 			}
 			if granted {
-				e.gate.Promised(to.ID, askedAt)
+				e.gate.RecordPromise(to.ID, askedAt)
 			}
 			e.core.OnVersion(e.clock(), to, theirs)
 			if e.self.Cell == cellName && other.self.Cell == cellName && theirs > e.gate.Version() {
@@ -267,7 +267,7 @@
 				fail()
 				return
 			}
-			ack := v.gate.Raise(cellName, cmd.Fence)
+			ack := v.gate.RaiseFence(cellName, cmd.Fence)
 			w.send(v.slot, e.slot, e.answer(func() {
 				core.OnApplied(e.clock(), cmd, controller.Applied{Ack: ack}, nil)
 			}), fail)
--- a/proof/world_test.go
+++ b/proof/world_test.go
@@ -269,9 +269,9 @@
 	}
 	v.takeDoc(cmd.Doc)
 	a := controller.Applied{
-		Ack:     v.gate.Raise(cellName, cmd.Doc.Fence),
+		Ack:     v.gate.RaiseFence(cellName, cmd.Doc.Fence),
 		Version: cmd.Doc.Version,
-		Busy:    v.gate.Busy(),
+		Busy:    v.gate.BusyRanges(),
 		Leases:  v.book.Lost(v.clock()),
 	}
 	core := from.core
@@ -308,7 +308,7 @@
 		return
 	}
 	route := e.gate.Route(serviceName, h)
-	if route.Where != gate.Local || e.gate.Enter(route) != gate.Passed {
+	if route.Destination != gate.Local || e.gate.Enter(route) != gate.Admitted {
 		return
 	}
 	slot, g := route.Slot, e.gate
--- a/transport/front/proxy.go
+++ b/transport/front/proxy.go
@@ -188,7 +188,7 @@
 }
 
 func (p *Proxy) attempt(ctx context.Context, r *http.Request, q *request, route gate.Route, h http.Header) (*reply, error) {
-	switch route.Where {
+	switch route.Destination {
 	case gate.Local:
 		if !p.gate.MaySend() {
 			return p.viaSibling(ctx, r, q, h, answer.New(answer.NoRight, "this entry may not send at the moment"))
@@ -256,7 +256,7 @@
 		return nil, err
 	}
 	switch p.gate.Enter(route) {
-	case gate.Moved:
+	case gate.RouteChanged:
 		u.Limiter.Release(admission.Outcome{Unsent: true})
 		return nil, errMoved
 	case gate.NoRight:
@@ -278,7 +278,7 @@
 		end()
 		o.Took = p.clock().Sub(began)
 		u.Limiter.Release(o)
-		slot.Took(uint64(o.Took.Microseconds()))
+		slot.RecordRequest(uint64(o.Took.Microseconds()))
 		span.End()
 	}
 	if err != nil {
