--- a/coordination/leadership/leadership.go
+++ b/coordination/leadership/leadership.go
@@ -18,10 +18,10 @@
 import "time"
 
 const (
-	// Term is how long a renewal gives the right to act.
-	Term = 1800 * time.Millisecond
-	// Renewal is the time between renewals: two may be lost within a term.
-	Renewal = 600 * time.Millisecond
+	// LeaseDuration is how long a renewal gives the right to act.
+	LeaseDuration = 1800 * time.Millisecond
+	// RenewInterval is the time between renewals: two may be lost within a term.
+	RenewInterval = 600 * time.Millisecond
 	// clockPercent is added to the wait for another's term to end, for clocks
 	// that run at different speeds; takeMargin for what is on its way.
 	clockPercent = 2
@@ -58,31 +58,31 @@
 // Right is the holder's right to act.
 type Right struct{ until time.Time }
 
-// Renewed notes a renewal that succeeded and was sent at the given time.
-func (r *Right) Renewed(sent time.Time) {
-	if until := sent.Add(Term); until.After(r.until) {
+// Extend notes a renewal that succeeded and was sent at the given time.
+func (r *Right) Extend(sent time.Time) {
+	if until := sent.Add(LeaseDuration); until.After(r.until) {
 		r.until = until
 	}
 }
 
-// Drop ends the right at once.
-func (r *Right) Drop() { r.until = time.Time{} }
+// Revoke ends the right at once.
+func (r *Right) Revoke() { r.until = time.Time{} }
 
 // Valid reports whether the holder may act.
 func (r *Right) Valid(now time.Time) bool { return now.Before(r.until) }
 
-// Left returns how long the right still lasts.
-func (r *Right) Left(now time.Time) time.Duration { return max(r.until.Sub(now), 0) }
+// Remaining returns how long the right still lasts.
+func (r *Right) Remaining(now time.Time) time.Duration { return max(r.until.Sub(now), 0) }
 
-// Claim is what a gateway knows of another's lease.
-type Claim struct {
+// LeaseObservation is what a gateway knows of another's lease.
+type LeaseObservation struct {
 	revision uint64
 	since    time.Time
 	known    bool
 }
 
 // Observe notes that the lease had the revision at a time.
-func (c *Claim) Observe(now time.Time, revision uint64) {
+func (c *LeaseObservation) Observe(now time.Time, revision uint64) {
 	if c.known && revision == c.revision {
 		return
 	}
@@ -92,23 +92,23 @@
 	c.revision, c.since, c.known = revision, now, true
 }
 
-// Ends returns when the right of the lease's holder has surely ended, if it is
+// HolderExpiry returns when the right of the lease's holder has surely ended, if it is
 // not renewed once more.
-func (c *Claim) Ends() time.Time { return c.since.Add(wait) }
+func (c *LeaseObservation) HolderExpiry() time.Time { return c.since.Add(wait) }
 
 // wait is how long an unchanged lease is left to its holder.
-const wait = Term + Term*clockPercent/100 + takeMargin
+const wait = LeaseDuration + LeaseDuration*clockPercent/100 + takeMargin
 
-// MayTake reports whether the lease may be taken over by the process that
+// CanTakeOver reports whether the lease may be taken over by the process that
 // serves the address self: a former process at that address has ended. refused
 // says that the holder's address refuses connections: it has probably ended,
 // but a cut can look the same, so a missed renewal is waited for.
-func (c *Claim) MayTake(now time.Time, l Lease, self string, refused bool) bool {
+func (c *LeaseObservation) CanTakeOver(now time.Time, l Lease, self string, refused bool) bool {
 	if l.Released || l.Address == self {
 		return true
 	}
 	if refused {
-		return c.known && now.Sub(c.since) >= Renewal+missMargin
+		return c.known && now.Sub(c.since) >= RenewInterval+missMargin
 	}
 	return c.known && now.Sub(c.since) >= wait
 }
--- a/coordination/leadership/leadership_test.go
+++ b/coordination/leadership/leadership_test.go
@@ -14,15 +14,15 @@
 	if r.Valid(start) {
 		t.Error("valid before any renewal")
 	}
-	r.Renewed(start)
-	if !r.Valid(at(Term-time.Millisecond)) || r.Valid(at(Term)) {
+	r.Extend(start)
+	if !r.Valid(at(LeaseDuration-time.Millisecond)) || r.Valid(at(LeaseDuration)) {
 		t.Error("a renewal counts from when it was sent, for one term")
 	}
-	r.Renewed(at(-time.Second))
-	if !r.Valid(at(Term - time.Millisecond)) {
+	r.Extend(at(-time.Second))
+	if !r.Valid(at(LeaseDuration - time.Millisecond)) {
 		t.Error("an older renewal shortens the right")
 	}
-	r.Drop()
+	r.Revoke()
 	if r.Valid(start) {
 		t.Error("valid after it was dropped")
 	}
@@ -32,21 +32,21 @@
 // before the claimant first saw it has lost its right when the claimant may take
 // the lease, also with clocks two percent apart.
 func TestTwoNeverActTogether(t *testing.T) {
-	for delay := time.Duration(0); delay < Term; delay += 10 * time.Millisecond {
+	for delay := time.Duration(0); delay < LeaseDuration; delay += 10 * time.Millisecond {
 		var holder Right
-		holder.Renewed(start)
-		var c Claim
+		holder.Extend(start)
+		var c LeaseObservation
 		c.Observe(at(delay), 7)
 		for now := delay; ; now += 10 * time.Millisecond {
 			c.Observe(at(now), 7)
-			if !c.MayTake(at(now), Lease{Node: "a", Address: "a:1"}, "b:1", false) {
+			if !c.CanTakeOver(at(now), Lease{Node: "a", Address: "a:1"}, "b:1", false) {
 				continue
 			}
 			slow := at(time.Duration(float64(now) * 0.98))
 			if holder.Valid(slow) {
 				t.Fatalf("seen after %s: taken after %s while the holder may act", delay, now)
 			}
-			if at(now).Before(c.Ends()) {
+			if at(now).Before(c.HolderExpiry()) {
 				t.Fatal("taken before the holder's right has surely ended")
 			}
 			break
@@ -55,12 +55,12 @@
 }
 
 func TestRenewedLeaseIsLeftToItsHolder(t *testing.T) {
-	var c Claim
+	var c LeaseObservation
 	for i := range uint64(20) {
-		now := at(time.Duration(i) * Renewal)
+		now := at(time.Duration(i) * RenewInterval)
 		c.Observe(now, 10+i)
 		for _, refused := range []bool{false, true} {
-			if c.MayTake(now, Lease{Node: "a", Address: "a:1"}, "b:1", refused) {
+			if c.CanTakeOver(now, Lease{Node: "a", Address: "a:1"}, "b:1", refused) {
 				t.Fatalf("taken from a holder that renews, refused %v", refused)
 			}
 		}
@@ -68,18 +68,18 @@
 }
 
 func TestEarlyTakes(t *testing.T) {
-	var c Claim
+	var c LeaseObservation
 	c.Observe(start, 1)
-	if !c.MayTake(start, Lease{Node: "a", Address: "a:1", Released: true}, "b:1", false) {
+	if !c.CanTakeOver(start, Lease{Node: "a", Address: "a:1", Released: true}, "b:1", false) {
 		t.Error("a released lease is not taken")
 	}
-	if !c.MayTake(start, Lease{Node: "a", Address: "b:1"}, "b:1", false) {
+	if !c.CanTakeOver(start, Lease{Node: "a", Address: "b:1"}, "b:1", false) {
 		t.Error("the lease of a former process at the own address is not taken")
 	}
-	if c.MayTake(start, Lease{Node: "a", Address: "a:1"}, "b:1", true) {
+	if c.CanTakeOver(start, Lease{Node: "a", Address: "a:1"}, "b:1", true) {
 		t.Error("refused connections alone end a lease")
 	}
-	if !c.MayTake(at(Renewal+missMargin), Lease{Node: "a", Address: "a:1"}, "b:1", true) {
+	if !c.CanTakeOver(at(RenewInterval+missMargin), Lease{Node: "a", Address: "a:1"}, "b:1", true) {
 		t.Error("a missed renewal of a holder that refuses connections is not enough")
 	}
 }
@@ -87,10 +87,10 @@
 // TestOldRevisionIsIgnored: a reading that comes late must not restart or
 // shorten the wait.
 func TestOldRevisionIsIgnored(t *testing.T) {
-	var c Claim
+	var c LeaseObservation
 	c.Observe(start, 5)
-	c.Observe(at(Term), 4)
-	if !c.MayTake(at(wait), Lease{Node: "a", Address: "a:1"}, "b:1", false) {
+	c.Observe(at(LeaseDuration), 4)
+	if !c.CanTakeOver(at(wait), Lease{Node: "a", Address: "a:1"}, "b:1", false) {
 		t.Error("an older revision restarts the wait")
 	}
 }
--- a/coordination/leadership/promise.go
+++ b/coordination/leadership/promise.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// MostVoters bounds the voters of a lease: enough to bear the loss of three
+// MaxVoters bounds the voters of a lease: enough to bear the loss of three
 // gateways or of a failure domain, few enough to be asked at any size.
-const MostVoters = 7
+const MaxVoters = 7
 
 // Promises is what one gateway has promised. It is kept in memory: a process
 // that has just started counts as having promised at its start, as the process
@@ -21,9 +21,9 @@
 // NewPromises returns the promises of a process that starts now.
 func NewPromises(now time.Time) *Promises { return &Promises{last: now, given: true} }
 
-// Give promises the leader of the term to stand by it for the time Term. It is
+// Grant promises the leader of the term to stand by it for the time Term. It is
 // refused once a later term is known.
-func (p *Promises) Give(now time.Time, term uint64) bool {
+func (p *Promises) Grant(now time.Time, term uint64) bool {
 	if term < p.term {
 		return false
 	}
@@ -41,8 +41,8 @@
 // Majority is the least number of voters of which any two groups overlap.
 func Majority(voters int) int { return voters/2 + 1 }
 
-// Voter is a gateway that may become a voter.
-type Voter struct {
+// VoterCandidate is a gateway that may become a voter.
+type VoterCandidate struct {
 	Address string
 	Domain  string
 }
@@ -50,12 +50,12 @@
 // ChooseVoters picks up to MostVoters gateways, in turn from each failure
 // domain. Those that were voters before stay as long as they live, so that the
 // list seldom changes.
-func ChooseVoters(live []Voter, former []string) []string {
+func ChooseVoters(live []VoterCandidate, former []string) []string {
 	was := make(map[string]bool, len(former))
 	for _, a := range former {
 		was[a] = true
 	}
-	byDomain := make(map[string][]Voter)
+	byDomain := make(map[string][]VoterCandidate)
 	var domains []string
 	for _, v := range live {
 		if byDomain[v.Domain] == nil {
@@ -74,9 +74,9 @@
 		})
 	}
 	var out []string
-	for round := 0; len(out) < min(MostVoters, len(live)); round++ {
+	for round := 0; len(out) < min(MaxVoters, len(live)); round++ {
 		for _, d := range domains {
-			if round < len(byDomain[d]) && len(out) < MostVoters {
+			if round < len(byDomain[d]) && len(out) < MaxVoters {
 				out = append(out, byDomain[d][round].Address)
 			}
 		}
--- a/coordination/leadership/promise_test.go
+++ b/coordination/leadership/promise_test.go
@@ -13,16 +13,16 @@
 	if given, age := p.Inquire(at(time.Second), 1); !given || age != time.Second {
 		t.Error("a process that has started counts as having promised then")
 	}
-	if !p.Give(at(2*time.Second), 3) {
+	if !p.Grant(at(2*time.Second), 3) {
 		t.Error("a promise is refused")
 	}
 	if given, age := p.Inquire(at(3*time.Second), 4); !given || age != time.Second {
 		t.Errorf("given %v, age %s", given, age)
 	}
-	if p.Give(at(4*time.Second), 3) {
+	if p.Grant(at(4*time.Second), 3) {
 		t.Error("a promise to a former leader after a later one has asked")
 	}
-	if !p.Give(at(4*time.Second), 4) {
+	if !p.Grant(at(4*time.Second), 4) {
 		t.Error("a promise to the later leader is refused")
 	}
 }
@@ -33,7 +33,7 @@
 func TestSuccessorWaitsForPromises(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for round := range 3000 {
-		n := 1 + rng.IntN(MostVoters)
+		n := 1 + rng.IntN(MaxVoters)
 		voters := make([]*Promises, n)
 		for i := range voters {
 			voters[i] = NewPromises(at(-time.Hour))
@@ -47,19 +47,19 @@
 			}
 			given := 0
 			for _, i := range rng.Perm(n)[:rng.IntN(n+1)] {
-				if voters[i].Give(at(now), 1) {
+				if voters[i].Grant(at(now), 1) {
 					given++
 				}
 			}
 			if given >= Majority(n) {
-				holder.Renewed(at(now))
+				holder.Extend(at(now))
 			}
 		}
 		now += time.Duration(rng.IntN(3000)) * time.Millisecond
 		ends := at(0)
 		for _, i := range rng.Perm(n)[:Majority(n)] {
 			if given, age := voters[i].Inquire(at(now), 2); given {
-				if end := at(now - age).Add(Term); end.After(ends) {
+				if end := at(now - age).Add(LeaseDuration); end.After(ends) {
 					ends = end
 				}
 			}
@@ -71,7 +71,7 @@
 }
 
 func TestChooseVoters(t *testing.T) {
-	live := []Voter{{"a1", "a"}, {"a2", "a"}, {"a3", "a"}, {"a4", "a"}, {"b1", "b"}, {"b2", "b"}, {"c1", "c"}, {"c2", "c"}}
+	live := []VoterCandidate{{"a1", "a"}, {"a2", "a"}, {"a3", "a"}, {"a4", "a"}, {"b1", "b"}, {"b2", "b"}, {"c1", "c"}, {"c2", "c"}}
 	got := ChooseVoters(live, nil)
 	if d := cmp.Diff([]string{"a1", "a2", "a3", "b1", "b2", "c1", "c2"}, got); d != "" {
 		t.Error(d)
--- a/gateway/lead.go
+++ b/gateway/lead.go
@@ -58,7 +58,7 @@
 	// voterLists are the lists of voters that may be in force: one, or two
 	// while a renewal that changed the list has no answer.
 	voterLists [][]string
-	claim      leadership.Claim
+	claim      leadership.LeaseObservation
 	lease      leadership.Lease
 	revision   uint64
 	// formerHolds is until when upstreams may hold keys by grants of a former
@@ -140,7 +140,7 @@
 	for ctx.Err() == nil {
 		if l.cluster.isLeading() && l.doubtful() {
 			l.extend(ctx)
-			pause(ctx, leadership.Renewal)
+			pause(ctx, leadership.RenewInterval)
 			continue
 		}
 		pause(ctx, leadInterval)
@@ -186,8 +186,8 @@
 	now := l.now()
 	l.mu.Lock()
 	l.claim.Observe(now, object.Revision)
-	may := l.claim.MayTake(now, lease, l.cluster.self.Address, refused)
-	ends := l.claim.Ends()
+	may := l.claim.CanTakeOver(now, lease, l.cluster.self.Address, refused)
+	ends := l.claim.HolderExpiry()
 	l.mu.Unlock()
 	if lease.Released || lease.Address == l.cluster.self.Address {
 		ends = now
@@ -225,8 +225,8 @@
 	}
 	l.mu.Lock()
 	l.lease, l.revision = mine, object.Revision
-	l.right.Renewed(sent)
-	l.extended.Drop()
+	l.right.Extend(sent)
+	l.extended.Revoke()
 	l.voterLists = [][]string{mine.Voters}
 	l.renewedAt = sent
 	l.formerKnown = false
@@ -257,7 +257,7 @@
 	}
 	now := l.now()
 	l.mu.Lock()
-	due := now.Sub(l.renewedAt) >= leadership.Renewal
+	due := now.Sub(l.renewedAt) >= leadership.RenewInterval
 	next := l.lease
 	revision := l.revision
 	l.mu.Unlock()
@@ -280,8 +280,8 @@
 		l.mu.Lock()
 		l.lease, l.revision = next, object.Revision
 		l.voterLists = [][]string{next.Voters}
-		l.right.Renewed(now)
-		l.extended.Drop()
+		l.right.Extend(now)
+		l.extended.Revoke()
 		l.renewedAt = now
 		l.mu.Unlock()
 		l.cluster.setLeader(leaderMessage(next, object.Revision))
@@ -295,13 +295,13 @@
 
 // doubtful reports whether the lease was not renewed when it was due.
 func (l *leading) doubtful() bool {
-	return l.rightLeft() < leadership.Term-leadership.Renewal-lateRenewal
+	return l.rightLeft() < leadership.LeaseDuration-leadership.RenewInterval-lateRenewal
 }
 
 func (l *leading) rightLeft() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.right.Left(l.now())
+	return l.right.Remaining(l.now())
 }
 
 // conflict handles a lease that is not as this leader left it. An own renewal
@@ -319,8 +319,8 @@
 		l.mu.Unlock()
 		return
 	}
-	l.right.Drop()
-	l.extended.Drop()
+	l.right.Revoke()
+	l.extended.Revoke()
 	l.mu.Unlock()
 	l.log.Info("no longer leading", "leader", there.Node, "term", there.Term)
 	l.stop()
--- a/gateway/promises.go
+++ b/gateway/promises.go
@@ -33,7 +33,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !r.Inquire {
-		return &syncpb.PromiseResponse{Given: p.own.Give(p.now(), r.Term)}
+		return &syncpb.PromiseResponse{Given: p.own.Grant(p.now(), r.Term)}
 	}
 	given, age := p.own.Inquire(p.now(), r.Term)
 	return &syncpb.PromiseResponse{Asked: given, AgeMs: uint64(age.Milliseconds())}
@@ -104,7 +104,7 @@
 	if !l.extended.Valid(sent) {
 		l.log.Info("going on without the store, by promises", "term", term, "answers", len(answers))
 	}
-	l.extended.Renewed(sent)
+	l.extended.Extend(sent)
 }
 
 // inquire learns from the voters of the former lease until when upstreams may
@@ -136,7 +136,7 @@
 		end := normal
 		if a.Asked {
 			age := time.Duration(a.AgeMs) * time.Millisecond
-			end = later(end, now.Add(-age).Add(leadership.Term).Add(heldFor(longest)))
+			end = later(end, now.Add(-age).Add(leadership.LeaseDuration).Add(heldFor(longest)))
 		}
 		until = append(until, end)
 	}
@@ -209,9 +209,9 @@
 // voters chooses the voters among the gateways that report.
 func (l *leading) voters(former []string) []string {
 	list, _ := l.cluster.list()
-	var live []leadership.Voter
+	var live []leadership.VoterCandidate
 	for _, m := range list {
-		live = append(live, leadership.Voter{Address: m.Address, Domain: m.Domain})
+		live = append(live, leadership.VoterCandidate{Address: m.Address, Domain: m.Domain})
 	}
 	return leadership.ChooseVoters(live, former)
 }
--- a/gateway/resign.go
+++ b/gateway/resign.go
@@ -57,8 +57,8 @@
 	l.steward.finish(ctx)
 	l.cluster.setLeading(false)
 	l.mu.Lock()
-	l.right.Drop()
-	l.extended.Drop()
+	l.right.Revoke()
+	l.extended.Revoke()
 	next, revision := l.lease, l.revision
 	l.mu.Unlock()
 	next.Released = true
--- a/gateway/resign_test.go
+++ b/gateway/resign_test.go
@@ -27,7 +27,7 @@
 	g.leading.writing.Lock()
 	before = record.of(renewals)
 	g.leading.writing.Unlock()
-	time.Sleep(3 * leadership.Renewal)
+	time.Sleep(3 * leadership.RenewInterval)
 	if n := record.of(renewals) - before; n > 0 {
 		t.Errorf("the loop renewed the lease %d times in a stop", n)
 	}
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -133,7 +133,7 @@
 		t.Error(diff)
 	}
 	l.lease = leadership.Lease{Term: 8, Voters: former.Voters}
-	l.right.Renewed(now)
+	l.right.Extend(now)
 	if l.votersMayChange() {
 		t.Error("the voters change before they were asked for promises to the former leader")
 	}
@@ -146,7 +146,7 @@
 		t.Error("the voters change while grants by promises to the former leader last")
 	}
 	now = now.Add(heldFor(holdTime) + time.Millisecond)
-	l.right.Renewed(now)
+	l.right.Extend(now)
 	if !l.votersMayChange() {
 		t.Error("the voters never change")
 	}
@@ -155,7 +155,7 @@
 		t.Error(diff)
 	}
 	first.lease = leadership.Lease{Term: 1}
-	first.right.Renewed(now)
+	first.right.Extend(now)
 	first.inquire(context.Background(), leadership.Lease{}, now, 10*time.Second)
 	if !first.votersMayChange() {
 		t.Error("the first leader of all keeps to the voters that it knew at its start")
--- a/gateway/turns_test.go
+++ b/gateway/turns_test.go
@@ -32,7 +32,7 @@
 	t.Cleanup(func() { _ = server.Close() })
 	c := newCluster(&syncpb.Member{Incarnation: "a"}, http.DefaultClient, time.Now, nil)
 	lead := &leading{now: time.Now, cluster: c}
-	lead.right.Renewed(time.Now().Add(time.Hour - leadership.Term))
+	lead.right.Extend(time.Now().Add(time.Hour - leadership.LeaseDuration))
 	s := &steward{
 		view: newView(), cluster: c, now: time.Now, log: slog.New(slog.DiscardHandler), leading: lead,
 		owners: platform.NewOwners(pool.New(upstreamLimits, time.Now)), turns: newTurns(mostGrantCalls),
--- a/gateway/wake_test.go
+++ b/gateway/wake_test.go
@@ -17,7 +17,7 @@
 // act by it when it wakes up; afterwards some gateway leads, and keys are served.
 func TestSuspendedLeaderHasNoRight(t *testing.T) {
 	t.Parallel()
-	for _, length := range []time.Duration{leadership.Term, 10 * time.Second} {
+	for _, length := range []time.Duration{leadership.LeaseDuration, 10 * time.Second} {
 		t.Run(length.String(), func(t *testing.T) {
 			t.Parallel()
 			b := standard(t)
@@ -44,7 +44,7 @@
 	t.Parallel()
 	b := standard(t)
 	leader := b.leader()
-	b.eventually("the lease is fresh", func() bool { return leader.leading.rightLeft() > leadership.Term/2 })
+	b.eventually("the lease is fresh", func() bool { return leader.leading.rightLeft() > leadership.LeaseDuration/2 })
 	leader.suspend(100 * time.Millisecond)
 	b.mustAsk(leader, http.MethodGet, "/status/x", 7)
 }
@@ -55,7 +55,7 @@
 func TestTwoLeadersAroundASuspension(t *testing.T) {
 	const step = 50 * time.Millisecond
 	both := func(counts bool) (n int) {
-		for at := time.Duration(0); at < leadership.Term; at += step {
+		for at := time.Duration(0); at < leadership.LeaseDuration; at += step {
 			for length := step; length < 5*time.Second; length += 4 * step {
 				if overlap(at, length, counts) {
 					n++
@@ -87,11 +87,11 @@
 		now = func() time.Time { return start.Add(awake) }
 	}
 	var right leadership.Right
-	right.Renewed(now())
-	var claim leadership.Claim
+	right.Extend(now())
+	var claim leadership.LeaseObservation
 	claim.Observe(start, 1)
 	awake, asleep = at, length
-	taken := claim.MayTake(start.Add(at+length), leadership.Lease{Address: "holder"}, "other", false)
+	taken := claim.CanTakeOver(start.Add(at+length), leadership.Lease{Address: "holder"}, "other", false)
 	return taken && right.Valid(now())
 }
 
