--- a/bench/lab/gateway.go
+++ b/bench/lab/gateway.go
@@ -35,7 +35,7 @@
 	w        *world
 	index    int
 	dispatch map[string]*dispatch.Service
-	budget   map[string]*retry.Window
+	budget   map[string]*retry.WindowBudget
 	keys     map[string][]uint16
 	// names are the services in a fixed order.
 	names []string
@@ -50,7 +50,7 @@
 	p := &product{w: w}
 	for i := range w.sc.Gateways {
 		g := &gateway{
-			w: w, index: i, dispatch: make(map[string]*dispatch.Service), budget: make(map[string]*retry.Window),
+			w: w, index: i, dispatch: make(map[string]*dispatch.Service), budget: make(map[string]*retry.WindowBudget),
 			keys: make(map[string][]uint16), limits: limits.NewBook(),
 		}
 		for j := range w.sc.Services {
@@ -62,7 +62,7 @@
 			d.SetUpstreams(w.now(), w.control.known(s))
 			g.dispatch[s.Name] = d
 			g.names = append(g.names, s.Name)
-			g.budget[s.Name] = retry.NewWindow(w.now(), w.sc.RetryWindow.D(), budgetShare*w.sc.RetryShare, budgetShare*w.sc.RetryAllowance)
+			g.budget[s.Name] = retry.NewWindowBudget(w.now(), w.sc.RetryWindow.D(), budgetShare*w.sc.RetryShare, budgetShare*w.sc.RetryAllowance)
 		}
 		p.gateways = append(p.gateways, g)
 		w.after(time.Duration(i)*w.sc.Report.D()/time.Duration(w.sc.Gateways), g.report)
@@ -100,7 +100,7 @@
 	d.deadline = p.w.at + min(d.route.Timeout.D(), t.left)
 	t.withdraw = d.withdrawn
 	g.open = append(g.open, d)
-	g.budget[d.route.Service].Request(p.w.now())
+	g.budget[d.route.Service].RecordRequest(p.w.now())
 	if d.keyed {
 		g.keys[d.route.Service] = append(g.keys[d.route.Service], t.call.key)
 	}
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -23,8 +23,8 @@
 	return &Budget{share: share, burst: burst, tokens: burst}
 }
 
-// Earn notes one first try.
-func (b *Budget) Earn() {
+// RecordRequest notes one first try.
+func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.share, b.burst)
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -10,7 +10,7 @@
 	b := NewBudget(0.1, 5)
 	spent := 0
 	for range 1000 {
-		b.Earn()
+		b.RecordRequest()
 		for b.Spend() {
 			spent++
 		}
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -16,10 +16,10 @@
 	earnedParts = 2
 )
 
-// Window is a retry budget over a sliding window, of which each of several
+// WindowBudget is a retry budget over a sliding window, of which each of several
 // processes takes its part: a share of its own requests, each for a short time, and
 // an equal part of an allowance for all. It is not safe for concurrent use.
-type Window struct {
+type WindowBudget struct {
 	share     float64
 	allowance float64
 	start     time.Time
@@ -31,14 +31,14 @@
 	at     int64
 }
 
-// NewWindow returns a budget of share retries a request plus an allowance, in
+// NewWindowBudget returns a budget of share retries a request plus an allowance, in
 // every span of the given length. It counts from now on.
-func NewWindow(now time.Time, length time.Duration, share, allowance float64) *Window {
-	return &Window{share: share, allowance: allowance, start: now, part: length / (windowParts - 1)}
+func NewWindowBudget(now time.Time, length time.Duration, share, allowance float64) *WindowBudget {
+	return &WindowBudget{share: share, allowance: allowance, start: now, part: length / (windowParts - 1)}
 }
 
 // turn drops what is older than the window.
-func (w *Window) turn(now time.Time) int {
+func (w *WindowBudget) turn(now time.Time) int {
 	at := int64(now.Sub(w.start) / w.part)
 	if at-w.at >= windowParts {
 		w.earned, w.beyond = [windowParts]float64{}, [windowParts]float64{}
@@ -51,14 +51,14 @@
 	return int(w.at % windowParts)
 }
 
-// Request notes one first try.
-func (w *Window) Request(now time.Time) { w.earned[w.turn(now)] += w.share }
+// RecordRequest notes one first try.
+func (w *WindowBudget) RecordRequest(now time.Time) { w.earned[w.turn(now)] += w.share }
 
 // Spend takes one retry, when the budget of one of the given number of
 // processes has one left. While that number is not known, which zero says, no part
 // of the allowance is this process's own.
-func (w *Window) Spend(now time.Time, processes int) bool {
-	if w.Left(now, processes) < 1 {
+func (w *WindowBudget) Spend(now time.Time, processes int) bool {
+	if w.Remaining(now, processes) < 1 {
 		return false
 	}
 	rest := 1.0
@@ -73,13 +73,13 @@
 }
 
 // partAt returns the index of the part that is so many parts old.
-func (w *Window) partAt(age int) int {
+func (w *WindowBudget) partAt(age int) int {
 	return int((w.at - int64(age) + windowParts) % windowParts)
 }
 
-// Left returns how many retries the budget of one of the given number of processes
+// Remaining returns how many retries the budget of one of the given number of processes
 // has left.
-func (w *Window) Left(now time.Time, processes int) float64 {
+func (w *WindowBudget) Remaining(now time.Time, processes int) float64 {
 	w.turn(now)
 	left := 0.0
 	for age := range earnedParts {
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -19,9 +19,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Now()
 		processes := rapid.IntRange(1, 5).Draw(t, "processes")
-		windows := make([]*Window, processes)
+		windows := make([]*WindowBudget, processes)
 		for i := range windows {
-			windows[i] = NewWindow(start, length, share, allowance)
+			windows[i] = NewWindowBudget(start, length, share, allowance)
 		}
 		var requests, retries []time.Duration
 		now := time.Duration(0)
@@ -29,7 +29,7 @@
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "gap")) * time.Millisecond
 			w := windows[rapid.IntRange(0, processes-1).Draw(t, "process")]
 			if rapid.Bool().Draw(t, "first") {
-				w.Request(start.Add(now))
+				w.RecordRequest(start.Add(now))
 				requests = append(requests, now)
 			} else if w.Spend(start.Add(now), processes) {
 				retries = append(retries, now)
@@ -56,7 +56,7 @@
 
 func TestWindowForgets(t *testing.T) {
 	start := time.Now()
-	w := NewWindow(start, 10*time.Second, 0, 3)
+	w := NewWindowBudget(start, 10*time.Second, 0, 3)
 	for range 3 {
 		if !w.Spend(start, 1) {
 			t.Fatal("the allowance is refused")
@@ -76,13 +76,13 @@
 // hunt-1770-35.)
 func TestUnknownSharers(t *testing.T) {
 	start := time.Now()
-	w := NewWindow(start, 10*time.Second, 0.5, 100)
-	sharers := NewSharers(10 * time.Second)
+	w := NewWindowBudget(start, 10*time.Second, 0.5, 100)
+	sharers := NewProcessCount(10 * time.Second)
 	if w.Spend(start, sharers.Count()) {
 		t.Error("the allowance is taken by one that knows no others")
 	}
-	w.Request(start)
-	w.Request(start)
+	w.RecordRequest(start)
+	w.RecordRequest(start)
 	if !w.Spend(start, sharers.Count()) {
 		t.Error("the share of its own requests is not its own")
 	}
@@ -92,13 +92,13 @@
 // are not spent again by the rest.
 func TestSharersThatEnded(t *testing.T) {
 	start := time.Now()
-	s := NewSharers(10 * time.Second)
-	s.Note(start, 11)
-	s.Note(start.Add(time.Second), 3)
+	s := NewProcessCount(10 * time.Second)
+	s.Observe(start, 11)
+	s.Observe(start.Add(time.Second), 3)
 	if s.Count() != 11 {
 		t.Errorf("%d sharers a second after eight have ended", s.Count())
 	}
-	s.Note(start.Add(11*time.Second), 3)
+	s.Observe(start.Add(11*time.Second), 3)
 	if s.Count() != 3 {
 		t.Errorf("%d sharers a window later", s.Count())
 	}
@@ -118,7 +118,7 @@
 		steps     = 3000
 	)
 	start := time.Now()
-	first, second := NewWindow(start, length, share*0.9, allowance*0.9), NewWindow(start, length, share*0.9, allowance*0.9)
+	first, second := NewWindowBudget(start, length, share*0.9, allowance*0.9), NewWindowBudget(start, length, share*0.9, allowance*0.9)
 	var requests, retries []time.Duration
 	for i := range steps {
 		now := time.Duration(i) * step
@@ -128,9 +128,9 @@
 		if now > 14*time.Second+time.Duration(i%400)*step {
 			at = second
 		}
-		at.Request(start.Add(now))
+		at.RecordRequest(start.Add(now))
 		requests = append(requests, now)
-		for _, w := range []*Window{first, second} {
+		for _, w := range []*WindowBudget{first, second} {
 			if now > 12*time.Second && w.Spend(start.Add(now), 2) {
 				retries = append(retries, now)
 			}
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -43,14 +43,14 @@
 	// evacuated are the failure domains to which nothing is sent.
 	evacuated *evacuation.Set
 	// sharers is how many gateways share the retry budget.
-	sharers *retry.Sharers
+	sharers *retry.ProcessCount
 }
 
 // service is the traffic of one service.
 type service struct {
 	mu       sync.Mutex
 	dispatch *dispatch.Service
-	budget   *retry.Window
+	budget   *retry.WindowBudget
 	// keys are those asked for since the last report.
 	keys []uint16
 }
@@ -58,7 +58,7 @@
 func newTraffic(conf settings.Gateway, now func() time.Time, rng *rand.Rand) *traffic {
 	return &traffic{
 		conf: conf, now: now, rng: rng, services: make(map[string]*service),
-		sharers: retry.NewSharers(conf.RetryWindow.D()),
+		sharers: retry.NewProcessCount(conf.RetryWindow.D()),
 	}
 }
 
@@ -71,7 +71,7 @@
 		seed := rand.NewPCG(t.rng.Uint64(), t.rng.Uint64())
 		s = &service{
 			dispatch: dispatch.NewService(t.conf.Domain, t.conf.UpstreamDrain.D(), rand.New(seed)),
-			budget: retry.NewWindow(t.now(), t.conf.RetryWindow.D(),
+			budget: retry.NewWindowBudget(t.now(), t.conf.RetryWindow.D(),
 				budgetShare*t.conf.RetryShare, budgetShare*t.conf.RetryAllowance),
 		}
 		s.dispatch.SetEvacuated(t.now(), t.evacuated.Active)
@@ -169,7 +169,7 @@
 func (t *traffic) setGateways(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sharers.Note(t.now(), max(n, 1))
+	t.sharers.Observe(t.now(), max(n, 1))
 }
 
 // sharerCount returns how many gateways share the retry budget, or zero when that is
@@ -328,7 +328,7 @@
 func (t *traffic) first(s *service) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Request(t.now())
+	s.budget.RecordRequest(t.now())
 }
 
 // spend takes one second try from the budget.
@@ -344,7 +344,7 @@
 	n := t.sharerCount()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.budget.Left(t.now(), n)
+	return s.budget.Remaining(t.now(), n)
 }
 
 // asked notes a key for the next report.
--- a/transport/front/proxy.go
+++ b/transport/front/proxy.go
@@ -128,7 +128,7 @@
 	defer cancel()
 	ctx, span := p.startSpan(ctx, r, q)
 	defer span.End()
-	p.budget(name).Earn()
+	p.budget(name).RecordRequest()
 	resp, err := p.deliver(ctx, r, q, w.Header())
 	if err != nil {
 		span.SetAttributes(attribute.String("rockcroft.kind", string(answer.KindOf(err))))
