--- a/bench/lab/control.go
+++ b/bench/lab/control.go
@@ -54,7 +54,7 @@
 	coldTo  map[string]map[uint16]time.Duration
 	waiters []func()
 	// book names who may send to upstreams that warm up.
-	book *warmup.Book
+	book *warmup.Assignments
 	// limits are those that upstreams name, wanted what each gateway is asked for that these
 	// would get.
 	limits *limits.Book
@@ -75,7 +75,7 @@
 		gaps: make(map[string]*spans.Gaps), settled: make(map[string]map[uint16]time.Duration), coldTo: make(map[string]map[uint16]time.Duration),
 	}
 	c.limits, c.wanted = limits.NewBook(), make([]map[string]float64, w.sc.Gateways)
-	c.book = warmup.NewBook(w.now().Add(-warmup.RightTime))
+	c.book = warmup.NewAssignments(w.now().Add(-warmup.RightDuration))
 	for i := range w.sc.Services {
 		s := &w.sc.Services[i]
 		c.work[s.Name] = worktime.NewBook()
--- a/bench/lab/warmup.go
+++ b/bench/lab/warmup.go
@@ -88,9 +88,9 @@
 		}
 	}
 	out := make(map[string]time.Time)
-	for _, r := range c.book.Name(c.w.now(), warming, gateways) {
+	for _, r := range c.book.Assign(c.w.now(), warming, gateways) {
 		if r.Gateway == gatewayName(gateway) {
-			out[r.Upstream] = c.w.now().Add(warmup.RightTime)
+			out[r.Upstream] = c.w.now().Add(warmup.RightDuration)
 		}
 	}
 	return out
--- a/coordination/warmup/warmup.go
+++ b/coordination/warmup/warmup.go
@@ -18,9 +18,9 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// RightTime is how long a right lasts after the leader has named it: some reports of 250 ms at most,
+// RightDuration is how long a right lasts after the leader has named it: some reports of 250 ms at most,
 // as one may be lost, and by way of the head of a failure domain two are needed.
-const RightTime = time.Second
+const RightDuration = time.Second
 
 // Upstream is one that warms up.
 type Upstream struct {
@@ -45,8 +45,8 @@
 	Gateway string
 }
 
-// Book remembers who was named, in the leader. It is not safe for concurrent use.
-type Book struct {
+// Assignments remembers who was named, in the leader. It is not safe for concurrent use.
+type Assignments struct {
 	// from is when rights that a former leader may have named have ended.
 	from    time.Time
 	holders map[string]holder
@@ -59,14 +59,14 @@
 	named time.Time
 }
 
-// NewBook returns the book of a leader whose lead begins.
-func NewBook(now time.Time) *Book {
-	return &Book{from: now.Add(RightTime), holders: make(map[string]holder)}
+// NewAssignments returns the book of a leader whose lead begins.
+func NewAssignments(now time.Time) *Assignments {
+	return &Assignments{from: now.Add(RightDuration), holders: make(map[string]holder)}
 }
 
-// Name returns the rights that hold from now on for RightTime, in the order of the
+// Assign returns the rights that hold from now on for RightTime, in the order of the
 // upstreams' IDs. A gateway keeps its right while it is a member.
-func (b *Book) Name(now time.Time, warming []Upstream, gateways []Gateway) []Right {
+func (b *Assignments) Assign(now time.Time, warming []Upstream, gateways []Gateway) []Right {
 	if now.Before(b.from) {
 		return nil
 	}
@@ -78,7 +78,7 @@
 	for _, u := range list {
 		h, ok := b.holders[u.ID]
 		if !ok || !isMember(gateways, h.Gateway) {
-			if ok && now.Before(h.named.Add(RightTime)) {
+			if ok && now.Before(h.named.Add(RightDuration)) {
 				continue
 			}
 			node := choose(u, gateways, load)
@@ -97,14 +97,14 @@
 
 // forget drops the rights for upstreams that do not warm up any more. Those for another
 // start of the same upstream stay until they have ended: it may be one process still.
-func (b *Book) forget(now time.Time, warming []Upstream) {
+func (b *Assignments) forget(now time.Time, warming []Upstream) {
 	incarnations := make(map[string]instances.Incarnation, len(warming))
 	for _, u := range warming {
 		incarnations[u.ID] = u.Incarnation
 	}
 	for id, h := range b.holders {
 		incarnation, warms := incarnations[id]
-		if (!warms || incarnation.Other(h.Incarnation)) && !now.Before(h.named.Add(RightTime)) {
+		if (!warms || incarnation.Other(h.Incarnation)) && !now.Before(h.named.Add(RightDuration)) {
 			delete(b.holders, id)
 		}
 	}
@@ -116,7 +116,7 @@
 	all       map[string]int
 }
 
-func (b *Book) load() counts {
+func (b *Assignments) load() counts {
 	c := counts{byService: make(map[[2]string]int), all: make(map[string]int)}
 	for _, h := range b.holders {
 		c.add(h)
--- a/coordination/warmup/warmup_test.go
+++ b/coordination/warmup/warmup_test.go
@@ -14,7 +14,7 @@
 func at(d time.Duration) time.Time { return start.Add(d) }
 
 // led returns the book of a leader that has led for a while.
-func led() *Book { return NewBook(at(-RightTime)) }
+func led() *Assignments { return NewAssignments(at(-RightDuration)) }
 
 func gateways(names ...string) []Gateway {
 	var out []Gateway
@@ -35,7 +35,7 @@
 // TestRightsAreSpread: each upstream gets one gateway of its failure domain, and no gateway
 // has two of a service while another has none.
 func TestRightsAreSpread(t *testing.T) {
-	rights := led().Name(start, upstreams("a1", "a2", "a3", "b1"), gateways("ag1", "ag2", "ag3", "bg1"))
+	rights := led().Assign(start, upstreams("a1", "a2", "a3", "b1"), gateways("ag1", "ag2", "ag3", "bg1"))
 	held := make(map[string]int)
 	for _, r := range rights {
 		if r.Upstream[:1] != r.Gateway[:1] {
@@ -46,7 +46,7 @@
 	if d := cmp.Diff(map[string]int{"ag1": 1, "ag2": 1, "ag3": 1, "bg1": 1}, held); d != "" {
 		t.Error(d)
 	}
-	if far := led().Name(start, upstreams("c1"), gateways("ag1")); len(far) != 1 || far[0].Gateway != "ag1" {
+	if far := led().Assign(start, upstreams("c1"), gateways("ag1")); len(far) != 1 || far[0].Gateway != "ag1" {
 		t.Errorf("with no gateway in the domain: %v", far)
 	}
 }
@@ -54,24 +54,24 @@
 // TestLostHolder: its right is another's only when it has ended.
 func TestLostHolder(t *testing.T) {
 	b := led()
-	if r := b.Name(start, upstreams("a1"), gateways("ag1")); len(r) != 1 {
+	if r := b.Assign(start, upstreams("a1"), gateways("ag1")); len(r) != 1 {
 		t.Fatal(r)
 	}
-	if r := b.Name(at(RightTime-1), upstreams("a1"), gateways("ag2")); len(r) != 0 {
+	if r := b.Assign(at(RightDuration-1), upstreams("a1"), gateways("ag2")); len(r) != 0 {
 		t.Errorf("two gateways have a right: %v", r)
 	}
-	if r := b.Name(at(RightTime), upstreams("a1"), gateways("ag2")); len(r) != 1 || r[0].Gateway != "ag2" {
+	if r := b.Assign(at(RightDuration), upstreams("a1"), gateways("ag2")); len(r) != 1 || r[0].Gateway != "ag2" {
 		t.Errorf("rights %v", r)
 	}
 }
 
 // TestNextLeaderWaits until the rights that the former one named have ended.
 func TestNextLeaderWaits(t *testing.T) {
-	b := NewBook(start)
-	if r := b.Name(at(RightTime-1), upstreams("a1"), gateways("ag1")); r != nil {
+	b := NewAssignments(start)
+	if r := b.Assign(at(RightDuration-1), upstreams("a1"), gateways("ag1")); r != nil {
 		t.Errorf("rights %v", r)
 	}
-	if r := b.Name(at(RightTime), upstreams("a1"), gateways("ag1")); len(r) != 1 {
+	if r := b.Assign(at(RightDuration), upstreams("a1"), gateways("ag1")); len(r) != 1 {
 		t.Errorf("rights %v", r)
 	}
 }
@@ -94,11 +94,11 @@
 					warming = append(warming, fmt.Sprint("a", i))
 				}
 			}
-			for _, r := range b.Name(now, upstreams(warming...), gateways(members...)) {
+			for _, r := range b.Assign(now, upstreams(warming...), gateways(members...)) {
 				if r.Gateway != who[r.Upstream] && now.Before(until[r.Upstream]) {
 					t.Fatalf("seed %d, step %d: %s has %s, and %s still has it", seed, step, r.Gateway, r.Upstream, who[r.Upstream])
 				}
-				who[r.Upstream], until[r.Upstream] = r.Gateway, now.Add(RightTime)
+				who[r.Upstream], until[r.Upstream] = r.Gateway, now.Add(RightDuration)
 			}
 		}
 	}
--- a/gateway/rights.go
+++ b/gateway/rights.go
@@ -30,7 +30,7 @@
 	now     func() time.Time
 
 	mu   sync.Mutex
-	book *warmup.Book
+	book *warmup.Assignments
 	// named are the rights as of at, for the version of the view of upstreams.
 	named   []warmup.Right
 	at      time.Time
@@ -41,7 +41,7 @@
 func (r *rights) begin() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.book, r.named, r.at = warmup.NewBook(r.now()), nil, time.Time{}
+	r.book, r.named, r.at = warmup.NewAssignments(r.now()), nil, time.Time{}
 }
 
 // all returns the rights that hold now, and when they were named.
@@ -54,7 +54,7 @@
 	}
 	if r.version != version || r.now().Sub(r.at) >= nameInterval {
 		r.at, r.version = r.now(), version
-		r.named = r.book.Name(r.at, r.traffic.needRights(), r.gateways())
+		r.named = r.book.Assign(r.at, r.traffic.needRights(), r.gateways())
 	}
 	return r.named, r.at
 }
@@ -100,7 +100,7 @@
 	for _, one := range list {
 		u := v.Get(one.Upstream)
 		if one.Gateway == node && u != nil && !u.Incarnation().Other(one.Incarnation) {
-			out[one.Upstream] = named.Add(warmup.RightTime)
+			out[one.Upstream] = named.Add(warmup.RightDuration)
 		}
 	}
 	return out
--- a/gateway/rights_test.go
+++ b/gateway/rights_test.go
@@ -88,7 +88,7 @@
 		t.Errorf("taken over: %v", list)
 	}
 	named := time.Now()
-	want := map[string]time.Time{"u1": named.Add(warmup.RightTime)}
+	want := map[string]time.Time{"u1": named.Add(warmup.RightDuration)}
 	if d := cmp.Diff(want, held(v, list, named, "g")); d != "" {
 		t.Error(d)
 	}
