--- a/coordination/admission/limiter.go
+++ b/coordination/admission/limiter.go
@@ -24,9 +24,9 @@
 // that it was refused. Every success needs one Release.
 func (l *Limiter) Acquire(ctx context.Context, i Importance, deadline time.Time) error {
 	verdict := make(chan bool, 1)
-	t := &Ticket{Importance: i, Deadline: deadline, Verdict: func(ok bool) { verdict <- ok }}
+	t := &Ticket{Importance: i, Deadline: deadline, Notify: func(ok bool) { verdict <- ok }}
 	l.mu.Lock()
-	ok, wait := l.queue.Offer(l.clock(), t)
+	ok, wait := l.queue.Submit(l.clock(), t)
 	l.mu.Unlock()
 	if !ok {
 		return overloaded(wait)
--- a/coordination/admission/queue.go
+++ b/coordination/admission/queue.go
@@ -45,17 +45,17 @@
 	Importance Importance
 	// Deadline is when the answer must be there.
 	Deadline time.Time
-	// Verdict is called once: true when the request may be sent, false when
+	// Notify is called once: true when the request may be sent, false when
 	// it was put out in favour of a more important one.
-	Verdict func(bool)
+	Notify func(bool)
 
 	gone bool
 }
 
 // Outcome tells the queue how a request ended.
 type Outcome struct {
-	// Took is the time from send to end.
-	Took time.Duration
+	// Duration is the time from send to end.
+	Duration time.Duration
 	// Shed says that the upstream refused it for overload.
 	Shed bool
 	// Unsent says that it was let through but never sent.
@@ -100,12 +100,12 @@
 	return time.Duration(ahead) * q.mean / time.Duration(max(q.Limit(), 1))
 }
 
-// Offer adds a request. It returns true when the request may be sent at once or
+// Submit adds a request. It returns true when the request may be sent at once or
 // waits for its verdict, and false with a time to come back when it is refused.
-func (q *Queue) Offer(now time.Time, t *Ticket) (bool, time.Duration) {
+func (q *Queue) Submit(now time.Time, t *Ticket) (bool, time.Duration) {
 	if q.inflight < q.Limit() && q.count == 0 {
 		q.inflight++
-		t.Verdict(true)
+		t.Notify(true)
 		return true, 0
 	}
 	wait := q.Wait(t.Importance)
@@ -129,7 +129,7 @@
 				continue
 			}
 			q.remove(list[i])
-			list[i].Verdict(false)
+			list[i].Notify(false)
 			return true
 		}
 	}
@@ -165,7 +165,7 @@
 	case o.Shed:
 		q.shrink(now)
 	default:
-		q.observe(o.Took)
+		q.observe(o.Duration)
 		if limited {
 			q.limit = min(q.limit+1/q.limit, float64(q.limits.MaxInflight))
 		}
@@ -198,7 +198,7 @@
 			return
 		}
 		q.inflight++
-		t.Verdict(true)
+		t.Notify(true)
 	}
 }
 
@@ -210,7 +210,7 @@
 			t := q.waiting[level][0]
 			q.remove(t)
 			if now.After(t.Deadline) {
-				t.Verdict(false)
+				t.Notify(false)
 				continue
 			}
 			return t
--- a/coordination/admission/queue_test.go
+++ b/coordination/admission/queue_test.go
@@ -15,13 +15,13 @@
 type verdicts map[string]bool
 
 func (v verdicts) ticket(name string, i Importance, left time.Duration) *Ticket {
-	return &Ticket{Importance: i, Deadline: start.Add(left), Verdict: func(ok bool) { v[name] = ok }}
+	return &Ticket{Importance: i, Deadline: start.Add(left), Notify: func(ok bool) { v[name] = ok }}
 }
 
 func fullQueue(t *testing.T, waiting int) *Queue {
 	t.Helper()
 	q := NewQueue(Limits{MinInflight: 1, MaxInflight: 8, StartInflight: 1, MaxWaiting: waiting})
-	if ok, _ := q.Offer(start, &Ticket{Deadline: start.Add(time.Hour), Verdict: func(bool) {}}); !ok {
+	if ok, _ := q.Submit(start, &Ticket{Deadline: start.Add(time.Hour), Notify: func(bool) {}}); !ok {
 		t.Fatal("the first request is refused")
 	}
 	return q
@@ -30,9 +30,9 @@
 func TestImportantGoesFirst(t *testing.T) {
 	q := fullQueue(t, 10)
 	v := verdicts{}
-	q.Offer(start, v.ticket("low", Low, time.Hour))
-	q.Offer(start, v.ticket("high", High, time.Hour))
-	q.Done(start, Outcome{Took: time.Millisecond, Unsent: true})
+	q.Submit(start, v.ticket("low", Low, time.Hour))
+	q.Submit(start, v.ticket("high", High, time.Hour))
+	q.Done(start, Outcome{Duration: time.Millisecond, Unsent: true})
 	if !v["high"] || v["low"] {
 		t.Errorf("sent %v", v)
 	}
@@ -41,11 +41,11 @@
 func TestFullQueuePutsOutTheLessImportant(t *testing.T) {
 	q := fullQueue(t, 1)
 	v := verdicts{"low": true}
-	q.Offer(start, v.ticket("low", Low, time.Hour))
-	if ok, _ := q.Offer(start, v.ticket("another low", Low, time.Hour)); ok {
+	q.Submit(start, v.ticket("low", Low, time.Hour))
+	if ok, _ := q.Submit(start, v.ticket("another low", Low, time.Hour)); ok {
 		t.Error("a full queue takes another of the same importance")
 	}
-	if ok, _ := q.Offer(start, v.ticket("high", High, time.Hour)); !ok {
+	if ok, _ := q.Submit(start, v.ticket("high", High, time.Hour)); !ok {
 		t.Error("an important request is refused")
 	}
 	if v["low"] {
@@ -55,13 +55,13 @@
 
 func TestHopelessIsRefusedAtOnce(t *testing.T) {
 	q := fullQueue(t, 10)
-	q.Done(start, Outcome{Took: 100 * time.Millisecond})
+	q.Done(start, Outcome{Duration: 100 * time.Millisecond})
 	v := verdicts{}
-	q.Offer(start, v.ticket("first", Normal, time.Hour))
+	q.Submit(start, v.ticket("first", Normal, time.Hour))
 	for range 3 {
-		q.Offer(start, v.ticket("waiting", Normal, time.Hour))
+		q.Submit(start, v.ticket("waiting", Normal, time.Hour))
 	}
-	ok, wait := q.Offer(start, v.ticket("late", Normal, 50*time.Millisecond))
+	ok, wait := q.Submit(start, v.ticket("late", Normal, 50*time.Millisecond))
 	if ok || wait < 50*time.Millisecond {
 		t.Errorf("taken %v, wait %s", ok, wait)
 	}
@@ -70,9 +70,9 @@
 func TestExpiredIsNotSent(t *testing.T) {
 	q := fullQueue(t, 10)
 	v := verdicts{"late": true}
-	q.Offer(start, v.ticket("late", Normal, time.Millisecond))
-	q.Offer(start, v.ticket("good", Normal, time.Hour))
-	q.Done(start.Add(time.Second), Outcome{Took: time.Millisecond})
+	q.Submit(start, v.ticket("late", Normal, time.Millisecond))
+	q.Submit(start, v.ticket("good", Normal, time.Hour))
+	q.Done(start.Add(time.Second), Outcome{Duration: time.Millisecond})
 	if v["late"] || !v["good"] {
 		t.Errorf("verdicts %v", v)
 	}
@@ -85,12 +85,12 @@
 	now := start
 	for range 2000 {
 		for q.Waiting() < 20 {
-			q.Offer(now, &Ticket{Deadline: now.Add(time.Hour), Verdict: func(bool) {}})
+			q.Submit(now, &Ticket{Deadline: now.Add(time.Hour), Notify: func(bool) {}})
 		}
 		now = now.Add(10 * time.Millisecond)
 		running := q.Inflight()
 		for i := range running {
-			q.Done(now, Outcome{Took: 10 * time.Millisecond, Shed: i >= 4})
+			q.Done(now, Outcome{Duration: 10 * time.Millisecond, Shed: i >= 4})
 		}
 	}
 	if q.Limit() < 3 || q.Limit() > 6 {
@@ -114,7 +114,7 @@
 			defer cancel()
 			err := l.Acquire(ctx, Importance(i%int(levels)), time.Now().Add(time.Minute))
 			if err == nil {
-				l.Release(Outcome{Took: time.Microsecond})
+				l.Release(Outcome{Duration: time.Microsecond})
 			} else if k := answer.KindOf(err); k != answer.Overloaded && k != answer.DeadlinePassed {
 				t.Errorf("kind %q", k)
 			}
--- a/transport/front/proxy.go
+++ b/transport/front/proxy.go
@@ -276,9 +276,9 @@
 	resp, end, sent, err := u.Send(out)
 	finish := func(o admission.Outcome) {
 		end()
-		o.Took = p.clock().Sub(began)
+		o.Duration = p.clock().Sub(began)
 		u.Limiter.Release(o)
-		slot.RecordRequest(uint64(o.Took.Microseconds()))
+		slot.RecordRequest(uint64(o.Duration.Microseconds()))
 		span.End()
 	}
 	if err != nil {
