--- a/coordination/poison/poison.go
+++ b/coordination/poison/poison.go
@@ -1,13 +1,13 @@
-// Package poison recognises requests that end the upstreams which run them (queries of death),
-// and says which are not to be sent any more. Such a request comes again, at any gateway, and
-// each time takes with it what else runs on the upstream that it ends.
+// Package poison detects queries of death, requests that crash the upstreams executing them, and
+// decides which requests must no longer be sent. Such a request may be retried at any gateway, and
+// each crash also aborts the other requests running on that upstream.
 //
-// A request is known again by the digest of its path, caller and body. It is suspected when its
-// run breaks off without an answer and that start of the upstream turns out to have ended; all
-// that ran there then are. One that was there at the ends of three is sent no more, unless it may
-// well have been there by chance (verdict.go). Gateways tell each other what they have seen: events
-// are merged by upstream and start, so that what two of them saw of one end counts once, in
-// whichever order they hear.
+// A request is identified by the digest of its path, caller and body. It becomes a suspect when its
+// run is aborted without an answer and that incarnation of the upstream turns out to have ended;
+// every request that was running there becomes one. A suspect that was present at three such ends
+// is refused, unless its presence is probably a coincidence, see shouldRefuse. Gateways exchange their
+// findings. Events are merged by upstream and incarnation, so an end seen by two gateways counts
+// once, regardless of the order in which reports arrive.
 package poison
 
 import (
@@ -21,298 +21,303 @@
 )
 
 const (
-	// endsWithin is how long after a run broke off the end of that start of the upstream counts as
-	// its effect: the first connection that it refuses shows it at once, its next start only when
-	// it is back and has written its entry.
-	endsWithin = 8 * time.Second
-	// endsBefore is the same for an end that was noticed before: other gateways' runs break off at
-	// the same moment, and their word is on its way.
-	endsBefore = 500 * time.Millisecond
-	// forgetAfter is how long after its last crash a request is let through again, by one gateway
-	// as a mean.
-	forgetAfter = 60 * time.Second
-	// toldFor is how long a crash is told to others, of requests that are not refused: some
-	// reports by way of a head.
-	toldFor = 3 * time.Second
-	// endToldFor is the same for ends of upstreams.
-	endToldFor = time.Second
-	// mostSuspects, mostBroken and mostTold bound what is remembered, and what one message tells.
-	mostSuspects = 4096
-	mostBroken   = 4096
-	mostTold     = 256
-	// mostEvents bounds the ends of upstreams that are remembered of one request.
-	mostEvents = 8
+	// crashWindow is how long after an aborted run the end of that upstream incarnation is still
+	// attributed to the run. A refused connection shows the end at once; otherwise it is only known
+	// when the upstream has restarted and written its entry.
+	crashWindow = 8 * time.Second
+	// priorEndWindow is the corresponding limit for an end that was noticed before the run was
+	// aborted: runs of other gateways are aborted at the same moment, and their reports may arrive
+	// first.
+	priorEndWindow = 500 * time.Millisecond
+	// refusalPeriod is how long after its last crash a request is refused by every gateway. After
+	// that, on average one gateway lets it through as a probe.
+	refusalPeriod = 60 * time.Second
+	// reportPeriod is how long a crash of a request that is not refused is reported to other
+	// gateways: long enough for several reports when they are relayed by a domain head.
+	reportPeriod = 3 * time.Second
+	// endReportPeriod is the corresponding period for ends of upstreams.
+	endReportPeriod = time.Second
+	// maxSuspects and maxAbortedRuns bound the memory of a Tracker, maxReported the size of one
+	// message.
+	maxSuspects    = 4096
+	maxAbortedRuns = 4096
+	maxReported    = 256
+	// maxEventsPerSuspect bounds the ends of upstreams that are remembered for one request.
+	maxEventsPerSuspect = 8
 )
 
-// Digest tells a request again.
+// Digest identifies a request across retries.
 type Digest uint64
 
-// DigestOf returns the digest of a request's path with its query, its caller and its body.
+// DigestOf returns the digest of a request, computed from its path with query, caller and body.
 func DigestOf(path, caller string, body []byte) Digest {
 	h := xxhash.New()
-	// Writing to a hash does not fail.
+	// Writes to a hash never fail.
 	_, _ = h.WriteString(path)
 	_, _ = h.WriteString("\x00" + caller + "\x00")
 	_, _ = h.Write(body)
 	return Digest(h.Sum64())
 }
 
-// Event is the end of one start of an upstream, in short.
+// Event identifies the end of one upstream incarnation by a short hash.
 type Event uint32
 
-// eventOf tells the ends of upstreams apart.
+// eventOf returns the event for the end of an upstream incarnation.
 func eventOf(upstream string, incarnation instances.Incarnation) Event {
 	const shift = 32
 	sum := xxhash.Sum64String(upstream) ^ uint64(incarnation)*0x9e3779b97f4a7c15
 	return Event(sum ^ sum>>shift)
 }
 
-// Crash is one upstream's end with a request on it.
+// Crash records that an upstream ended while a request was running on it.
 type Crash struct {
 	Digest Digest
 	Event  Event
 	At     time.Time
 }
 
-// Clearing is the word that a request does no harm, for all its crashes until then.
+// Clearing states that a request is harmless; it cancels all crashes up to its time.
 type Clearing struct {
 	Digest Digest
 	At     time.Time
 }
 
-// suspect is what is known of one request.
+// suspect holds what is known about one request.
 type suspect struct {
-	crashes map[Event]time.Time
-	last    time.Time
-	cleared time.Time
-	refused bool
+	crashes   map[Event]time.Time
+	lastCrash time.Time
+	clearedAt time.Time
+	refused   bool
 }
 
-// broken is a run that broke off without an answer.
-type broken struct {
+// abortedRun is a run that ended without an answer.
+type abortedRun struct {
 	digest Digest
 	at     time.Time
 }
 
-// start is one start of an upstream.
-type start struct {
+// process identifies one incarnation of an upstream.
+type process struct {
 	upstream    string
 	incarnation instances.Incarnation
 }
 
-// Tracker is what one gateway knows. It is not safe for concurrent use.
+// Tracker holds the findings of one gateway. It is not safe for concurrent use.
 type Tracker struct {
 	suspects map[Digest]*suspect
-	// broken are runs that broke off at starts of upstreams which may have ended, ended when
-	// starts were seen to have.
-	broken map[start][]broken
-	count  int
-	ended  map[start]time.Time
-	// ends are all ends that suspects were on.
+	// aborted holds the runs that were aborted on upstream incarnations which may have ended. ended
+	// holds when incarnations were seen to have ended.
+	aborted      map[process][]abortedRun
+	abortedCount int
+	ended        map[process]time.Time
+	// ends holds every end of an upstream that a suspect was present at.
 	ends map[Event]*end
 }
 
-// NewTracker returns a book that suspects no request.
+// NewTracker returns a tracker without suspects.
 func NewTracker() *Tracker {
 	return &Tracker{
 		suspects: make(map[Digest]*suspect),
-		broken:   make(map[start][]broken),
-		ended:    make(map[start]time.Time),
+		aborted:  make(map[process][]abortedRun),
+		ended:    make(map[process]time.Time),
 		ends:     make(map[Event]*end),
 	}
 }
 
-// Empty reports whether nothing is suspected.
-func (b *Tracker) Empty() bool { return len(b.suspects) == 0 }
+// Empty reports whether there are no suspects.
+func (t *Tracker) Empty() bool { return len(t.suspects) == 0 }
 
-// CrashCount returns how many upstreams have ended with the request on them.
-func (b *Tracker) CrashCount(d Digest) int {
-	s := b.suspects[d]
+// CrashCount returns how many upstreams have ended while running the request.
+func (t *Tracker) CrashCount(d Digest) int {
+	s := t.suspects[d]
 	if s == nil {
 		return 0
 	}
 	return len(s.crashes)
 }
 
-// Refused reports whether the request is not to be sent. chance is a random number from 0 to 1:
-// long after its last crash one of so many gateways lets it through to try.
-func (b *Tracker) Refused(now time.Time, d Digest, gateways int, chance float64) bool {
-	s := b.suspects[d]
+// Refused reports whether the request must not be sent. chance is a random number in [0, 1): once
+// refusalPeriod has passed since its last crash, on average one of the gateways lets the request
+// through as a probe.
+func (t *Tracker) Refused(now time.Time, d Digest, gateways int, chance float64) bool {
+	s := t.suspects[d]
 	if s == nil || !s.refused {
 		return false
 	}
-	return now.Sub(s.last) < forgetAfter || chance*float64(max(gateways, 1)) >= 1
+	return now.Sub(s.lastCrash) < refusalPeriod || chance*float64(max(gateways, 1)) >= 1
 }
 
-// RequestAborted notes that a run broke off without an answer, and returns the crash if that start of the
-// upstream is known to have ended.
-func (b *Tracker) RequestAborted(now time.Time, d Digest, upstream string, incarnation instances.Incarnation) []Crash {
-	at, one := start{upstream, incarnation}, broken{digest: d, at: now}
-	if ended, ok := b.ended[at]; ok && now.Sub(ended) < endsBefore {
-		return b.add(one.crash(at))
+// RequestAborted records that a run was aborted without an answer. It returns the resulting crash
+// if that incarnation of the upstream is already known to have ended.
+func (t *Tracker) RequestAborted(now time.Time, d Digest, upstream string, incarnation instances.Incarnation) []Crash {
+	p, run := process{upstream, incarnation}, abortedRun{digest: d, at: now}
+	if ended, ok := t.ended[p]; ok && now.Sub(ended) < priorEndWindow {
+		return t.add(run.crash(p))
 	}
-	if b.count < mostBroken {
-		b.broken[at] = append(b.broken[at], one)
-		b.count++
+	if t.abortedCount < maxAbortedRuns {
+		t.aborted[p] = append(t.aborted[p], run)
+		t.abortedCount++
 	}
 	return nil
 }
 
-// crash is what the run was when that start of the upstream has ended.
-func (r broken) crash(at start) Crash {
-	return Crash{Digest: r.digest, Event: eventOf(at.upstream, at.incarnation), At: r.at}
+// crash returns the crash to record for the run once the incarnation has ended.
+func (r abortedRun) crash(p process) Crash {
+	return Crash{Digest: r.digest, Event: eventOf(p.upstream, p.incarnation), At: r.at}
 }
 
-// RequestAnswered notes that a start of an upstream has answered a request which was sent at a time: it
-// has not ended by what broke off before.
-func (b *Tracker) RequestAnswered(upstream string, incarnation instances.Incarnation, sent time.Time) {
-	at := start{upstream, incarnation}
-	list := b.broken[at]
+// RequestAnswered records that an upstream incarnation answered a request sent at the given time.
+// The incarnation was therefore still running then, and earlier aborted runs did not end it.
+func (t *Tracker) RequestAnswered(upstream string, incarnation instances.Incarnation, sent time.Time) {
+	p := process{upstream, incarnation}
+	list := t.aborted[p]
 	if len(list) == 0 {
 		return
 	}
-	b.keep(at, slices.DeleteFunc(list, func(one broken) bool { return one.at.Before(sent) }))
+	t.setAborted(p, slices.DeleteFunc(list, func(run abortedRun) bool { return run.at.Before(sent) }))
 }
 
-// keep replaces the runs that broke off at a start, which were more.
-func (b *Tracker) keep(at start, list []broken) {
-	b.count -= len(b.broken[at]) - len(list)
+// setAborted replaces the aborted runs of an incarnation by a subset of them.
+func (t *Tracker) setAborted(p process, list []abortedRun) {
+	t.abortedCount -= len(t.aborted[p]) - len(list)
 	if len(list) == 0 {
-		delete(b.broken, at)
+		delete(t.aborted, p)
 		return
 	}
-	b.broken[at] = list
+	t.aborted[p] = list
 }
 
-// UpstreamEnded notes that a start of an upstream has ended, and returns the crashes that this shows.
-func (b *Tracker) UpstreamEnded(now time.Time, upstream string, incarnation instances.Incarnation) []Crash {
-	at := start{upstream, incarnation}
-	if known, ok := b.ended[at]; !ok || now.Before(known) {
-		b.ended[at] = now
+// UpstreamEnded records that an upstream incarnation has ended, and returns the crashes that follow
+// from it.
+func (t *Tracker) UpstreamEnded(now time.Time, upstream string, incarnation instances.Incarnation) []Crash {
+	p := process{upstream, incarnation}
+	if known, ok := t.ended[p]; !ok || now.Before(known) {
+		t.ended[p] = now
 	}
-	list := slices.Clone(b.broken[at])
-	b.count -= len(b.broken[at])
-	delete(b.broken, at)
+	list := slices.Clone(t.aborted[p])
+	t.abortedCount -= len(t.aborted[p])
+	delete(t.aborted, p)
 	var out []Crash
-	for _, one := range list {
-		if now.Sub(one.at) < endsWithin {
-			out = append(out, b.add(one.crash(at))...)
+	for _, run := range list {
+		if now.Sub(run.at) < crashWindow {
+			out = append(out, t.add(run.crash(p))...)
 		}
 	}
 	return out
 }
 
-// End is the end of a start of an upstream. Its time is zero where it is not known to have ended.
+// End is the end of an upstream incarnation. At is zero if the incarnation is not known to have
+// ended.
 type End struct {
 	Upstream    string
 	Incarnation instances.Incarnation
 	At          time.Time
 }
 
-// UnconfirmedEnds returns the starts of upstreams at which runs broke off that may have been their ends.
-func (b *Tracker) UnconfirmedEnds() []End {
-	out := make([]End, 0, len(b.broken))
-	for at := range b.broken {
-		out = append(out, End{Upstream: at.upstream, Incarnation: at.incarnation})
+// UnconfirmedEnds returns the upstream incarnations that have aborted runs and may have ended.
+func (t *Tracker) UnconfirmedEnds() []End {
+	out := make([]End, 0, len(t.aborted))
+	for p := range t.aborted {
+		out = append(out, End{Upstream: p.upstream, Incarnation: p.incarnation})
 	}
 	return out
 }
 
-// RecentEnds returns the ends of upstreams that others are to be told.
-func (b *Tracker) RecentEnds(now time.Time) []End {
+// RecentEnds returns the ends of upstreams to report to other gateways.
+func (t *Tracker) RecentEnds(now time.Time) []End {
 	var out []End
-	for at, ended := range b.ended {
-		if now.Sub(ended) < endToldFor && len(out) < mostTold {
-			out = append(out, End{Upstream: at.upstream, Incarnation: at.incarnation, At: ended})
+	for p, ended := range t.ended {
+		if now.Sub(ended) < endReportPeriod && len(out) < maxReported {
+			out = append(out, End{Upstream: p.upstream, Incarnation: p.incarnation, At: ended})
 		}
 	}
 	return out
 }
 
-// add takes a crash over and returns it if it was not known.
-func (b *Tracker) add(c Crash) []Crash {
-	s := b.suspects[c.Digest]
+// add records a crash and returns it if it was not known before.
+func (t *Tracker) add(c Crash) []Crash {
+	s := t.suspects[c.Digest]
 	if s == nil {
-		if len(b.suspects) >= mostSuspects {
+		if len(t.suspects) >= maxSuspects {
 			return nil
 		}
 		s = &suspect{crashes: make(map[Event]time.Time)}
-		b.suspects[c.Digest] = s
+		t.suspects[c.Digest] = s
 	}
 	_, known := s.crashes[c.Event]
-	if known || !c.At.After(s.cleared) || len(s.crashes) >= mostEvents {
+	if known || !c.At.After(s.clearedAt) || len(s.crashes) >= maxEventsPerSuspect {
 		return nil
 	}
 	s.crashes[c.Event] = c.At
-	b.endAdd(c, s.refused)
-	s.last = later(s.last, c.At)
-	if !s.refused && b.guilty(s) {
-		b.refuse(s)
+	t.addToEnd(c, s.refused)
+	s.lastCrash = later(s.lastCrash, c.At)
+	if !s.refused && t.shouldRefuse(s) {
+		t.refuse(s)
 	}
 	return []Crash{c}
 }
 
-// Merge takes over what another gateway tells, and returns what was not known.
-func (b *Tracker) Merge(list []Crash) []Crash {
+// Merge records crashes reported by another gateway and returns those that were not known.
+func (t *Tracker) Merge(list []Crash) []Crash {
 	var out []Crash
 	for _, c := range list {
-		out = append(out, b.add(c)...)
+		out = append(out, t.add(c)...)
 	}
 	return out
 }
 
-// Clear forgets the crashes of requests until a time: they have ended well, or an operator says
-// that they may be sent.
-func (b *Tracker) Clear(list ...Clearing) {
+// Clear discards the crashes of requests up to the given times, because a later run was answered or
+// an operator has allowed the request.
+func (t *Tracker) Clear(list ...Clearing) {
 	for _, c := range list {
-		s := b.suspects[c.Digest]
+		s := t.suspects[c.Digest]
 		if s == nil {
 			s = &suspect{crashes: make(map[Event]time.Time)}
-			b.suspects[c.Digest] = s
+			t.suspects[c.Digest] = s
 		}
-		if !c.At.After(s.cleared) {
+		if !c.At.After(s.clearedAt) {
 			continue
 		}
-		s.cleared = c.At
+		s.clearedAt = c.At
 		for event, at := range s.crashes {
 			if !at.After(c.At) {
 				delete(s.crashes, event)
-				b.endRemove(event, s.refused)
+				t.removeFromEnd(event, s.refused)
 			}
 		}
-		b.acquit(s)
+		t.reinstate(s)
 	}
 }
 
-// Export returns what others are to be told: crashes of late, those of requests that are refused,
-// and clearings of late; the requests with most crashes first, as many as one message bears.
-func (b *Tracker) Export(now time.Time) (crashes []Crash, clearings []Clearing) {
-	for _, d := range b.list(func(s *suspect) bool {
-		return s.refused || now.Sub(s.last) < toldFor || now.Sub(s.cleared) < toldFor
+// Export returns what to report to other gateways: recent crashes, crashes of refused requests, and
+// recent clearings. Requests with the most crashes come first, up to the size of one message.
+func (t *Tracker) Export(now time.Time) (crashes []Crash, clearings []Clearing) {
+	for _, d := range t.selectSuspects(func(s *suspect) bool {
+		return s.refused || now.Sub(s.lastCrash) < reportPeriod || now.Sub(s.clearedAt) < reportPeriod
 	}) {
-		s := b.suspects[d]
-		if now.Sub(s.cleared) < toldFor {
-			clearings = append(clearings, Clearing{Digest: d, At: s.cleared})
+		s := t.suspects[d]
+		if now.Sub(s.clearedAt) < reportPeriod {
+			clearings = append(clearings, Clearing{Digest: d, At: s.clearedAt})
 		}
 		for event, at := range s.crashes {
-			if len(crashes) < mostTold {
+			if len(crashes) < maxReported {
 				crashes = append(crashes, Crash{Digest: d, Event: event, At: at})
 			}
 		}
 	}
-	return crashes, clearings[:min(len(clearings), mostTold)]
+	return crashes, clearings[:min(len(clearings), maxReported)]
 }
 
-// list returns the suspects of a kind, those with most crashes first.
-func (b *Tracker) list(is func(*suspect) bool) []Digest {
+// selectSuspects returns the suspects that match, those with the most crashes first.
+func (t *Tracker) selectSuspects(match func(*suspect) bool) []Digest {
 	var out []Digest
-	for d, s := range b.suspects {
-		if is(s) {
+	for d, s := range t.suspects {
+		if match(s) {
 			out = append(out, d)
 		}
 	}
 	slices.SortFunc(out, func(x, y Digest) int {
-		if n := cmp.Compare(len(b.suspects[y].crashes), len(b.suspects[x].crashes)); n != 0 {
+		if n := cmp.Compare(len(t.suspects[y].crashes), len(t.suspects[x].crashes)); n != 0 {
 			return n
 		}
 		return cmp.Compare(x, y)
@@ -320,43 +325,43 @@
 	return out
 }
 
-// Suspect is one request for operators.
+// Suspect describes one request for operators.
 type Suspect struct {
 	Digest  Digest
 	Crashes int
 	Last    time.Time
-	// Refused says that it is not sent any more.
+	// Refused reports whether the request is currently refused.
 	Refused bool
 }
 
-// Suspects returns the requests with crashes, those with most of them first.
-func (b *Tracker) Suspects() []Suspect {
+// Suspects returns the requests with crashes, those with the most crashes first.
+func (t *Tracker) Suspects() []Suspect {
 	var out []Suspect
-	for _, d := range b.list(func(s *suspect) bool { return len(s.crashes) > 0 }) {
-		s := b.suspects[d]
-		out = append(out, Suspect{Digest: d, Crashes: len(s.crashes), Last: s.last, Refused: s.refused})
+	for _, d := range t.selectSuspects(func(s *suspect) bool { return len(s.crashes) > 0 }) {
+		s := t.suspects[d]
+		out = append(out, Suspect{Digest: d, Crashes: len(s.crashes), Last: s.lastCrash, Refused: s.refused})
 	}
 	return out
 }
 
-// Prune drops what is too old to matter. A request that is refused is remembered twice as long as
-// it is refused: a trial that ends another upstream has it refused again at once.
-func (b *Tracker) Prune(now time.Time) {
-	for at, list := range b.broken {
-		b.keep(at, slices.DeleteFunc(list, func(one broken) bool { return now.Sub(one.at) >= endsWithin }))
+// Prune discards expired findings. A refused request is remembered for twice refusalPeriod, so that
+// a probe that crashes another upstream is refused again at once.
+func (t *Tracker) Prune(now time.Time) {
+	for p, list := range t.aborted {
+		t.setAborted(p, slices.DeleteFunc(list, func(run abortedRun) bool { return now.Sub(run.at) >= crashWindow }))
 	}
-	for at, ended := range b.ended {
-		if now.Sub(ended) >= endsWithin {
-			delete(b.ended, at)
+	for p, ended := range t.ended {
+		if now.Sub(ended) >= crashWindow {
+			delete(t.ended, p)
 		}
 	}
-	b.forgetEnds(now)
-	for d, s := range b.suspects {
-		if now.Sub(s.last) >= 2*forgetAfter && now.Sub(s.cleared) >= forgetAfter {
+	t.pruneEnds(now)
+	for d, s := range t.suspects {
+		if now.Sub(s.lastCrash) >= 2*refusalPeriod && now.Sub(s.clearedAt) >= refusalPeriod {
 			for event := range s.crashes {
-				b.endRemove(event, s.refused)
+				t.removeFromEnd(event, s.refused)
 			}
-			delete(b.suspects, d)
+			delete(t.suspects, d)
 		}
 	}
 }
--- a/coordination/poison/poison_test.go
+++ b/coordination/poison/poison_test.go
@@ -15,36 +15,37 @@
 
 const ms = time.Millisecond
 
-// crash lets a request end a start of an upstream, as one gateway sees it.
-func crash(b *Tracker, now time.Duration, d Digest, upstream string, incarnation instances.Incarnation) []Crash {
-	b.RequestAborted(at(now), d, upstream, incarnation)
-	return b.UpstreamEnded(at(now+100*ms), upstream, incarnation)
+// crash records that a request ended an incarnation of an upstream, as seen by one gateway.
+func crash(tr *Tracker, now time.Duration, d Digest, upstream string, incarnation instances.Incarnation) []Crash {
+	tr.RequestAborted(at(now), d, upstream, incarnation)
+	return tr.UpstreamEnded(at(now+100*ms), upstream, incarnation)
 }
 
-// TestThirdCrashIsTheLast: a request is refused once three upstreams have ended with it on them.
-func TestThirdCrashIsTheLast(t *testing.T) {
-	b := NewTracker()
-	guilty := DigestOf("/a", "caller", []byte("body"))
-	for i := range refusedFrom {
-		if b.Refused(at(time.Duration(i)*time.Second), guilty, 1, 0) {
+// A request is refused after three upstreams have ended while running it.
+func TestRequestIsRefusedAfterThreeCrashes(t *testing.T) {
+	tr := NewTracker()
+	harmful := DigestOf("/a", "caller", []byte("body"))
+	for i := range refusalThreshold {
+		if tr.Refused(at(time.Duration(i)*time.Second), harmful, 1, 0) {
 			t.Fatalf("refused after %d crashes", i)
 		}
-		if got := crash(b, time.Duration(i)*time.Second, guilty, "u", instances.Incarnation(i+1)); len(got) != 1 {
+		if got := crash(tr, time.Duration(i)*time.Second, harmful, "u", instances.Incarnation(i+1)); len(got) != 1 {
 			t.Fatalf("crash %d: %v", i, got)
 		}
 	}
-	if !b.Refused(at(4*time.Second), guilty, 1, 0) {
-		t.Error("sent again after three crashes")
+	if !tr.Refused(at(4*time.Second), harmful, 1, 0) {
+		t.Error("not refused after three crashes")
 	}
-	for _, innocent := range []Digest{DigestOf("/a", "caller", []byte("other")), DigestOf("/a", "other", []byte("body")), DigestOf("/b", "caller", []byte("body"))} {
-		if b.CrashCount(innocent) > 0 {
-			t.Error("another request is taken for it")
+	for _, harmless := range []Digest{DigestOf("/a", "caller", []byte("other")), DigestOf("/a", "other", []byte("body")), DigestOf("/b", "caller", []byte("body"))} {
+		if tr.CrashCount(harmless) > 0 {
+			t.Error("crashes of one request are attributed to another")
 		}
 	}
 }
 
-// TestOneEndCountsOnce however many gateways have seen it and in whichever order they tell.
-func TestOneEndCountsOnce(t *testing.T) {
+// One end counts once, regardless of how many gateways have seen it and of the order of their
+// reports.
+func TestEndSeenByTwoGatewaysCountsOnce(t *testing.T) {
 	x, y, z := NewTracker(), NewTracker(), NewTracker()
 	const d = Digest(7)
 	first, second := crash(x, 0, d, "u", 1), crash(y, 50*ms, d, "u", 1)
@@ -52,200 +53,204 @@
 	z.Merge(second)
 	z.Merge(third)
 	if got := z.Merge(append(first, first...)); len(got) != 0 || z.CrashCount(d) != 2 {
-		t.Errorf("%d crashes, two upstreams ended; news: %v", z.CrashCount(d), got)
+		t.Errorf("%d crashes, want 2 for two ended upstreams; reported as new: %v", z.CrashCount(d), got)
 	}
 }
 
-// TestBrokenRunsAloneAreNoCrash: full upstreams break connections, connections are reset, and the
-// upstream answers on.
-func TestBrokenRunsAloneAreNoCrash(t *testing.T) {
-	b := NewTracker()
+// Overloaded upstreams and connection resets abort runs without ending the upstream, which
+// continues to answer.
+func TestAbortedRunsAloneAreNoCrash(t *testing.T) {
+	tr := NewTracker()
 	const d = Digest(7)
 	for i := range 20 {
 		now := time.Duration(i) * 100 * ms
-		b.RequestAborted(at(now), d, "u", 1)
-		b.RequestAnswered("u", 1, at(now+ms))
+		tr.RequestAborted(at(now), d, "u", 1)
+		tr.RequestAnswered("u", 1, at(now+ms))
 	}
-	if got := b.UpstreamEnded(at(3*time.Second), "u", 1); len(got) != 0 || b.CrashCount(d) != 0 {
+	if got := tr.UpstreamEnded(at(3*time.Second), "u", 1); len(got) != 0 || tr.CrashCount(d) != 0 {
 		t.Errorf("crashes: %v", got)
 	}
-	b.RequestAborted(at(4*time.Second), d, "u", 1)
-	if got := b.UpstreamEnded(at(4*time.Second+endsWithin), "u", 1); len(got) != 0 {
-		t.Errorf("an end long after is its effect: %v", got)
+	tr.RequestAborted(at(4*time.Second), d, "u", 1)
+	if got := tr.UpstreamEnded(at(4*time.Second+crashWindow), "u", 1); len(got) != 0 {
+		t.Errorf("an end long after the aborted run counts as a crash: %v", got)
 	}
 }
 
-// TestAnswersToEarlierRequestsClearNothing: they were on their way when the upstream ended.
-func TestAnswersToEarlierRequestsClearNothing(t *testing.T) {
-	b := NewTracker()
-	b.RequestAborted(at(100*ms), 7, "u", 1)
-	b.RequestAnswered("u", 1, at(50*ms))
-	if got := b.UpstreamEnded(at(200*ms), "u", 1); len(got) != 1 {
+// An answer to a request that was sent before the run was aborted does not prove that the upstream
+// survived it.
+func TestAnswerToEarlierRequestKeepsAbortedRun(t *testing.T) {
+	tr := NewTracker()
+	tr.RequestAborted(at(100*ms), 7, "u", 1)
+	tr.RequestAnswered("u", 1, at(50*ms))
+	if got := tr.UpstreamEnded(at(200*ms), "u", 1); len(got) != 1 {
 		t.Errorf("crashes: %v", got)
 	}
 }
 
-// TestEndIsKnownFirst: another gateway's word of the end comes before the run breaks off here.
-func TestEndIsKnownFirst(t *testing.T) {
-	b := NewTracker()
-	b.UpstreamEnded(at(0), "u", 1)
-	if got := b.RequestAborted(at(20*ms), 7, "u", 1); len(got) != 1 {
+// The report of the end by another gateway may arrive before the run is aborted at this gateway.
+func TestEndReportedBeforeAbort(t *testing.T) {
+	tr := NewTracker()
+	tr.UpstreamEnded(at(0), "u", 1)
+	if got := tr.RequestAborted(at(20*ms), 7, "u", 1); len(got) != 1 {
 		t.Errorf("crashes: %v", got)
 	}
-	if got := b.RequestAborted(at(20*ms), 7, "u", 2); len(got) != 0 {
-		t.Errorf("the end of another start counts: %v", got)
+	if got := tr.RequestAborted(at(20*ms), 7, "u", 2); len(got) != 0 {
+		t.Errorf("the end of another incarnation counts: %v", got)
 	}
 }
 
-// TestClearing: what ended well, or what an operator lets through, has no crashes from before, also
-// when others tell of them later.
+// A request that was answered, or allowed by an operator, has no crashes from before that time,
+// even if other gateways report them later.
 func TestClearing(t *testing.T) {
-	b := NewTracker()
+	tr := NewTracker()
 	const d = Digest(7)
 	var all []Crash
-	for i := range refusedFrom {
-		all = append(all, crash(b, time.Duration(i)*time.Second, d, fmt.Sprint("u", i), 1)...)
+	for i := range refusalThreshold {
+		all = append(all, crash(tr, time.Duration(i)*time.Second, d, fmt.Sprint("u", i), 1)...)
 	}
-	b.Clear(Clearing{Digest: d, At: at(5 * time.Second)})
-	if b.Merge(all); b.CrashCount(d) != 0 {
-		t.Errorf("%d crashes after it was cleared", b.CrashCount(d))
+	tr.Clear(Clearing{Digest: d, At: at(5 * time.Second)})
+	if tr.Merge(all); tr.CrashCount(d) != 0 {
+		t.Errorf("%d crashes after the request was cleared", tr.CrashCount(d))
 	}
-	if _, told := b.Export(at(5 * time.Second)); len(told) != 1 {
-		t.Errorf("told: %v", told)
+	if _, reported := tr.Export(at(5 * time.Second)); len(reported) != 1 {
+		t.Errorf("clearings reported: %v", reported)
 	}
-	if crash(b, 6*time.Second, d, "u9", 1); b.CrashCount(d) != 1 {
-		t.Errorf("%d crashes after one more", b.CrashCount(d))
+	if crash(tr, 6*time.Second, d, "u9", 1); tr.CrashCount(d) != 1 {
+		t.Errorf("%d crashes after one more", tr.CrashCount(d))
 	}
 }
 
-// TestTriedAgainByOne: long after its last crash about one gateway of all lets a request through.
-func TestTriedAgainByOne(t *testing.T) {
-	b := NewTracker()
+// Once refusalPeriod has passed since the last crash, on average one gateway lets the request
+// through.
+func TestOneGatewayProbesRefusedRequest(t *testing.T) {
+	tr := NewTracker()
 	const d = Digest(7)
-	for i := range refusedFrom {
-		crash(b, 0, d, fmt.Sprint("u", i), 1)
+	for i := range refusalThreshold {
+		crash(tr, 0, d, fmt.Sprint("u", i), 1)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	const gateways, rounds = 300, 100
-	let := 0
+	letThrough := 0
 	for range gateways * rounds {
-		if !b.Refused(at(forgetAfter), d, gateways, rng.Float64()) {
-			let++
+		if !tr.Refused(at(refusalPeriod), d, gateways, rng.Float64()) {
+			letThrough++
 		}
 	}
-	if let < rounds/2 || let > 2*rounds {
-		t.Errorf("%.1f of %d gateways let it through", float64(let)/rounds, gateways)
+	if letThrough < rounds/2 || letThrough > 2*rounds {
+		t.Errorf("on average %.1f of %d gateways let the request through", float64(letThrough)/rounds, gateways)
 	}
-	if !b.Refused(at(forgetAfter-time.Second), d, gateways, 0) {
-		t.Error("let through too soon")
+	if !tr.Refused(at(refusalPeriod-time.Second), d, gateways, 0) {
+		t.Error("let through before refusalPeriod")
 	}
-	b.Prune(at(3 * forgetAfter))
-	if !b.Empty() {
-		t.Error("remembered for ever")
+	tr.Prune(at(3 * refusalPeriod))
+	if !tr.Empty() {
+		t.Error("the suspect is never discarded")
 	}
 }
 
-// TestBounds: whatever breaks, what is remembered and told stays bounded.
+// The memory of a tracker and the size of its messages stay bounded.
 func TestBounds(t *testing.T) {
-	b := NewTracker()
-	for i := range 3 * mostSuspects {
-		b.RequestAborted(at(0), Digest(i), "u", 1)
+	tr := NewTracker()
+	for i := range 3 * maxSuspects {
+		tr.RequestAborted(at(0), Digest(i), "u", 1)
 	}
-	b.UpstreamEnded(at(ms), "u", 1)
-	if b.count != 0 || len(b.suspects) > mostSuspects {
-		t.Errorf("%d runs and %d suspects remembered", b.count, len(b.suspects))
+	tr.UpstreamEnded(at(ms), "u", 1)
+	if tr.abortedCount != 0 || len(tr.suspects) > maxSuspects {
+		t.Errorf("%d aborted runs and %d suspects are kept", tr.abortedCount, len(tr.suspects))
 	}
-	crash(b, 2*ms, 1, "v", 1)
-	told, _ := b.Export(at(3 * ms))
-	if len(told) > mostTold || told[0].Digest != 1 {
-		t.Errorf("%d crashes told, the first of %d", len(told), told[0].Digest)
+	crash(tr, 2*ms, 1, "v", 1)
+	reported, _ := tr.Export(at(3 * ms))
+	if len(reported) > maxReported || reported[0].Digest != 1 {
+		t.Errorf("%d crashes reported, the first for digest %d", len(reported), reported[0].Digest)
 	}
 }
 
-// TestGuiltyAmongMany: a request that ends each upstream it reaches comes again at any gateway of
-// 12 or 74, beside innocent ones that are sent again as often, while upstreams also end by
-// themselves. After the third end of an upstream it reaches few more, and no innocent one is refused.
-func TestGuiltyAmongMany(t *testing.T) {
+// A request that ends each upstream it reaches is retried at any of 12 or 74 gateways, along with
+// harmless requests that are retried as often, while upstreams also end for other reasons. After
+// its third crash it must end no more upstreams once the reports have spread, and no harmless
+// request may be refused.
+func TestHarmfulAmongMany(t *testing.T) {
 	const callers = 40
-	guiltyAmongMany(t, 8, func(rng *rand.Rand, now time.Duration) Digest {
-		// In each second some forty callers ask, and come back.
+	testHarmfulAmongMany(t, 8, func(rng *rand.Rand, now time.Duration) Digest {
+		// About forty callers send requests and retries in each second.
 		return Digest(2 + int(now/time.Second)*callers + rng.IntN(callers))
 	}, 30*callers)
 }
 
-// TestGuiltyAmongManyThatComeBack: the same with four hundred callers that come back all the time.
-func TestGuiltyAmongManyThatComeBack(t *testing.T) {
+// The same with four hundred callers that retry all the time.
+func TestHarmfulAmongManyReturningCallers(t *testing.T) {
 	const callers = 400
-	guiltyAmongMany(t, 20, func(rng *rand.Rand, _ time.Duration) Digest { return Digest(2 + rng.IntN(callers)) }, callers)
+	testHarmfulAmongMany(t, 20, func(rng *rand.Rand, _ time.Duration) Digest { return Digest(2 + rng.IntN(callers)) }, callers)
 }
 
-// guiltyAmongMany plays so many seeds with innocent requests as the function draws them.
-func guiltyAmongMany(t *testing.T, seeds uint64, innocent func(*rand.Rand, time.Duration) Digest, innocents Digest) {
+// testHarmfulAmongMany runs the scenario with the given number of seeds; harmless draws the
+// harmless requests.
+func testHarmfulAmongMany(t *testing.T, seeds uint64, harmless func(*rand.Rand, time.Duration) Digest, harmlessCount Digest) {
 	t.Helper()
 	for _, gateways := range []int{12, 74} {
 		for seed := range seeds {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			books := make([]*Tracker, gateways)
-			for i := range books {
-				books[i] = NewTracker()
+			trackers := make([]*Tracker, gateways)
+			for i := range trackers {
+				trackers[i] = NewTracker()
 			}
-			const upstreams, tell = 11, 200 * ms
+			const upstreams, reportInterval = 11, 200 * ms
 			incarnation := make([]instances.Incarnation, upstreams)
 			crashes, after := 0, 0
 			var third time.Duration
 			for now := time.Duration(0); now < 30*time.Second; now += 100 * ms {
 				u := rng.IntN(upstreams)
 				name := fmt.Sprint("u", u)
-				guilty := now%(500*ms) == 0
-				ends := guilty || rng.Float64() < 0.03
-				if guilty {
+				harmful := now%(500*ms) == 0
+				ends := harmful || rng.Float64() < 0.03
+				if harmful {
 					g := rng.IntN(gateways)
-					if books[g].Refused(at(now), 1, gateways, rng.Float64()) {
+					if trackers[g].Refused(at(now), 1, gateways, rng.Float64()) {
 						ends = false
 					} else {
-						if crashes++; crashes == refusedFrom {
+						if crashes++; crashes == refusalThreshold {
 							third = now
 						}
-						if crashes > refusedFrom && now > third+3*time.Second {
+						if crashes > refusalThreshold && now > third+3*time.Second {
 							after++
 						}
-						books[g].RequestAborted(at(now), 1, name, incarnation[u])
+						trackers[g].RequestAborted(at(now), 1, name, incarnation[u])
 					}
 				}
 				if ends {
-					// Innocent ones on it.
+					// Harmless requests on the same upstream.
 					for range 4 {
-						books[rng.IntN(gateways)].RequestAborted(at(now), innocent(rng, now), name, incarnation[u])
+						trackers[rng.IntN(gateways)].RequestAborted(at(now), harmless(rng, now), name, incarnation[u])
 					}
-					for _, b := range books {
-						b.UpstreamEnded(at(now+50*ms), name, incarnation[u])
+					for _, tr := range trackers {
+						tr.UpstreamEnded(at(now+50*ms), name, incarnation[u])
 					}
 					incarnation[u]++
 				}
-				if now%tell == 0 {
+				if now%reportInterval == 0 {
 					var all []Crash
-					for _, b := range books {
-						crashes, _ := b.Export(at(now))
+					for _, tr := range trackers {
+						crashes, _ := tr.Export(at(now))
 						all = append(all, crashes...)
 					}
-					for _, b := range books {
-						b.Merge(all)
+					for _, tr := range trackers {
+						tr.Merge(all)
 					}
 				}
 			}
-			if after > 0 || crashes < refusedFrom {
-				t.Errorf("seed %d, %d gateways: %d crashes, %d of them long after the third", seed, gateways, crashes, after)
+			if after > 0 || crashes < refusalThreshold {
+				t.Errorf("seed %d, %d gateways: %d crashes, %d of them more than 3 s after the third", seed, gateways, crashes, after)
 			}
-			for d := Digest(2); d < 2+innocents; d++ {
-				if books[0].Refused(at(30*time.Second), d, gateways, 1) {
-					t.Errorf("seed %d, %d gateways: innocent request refused after %d", seed, gateways, books[0].CrashCount(d))
+			for d := Digest(2); d < 2+harmlessCount; d++ {
+				if trackers[0].Refused(at(30*time.Second), d, gateways, 1) {
+					t.Errorf("seed %d, %d gateways: harmless request refused after %d crashes", seed, gateways, trackers[0].CrashCount(d))
 				}
 			}
 		}
 	}
 }
 
-// BenchmarkDigest is what it costs to know a request again.
+// BenchmarkDigest measures the cost of identifying a request.
 func BenchmarkDigest(b *testing.B) {
 	for _, size := range []int{0, 1 << 10, 24 << 10} {
 		body := make([]byte, size)
--- a/coordination/poison/runs.go
+++ b/coordination/poison/runs.go
@@ -2,43 +2,43 @@
 
 import "slices"
 
-// ActiveRuns keeps at which upstreams suspects run that one gateway has sent, so that they do not meet: one
-// that ends upstreams else brings the others to the ends that it causes. It is not safe for
-// concurrent use.
+// ActiveRuns records on which upstreams the suspects sent by one gateway are running, so that
+// suspects can be kept apart. Otherwise a request that crashes upstreams would also implicate the
+// suspects that run beside it. It is not safe for concurrent use.
 type ActiveRuns struct {
-	at map[string][]Digest
+	running map[string][]Digest
 }
 
-// NewActiveRuns returns runs of which there are none.
-func NewActiveRuns() *ActiveRuns { return &ActiveRuns{at: make(map[string][]Digest)} }
+// NewActiveRuns returns an empty set of runs.
+func NewActiveRuns() *ActiveRuns { return &ActiveRuns{running: make(map[string][]Digest)} }
 
-// Begin notes that a suspect is sent to an upstream.
+// Begin records that a suspect was sent to an upstream.
 func (r *ActiveRuns) Begin(upstream string, d Digest) {
-	r.at[upstream] = append(r.at[upstream], d)
+	r.running[upstream] = append(r.running[upstream], d)
 }
 
-// End notes that a run which began has ended.
+// End records that a run has finished.
 func (r *ActiveRuns) End(upstream string, d Digest) {
-	list := r.at[upstream]
+	list := r.running[upstream]
 	i := slices.Index(list, d)
 	if i < 0 {
 		return
 	}
 	if len(list) == 1 {
-		delete(r.at, upstream)
+		delete(r.running, upstream)
 		return
 	}
-	r.at[upstream] = slices.Delete(list, i, i+1)
+	r.running[upstream] = slices.Delete(list, i, i+1)
 }
 
-// UpstreamsToAvoid returns the upstreams at which a suspect with so many ends is not to run, in order: those
-// where others run, if it has enough of them.
+// UpstreamsToAvoid returns, in sorted order, the upstreams on which other suspects are running, if
+// the suspect was present at enough ends to be kept apart.
 func (r *ActiveRuns) UpstreamsToAvoid(d Digest, ends int) []string {
-	if ends < apartFrom {
+	if ends < isolationThreshold {
 		return nil
 	}
 	var out []string
-	for upstream, list := range r.at {
+	for upstream, list := range r.running {
 		if slices.ContainsFunc(list, func(other Digest) bool { return other != d }) {
 			out = append(out, upstream)
 		}
--- a/coordination/poison/verdict.go
+++ b/coordination/poison/verdict.go
@@ -4,91 +4,95 @@
 
 // This file decides which suspects are refused.
 //
-// A request that ends upstreams ends each that runs it. An innocent one is at their ends by
-// chance, and the more ends there are the sooner it is at three. What tells them apart: ends with a
-// refused request on them are explained, and speak against nobody else; ends of late that a request
-// was not on speak for it, above all those between its own ones.
+// A harmful request ends every upstream that runs it. A harmless one is present at such ends by
+// coincidence, and the more ends there are, the sooner it was present at three. Two rules separate
+// them. An end at which a refused request was present is explained by that request and does not count
+// against others. A recent end at which a request was not present counts in favor of that request,
+// most of all if it lies between ends at which the request was present.
 
 const (
-	// refusedFrom is how many ends of upstreams that nothing else explains a request must have
-	// been at to be refused, if none passed it by in between and fewer than othersFrom before.
-	refusedFrom = 3
-	othersFrom  = 3
-	// refusedAnyway is the number from which it is refused whatever happened besides.
-	refusedAnyway = 4
-	// apartFrom is the number of ends from which a request is to be sent where no other suspect
-	// runs.
-	apartFrom = refusedFrom - 1
-	// endMemory is how long an end counts that no suspect is left of.
-	endMemory = 30 * time.Second
+	// refusalThreshold is the number of unexplained ends at which a request is refused, unless an
+	// unrelated unexplained end lies between them or at least coincidenceThreshold such ends lie
+	// before them.
+	refusalThreshold     = 3
+	coincidenceThreshold = 3
+	// certainThreshold is the number of unexplained ends at which a request is refused regardless
+	// of unrelated ends.
+	certainThreshold = 4
+	// isolationThreshold is the number of ends from which a request is only sent to upstreams that
+	// run no other suspect.
+	isolationThreshold = refusalThreshold - 1
+	// endRetention is how long an end is kept after its last suspect is gone.
+	endRetention = 30 * time.Second
 )
 
-// end is one end of an upstream with requests on it.
+// end is the end of one upstream incarnation with requests running on it.
 type end struct {
 	at time.Time
-	// on is the number of suspects that were on it, refused that of those that are refused.
-	on, refused int
+	// suspects is the number of suspects that were present, refusedSuspects the number of those
+	// that are refused.
+	suspects, refusedSuspects int
 }
 
-// endAdd notes a suspect on an end.
-func (b *Tracker) endAdd(c Crash, refused bool) {
-	one := b.ends[c.Event]
-	if one == nil {
-		one = &end{at: c.At}
-		b.ends[c.Event] = one
+// addToEnd adds a suspect to an end.
+func (t *Tracker) addToEnd(c Crash, refused bool) {
+	e := t.ends[c.Event]
+	if e == nil {
+		e = &end{at: c.At}
+		t.ends[c.Event] = e
 	}
-	if c.At.Before(one.at) {
-		one.at = c.At
+	if c.At.Before(e.at) {
+		e.at = c.At
 	}
-	one.on++
+	e.suspects++
 	if refused {
-		one.refused++
+		e.refusedSuspects++
 	}
 }
 
-// endRemove forgets a suspect on an end.
-func (b *Tracker) endRemove(event Event, refused bool) {
-	one := b.ends[event]
-	one.on--
+// removeFromEnd removes a suspect from an end.
+func (t *Tracker) removeFromEnd(event Event, refused bool) {
+	e := t.ends[event]
+	e.suspects--
 	if refused {
-		one.refused--
+		e.refusedSuspects--
 	}
 }
 
-// forgetEnds drops ends that are too old to matter.
-func (b *Tracker) forgetEnds(now time.Time) {
-	for event, one := range b.ends {
-		if one.on == 0 && now.Sub(one.at) >= endMemory {
-			delete(b.ends, event)
+// pruneEnds discards expired ends.
+func (t *Tracker) pruneEnds(now time.Time) {
+	for event, e := range t.ends {
+		if e.suspects == 0 && now.Sub(e.at) >= endRetention {
+			delete(t.ends, event)
 		}
 	}
 }
 
-// refuse has a suspect refused from now on: its ends are explained.
-func (b *Tracker) refuse(s *suspect) {
+// refuse marks a suspect as refused, which explains the ends it was present at.
+func (t *Tracker) refuse(s *suspect) {
 	s.refused = true
 	for event := range s.crashes {
-		b.ends[event].refused++
+		t.ends[event].refusedSuspects++
 	}
 }
 
-// acquit lets a suspect through again that too little is left against.
-func (b *Tracker) acquit(s *suspect) {
-	if !s.refused || len(s.crashes) >= refusedFrom {
+// reinstate lifts the refusal of a suspect that has fewer crashes left than refusalThreshold.
+func (t *Tracker) reinstate(s *suspect) {
+	if !s.refused || len(s.crashes) >= refusalThreshold {
 		return
 	}
 	s.refused = false
 	for event := range s.crashes {
-		b.ends[event].refused--
+		t.ends[event].refusedSuspects--
 	}
 }
 
-// guilty reports whether a suspect that is not refused yet is to be.
-func (b *Tracker) guilty(s *suspect) bool {
+// shouldRefuse reports whether a suspect that is not refused yet has to be.
+func (t *Tracker) shouldRefuse(s *suspect) bool {
 	count := 0
 	var first, last time.Time
 	for event, at := range s.crashes {
-		if b.ends[event].refused > 0 {
+		if t.ends[event].refusedSuspects > 0 {
 			continue
 		}
 		count++
@@ -97,26 +101,27 @@
 		}
 		last = later(last, at)
 	}
-	if count < refusedFrom {
+	if count < refusalThreshold {
 		return false
 	}
-	return count >= refusedAnyway || !b.byChance(s, first, last)
+	return count >= certainThreshold || !t.likelyCoincidence(s, first, last)
 }
 
-// byChance reports whether a suspect may well have been at its ends by chance, the first and the last
-// of them at these times: others that nothing explains passed it by.
-func (b *Tracker) byChance(s *suspect, first, last time.Time) bool {
+// likelyCoincidence reports whether a suspect was probably present at its ends by coincidence,
+// because unexplained ends occurred without it. first and last are the times of its first and last
+// unexplained end.
+func (t *Tracker) likelyCoincidence(s *suspect, first, last time.Time) bool {
 	others := 0
-	for event, one := range b.ends {
-		if _, on := s.crashes[event]; on || one.refused > 0 || !one.at.Before(last) {
+	for event, e := range t.ends {
+		if _, present := s.crashes[event]; present || e.refusedSuspects > 0 || !e.at.Before(last) {
 			continue
 		}
-		if one.at.After(first) {
+		if e.at.After(first) {
 			return true
 		}
 		others++
 	}
-	return others >= othersFrom
+	return others >= coincidenceThreshold
 }
 
 func later(a, b time.Time) time.Time {
