--- a/coordination/gate/gate_test.go
+++ b/coordination/gate/gate_test.go
@@ -14,7 +14,7 @@
 
 var self = cell.Member{ID: "e#1", Cell: "c", Peer: "p"}
 
-// document returns a cell of n ranges owned by the given upstreams.
+// document returns a cell document with n ranges, owned in turn by the given upstreams.
 func document(version uint64, n int, phase cell.Phase, owners ...string) *cell.Cell {
 	c := &cell.Cell{Name: "c", Version: version, Fence: version, Quorum: cell.Quorum{Local: []cell.Member{self}}}
 	for _, id := range owners {
@@ -36,9 +36,8 @@
 	return g
 }
 
-// TestEnterSeesTheNewTable routes before a change and enters after it: what
-// was decided by the old table must not pass.
-func TestEnterSeesTheNewTable(t *testing.T) {
+// A route decided with the old table must not be admitted after the table has changed.
+func TestEnterRejectsRouteFromOldTable(t *testing.T) {
 	g := newGate(t, document(1, 4, cell.Owned, "u"))
 	r := g.Route("s", 0)
 	if r.Destination != Local {
@@ -49,16 +48,15 @@
 		t.Errorf("Enter returned %v, want Moved", got)
 	}
 	if len(g.BusyRanges()) > 0 {
-		t.Error("a refused request is counted as in flight")
+		t.Error("a rejected request is counted as in flight")
 	}
 }
 
-// TestBusyWhileRequestsAreInside has many requests enter and leave while the table
-// changes: once nothing is busy after a change, none may be between Enter and
-// Leave on a range that was released.
-func TestBusyWhileRequestsAreInside(t *testing.T) {
+// Requests enter and leave concurrently while the table changes. Once no range is busy after a
+// change, no request may be in flight on a range that was released.
+func TestBusyRangesCoverRequestsInFlight(t *testing.T) {
 	g := newGate(t, document(1, 4, cell.Owned, "u"))
-	var inside sync.Map
+	var inFlight sync.Map
 	stop := make(chan struct{})
 	var wait sync.WaitGroup
 	for i := range 4 {
@@ -75,8 +73,8 @@
 				if r.Destination != Local || g.Enter(r) != Admitted {
 					continue
 				}
-				inside.Store(i, r.Slot.Epoch)
-				inside.Delete(i)
+				inFlight.Store(i, r.Slot.Epoch)
+				inFlight.Delete(i)
 				g.Leave(r.Slot)
 			}
 		}()
@@ -86,9 +84,9 @@
 		for len(g.BusyRanges()) > 0 {
 			time.Sleep(time.Microsecond)
 		}
-		inside.Range(func(_, epoch any) bool {
+		inFlight.Range(func(_, epoch any) bool {
 			if epoch.(uint64) < version {
-				t.Errorf("version %d: a request of epoch %d is inside", version, epoch)
+				t.Errorf("version %d: a request of epoch %d is still in flight", version, epoch)
 			}
 			return true
 		})
@@ -98,7 +96,7 @@
 	wait.Wait()
 }
 
-func TestNoRightWithoutPromises(t *testing.T) {
+func TestNoRightToSendWithoutMajority(t *testing.T) {
 	other := cell.Member{ID: "f#1", Cell: "c", Peer: "q"}
 	third := cell.Member{ID: "g#1", Cell: "c", Peer: "r"}
 	doc := document(1, 1, cell.Owned, "u")
@@ -108,17 +106,17 @@
 	if got := g.Enter(r); got != NoRight {
 		t.Fatalf("Enter returned %v, want NoRight", got)
 	}
-	g.RecordPromise("stranger", time.Now())
+	g.RecordPromise("not-a-voter", time.Now())
 	if g.MaySend() {
-		t.Error("the promise of a stranger counts")
+		t.Error("a promise from a member that is not a voter counts")
 	}
 	g.RecordPromise(other.ID, time.Now())
 	if !g.MaySend() {
-		t.Error("two of three promises do not count")
+		t.Error("no right to send with promises from two of three voters")
 	}
 	g.RaiseFence("c", 2)
 	if g.MaySend() {
-		t.Error("a raised fence does not stop an older document")
+		t.Error("the entry may send with a document older than the fence")
 	}
 }
 
--- a/coordination/gate/table.go
+++ b/coordination/gate/table.go
@@ -8,7 +8,7 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// Slot is one range as the entry routes to it, with its traffic counters.
+// Slot is one range as the entry routes it, with its traffic counters.
 type Slot struct {
 	keyspace.Span
 	Service string
@@ -16,57 +16,58 @@
 	Phase   cell.Phase
 	Owner   string
 
-	inflight atomic.Int64
-	requests atomic.Uint64
-	busy     atomic.Uint64
+	inflight   atomic.Int64
+	requests   atomic.Uint64
+	busyMicros atomic.Uint64
 }
 
-// RecordRequest adds one finished request of the given duration in microseconds.
+// RecordRequest counts a finished request that took the given time.
 func (s *Slot) RecordRequest(micros uint64) {
 	s.requests.Add(1)
-	s.busy.Add(micros)
+	s.busyMicros.Add(micros)
 }
 
-// TakeTraffic returns and clears the counters of finished requests.
+// TakeTraffic returns and resets the counters of finished requests.
 func (s *Slot) TakeTraffic() (requests, busyMicros uint64) {
-	return s.requests.Swap(0), s.busy.Swap(0)
+	return s.requests.Swap(0), s.busyMicros.Swap(0)
 }
 
-// Inflight returns the number of requests being sent to the owner.
+// Inflight returns the number of requests in flight to the owner.
 func (s *Slot) Inflight() int64 { return s.inflight.Load() }
 
-// sameGrant reports whether r is the grant that the slot stands for.
+// sameGrant reports whether the slot was created for the grant r.
 func (s *Slot) sameGrant(r cell.Range) bool {
 	return s.Span == r.Span && s.Epoch == r.Epoch && s.Owner == r.Owner
 }
 
-// serviceTable finds ranges of one service by binary search over their ends.
+// serviceTable finds the ranges and segments of one service by binary search over their last
+// hashes.
 type serviceTable struct {
-	lasts     []keyspace.Hash
-	slots     []*Slot
-	segLasts  []keyspace.Hash
-	segCells  []string
-	directory uint64
+	rangeEnds    []keyspace.Hash
+	slots        []*Slot
+	segmentEnds  []keyspace.Hash
+	segmentCells []string
+	directory    uint64
 }
 
-func (t *serviceTable) slot(h keyspace.Hash) *Slot {
-	i := search(t.lasts, h)
-	if i == len(t.lasts) || t.slots[i].First > h {
+func (t *serviceTable) slotAt(h keyspace.Hash) *Slot {
+	i := lowerBound(t.rangeEnds, h)
+	if i == len(t.rangeEnds) || t.slots[i].First > h {
 		return nil
 	}
 	return t.slots[i]
 }
 
-func (t *serviceTable) cell(h keyspace.Hash) string {
-	i := search(t.segLasts, h)
-	if i == len(t.segLasts) {
+func (t *serviceTable) cellAt(h keyspace.Hash) string {
+	i := lowerBound(t.segmentEnds, h)
+	if i == len(t.segmentEnds) {
 		return ""
 	}
-	return t.segCells[i]
+	return t.segmentCells[i]
 }
 
-// search returns the first index whose value is at least h.
-func search(list []keyspace.Hash, h keyspace.Hash) int {
+// lowerBound returns the first index whose value is at least h.
+func lowerBound(list []keyspace.Hash, h keyspace.Hash) int {
 	lo, hi := 0, len(list)
 	for lo < hi {
 		mid := int(uint(lo+hi) >> 1)
@@ -79,7 +80,7 @@
 	return lo
 }
 
-// table is the immutable routing state of one document set.
+// table is the immutable routing state built from one set of documents.
 type table struct {
 	version  uint64
 	services map[string]*serviceTable
@@ -87,15 +88,15 @@
 	changed chan struct{}
 }
 
-// build makes a table from documents and reuses the slots of unchanged grants.
-func build(old *table, doc *cell.Cell, directories map[string]*cell.Directory) *table {
+// newTable builds a table from documents and reuses the slots of unchanged grants.
+func newTable(old *table, doc *cell.Cell, directories map[string]*cell.Directory) *table {
 	t := &table{services: make(map[string]*serviceTable), changed: make(chan struct{})}
 	for name, d := range directories {
 		st := t.service(name)
 		st.directory = d.Version
 		for _, seg := range d.Segments {
-			st.segLasts = append(st.segLasts, seg.Last)
-			st.segCells = append(st.segCells, seg.Cell)
+			st.segmentEnds = append(st.segmentEnds, seg.Last)
+			st.segmentCells = append(st.segmentCells, seg.Cell)
 		}
 	}
 	if doc == nil {
@@ -103,11 +104,11 @@
 	}
 	t.version = doc.Version
 	for _, s := range doc.Services {
-		var before *serviceTable
+		var prev *serviceTable
 		if old != nil {
-			before = old.services[s.Name]
+			prev = old.services[s.Name]
 		}
-		t.service(s.Name).fill(s, before)
+		t.service(s.Name).fill(s, prev)
 	}
 	return t
 }
@@ -121,35 +122,35 @@
 	return st
 }
 
-func (t *serviceTable) fill(s cell.Service, before *serviceTable) {
-	t.lasts = make([]keyspace.Hash, 0, len(s.Ranges))
+func (t *serviceTable) fill(s cell.Service, prev *serviceTable) {
+	t.rangeEnds = make([]keyspace.Hash, 0, len(s.Ranges))
 	t.slots = make([]*Slot, 0, len(s.Ranges))
 	for _, r := range s.Ranges {
 		if r.Phase == cell.Exported {
 			continue
 		}
-		t.lasts = append(t.lasts, r.Last)
-		t.slots = append(t.slots, slotFor(s.Name, r, before))
+		t.rangeEnds = append(t.rangeEnds, r.Last)
+		t.slots = append(t.slots, slotFor(s.Name, r, prev))
 	}
 }
 
-func slotFor(service string, r cell.Range, before *serviceTable) *Slot {
-	if before != nil {
-		if old := before.slot(r.First); old != nil && old.sameGrant(r) && old.Phase == r.Phase {
+func slotFor(service string, r cell.Range, prev *serviceTable) *Slot {
+	if prev != nil {
+		if old := prev.slotAt(r.First); old != nil && old.sameGrant(r) && old.Phase == r.Phase {
 			return old
 		}
 	}
 	return &Slot{Span: r.Span, Service: service, Epoch: r.Epoch, Phase: r.Phase, Owner: r.Owner}
 }
 
-// has reports whether the table routes to just this slot.
-func (t *table) has(s *Slot) bool {
+// contains reports whether the table routes to this very slot.
+func (t *table) contains(s *Slot) bool {
 	st := t.services[s.Service]
-	return st != nil && st.slot(s.First) == s
+	return st != nil && st.slotAt(s.First) == s
 }
 
-// slotsSorted returns all slots in order of service and span.
-func (t *table) slotsSorted() []*Slot {
+// sortedSlots returns all slots, ordered by service and span.
+func (t *table) sortedSlots() []*Slot {
 	names := make([]string, 0, len(t.services))
 	for name := range t.services {
 		names = append(names, name)
--- a/scripts/guards.sh
+++ b/scripts/guards.sh
@@ -43,7 +43,7 @@
 queue lease-within-right coordination/lease/lease.go 'min(b.limits.TTL, right.Sub(r.at))' 'b.limits.TTL' OneOwnerUnderPartitions
 queue late-renewal standin/upstream/owner.go 'min(time.Duration(r.UntilNanos), o.clock()+maxLease)' 'o.clock() + 1200*time.Millisecond' OneOwnerUnderPartitions
 queue boot-of-grant standin/upstream/owner.go 'if g.Boot != o.boot {' 'if false {' OneOwnerWithFencedUpstreams
-queue busy coordination/gate/gate.go 'if s.Inflight() > 0 && !g.continues(s) {' 'if s.Inflight() > 1<<40 {' OneOwnerWithUnfencedUpstreams
+queue busy coordination/gate/gate.go 'if s.Inflight() > 0 && !g.stillOwned(s) {' 'if s.Inflight() > 1<<40 {' OneOwnerWithUnfencedUpstreams
 queue older-document coordination/gate/gate.go 'if g.doc != nil && doc.Version <= g.doc.Version {' 'if false {' OneOwnerWithFencedUpstreams
 queue unchecked-grace coordination/controller/core.go 'return c.limits.MaxDeadline' 'return 0' OneOwnerWithUnfencedUpstreams
 queue grant-after-release coordination/controller/step.go 'r.Phase == cell.Releasing && c.released(now, u.Service, r)' 'r.Phase == cell.Releasing' OneOwnerWithFencedUpstreams
