--- a/coordination/leadership/leadership.go
+++ b/coordination/leadership/leadership.go
@@ -1,18 +1,17 @@
-// Package leadership decides who may take the role of the leader, the one
-// gateway that gives keys to upstreams, and how long it may act.
+// Package leadership decides which gateway may act as the leader, which assigns keys to upstreams,
+// and for how long.
 //
-// While the store is away the lease cannot be renewed by anyone. The holder then
-// goes on with the promises of a majority of the voters that the lease names. A
-// successor, which has written the lease, asks a majority of the same voters
-// before it counts on the former holder's end: one of them at least knows of the
-// last promise.
+// Leadership is a lease in the platform's store, replaced by conditional update. The holder acts
+// only while its last successful renewal, counted from when it was sent, is younger than
+// LeaseDuration. Another gateway takes the lease over if it was released, or if that gateway has
+// itself seen the lease unchanged: for longer than LeaseDuration, or for one missed renewal if the
+// holder refuses connections. In the latter case the former holder may still act for a short time,
+// and the successor takes that into account.
 //
-// The role is a lease in the platform's store, replaced by conditional update.
-// The holder acts only while its last successful renewal, counted from when it
-// was sent, is younger than Term. Another takes the role when the lease was
-// given up, or when it has itself seen the lease unchanged: for longer than Term,
-// or for a missed renewal when the holder refuses connections. In the latter case
-// the former holder may still act for a moment; the successor counts with that.
+// While the store is unavailable, nobody can renew the lease. The holder then continues with
+// promises from a majority of the voters named in the lease. A successor that has written the lease
+// queries a majority of the same voters before it assumes that the former holder has stopped: at
+// least one of them knows the last promise.
 package leadership
 
 import "time"
@@ -20,37 +19,37 @@
 const (
 	// LeaseDuration is how long a renewal gives the right to act.
 	LeaseDuration = 1800 * time.Millisecond
-	// RenewInterval is the time between renewals: two may be lost within a term.
+	// RenewInterval is the time between renewals. Two renewals may fail within one LeaseDuration.
 	RenewInterval = 600 * time.Millisecond
-	// clockPercent is added to the wait for another's term to end, for clocks
-	// that run at different speeds; takeMargin for what is on its way.
-	clockPercent = 2
-	takeMargin   = 150 * time.Millisecond
-	// missMargin is how late a renewal may be before it counts as missed.
-	missMargin = 350 * time.Millisecond
+	// clockDriftPercent is added to the time waited for the lease of another gateway to expire,
+	// because clocks run at different rates. takeoverMargin is added for messages in transit.
+	clockDriftPercent = 2
+	takeoverMargin    = 150 * time.Millisecond
+	// missedRenewalMargin is how late a renewal may be before it counts as missed.
+	missedRenewalMargin = 350 * time.Millisecond
 )
 
-// Lease is the lease as it lies in the store.
+// Lease is the lease document in the store.
 type Lease struct {
 	Node        string `json:"node"`
 	Address     string `json:"address"`
 	Domain      string `json:"domain"`
 	Incarnation string `json:"incarnation"`
-	// Term rises with each new holder.
+	// Term increases with each new holder.
 	Term uint64 `json:"term"`
-	// Renewals makes each write differ from the one before.
+	// Renewals makes each write differ from the previous one.
 	Renewals uint64 `json:"renewals"`
-	// Voters are the peer addresses of the gateways whose promises let the
-	// holder go on while the store is away.
+	// Voters holds the peer addresses of the gateways whose promises let the holder continue while
+	// the store is unavailable.
 	Voters []string `json:"voters"`
-	// Gateways is the number of gateways that the holder knows, itself among them. After
-	// all have started again a new holder counts with as many until they report.
+	// Gateways is the number of gateways known to the holder, including itself. After a restart of
+	// all gateways, a new holder assumes this number until they report.
 	Gateways int `json:"gateways,omitempty"`
-	// Released says that the holder gave it up.
+	// Released reports whether the holder has given up the lease.
 	Released bool `json:"released,omitempty"`
 }
 
-// Same reports whether two leases are the same write.
+// Same reports whether two leases come from the same write.
 func (l Lease) Same(other Lease) bool {
 	return l.Incarnation == other.Incarnation && l.Term == other.Term && l.Renewals == other.Renewals && l.Released == other.Released
 }
@@ -58,57 +57,57 @@
 // Right is the holder's right to act.
 type Right struct{ until time.Time }
 
-// Extend notes a renewal that succeeded and was sent at the given time.
+// Extend records a successful renewal that was sent at the given time.
 func (r *Right) Extend(sent time.Time) {
 	if until := sent.Add(LeaseDuration); until.After(r.until) {
 		r.until = until
 	}
 }
 
-// Revoke ends the right at once.
+// Revoke ends the right immediately.
 func (r *Right) Revoke() { r.until = time.Time{} }
 
 // Valid reports whether the holder may act.
 func (r *Right) Valid(now time.Time) bool { return now.Before(r.until) }
 
-// Remaining returns how long the right still lasts.
+// Remaining returns how long the right remains valid.
 func (r *Right) Remaining(now time.Time) time.Duration { return max(r.until.Sub(now), 0) }
 
-// LeaseObservation is what a gateway knows of another's lease.
+// LeaseObservation is what a gateway has seen of the lease of another gateway.
 type LeaseObservation struct {
 	revision uint64
 	since    time.Time
 	known    bool
 }
 
-// Observe notes that the lease had the revision at a time.
-func (c *LeaseObservation) Observe(now time.Time, revision uint64) {
-	if c.known && revision == c.revision {
+// Observe records that the lease had the given revision at the given time.
+func (o *LeaseObservation) Observe(now time.Time, revision uint64) {
+	if o.known && revision == o.revision {
 		return
 	}
-	if c.known && revision < c.revision {
+	if o.known && revision < o.revision {
 		return
 	}
-	c.revision, c.since, c.known = revision, now, true
+	o.revision, o.since, o.known = revision, now, true
 }
 
-// HolderExpiry returns when the right of the lease's holder has surely ended, if it is
-// not renewed once more.
-func (c *LeaseObservation) HolderExpiry() time.Time { return c.since.Add(wait) }
+// HolderExpiry returns the time by which the right of the holder has certainly expired, unless the
+// lease is renewed again.
+func (o *LeaseObservation) HolderExpiry() time.Time { return o.since.Add(takeoverDelay) }
 
-// wait is how long an unchanged lease is left to its holder.
-const wait = LeaseDuration + LeaseDuration*clockPercent/100 + takeMargin
+// takeoverDelay is how long a lease must be unchanged before another gateway may take it over.
+const takeoverDelay = LeaseDuration + LeaseDuration*clockDriftPercent/100 + takeoverMargin
 
-// CanTakeOver reports whether the lease may be taken over by the process that
-// serves the address self: a former process at that address has ended. refused
-// says that the holder's address refuses connections: it has probably ended,
-// but a cut can look the same, so a missed renewal is waited for.
-func (c *LeaseObservation) CanTakeOver(now time.Time, l Lease, self string, refused bool) bool {
+// CanTakeOver reports whether the process that serves the address self may take over the lease. A
+// lease with that address belongs to an earlier process at the same address, which has ended.
+// refused reports whether the address of the holder refuses connections: the holder has probably
+// ended, but a network partition can look the same, so one missed renewal is required as well.
+func (o *LeaseObservation) CanTakeOver(now time.Time, l Lease, self string, refused bool) bool {
 	if l.Released || l.Address == self {
 		return true
 	}
 	if refused {
-		return c.known && now.Sub(c.since) >= RenewInterval+missMargin
+		return o.known && now.Sub(o.since) >= RenewInterval+missedRenewalMargin
 	}
-	return c.known && now.Sub(c.since) >= wait
+	return o.known && now.Sub(o.since) >= takeoverDelay
 }
--- a/coordination/leadership/promise.go
+++ b/coordination/leadership/promise.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// MaxVoters bounds the voters of a lease: enough to bear the loss of three
-// gateways or of a failure domain, few enough to be asked at any size.
+// MaxVoters bounds the voters of a lease: enough to tolerate the loss of three gateways or of a
+// failure domain, and few enough to query in a cluster of any size.
 const MaxVoters = 7
 
-// Promises is what one gateway has promised. It is kept in memory: a process
-// that has just started counts as having promised at its start, as the process
-// before it may have.
+// Promises records what one gateway has promised. It is kept in memory only, so a new process is
+// treated as having promised at its start, because the previous process may have done so.
 type Promises struct {
 	term  uint64
 	last  time.Time
@@ -21,8 +20,8 @@
 // NewPromises returns the promises of a process that starts now.
 func NewPromises(now time.Time) *Promises { return &Promises{last: now, given: true} }
 
-// Grant promises the leader of the term to stand by it for the time Term. It is
-// refused once a later term is known.
+// Grant promises the leader of the term not to support another leader for LeaseDuration. It returns
+// false if a later term is known.
 func (p *Promises) Grant(now time.Time, term uint64) bool {
 	if term < p.term {
 		return false
@@ -31,29 +30,28 @@
 	return true
 }
 
-// Inquire notes a later term and returns whether a promise to a former one was
-// given, and how long ago.
+// Inquire records a later term and returns whether a promise was given to an earlier one, and how
+// long ago.
 func (p *Promises) Inquire(now time.Time, term uint64) (given bool, age time.Duration) {
 	p.term = max(p.term, term)
 	return p.given, now.Sub(p.last)
 }
 
-// Majority is the least number of voters of which any two groups overlap.
+// Majority returns the smallest number of voters for which any two groups overlap.
 func Majority(voters int) int { return voters/2 + 1 }
 
-// VoterCandidate is a gateway that may become a voter.
+// VoterCandidate is a gateway that can be chosen as a voter.
 type VoterCandidate struct {
 	Address string
 	Domain  string
 }
 
-// ChooseVoters picks up to MostVoters gateways, in turn from each failure
-// domain. Those that were voters before stay as long as they live, so that the
-// list seldom changes.
+// ChooseVoters picks up to MaxVoters gateways, taking one from each failure domain in turn. Former
+// voters are preferred while they are live, so that the list rarely changes.
 func ChooseVoters(live []VoterCandidate, former []string) []string {
-	was := make(map[string]bool, len(former))
+	isFormer := make(map[string]bool, len(former))
 	for _, a := range former {
-		was[a] = true
+		isFormer[a] = true
 	}
 	byDomain := make(map[string][]VoterCandidate)
 	var domains []string
@@ -67,8 +65,8 @@
 	for _, d := range domains {
 		group := byDomain[d]
 		sort.Slice(group, func(i, j int) bool {
-			if was[group[i].Address] != was[group[j].Address] {
-				return was[group[i].Address]
+			if isFormer[group[i].Address] != isFormer[group[j].Address] {
+				return isFormer[group[i].Address]
 			}
 			return group[i].Address < group[j].Address
 		})
--- a/coordination/leadership/promise_test.go
+++ b/coordination/leadership/promise_test.go
@@ -8,28 +8,28 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestPromisesAreKept(t *testing.T) {
+func TestPromisesFollowTerms(t *testing.T) {
 	p := NewPromises(start)
 	if given, age := p.Inquire(at(time.Second), 1); !given || age != time.Second {
-		t.Error("a process that has started counts as having promised then")
+		t.Error("a new process must be treated as having promised at its start")
 	}
 	if !p.Grant(at(2*time.Second), 3) {
-		t.Error("a promise is refused")
+		t.Error("a promise for a later term is denied")
 	}
 	if given, age := p.Inquire(at(3*time.Second), 4); !given || age != time.Second {
 		t.Errorf("given %v, age %s", given, age)
 	}
 	if p.Grant(at(4*time.Second), 3) {
-		t.Error("a promise to a former leader after a later one has asked")
+		t.Error("a promise to an earlier leader after a later one has inquired")
 	}
 	if !p.Grant(at(4*time.Second), 4) {
-		t.Error("a promise to the later leader is refused")
+		t.Error("a promise to the later leader is denied")
 	}
 }
 
-// TestSuccessorWaitsForPromises: whatever majorities the holder and its successor
-// reach, and whichever voters restart in between, the successor does not count
-// on the holder's end before the holder's right by promises has ended.
+// Whichever majorities the holder and its successor reach, and whichever voters restart in between,
+// the successor must not assume that the holder has stopped before the right that the holder has by
+// promises has expired.
 func TestSuccessorWaitsForPromises(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for round := range 3000 {
@@ -65,7 +65,7 @@
 			}
 		}
 		if holder.until.After(ends) {
-			t.Fatalf("round %d: the holder may act until %s, its successor counts on %s", round, holder.until.Sub(start), ends.Sub(start))
+			t.Fatalf("round %d: the holder may act until %s, its successor assumes %s", round, holder.until.Sub(start), ends.Sub(start))
 		}
 	}
 }
@@ -81,7 +81,7 @@
 		t.Error(d)
 	}
 	if got := ChooseVoters(live, got); cmp.Diff([]string{"a2", "a3", "a4", "b1", "b2", "c1", "c2"}, got) != "" {
-		t.Errorf("a former voter is replaced by one that came back: %v", got)
+		t.Errorf("a current voter was replaced by a gateway that returned: %v", got)
 	}
 	if got := ChooseVoters(live[:1], nil); len(got) != 1 {
 		t.Errorf("%v", got)
--- a/state/capacity/capacity.go
+++ b/state/capacity/capacity.go
@@ -59,7 +59,7 @@
 )
 
 // How often things are done; the names in package gateway are reportInterval,
-// renewInterval, planInterval, leadership.Renewal and watchWait.
+// renewInterval, planInterval, leadership.RenewInterval and watchWait.
 const (
 	reportsPerSecond  = 4
 	renewalsPerSecond = 1
