--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -1,5 +1,4 @@
-// Package retry bounds how often requests are sent again and how long the
-// pauses are.
+// Package retry limits how often requests are retried and computes the pauses between attempts.
 package retry
 
 import (
@@ -8,8 +7,8 @@
 	"time"
 )
 
-// Budget allows retries as a share of the requests seen, so that retries cannot
-// multiply the load of an outage. It is safe for concurrent use.
+// Budget allows retries as a share of the requests seen, so that retries cannot multiply the load
+// during an outage. It is safe for concurrent use.
 type Budget struct {
 	mu     sync.Mutex
 	share  float64
@@ -17,20 +16,19 @@
 	tokens float64
 }
 
-// NewBudget returns a budget of share retries per request, with up to burst
-// retries saved.
+// NewBudget returns a budget of share retries per request that accumulates up to burst retries.
 func NewBudget(share, burst float64) *Budget {
 	return &Budget{share: share, burst: burst, tokens: burst}
 }
 
-// RecordRequest notes one first try.
+// RecordRequest records the first attempt of a request.
 func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.share, b.burst)
 }
 
-// Spend takes one retry and reports whether there was one.
+// Spend consumes one retry and reports whether one was available.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -41,15 +39,15 @@
 	return true
 }
 
-// Backoff computes pauses between tries.
+// Backoff computes the pauses between attempts.
 type Backoff struct {
-	// First is the mean of the first pause, Max bounds all.
+	// First is the mean of the first pause. Max bounds the mean of every pause.
 	First time.Duration
 	Max   time.Duration
 }
 
-// Pause returns the pause before the given retry, counted from one: doubled
-// each time, spread evenly over half to one and a half of its mean.
+// Pause returns the pause before the given retry, counted from one. Its mean doubles with each
+// retry up to Max, and the pause is uniformly distributed between 0.5 and 1.5 times the mean.
 func (b Backoff) Pause(retry int, rng *rand.Rand) time.Duration {
 	mean := b.First
 	for i := 1; i < retry && mean < b.Max; i++ {
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestBudgetIsAShareOfTheTraffic(t *testing.T) {
+func TestBudgetIsShareOfRequests(t *testing.T) {
 	b := NewBudget(0.1, 5)
 	spent := 0
 	for range 1000 {
@@ -16,7 +16,7 @@
 		}
 	}
 	if spent < 100 || spent > 106 {
-		t.Errorf("%d retries for 1000 requests at 0.1 and 5 saved", spent)
+		t.Errorf("%d retries for 1000 requests with share 0.1 and burst 5", spent)
 	}
 }
 
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -7,10 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestWindowIsKept: in any span of the window's length, all processes together
-// spend no more than the share of the requests in it and one window before,
-// plus the allowance.
-func TestWindowIsKept(t *testing.T) {
+// In any period of one window length, all processes together may spend at most the share of the
+// requests in that window and the one before it, plus the allowance.
+func TestWindowBudgetIsNotExceeded(t *testing.T) {
 	const (
 		length    = 10 * time.Second
 		share     = 0.2
@@ -54,7 +53,7 @@
 	return n
 }
 
-func TestWindowForgets(t *testing.T) {
+func TestWindowDiscardsOldRetries(t *testing.T) {
 	start := time.Now()
 	w := NewWindowBudget(start, 10*time.Second, 0, 3)
 	for range 3 {
@@ -66,50 +65,48 @@
 		t.Error("more than the allowance in one window")
 	}
 	if !w.Spend(start.Add(12*time.Second), 1) {
-		t.Error("old retries are not forgotten")
+		t.Error("retries older than the window still count")
 	}
 }
 
-// TestUnknownSharers: a process that has just started and does not know how many
-// others share the budget takes nothing from the common allowance. (Four that
-// started while nobody led took it whole, each: BUDGET on abyconnect-sim
-// hunt-1770-35.)
-func TestUnknownSharers(t *testing.T) {
+// A process that has just started and does not know how many others share the budget must not spend
+// from the common allowance. Otherwise each of several processes that start while there is no
+// leader spends all of it; a run with four of them exceeded the budget that way.
+func TestUnknownProcessCountHasNoAllowance(t *testing.T) {
 	start := time.Now()
 	w := NewWindowBudget(start, 10*time.Second, 0.5, 100)
-	sharers := NewProcessCount(10 * time.Second)
-	if w.Spend(start, sharers.Count()) {
-		t.Error("the allowance is taken by one that knows no others")
+	processCount := NewProcessCount(10 * time.Second)
+	if w.Spend(start, processCount.Count()) {
+		t.Error("the allowance is spent while the number of processes is unknown")
 	}
 	w.RecordRequest(start)
 	w.RecordRequest(start)
-	if !w.Spend(start, sharers.Count()) {
-		t.Error("the share of its own requests is not its own")
+	if !w.Spend(start, processCount.Count()) {
+		t.Error("a retry earned by own requests is refused")
 	}
 }
 
-// TestSharersThatEnded: for the length of a window the parts of those that are gone
-// are not spent again by the rest.
-func TestSharersThatEnded(t *testing.T) {
+// For the length of a window, the remaining processes must not spend the parts of processes that
+// have ended.
+func TestProcessCountIncludesEndedProcesses(t *testing.T) {
 	start := time.Now()
 	s := NewProcessCount(10 * time.Second)
 	s.Observe(start, 11)
 	s.Observe(start.Add(time.Second), 3)
 	if s.Count() != 11 {
-		t.Errorf("%d sharers a second after eight have ended", s.Count())
+		t.Errorf("%d processes counted one second after eight have ended", s.Count())
 	}
 	s.Observe(start.Add(11*time.Second), 3)
 	if s.Count() != 3 {
-		t.Errorf("%d sharers a window later", s.Count())
+		t.Errorf("%d processes counted one window later", s.Count())
 	}
 }
 
-// TestCallersThatMoveEarnOnce: callers that move from one process to another while all
-// their requests fail do not bring more second tries than the share of the requests in
-// a window. (Five of twelve gateways were stopped and started in turn while a service
-// shed half of its requests: 2,488 second arrivals in ten seconds, 2,474 allowed, on
-// tallowood-qld scale-1 with seed 645365784969; 2,502 of 2,497 in another run.)
-func TestCallersThatMoveEarnOnce(t *testing.T) {
+// Callers that move between processes while all their requests fail must not cause more retries
+// than the share of the requests in a window. With five of twelve gateways restarted in turn while
+// a service shed half of its requests, 2,488 retries were observed in ten seconds with 2,474
+// allowed, and 2,502 with 2,497 allowed in another run.
+func TestMovingCallersEarnOnce(t *testing.T) {
 	const (
 		length    = 10 * time.Second
 		share     = 0.2
@@ -122,13 +119,13 @@
 	var requests, retries []time.Duration
 	for i := range steps {
 		now := time.Duration(i) * step
-		// All callers are at the first process, and fail from 12 s on; from 14 s to 18 s
-		// they move to the second one. Each process may retry at any time.
-		at := first
+		// All callers start at the first process. From 12 s on their requests fail, and from 14 s
+		// to 18 s they move to the second process. Each process may retry at any time.
+		target := first
 		if now > 14*time.Second+time.Duration(i%400)*step {
-			at = second
+			target = second
 		}
-		at.RecordRequest(start.Add(now))
+		target.RecordRequest(start.Add(now))
 		requests = append(requests, now)
 		for _, w := range []*WindowBudget{first, second} {
 			if now > 12*time.Second && w.Spend(start.Add(now), 2) {
