--- a/coordination/admission/limiter.go
+++ b/coordination/admission/limiter.go
@@ -8,7 +8,7 @@
 	"github.com/rockcroft/rockcroft/protocol/answer"
 )
 
-// Limiter is a Queue for concurrent use.
+// Limiter is a Queue that is safe for concurrent use.
 type Limiter struct {
 	mu    sync.Mutex
 	queue *Queue
@@ -20,11 +20,11 @@
 	return &Limiter{queue: NewQueue(l), clock: clock}
 }
 
-// Acquire waits until a request may be sent. An error of kind Overloaded says
-// that it was refused. Every success needs one Release.
+// Acquire waits until a request may be sent. It returns an error of kind Overloaded if the request
+// is refused. Each successful call must be paired with a call of Release.
 func (l *Limiter) Acquire(ctx context.Context, i Importance, deadline time.Time) error {
-	verdict := make(chan bool, 1)
-	t := &Ticket{Importance: i, Deadline: deadline, Notify: func(ok bool) { verdict <- ok }}
+	admitted := make(chan bool, 1)
+	t := &Ticket{Importance: i, Deadline: deadline, Notify: func(ok bool) { admitted <- ok }}
 	l.mu.Lock()
 	ok, wait := l.queue.Submit(l.clock(), t)
 	l.mu.Unlock()
@@ -32,9 +32,9 @@
 		return overloaded(wait)
 	}
 	select {
-	case ok = <-verdict:
+	case ok = <-admitted:
 	case <-ctx.Done():
-		ok = l.withdraw(t, verdict)
+		ok = l.withdraw(t, admitted)
 		if ok {
 			l.Release(Outcome{Unsent: true})
 		}
@@ -46,12 +46,12 @@
 	return nil
 }
 
-// withdraw takes the ticket out and reports whether it had been let through.
-func (l *Limiter) withdraw(t *Ticket, verdict chan bool) bool {
+// withdraw removes the ticket from the queue and reports whether it had already been admitted.
+func (l *Limiter) withdraw(t *Ticket, admitted chan bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
-	case ok := <-verdict:
+	case ok := <-admitted:
 		return ok
 	default:
 		l.queue.Withdraw(t)
@@ -60,19 +60,19 @@
 }
 
 func overloaded(wait time.Duration) error {
-	err := answer.New(answer.Overloaded, "the owner has no room within the deadline")
+	err := answer.New(answer.Overloaded, "the owner has no capacity within the deadline")
 	err.RetryAfter = wait
 	return err
 }
 
-// Release ends a request that was sent.
+// Release marks the end of an admitted request.
 func (l *Limiter) Release(o Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.queue.Done(l.clock(), o)
 }
 
-// Load returns the limit and the requests in flight and waiting.
+// Load returns the limit and the numbers of requests in flight and waiting.
 func (l *Limiter) Load() (limit, inflight, waiting int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/coordination/admission/queue.go
+++ b/coordination/admission/queue.go
@@ -1,10 +1,10 @@
-// Package admission limits the requests that one entry has in flight towards
-// one upstream, and orders those that wait.
+// Package admission limits the requests that one entry has in flight to one upstream, and orders
+// the requests that wait.
 //
-// The limit adapts: it grows while the upstream takes what it is given and
-// shrinks when the upstream sheds. So the entries of a cell share the slots of
-// an upstream without asking each other. Waiting is bounded in number, and a
-// request whose deadline cannot be met is refused at once.
+// The limit adapts: it grows while the upstream accepts requests and shrinks when the upstream
+// sheds load. The entries of a cell thus share the slots of an upstream without coordination. The
+// number of waiting requests is bounded, and a request that cannot meet its deadline is refused
+// immediately.
 package admission
 
 import (
@@ -19,22 +19,22 @@
 	Low Importance = iota
 	Normal
 	High
-	levels
+	importanceLevels
 )
 
-// Limits bound one queue.
+// Limits configures one queue.
 type Limits struct {
 	// MinInflight and MaxInflight bound the adaptive limit.
 	MinInflight int
 	MaxInflight int
-	// StartInflight is the limit before anything is known.
+	// StartInflight is the initial value of the adaptive limit.
 	StartInflight int
-	// MaxWaiting bounds the number of requests that wait.
+	// MaxWaiting bounds the number of waiting requests.
 	MaxWaiting int
 }
 
 const (
-	// shedFactor shrinks the limit when the upstream sheds.
+	// shedFactor is applied to the limit when the upstream sheds load.
 	shedFactor = 0.85
 	// smoothing is the weight of a new sample in the mean service time.
 	smoothing = 0.1
@@ -43,35 +43,35 @@
 // Ticket is one request in the queue.
 type Ticket struct {
 	Importance Importance
-	// Deadline is when the answer must be there.
+	// Deadline is when the answer is due.
 	Deadline time.Time
-	// Notify is called once: true when the request may be sent, false when
-	// it was put out in favour of a more important one.
+	// Notify is called once: with true when the request may be sent, with false when it was evicted
+	// in favor of a more important one or its deadline passed while it waited.
 	Notify func(bool)
 
-	gone bool
+	removed bool
 }
 
-// Outcome tells the queue how a request ended.
+// Outcome describes how a request ended.
 type Outcome struct {
-	// Duration is the time from send to end.
+	// Duration is the time from sending the request to its end.
 	Duration time.Duration
-	// Shed says that the upstream refused it for overload.
+	// Shed reports whether the upstream refused the request because of overload.
 	Shed bool
-	// Unsent says that it was let through but never sent.
+	// Unsent reports whether the request was admitted but never sent.
 	Unsent bool
 }
 
-// Queue decides which requests go to one upstream now. It is deterministic and
-// not safe for concurrent use.
+// Queue decides which requests may be sent to one upstream. It is deterministic and not safe for
+// concurrent use.
 type Queue struct {
-	limits   Limits
-	limit    float64
-	inflight int
-	waiting  [levels][]*Ticket
-	count    int
-	mean     time.Duration
-	shrunk   time.Time
+	limits       Limits
+	limit        float64
+	inflight     int
+	waiting      [importanceLevels][]*Ticket
+	count        int
+	meanDuration time.Duration
+	lastShrink   time.Time
 }
 
 // NewQueue returns an empty queue.
@@ -79,29 +79,29 @@
 	return &Queue{limits: l, limit: float64(l.StartInflight)}
 }
 
-// Limit returns the present bound on requests in flight.
+// Limit returns the current bound on requests in flight.
 func (q *Queue) Limit() int { return int(q.limit) }
 
-// Inflight returns the number of requests sent and not ended.
+// Inflight returns the number of admitted requests that have not ended.
 func (q *Queue) Inflight() int { return q.inflight }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return q.count }
 
-// Wait estimates how long a new request of the importance would wait.
+// Wait estimates how long a new request of the given importance would wait.
 func (q *Queue) Wait(i Importance) time.Duration {
 	if q.inflight < q.Limit() {
 		return 0
 	}
 	ahead := 1
-	for level := i; level < levels; level++ {
+	for level := i; level < importanceLevels; level++ {
 		ahead += len(q.waiting[level])
 	}
-	return time.Duration(ahead) * q.mean / time.Duration(max(q.Limit(), 1))
+	return time.Duration(ahead) * q.meanDuration / time.Duration(max(q.Limit(), 1))
 }
 
-// Submit adds a request. It returns true when the request may be sent at once or
-// waits for its verdict, and false with a time to come back when it is refused.
+// Submit adds a request. It returns true if the request was admitted immediately or waits for a
+// call of Notify. It returns false and the estimated wait if the request is refused.
 func (q *Queue) Submit(now time.Time, t *Ticket) (bool, time.Duration) {
 	if q.inflight < q.Limit() && q.count == 0 {
 		q.inflight++
@@ -109,10 +109,10 @@
 		return true, 0
 	}
 	wait := q.Wait(t.Importance)
-	if now.Add(wait + q.mean).After(t.Deadline) {
+	if now.Add(wait + q.meanDuration).After(t.Deadline) {
 		return false, wait
 	}
-	if q.count >= q.limits.MaxWaiting && !q.putOut(t.Importance) {
+	if q.count >= q.limits.MaxWaiting && !q.evictBelow(t.Importance) {
 		return false, wait
 	}
 	q.waiting[t.Importance] = append(q.waiting[t.Importance], t)
@@ -120,12 +120,13 @@
 	return true, 0
 }
 
-// putOut removes the youngest waiting request of a lower importance.
-func (q *Queue) putOut(below Importance) bool {
+// evictBelow removes the newest waiting request of the lowest importance below the given one, and
+// reports whether there was one.
+func (q *Queue) evictBelow(below Importance) bool {
 	for level := Low; level < below; level++ {
 		list := q.waiting[level]
 		for i := len(list) - 1; i >= 0; i-- {
-			if list[i].gone {
+			if list[i].removed {
 				continue
 			}
 			q.remove(list[i])
@@ -136,16 +137,15 @@
 	return false
 }
 
-// Withdraw takes a waiting request out, because its caller has left or its
-// deadline has passed.
+// Withdraw removes a waiting request whose caller has gone away or whose deadline has passed.
 func (q *Queue) Withdraw(t *Ticket) {
-	if !t.gone {
+	if !t.removed {
 		q.remove(t)
 	}
 }
 
 func (q *Queue) remove(t *Ticket) {
-	t.gone = true
+	t.removed = true
 	q.count--
 	list := q.waiting[t.Importance]
 	for i, other := range list {
@@ -156,7 +156,7 @@
 	}
 }
 
-// Done ends a request that was sent, and sends waiting ones.
+// Done marks the end of an admitted request and admits waiting ones.
 func (q *Queue) Done(now time.Time, o Outcome) {
 	limited := q.inflight >= q.Limit()
 	q.inflight--
@@ -165,33 +165,33 @@
 	case o.Shed:
 		q.shrink(now)
 	default:
-		q.observe(o.Duration)
+		q.recordDuration(o.Duration)
 		if limited {
 			q.limit = min(q.limit+1/q.limit, float64(q.limits.MaxInflight))
 		}
 	}
-	q.fill(now)
+	q.admitWaiting(now)
 }
 
-// shrink lowers the limit, at most once per mean service time: the requests
-// shed together are one sign.
+// shrink lowers the limit, at most once per mean service time, because requests shed together
+// indicate a single overload.
 func (q *Queue) shrink(now time.Time) {
-	if now.Sub(q.shrunk) < q.mean {
+	if now.Sub(q.lastShrink) < q.meanDuration {
 		return
 	}
-	q.shrunk = now
+	q.lastShrink = now
 	q.limit = max(q.limit*shedFactor, float64(q.limits.MinInflight))
 }
 
-func (q *Queue) observe(took time.Duration) {
-	if q.mean == 0 {
-		q.mean = took
+func (q *Queue) recordDuration(duration time.Duration) {
+	if q.meanDuration == 0 {
+		q.meanDuration = duration
 		return
 	}
-	q.mean += time.Duration(smoothing * float64(took-q.mean))
+	q.meanDuration += time.Duration(smoothing * float64(duration-q.meanDuration))
 }
 
-func (q *Queue) fill(now time.Time) {
+func (q *Queue) admitWaiting(now time.Time) {
 	for q.inflight < q.Limit() {
 		t := q.next(now)
 		if t == nil {
@@ -202,10 +202,10 @@
 	}
 }
 
-// next takes the oldest request of the highest importance that can still be
-// answered in time.
+// next removes and returns the oldest waiting request of the highest importance whose deadline has
+// not passed.
 func (q *Queue) next(now time.Time) *Ticket {
-	for level := levels - 1; level >= Low; level-- {
+	for level := importanceLevels - 1; level >= Low; level-- {
 		for len(q.waiting[level]) > 0 {
 			t := q.waiting[level][0]
 			q.remove(t)
--- a/coordination/admission/queue_test.go
+++ b/coordination/admission/queue_test.go
@@ -11,11 +11,11 @@
 
 var start = time.Unix(1000, 0)
 
-// verdicts records what the queue told each ticket.
-type verdicts map[string]bool
+// decisions records by name whether the queue admitted a ticket.
+type decisions map[string]bool
 
-func (v verdicts) ticket(name string, i Importance, left time.Duration) *Ticket {
-	return &Ticket{Importance: i, Deadline: start.Add(left), Notify: func(ok bool) { v[name] = ok }}
+func (v decisions) ticket(name string, i Importance, remaining time.Duration) *Ticket {
+	return &Ticket{Importance: i, Deadline: start.Add(remaining), Notify: func(ok bool) { v[name] = ok }}
 }
 
 func fullQueue(t *testing.T, waiting int) *Queue {
@@ -27,23 +27,23 @@
 	return q
 }
 
-func TestImportantGoesFirst(t *testing.T) {
+func TestHigherImportanceIsAdmittedFirst(t *testing.T) {
 	q := fullQueue(t, 10)
-	v := verdicts{}
+	v := decisions{}
 	q.Submit(start, v.ticket("low", Low, time.Hour))
 	q.Submit(start, v.ticket("high", High, time.Hour))
 	q.Done(start, Outcome{Duration: time.Millisecond, Unsent: true})
 	if !v["high"] || v["low"] {
-		t.Errorf("sent %v", v)
+		t.Errorf("admitted %v", v)
 	}
 }
 
-func TestFullQueuePutsOutTheLessImportant(t *testing.T) {
+func TestFullQueueEvictsLowerImportance(t *testing.T) {
 	q := fullQueue(t, 1)
-	v := verdicts{"low": true}
+	v := decisions{"low": true}
 	q.Submit(start, v.ticket("low", Low, time.Hour))
 	if ok, _ := q.Submit(start, v.ticket("another low", Low, time.Hour)); ok {
-		t.Error("a full queue takes another of the same importance")
+		t.Error("a full queue accepts another request of the same importance")
 	}
 	if ok, _ := q.Submit(start, v.ticket("high", High, time.Hour)); !ok {
 		t.Error("an important request is refused")
@@ -53,34 +53,34 @@
 	}
 }
 
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
+func TestUnmeetableDeadlineIsRefused(t *testing.T) {
 	q := fullQueue(t, 10)
 	q.Done(start, Outcome{Duration: 100 * time.Millisecond})
-	v := verdicts{}
+	v := decisions{}
 	q.Submit(start, v.ticket("first", Normal, time.Hour))
 	for range 3 {
 		q.Submit(start, v.ticket("waiting", Normal, time.Hour))
 	}
 	ok, wait := q.Submit(start, v.ticket("late", Normal, 50*time.Millisecond))
 	if ok || wait < 50*time.Millisecond {
-		t.Errorf("taken %v, wait %s", ok, wait)
+		t.Errorf("accepted %v, wait %s", ok, wait)
 	}
 }
 
-func TestExpiredIsNotSent(t *testing.T) {
+func TestExpiredRequestIsNotAdmitted(t *testing.T) {
 	q := fullQueue(t, 10)
-	v := verdicts{"late": true}
+	v := decisions{"late": true}
 	q.Submit(start, v.ticket("late", Normal, time.Millisecond))
 	q.Submit(start, v.ticket("good", Normal, time.Hour))
 	q.Done(start.Add(time.Second), Outcome{Duration: time.Millisecond})
 	if v["late"] || !v["good"] {
-		t.Errorf("verdicts %v", v)
+		t.Errorf("decisions %v", v)
 	}
 }
 
-// TestLimitFindsTheSlots offers steady load to an upstream of four slots that
-// sheds beyond: the limit comes to rest near them.
-func TestLimitFindsTheSlots(t *testing.T) {
+// Under steady load on an upstream with four slots that sheds the excess, the limit must settle
+// near four.
+func TestLimitConvergesToSlots(t *testing.T) {
 	q := NewQueue(Limits{MinInflight: 1, MaxInflight: 16, StartInflight: 1, MaxWaiting: 1000})
 	now := start
 	for range 2000 {
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestLimiterLosesNoSlot has callers come and go: at the end nothing is in
-// flight or waiting.
-func TestLimiterLosesNoSlot(t *testing.T) {
+// After callers have come and gone, some with a canceled context, no request may be in flight or
+// waiting.
+func TestLimiterReleasesEverySlot(t *testing.T) {
 	l := NewLimiter(Limits{MinInflight: 1, MaxInflight: 4, StartInflight: 2, MaxWaiting: 8}, time.Now)
 	var wait sync.WaitGroup
 	for i := range 200 {
@@ -112,7 +112,7 @@
 				cancel()
 			}
 			defer cancel()
-			err := l.Acquire(ctx, Importance(i%int(levels)), time.Now().Add(time.Minute))
+			err := l.Acquire(ctx, Importance(i%int(importanceLevels)), time.Now().Add(time.Minute))
 			if err == nil {
 				l.Release(Outcome{Duration: time.Microsecond})
 			} else if k := answer.KindOf(err); k != answer.Overloaded && k != answer.DeadlinePassed {
