--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -101,7 +101,7 @@
 		d.running--
 		return r, true
 	}
-	timer := time.NewTimer(patience.BeforeHedge(d.last.ExpectedLatency) - d.now().Sub(d.last.GrantedAt))
+	timer := time.NewTimer(patience.HedgeDelay(d.last.ExpectedLatency) - d.now().Sub(d.last.GrantedAt))
 	defer timer.Stop()
 	select {
 	case r = <-d.results:
--- a/transport/front/proxy.go
+++ b/transport/front/proxy.go
@@ -128,7 +128,7 @@
 	defer cancel()
 	ctx, span := p.startSpan(ctx, r, q)
 	defer span.End()
-	p.budget(name).Earn()
+	p.budget(name).RecordRequest()
 	resp, err := p.deliver(ctx, r, q, w.Header())
 	if err != nil {
 		span.SetAttributes(attribute.String("rockcroft.kind", string(answer.KindOf(err))))
@@ -188,7 +188,7 @@
 }
 
 func (p *Proxy) attempt(ctx context.Context, r *http.Request, q *request, route gate.Route, h http.Header) (*reply, error) {
-	switch route.Where {
+	switch route.Destination {
 	case gate.Local:
 		if !p.gate.MaySend() {
 			return p.viaSibling(ctx, r, q, h, answer.New(answer.NoRight, "this entry may not send at the moment"))
@@ -256,7 +256,7 @@
 		return nil, err
 	}
 	switch p.gate.Enter(route) {
-	case gate.Moved:
+	case gate.RouteChanged:
 		u.Limiter.Release(admission.Outcome{Unsent: true})
 		return nil, errMoved
 	case gate.NoRight:
@@ -276,9 +276,9 @@
 	resp, end, sent, err := u.Send(out)
 	finish := func(o admission.Outcome) {
 		end()
-		o.Took = p.clock().Sub(began)
+		o.Duration = p.clock().Sub(began)
 		u.Limiter.Release(o)
-		slot.Took(uint64(o.Took.Microseconds()))
+		slot.RecordRequest(uint64(o.Duration.Microseconds()))
 		span.End()
 	}
 	if err != nil {
