--- a/coordination/controller/command.go
+++ b/coordination/controller/command.go
@@ -78,5 +78,5 @@
 	// Busy are the released ranges to which requests are still in flight.
 	Busy []gate.BusyRange
 	// Leases are the longest leases that the voter gave to upstreams.
-	Leases []lease.Left
+	Leases []lease.RemainingLease
 }
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -27,63 +27,63 @@
 
 // Book holds the state of all upstreams as one entry sees them. It is not safe
 // for concurrent use.
-type Book struct {
+type Tracker struct {
 	limits Limits
-	byID   map[string]*record
+	byID   map[string]*upstreamState
 }
 
 // record is the state of one upstream.
-type record struct {
+type upstreamState struct {
 	boot string
 	// clock is the upstream's clock in its last answer, received at.
-	clock int64
-	at    time.Time
+	answerClock int64
+	answeredAt  time.Time
 	// since is when the entry first asked.
-	since   time.Time
-	refused bool
-	leaving bool
-	lost    bool
+	firstAsked time.Time
+	refused    bool
+	leaving    bool
+	lost       bool
 	// until is when the longest lease given has certainly lapsed.
-	until  time.Time
-	asking bool
+	leaseEnd       time.Time
+	awaitingAnswer bool
 }
 
 // NewBook returns an empty book.
-func NewBook(l Limits) *Book { return &Book{limits: l, byID: make(map[string]*record)} }
+func NewTracker(l Limits) *Tracker { return &Tracker{limits: l, byID: make(map[string]*upstreamState)} }
 
-func (b *Book) record(id string, now time.Time) *record {
-	r := b.byID[id]
-	if r == nil {
-		r = &record{since: now}
-		b.byID[id] = r
+func (t *Tracker) state(id string, now time.Time) *upstreamState {
+	s := t.byID[id]
+	if s == nil {
+		s = &upstreamState{firstAsked: now}
+		t.byID[id] = s
 	}
-	return r
+	return s
 }
 
 // MarkLost stops renewals and reports whether the upstream was in use before.
-func (b *Book) MarkLost(now time.Time, id string) bool {
-	r := b.record(id, now)
-	was := !r.lost
-	r.lost = true
-	return was
+func (t *Tracker) MarkLost(now time.Time, id string) bool {
+	s := t.state(id, now)
+	wasUsable := !s.lost
+	s.lost = true
+	return wasUsable
 }
 
 // MarkUsed allows renewals again.
-func (b *Book) MarkUsed(now time.Time, id string) { b.record(id, now).lost = false }
+func (t *Tracker) MarkUsable(now time.Time, id string) { t.state(id, now).lost = false }
 
 // Keep drops what is known of upstreams that are not in the document.
-func (b *Book) Keep(doc *cell.Cell) {
-	for id := range b.byID {
+func (t *Tracker) Prune(doc *cell.Cell) {
+	for id := range t.byID {
 		if doc.Upstream(id) == nil {
-			delete(b.byID, id)
+			delete(t.byID, id)
 		}
 	}
 }
 
 // LastSeen returns the time of the last answer, zero when there was none.
-func (b *Book) LastSeen(id string) time.Time {
-	if r := b.byID[id]; r != nil {
-		return r.at
+func (t *Tracker) LastAnswer(id string) time.Time {
+	if s := t.byID[id]; s != nil {
+		return s.answeredAt
 	}
 	return time.Time{}
 }
@@ -91,83 +91,83 @@
 // Renew prepares the next message to an upstream. Right is the end of the
 // entry's own right to send. An empty renewal only asks for the status. It
 // returns false while the last message is not answered.
-func (b *Book) Renew(now, right time.Time, u cell.Upstream) (control.Renewal, bool) {
-	r := b.record(u.ID, now)
-	if r.asking {
+func (t *Tracker) NextRenewal(now, rightUntil time.Time, u cell.Upstream) (control.Renewal, bool) {
+	s := t.state(u.ID, now)
+	if s.awaitingAnswer {
 		return control.Renewal{}, false
 	}
-	r.asking = true
-	if r.lost || u.State == cell.Lost || u.Boot == "" || r.boot != u.Boot || !now.Before(right) {
+	s.awaitingAnswer = true
+	if s.lost || u.State == cell.Lost || u.Boot == "" || s.boot != u.Boot || !now.Before(rightUntil) {
 		return control.Renewal{}, true
 	}
 	// By this entry's clock the lease may last the whole time: the upstream is
 	// given less, as its clock may be the slower one.
-	whole := min(b.limits.TTL, right.Sub(r.at))
-	ttl := whole - whole*time.Duration(2*b.limits.DriftPercent)/100
+	lifetime := min(t.limits.TTL, rightUntil.Sub(s.answeredAt))
+	ttl := lifetime - lifetime*time.Duration(2*t.limits.DriftPercent)/100
 	if ttl <= 0 {
 		return control.Renewal{}, true
 	}
-	if until := r.at.Add(whole); until.After(r.until) {
-		r.until = until
+	if until := s.answeredAt.Add(lifetime); until.After(s.leaseEnd) {
+		s.leaseEnd = until
 	}
-	return control.Renewal{Boot: u.Boot, UntilNanos: r.clock + int64(ttl)}, true
+	return control.Renewal{Boot: u.Boot, UntilNanos: s.answerClock + int64(ttl)}, true
 }
 
 // Answered notes the answer to a renewal.
-func (b *Book) Answered(now time.Time, id string, st control.Status) {
-	r := b.record(id, now)
-	r.asking = false
-	r.boot = st.Boot
-	r.clock = st.ClockNanos
-	r.at = now
-	r.refused = false
-	r.leaving = st.Leaving
+func (t *Tracker) RecordAnswer(now time.Time, id string, st control.Status) {
+	s := t.state(id, now)
+	s.awaitingAnswer = false
+	s.boot = st.Boot
+	s.answerClock = st.ClockNanos
+	s.answeredAt = now
+	s.refused = false
+	s.leaving = st.Leaving
 }
 
 // Failed notes that a renewal had no answer. Refused says that the connection
 // was actively refused.
-func (b *Book) Failed(now time.Time, id string, refused bool) {
-	r := b.record(id, now)
-	r.asking = false
-	r.refused = refused
+func (t *Tracker) RecordFailure(now time.Time, id string, refused bool) {
+	s := t.state(id, now)
+	s.awaitingAnswer = false
+	s.refused = refused
 }
 
 // Left is the time until a lease has lapsed.
-type Left struct {
+type RemainingLease struct {
 	Upstream  string
 	Remaining time.Duration
 }
 
 // Lost returns the time left of the leases given to lost upstreams.
-func (b *Book) Lost(now time.Time) []Left {
-	var out []Left
-	for id, r := range b.byID {
-		if left := r.until.Sub(now); r.lost && left > 0 {
-			out = append(out, Left{id, left})
+func (t *Tracker) LostLeases(now time.Time) []RemainingLease {
+	var out []RemainingLease
+	for id, s := range t.byID {
+		if remaining := s.leaseEnd.Sub(now); s.lost && remaining > 0 {
+			out = append(out, RemainingLease{id, remaining})
 		}
 	}
-	slices.SortFunc(out, func(a, b Left) int { return cmp.Compare(a.Upstream, b.Upstream) })
+	slices.SortFunc(out, func(a, b RemainingLease) int { return cmp.Compare(a.Upstream, b.Upstream) })
 	return out
 }
 
 // Seen is the observation of one upstream.
-type Seen struct {
+type UpstreamObservation struct {
 	Upstream string
 	detect.Observation
 }
 
 // Seen returns what this entry saw of every upstream.
-func (b *Book) Seen(now time.Time) []Seen {
-	out := make([]Seen, 0, len(b.byID))
-	for id, r := range b.byID {
-		silent := now.Sub(r.since)
-		if !r.at.IsZero() {
-			silent = now.Sub(r.at)
+func (t *Tracker) Observations(now time.Time) []UpstreamObservation {
+	out := make([]UpstreamObservation, 0, len(t.byID))
+	for id, s := range t.byID {
+		silent := now.Sub(s.firstAsked)
+		if !s.answeredAt.IsZero() {
+			silent = now.Sub(s.answeredAt)
 		}
-		out = append(out, Seen{id, detect.Observation{
-			Boot: r.boot, Silent: silent, Refused: r.refused, Leaving: r.leaving,
+		out = append(out, UpstreamObservation{id, detect.Observation{
+			Boot: s.boot, Silent: silent, Refused: s.refused, Leaving: s.leaving,
 		}})
 	}
-	slices.SortFunc(out, func(a, b Seen) int { return cmp.Compare(a.Upstream, b.Upstream) })
+	slices.SortFunc(out, func(a, b UpstreamObservation) int { return cmp.Compare(a.Upstream, b.Upstream) })
 	return out
 }
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -71,8 +71,8 @@
 	e := bd.addEntry("entry-1", "a")
 	bd.awaitVoters("a", 1)
 	for i := range 12 {
-		e.watched.with(func(w *lease.Book) {
-			w.Answered(e.clock(), fmt.Sprintf("upstream-%d", i), control.Status{Boot: "0123456789abcdef.1"})
+		e.watched.with(func(w *lease.Tracker) {
+			w.RecordAnswer(e.clock(), fmt.Sprintf("upstream-%d", i), control.Status{Boot: "0123456789abcdef.1"})
 		})
 	}
 	var bytes atomic.Int64
--- a/entry/control.go
+++ b/entry/control.go
@@ -221,7 +221,7 @@
 		a.Busy = append(a.Busy, gate.BusyRange{Service: b.Service, Span: span})
 	}
 	for _, l := range resp.Leases {
-		a.Leases = append(a.Leases, lease.Left{
+		a.Leases = append(a.Leases, lease.RemainingLease{
 			Upstream:  l.Upstream,
 			Remaining: time.Duration(l.RemainingMs) * time.Millisecond,
 		})
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -95,17 +95,17 @@
 	}
 	e.gate.Apply(doc)
 	e.outages.compare(old, doc, e.clock(), e.watched.lastSeen, e.registry)
-	e.watched.with(func(b *lease.Book) { e.markUpstreams(b, doc) })
+	e.watched.with(func(b *lease.Tracker) { e.markUpstreams(b, doc) })
 	e.pool.Keep(named)
 	e.control.note(func(core *controller.Core, now time.Time) { core.OnDocument(now, doc, 0) })
 }
 
 // markUpstreams stops the renewals of lost upstreams and gives up requests that
 // are in flight towards them.
-func (e *Entry) markUpstreams(b *lease.Book, doc *cell.Cell) {
+func (e *Entry) markUpstreams(b *lease.Tracker, doc *cell.Cell) {
 	for _, u := range doc.Upstreams {
 		if u.State != cell.Lost {
-			b.MarkUsed(e.clock(), u.ID)
+			b.MarkUsable(e.clock(), u.ID)
 			continue
 		}
 		if b.MarkLost(e.clock(), u.ID) {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -113,7 +113,7 @@
 	e.docs = docstore.New(e.onDocument)
 	e.pool = upstreams.NewPool(e.clock)
 	e.peers = peers.NewPool(peerTLS, e.clock)
-	e.watched = &watchedUpstreams{book: lease.NewBook(lease.Limits{
+	e.watched = &watchedUpstreams{book: lease.NewTracker(lease.Limits{
 		TTL:          e.limits.LeaseTTL,
 		DriftPercent: e.limits.Fence.DriftPercent,
 	})}
--- a/entry/renewals.go
+++ b/entry/renewals.go
@@ -12,14 +12,14 @@
 	"github.com/rockcroft/rockcroft/transport/upstreams"
 )
 
-// watchedUpstreams is a lease book for concurrent use.
+// watchedUpstreams is a lease tracker for concurrent use.
 type watchedUpstreams struct {
 	mu   sync.Mutex
-	book *lease.Book
+	book *lease.Tracker
 }
 
-// with runs f on the book.
-func (w *watchedUpstreams) with(f func(*lease.Book)) {
+// with runs f on the tracker.
+func (w *watchedUpstreams) with(f func(*lease.Tracker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	f(w.book)
@@ -28,19 +28,19 @@
 func (w *watchedUpstreams) lastSeen(id string) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.book.LastSeen(id)
+	return w.book.LastAnswer(id)
 }
 
-func (w *watchedUpstreams) lost(now time.Time) []lease.Left {
+func (w *watchedUpstreams) lost(now time.Time) []lease.RemainingLease {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.book.Lost(now)
+	return w.book.LostLeases(now)
 }
 
-func (w *watchedUpstreams) seen(now time.Time) []lease.Seen {
+func (w *watchedUpstreams) seen(now time.Time) []lease.UpstreamObservation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.book.Seen(now)
+	return w.book.Observations(now)
 }
 
 // report returns the observations for a beat.
@@ -63,7 +63,7 @@
 		if doc == nil {
 			return
 		}
-		e.watched.with(func(b *lease.Book) { b.Keep(doc) })
+		e.watched.with(func(b *lease.Tracker) { b.Prune(doc) })
 		for _, u := range doc.Upstreams {
 			if c := e.pool.Get(u.ID); c != nil {
 				go e.renew(ctx, u, c)
@@ -80,17 +80,17 @@
 
 func (e *Entry) renew(ctx context.Context, u cell.Upstream, c *upstreams.Upstream) {
 	e.watched.mu.Lock()
-	r, ok := e.watched.book.Renew(e.clock(), e.gate.RightUntil(), u)
+	r, ok := e.watched.book.NextRenewal(e.clock(), e.gate.RightUntil(), u)
 	e.watched.mu.Unlock()
 	if !ok {
 		return
 	}
 	st, err := c.Renew(ctx, r)
-	e.watched.with(func(b *lease.Book) {
+	e.watched.with(func(b *lease.Tracker) {
 		if err != nil {
-			b.Failed(e.clock(), u.ID, upstreams.Refused(err))
+			b.RecordFailure(e.clock(), u.ID, upstreams.Refused(err))
 			return
 		}
-		b.Answered(e.clock(), u.ID, st)
+		b.RecordAnswer(e.clock(), u.ID, st)
 	})
 }
--- a/proof/nodes_test.go
+++ b/proof/nodes_test.go
@@ -23,7 +23,7 @@
 	self   cell.Member
 	core   *controller.Core
 	gate   *gate.Gate
-	book   *lease.Book
+	book   *lease.Tracker
 	paused bool
 	dead   bool
 	starts int
@@ -57,7 +57,7 @@
 	l := e.w.limits()
 	e.core = controller.NewCore(e.self, l, roundRobin{}, e.w, e.w.newID)
 	e.gate = gate.New(e.self, l.Fence, e.clock)
-	e.book = lease.NewBook(lease.Limits{TTL: l.LeaseTTL, DriftPercent: l.Fence.DriftPercent})
+	e.book = lease.NewTracker(lease.Limits{TTL: l.LeaseTTL, DriftPercent: l.Fence.DriftPercent})
 	if cellOf != cellName {
 		return
 	}
@@ -138,7 +138,7 @@
 		if u.State == cell.Lost {
 			e.book.MarkLost(e.clock(), u.ID)
 		} else {
-			e.book.MarkUsed(e.clock(), u.ID)
+			e.book.MarkUsable(e.clock(), u.ID)
 		}
 	}
 	e.core.OnDocument(e.clock(), doc, 0)
@@ -160,7 +160,7 @@
 	if doc != nil {
 		version, guest = doc.Version, !doc.Quorum.HasLocal(e.self.ID)
 	}
-	seen := e.book.Seen(askedAt)
+	seen := e.book.Observations(askedAt)
 	w.send(e.slot, other.slot, func() {
 		if other.dead || other.paused || other.self.ID != to.ID {
 			return
@@ -212,22 +212,22 @@
 	if doc == nil {
 		return
 	}
-	for _, s := range e.book.Seen(e.clock()) {
+	for _, s := range e.book.Observations(e.clock()) {
 		e.core.OnObservation(e.clock(), e.self.ID, s.Upstream, s.Observation)
 	}
 	for _, up := range doc.Upstreams {
 		u := e.w.byUpstream(up.ID)
-		r, ok := e.book.Renew(e.clock(), e.gate.RightUntil(), up)
+		r, ok := e.book.NextRenewal(e.clock(), e.gate.RightUntil(), up)
 		if !ok {
 			continue
 		}
 		book, starts := e.book, u.starts
-		fail := func(refused bool) func() { return func() { book.Failed(e.clock(), u.id, refused) } }
+		fail := func(refused bool) func() { return func() { book.RecordFailure(e.clock(), u.id, refused) } }
 		e.w.send(e.slot, u.id, func() {
 			u.handle(starts, func() {
 				u.own.Renew(r)
 				st := u.own.Status()
-				e.w.send(u.id, e.slot, func() { book.Answered(e.clock(), u.id, st) }, fail(false))
+				e.w.send(u.id, e.slot, func() { book.RecordAnswer(e.clock(), u.id, st) }, fail(false))
 			}, fail(u.dead))
 		}, fail(false))
 	}
--- a/proof/world_test.go
+++ b/proof/world_test.go
@@ -272,7 +272,7 @@
 		Ack:     v.gate.Raise(cellName, cmd.Doc.Fence),
 		Version: cmd.Doc.Version,
 		Busy:    v.gate.Busy(),
-		Leases:  v.book.Lost(v.clock()),
+		Leases:  v.book.LostLeases(v.clock()),
 	}
 	core := from.core
 	w.send(v.slot, from.slot, from.answer(func() { core.OnApplied(from.clock(), cmd, a, nil) }), fail)
