--- a/coordination/controller/core.go
+++ b/coordination/controller/core.go
@@ -89,7 +89,7 @@
 	doc     *cell.Cell
 	version uint64
 
-	settler   *fence.Settler
+	settler   *fence.Settlement
 	fenceSeen time.Time
 	settled   bool
 	applied   map[string]Applied
@@ -195,10 +195,10 @@
 	sameFence := c.doc != nil && c.doc.Fence == doc.Fence
 	c.doc = doc
 	if sameFence {
-		c.settler.Narrow(doc)
+		c.settler.SetQuorums(doc)
 		return
 	}
-	c.settler = fence.NewSettler(doc, c.limits.Fence)
+	c.settler = fence.NewSettlement(doc, c.limits.Fence)
 	c.fenceSeen = now
 	c.settled = false
 	c.applied = make(map[string]Applied)
@@ -316,7 +316,7 @@
 // of which it was the only voter is over.
 func (c *Core) follow(h heardMember) {
 	if c.settler != nil && h.version >= c.settler.Fence() {
-		c.settler.RecordFollows(h.versionAt, h.member.ID)
+		c.settler.RecordAdopted(h.versionAt, h.member.ID)
 	}
 }
 
--- a/coordination/fence/fence.go
+++ b/coordination/fence/fence.go
@@ -51,61 +51,61 @@
 	Fence uint64
 	// GuestWait is how long promises to entries outside of the local quorum
 	// may still hold; zero when there are none.
-	GuestWait time.Duration
+	NonVoterWait time.Duration
 }
 
 // Voter keeps what one process promised, for every cell it votes in.
 type Voter struct {
 	id     string
 	limits Limits
-	cells  map[string]*ballot
+	cells  map[string]*cellState
 }
 
-type ballot struct {
-	floor      uint64
-	guestUntil time.Time
+type cellState struct {
+	floor          uint64
+	nonVotersUntil time.Time
 }
 
 // NewVoter returns a voter without promises.
 func NewVoter(id string, limits Limits) *Voter {
-	return &Voter{id: id, limits: limits, cells: make(map[string]*ballot)}
+	return &Voter{id: id, limits: limits, cells: make(map[string]*cellState)}
 }
 
-func (v *Voter) ballot(name string) *ballot {
-	b := v.cells[name]
-	if b == nil {
-		b = &ballot{}
-		v.cells[name] = b
+func (v *Voter) state(name string) *cellState {
+	s := v.cells[name]
+	if s == nil {
+		s = &cellState{}
+		v.cells[name] = s
 	}
-	return b
+	return s
 }
 
 // Promise answers an entry that knows version of the named cell. Guest says
 // that the entry is not a local voter.
-func (v *Voter) Promise(now time.Time, name string, version uint64, guest bool) Promise {
-	b := v.ballot(name)
-	if version < b.floor {
-		return Promise{Floor: b.floor}
+func (v *Voter) Promise(now time.Time, name string, version uint64, nonVoter bool) Promise {
+	s := v.state(name)
+	if version < s.floor {
+		return Promise{Floor: s.floor}
 	}
-	if guest {
-		b.guestUntil = now.Add(v.limits.voterTTL())
+	if nonVoter {
+		s.nonVotersUntil = now.Add(v.limits.voterTTL())
 	}
-	return Promise{Granted: true, Floor: b.floor}
+	return Promise{Granted: true, Floor: s.floor}
 }
 
 // Raise acknowledges a fence of the named cell. The floor never sinks.
 func (v *Voter) Raise(now time.Time, name string, fence uint64) Ack {
-	b := v.ballot(name)
-	b.floor = max(b.floor, fence)
-	ack := Ack{Voter: v.id, Fence: b.floor}
-	if b.guestUntil.After(now) {
-		ack.GuestWait = b.guestUntil.Sub(now)
+	s := v.state(name)
+	s.floor = max(s.floor, fence)
+	ack := Ack{Voter: v.id, Fence: s.floor}
+	if s.nonVotersUntil.After(now) {
+		ack.NonVoterWait = s.nonVotersUntil.Sub(now)
 	}
 	return ack
 }
 
 // Floor returns the highest fence acknowledged for the named cell.
-func (v *Voter) Floor(name string) uint64 { return v.ballot(name).floor }
+func (v *Voter) Floor(name string) uint64 { return v.state(name).floor }
 
 // Holder decides whether one entry may send to the upstreams of its cell.
 type Holder struct {
@@ -122,7 +122,7 @@
 }
 
 // Adopt sets the quorum of the version in use.
-func (h *Holder) Adopt(q cell.Quorum) {
+func (h *Holder) SetQuorum(q cell.Quorum) {
 	h.quorum = q
 	for id := range h.promises {
 		if !q.Has(id) {
@@ -144,7 +144,7 @@
 
 // Until returns the time up to which the entry may send. A time not after now
 // means that it must not. The entry's own vote counts as promised now.
-func (h *Holder) Until(now time.Time) time.Time {
+func (h *Holder) ValidUntil(now time.Time) time.Time {
 	if h.quorum.Has(h.id) {
 		h.promises[h.id] = now.Add(h.limits.holderTTL())
 	}
@@ -173,42 +173,42 @@
 
 // Settler tells a controller when a fence is settled: no entry that knows only
 // older versions may send any more.
-type Settler struct {
+type Settlement struct {
 	fence   uint64
 	limits  Limits
 	quorums []cell.Quorum
 	acks    map[string]time.Time
 	// follows holds voters that were heard to follow the fence but have not
 	// acknowledged it, since when.
-	follows map[string]time.Time
+	adopted map[string]time.Time
 	// guestsTo is when promises to entries outside of the quorum have lapsed.
-	guestsTo time.Time
+	nonVotersUntil time.Time
 	// deadAt is when the last voter that ended was known to have ended.
-	deadAt time.Time
+	lastDeath time.Time
 }
 
 // NewSettler starts settling the fence of the given document.
-func NewSettler(doc *cell.Cell, limits Limits) *Settler {
-	return &Settler{
+func NewSettlement(doc *cell.Cell, limits Limits) *Settlement {
+	return &Settlement{
 		fence:   doc.Fence,
 		limits:  limits,
 		quorums: append(slices.Clone(doc.Previous), doc.Quorum),
 		acks:    make(map[string]time.Time),
-		follows: make(map[string]time.Time),
+		adopted: make(map[string]time.Time),
 	}
 }
 
 // Narrow takes the quorums of a later document of the same fence. One that no
 // longer lists former quorums says that they were settled.
-func (s *Settler) Narrow(doc *cell.Cell) {
+func (s *Settlement) SetQuorums(doc *cell.Cell) {
 	s.quorums = append(slices.Clone(doc.Previous), doc.Quorum)
 }
 
 // Fence returns the fence being settled.
-func (s *Settler) Fence() uint64 { return s.fence }
+func (s *Settlement) Fence() uint64 { return s.fence }
 
 // Voters returns everyone whose acknowledgement counts.
-func (s *Settler) Voters() []cell.Member {
+func (s *Settlement) Voters() []cell.Member {
 	var out []cell.Member
 	seen := make(map[string]bool)
 	for _, q := range s.quorums {
@@ -223,27 +223,27 @@
 }
 
 // Record notes an acknowledgement received at now.
-func (s *Settler) Record(now time.Time, ack Ack) {
+func (s *Settlement) Record(now time.Time, ack Ack) {
 	if ack.Fence < s.fence {
 		return
 	}
 	if _, ok := s.acks[ack.Voter]; !ok {
 		s.acks[ack.Voter] = now
 	}
-	if until := now.Add(ack.GuestWait); ack.GuestWait > 0 && until.After(s.guestsTo) {
-		s.guestsTo = until
+	if until := now.Add(ack.NonVoterWait); ack.NonVoterWait > 0 && until.After(s.nonVotersUntil) {
+		s.nonVotersUntil = until
 	}
 }
 
 // RecordDead notes a voter whose process had certainly ended at the given time.
 // Others than voters do not matter.
-func (s *Settler) RecordDead(at time.Time, id string) {
+func (s *Settlement) RecordDead(at time.Time, id string) {
 	if s.Acked(id) || !slices.ContainsFunc(s.quorums, func(q cell.Quorum) bool { return q.Has(id) }) {
 		return
 	}
 	s.acks[id] = at
-	if at.After(s.deadAt) {
-		s.deadAt = at
+	if at.After(s.lastDeath) {
+		s.lastDeath = at
 	}
 }
 
@@ -251,14 +251,14 @@
 // one at the given time. It promises nothing under older documents any more,
 // but what it promised guests before is not known, and what it has under way
 // neither: that has to lapse.
-func (s *Settler) RecordFollows(at time.Time, id string) {
-	if _, ok := s.follows[id]; !ok {
-		s.follows[id] = at
+func (s *Settlement) RecordAdopted(at time.Time, id string) {
+	if _, ok := s.adopted[id]; !ok {
+		s.adopted[id] = at
 	}
 }
 
 // Acked reports whether the voter has acknowledged.
-func (s *Settler) Acked(id string) bool {
+func (s *Settlement) Acked(id string) bool {
 	_, ok := s.acks[id]
 	return ok
 }
@@ -266,21 +266,21 @@
 // Settled reports whether every right given under an older fence is over. Grace
 // is waited for more where entries did not answer themselves, for requests that
 // they may have under way to upstreams that do not check epochs.
-func (s *Settler) Settled(now time.Time, grace time.Duration) bool {
-	if !s.guestsTo.IsZero() && now.Before(s.guestsTo.Add(grace)) {
+func (s *Settlement) Settled(now time.Time, grace time.Duration) bool {
+	if !s.nonVotersUntil.IsZero() && now.Before(s.nonVotersUntil.Add(grace)) {
 		return false
 	}
-	if !s.deadAt.IsZero() && now.Before(s.deadAt.Add(grace)) {
+	if !s.lastDeath.IsZero() && now.Before(s.lastDeath.Add(grace)) {
 		return false
 	}
 	if s.allLocalAcked() {
 		return true
 	}
-	blocked, ok := s.blockedAt()
+	blocked, ok := s.allBlockedAt()
 	return ok && !now.Before(blocked.Add(s.limits.voterTTL()+grace))
 }
 
-func (s *Settler) allLocalAcked() bool {
+func (s *Settlement) allLocalAcked() bool {
 	for _, q := range s.quorums {
 		for _, m := range q.Local {
 			if !s.Acked(m.ID) {
@@ -292,11 +292,11 @@
 }
 
 // blockedAt returns when the silent voters could no longer form a majority.
-func (s *Settler) blockedAt() (time.Time, bool) {
+func (s *Settlement) allBlockedAt() (time.Time, bool) {
 	var at time.Time
 	for _, q := range s.quorums {
 		for _, set := range [][]cell.Member{q.Local, q.Wide} {
-			t, ok := s.setBlockedAt(set)
+			t, ok := s.majorityBlockedAt(set)
 			if !ok {
 				return time.Time{}, false
 			}
@@ -310,15 +310,15 @@
 
 // boundSince returns since when the voter certainly promises nothing under an
 // older fence.
-func (s *Settler) boundSince(id string) (time.Time, bool) {
+func (s *Settlement) boundSince(id string) (time.Time, bool) {
 	if at, ok := s.acks[id]; ok {
 		return at, true
 	}
-	at, ok := s.follows[id]
+	at, ok := s.adopted[id]
 	return at, ok
 }
 
-func (s *Settler) setBlockedAt(set []cell.Member) (time.Time, bool) {
+func (s *Settlement) majorityBlockedAt(set []cell.Member) (time.Time, bool) {
 	var times []time.Time
 	for _, m := range set {
 		if at, ok := s.boundSince(m.ID); ok {
--- a/coordination/fence/fence_test.go
+++ b/coordination/fence/fence_test.go
@@ -40,21 +40,21 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			h := NewHolder(tt.self, limits)
-			h.Adopt(cell.Quorum{Local: members(tt.local...), Wide: members(tt.wide...)})
+			h.SetQuorum(cell.Quorum{Local: members(tt.local...), Wide: members(tt.wide...)})
 			for _, id := range tt.promised {
 				h.Record(id, start)
 			}
-			if got := h.Until(start).After(start); got != tt.want {
+			if got := h.ValidUntil(start).After(start); got != tt.want {
 				t.Errorf("may send %v, want %v", got, tt.want)
 			}
-			if h.Until(start.Add(limits.TTL)).After(start.Add(limits.TTL)) && len(tt.promised) > 0 {
+			if h.ValidUntil(start.Add(limits.TTL)).After(start.Add(limits.TTL)) && len(tt.promised) > 0 {
 				t.Error("the right outlives its promises")
 			}
 		})
 	}
 }
 
-func TestVoterKeepsItsWord(t *testing.T) {
+func TestVoterRefusesVersionsBelowItsFence(t *testing.T) {
 	v := NewVoter("v", limits)
 	if !v.Promise(start, "c", 5, false).Granted {
 		t.Fatal("no promise without a fence")
@@ -68,8 +68,8 @@
 		t.Error("the fence of one cell binds another")
 	}
 	v.Promise(start, "c", 7, true)
-	if ack := v.Raise(start, "c", 8); ack.GuestWait <= limits.TTL {
-		t.Errorf("guests may hold a right for %s, TTL %s", ack.GuestWait, limits.TTL)
+	if ack := v.Raise(start, "c", 8); ack.NonVoterWait <= limits.TTL {
+		t.Errorf("guests may hold a right for %s, TTL %s", ack.NonVoterWait, limits.TTL)
 	}
 }
 
@@ -97,7 +97,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := NewSettler(doc, limits)
+			s := NewSettlement(doc, limits)
 			for _, id := range tt.acks {
 				s.Record(start, Ack{Voter: id, Fence: tt.fence})
 			}
@@ -116,7 +116,7 @@
 		Previous: []cell.Quorum{{Local: members("a", "b", "c")}},
 		Quorum:   cell.Quorum{Local: members("d")},
 	}
-	s := NewSettler(doc, limits)
+	s := NewSettlement(doc, limits)
 	s.Record(start, Ack{Voter: "d", Fence: 2})
 	if s.Settled(start.Add(time.Hour), 0) {
 		t.Error("settled while the former voters may still promise each other")
@@ -130,16 +130,16 @@
 
 // TestDeadVotersAreWaitedForOnce lets a voter end long ago: a new fence does not
 // wait for its last requests again, and those who never voted do not matter.
-func TestDeadVotersAreWaitedForOnce(t *testing.T) {
+func TestGraceStartsAtVoterDeath(t *testing.T) {
 	doc := &cell.Cell{Fence: 2, Quorum: cell.Quorum{Local: members("a", "b")}}
-	s := NewSettler(doc, limits)
+	s := NewSettlement(doc, limits)
 	s.Record(start, Ack{Voter: "a", Fence: 2})
 	s.RecordDead(start.Add(-time.Minute), "b")
 	s.RecordDead(start, "stranger")
 	if !s.Settled(start, 10*time.Second) {
 		t.Error("not settled")
 	}
-	s = NewSettler(doc, limits)
+	s = NewSettlement(doc, limits)
 	s.Record(start, Ack{Voter: "a", Fence: 2})
 	s.RecordDead(start, "b")
 	if s.Settled(start, 10*time.Second) {
@@ -149,18 +149,18 @@
 
 // TestSoleVoterThatFollowedAndEnded guards against a former quorum that nobody
 // can speak for: its only voter was heard to use the new document and ended.
-func TestSoleVoterThatFollowedAndEnded(t *testing.T) {
+func TestSoleVoterEndsAfterAdoptingFence(t *testing.T) {
 	doc := &cell.Cell{
 		Fence:    2,
 		Previous: []cell.Quorum{{Local: members("a")}},
 		Quorum:   cell.Quorum{Local: members("a", "b")},
 	}
-	s := NewSettler(doc, limits)
+	s := NewSettlement(doc, limits)
 	s.Record(start, Ack{Voter: "b", Fence: 2})
 	if s.Settled(start.Add(time.Hour), 0) {
 		t.Fatal("settled while the sole voter may still be sending")
 	}
-	s.RecordFollows(start, "a")
+	s.RecordAdopted(start, "a")
 	// Guests of a may send as long as its last promise to them holds, and
 	// requests of a may be under way for the grace.
 	const grace = 10 * time.Second
--- a/coordination/gate/gate.go
+++ b/coordination/gate/gate.go
@@ -172,7 +172,7 @@
 		g.rightUntil.Store(0)
 		return
 	}
-	g.rightUntil.Store(int64(g.holder.Until(now).Sub(g.base)))
+	g.rightUntil.Store(int64(g.holder.ValidUntil(now).Sub(g.base)))
 }
 
 // Apply takes a cell document into use. Older documents are ignored.
@@ -185,7 +185,7 @@
 	g.doc = doc
 	now := g.clock()
 	g.voter.Raise(now, g.self.Cell, doc.Fence)
-	g.holder.Adopt(doc.Quorum)
+	g.holder.SetQuorum(doc.Quorum)
 	g.swap()
 	g.refresh(now)
 }
--- a/entry/control.go
+++ b/entry/control.go
@@ -212,7 +212,7 @@
 		Ack: fence.Ack{
 			Voter:     resp.Voter,
 			Fence:     resp.Fence,
-			GuestWait: time.Duration(resp.GuestWaitMs) * time.Millisecond,
+			NonVoterWait: time.Duration(resp.GuestWaitMs) * time.Millisecond,
 		},
 		Version: version,
 	}
--- a/entry/peerserver.go
+++ b/entry/peerserver.go
@@ -129,7 +129,7 @@
 	resp := &peerpb.ApplyResponse{
 		Voter:       a.Ack.Voter,
 		Fence:       a.Ack.Fence,
-		GuestWaitMs: roundUp(a.Ack.GuestWait),
+		GuestWaitMs: roundUp(a.Ack.NonVoterWait),
 	}
 	for _, b := range a.Busy {
 		resp.Busy = append(resp.Busy, &peerpb.BusyRange{
--- a/scripts/guards.sh
+++ b/scripts/guards.sh
@@ -36,7 +36,7 @@
 }
 
 queue wait-for-silent coordination/fence/fence.go 'return ok && !now.Before(blocked.Add(s.limits.voterTTL()+grace))' '_ = blocked; return ok' OneOwnerUnderPartitions
-queue promise-after-fence coordination/fence/fence.go 'if version < b.floor {' 'if false {' OneOwnerUnderPartitions
+queue promise-after-fence coordination/fence/fence.go 'if version < s.floor {' 'if false {' OneOwnerUnderPartitions
 queue majority coordination/fence/fence.go 'return h.scratch[len(voters)/2]' 'return h.scratch[0]' OneOwnerUnderPartitions
 queue previous-quorums coordination/fence/fence.go 'append(slices.Clone(doc.Previous), doc.Quorum)' '[]cell.Quorum{doc.Quorum}' OneOwnerWithTwoEntries
 queue lease-wait coordination/controller/step.go 'return reset || !now.Before(c.leases[r.Owner])' 'return true' OneOwnerWithFencedUpstreams
