--- a/coordination/controller/edit.go
+++ b/coordination/controller/edit.go
@@ -15,7 +15,7 @@
 
 // edit returns the next document, or nil when nothing is to change.
 func (c *Core) edit(now time.Time) *cell.Cell {
-	e := handover.Edit(c.doc, c.settled)
+	e := handover.NewEditor(c.doc, c.settled)
 	c.editUpstreams(now, e)
 	c.editDirectories(e)
 	c.editReserved(e)
@@ -25,7 +25,7 @@
 	if c.settled && len(c.doc.Previous) > 0 {
 		// Written down, so that a successor need not hear from former voters
 		// again, who may have ended by then.
-		e.Touch()
+		e.MarkChanged()
 	}
 	if c.settled && !c.finishFirst(now, e.Doc()) {
 		c.editMembers(now, e)
@@ -71,7 +71,7 @@
 			e.Doc().Upstreams = append(e.Doc().Upstreams, cell.Upstream{
 				ID: u.ID, Service: u.Service, Addr: u.Addr, State: cell.Active,
 			})
-			e.Touch()
+			e.MarkChanged()
 		}
 	}
 	for _, u := range slices.Clone(e.Doc().Upstreams) {
@@ -84,22 +84,22 @@
 	current := e.Doc().Upstream(u.ID)
 	switch {
 	case c.evicted[u.ID] && u.State != cell.Lost:
-		e.Lose(u.ID)
+		e.MarkLost(u.ID)
 	case u.State == cell.Lost && c.draining[u.ID] && !holds(e.Doc(), u.ID):
 		c.removeUpstream(e, u.ID)
 	case u.State == cell.Lost && v.Health == detect.Alive && c.reset[u.ID] != "":
 		current.State = cell.Active
 		current.Boot = c.reset[u.ID]
-		e.Touch()
+		e.MarkChanged()
 	case u.State == cell.Lost:
 	case u.Boot == "" && c.reset[u.ID] != "":
 		current.Boot = c.reset[u.ID]
-		e.Touch()
+		e.MarkChanged()
 	case u.Boot != "" && (v.Health == detect.Silent || v.Health == detect.Gone):
-		e.Lose(u.ID)
+		e.MarkLost(u.ID)
 	case u.State == cell.Active && (c.draining[u.ID] || v.Leaving):
 		current.State = cell.Draining
-		e.Touch()
+		e.MarkChanged()
 	case u.State == cell.Draining && c.draining[u.ID] && !holds(e.Doc(), u.ID):
 		c.removeUpstream(e, u.ID)
 	}
@@ -108,7 +108,7 @@
 func (c *Core) removeUpstream(e *handover.Editor, id string) {
 	doc := e.Doc()
 	doc.Upstreams = slices.DeleteFunc(doc.Upstreams, func(u cell.Upstream) bool { return u.ID == id })
-	e.Touch()
+	e.MarkChanged()
 }
 
 // holds reports whether the upstream owns a range or is about to.
@@ -212,7 +212,7 @@
 	if r.Next != "" {
 		next := e.Doc().Upstream(r.Next)
 		if next == nil || next.State == cell.Lost {
-			e.Skip(service, r.Span)
+			e.SkipReserved(service, r.Span)
 			return
 		}
 		if !c.granted[rangeID{service, r.Span, r.Epoch + 1, r.Next}] {
--- a/coordination/handover/handover.go
+++ b/coordination/handover/handover.go
@@ -29,14 +29,14 @@
 
 // Editor prepares the next version of a document.
 type Editor struct {
-	doc     *cell.Cell
-	fenced  bool
-	changed bool
+	doc         *cell.Cell
+	raisesFence bool
+	changed     bool
 }
 
 // Edit starts an edit of doc, which stays untouched. Settled says that the
 // fence of doc is known to be settled, so earlier quorums can be forgotten.
-func Edit(doc *cell.Cell, settled bool) *Editor {
+func NewEditor(doc *cell.Cell, settled bool) *Editor {
 	next := doc.Clone()
 	next.Version++
 	if settled {
@@ -56,7 +56,7 @@
 	if !e.changed {
 		return nil
 	}
-	if e.fenced {
+	if e.raisesFence {
 		e.doc.Fence = e.doc.Version
 	}
 	e.doc.WriteID = writeID
@@ -64,13 +64,13 @@
 }
 
 // Touch marks the document as changed by an edit made through Doc.
-func (e *Editor) Touch() { e.changed = true }
+func (e *Editor) MarkChanged() { e.changed = true }
 
 // SetQuorum replaces the voters and raises the fence.
 func (e *Editor) SetQuorum(q cell.Quorum) {
 	e.doc.Previous = append(e.doc.Previous, e.doc.Quorum)
 	e.doc.Quorum = q
-	e.fenced = true
+	e.raisesFence = true
 	e.changed = true
 }
 
@@ -95,7 +95,7 @@
 		count++
 	}
 	if count > 0 {
-		e.fenced = true
+		e.raisesFence = true
 		e.changed = true
 	}
 	return count
@@ -104,7 +104,7 @@
 // Reserve names the upstream that takes a vacant range, or one that is being
 // released without a next owner.
 func (e *Editor) Reserve(service string, span keyspace.Span, next string) bool {
-	r := e.exact(service, span)
+	r := e.rangeAt(service, span)
 	if r == nil || r.Next != "" || r.NextCell != "" || (r.Phase != cell.Vacant && r.Phase != cell.Releasing) {
 		return false
 	}
@@ -116,7 +116,7 @@
 // Complete ends the hand-over of a range: the grant of Epoch+1 to Next is
 // acknowledged, or there is no Next.
 func (e *Editor) Complete(service string, span keyspace.Span, epoch uint64) bool {
-	r := e.exact(service, span)
+	r := e.rangeAt(service, span)
 	if r == nil || r.Epoch != epoch || (r.Phase != cell.Releasing && r.Phase != cell.Vacant) {
 		return false
 	}
@@ -145,14 +145,14 @@
 // Lose marks an upstream as lost and releases its ranges. Ranges reserved for
 // it are passed over with Skip once their old owner has released them. The
 // fence rises in any case: its acknowledgements tell which leases are left.
-func (e *Editor) Lose(id string) {
+func (e *Editor) MarkLost(id string) {
 	u := e.doc.Upstream(id)
 	if u == nil || u.State == cell.Lost {
 		return
 	}
 	u.State = cell.Lost
 	u.Boot = ""
-	e.fenced = true
+	e.raisesFence = true
 	e.changed = true
 	s := e.doc.Service(u.Service)
 	if s == nil {
@@ -169,8 +169,8 @@
 // Skip passes over a reserved owner that was lost before it served. The
 // reservation may have been granted, so its epoch is used up and the range is
 // released from the reserved owner in turn. The old owner must have released.
-func (e *Editor) Skip(service string, span keyspace.Span) bool {
-	r := e.exact(service, span)
+func (e *Editor) SkipReserved(service string, span keyspace.Span) bool {
+	r := e.rangeAt(service, span)
 	if r == nil || r.Next == "" || (r.Phase != cell.Vacant && r.Phase != cell.Releasing) {
 		return false
 	}
@@ -178,7 +178,7 @@
 	r.Epoch++
 	r.Phase = cell.Releasing
 	r.Next = ""
-	e.fenced = true
+	e.raisesFence = true
 	e.changed = true
 	return true
 }
@@ -223,7 +223,7 @@
 }
 
 // exact returns the range with just this span, or nil.
-func (e *Editor) exact(service string, span keyspace.Span) *cell.Range {
+func (e *Editor) rangeAt(service string, span keyspace.Span) *cell.Range {
 	s := e.doc.Service(service)
 	if s == nil {
 		return nil
--- a/coordination/handover/handover_test.go
+++ b/coordination/handover/handover_test.go
@@ -13,7 +13,7 @@
 	return keyspace.Span{First: keyspace.Hash(first), Last: keyspace.Hash(last)}
 }
 
-func document(ranges ...cell.Range) *cell.Cell {
+func testDocument(ranges ...cell.Range) *cell.Cell {
 	return &cell.Cell{
 		Name: "c", Version: 10, Fence: 4,
 		Quorum: cell.Quorum{Local: []cell.Member{{ID: "e"}}},
@@ -60,20 +60,20 @@
 		},
 		{
 			"losing the owner releases", owned,
-			func(e *Editor) { e.Lose("u") },
+			func(e *Editor) { e.MarkLost("u") },
 			[]cell.Range{{Span: span(0, 99), Epoch: 3, Phase: cell.Releasing, Owner: "u"}}, true,
 		},
 		{
 			"losing an owner that is releasing still raises the fence: its leases must be asked for",
-			releasing, func(e *Editor) { e.Lose("u") }, []cell.Range{releasing}, true,
+			releasing, func(e *Editor) { e.MarkLost("u") }, []cell.Range{releasing}, true,
 		},
 		{
 			"losing the reserved owner raises the fence", reserved,
-			func(e *Editor) { e.Lose("v") }, []cell.Range{reserved}, true,
+			func(e *Editor) { e.MarkLost("v") }, []cell.Range{reserved}, true,
 		},
 		{
 			"skipping uses up the reserved epoch", reserved,
-			func(e *Editor) { e.Skip("s", span(0, 99)) },
+			func(e *Editor) { e.SkipReserved("s", span(0, 99)) },
 			[]cell.Range{{Span: span(0, 99), Epoch: 4, Phase: cell.Releasing, Owner: "v"}}, true,
 		},
 		{
@@ -105,8 +105,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			doc := document(tt.before)
-			e := Edit(doc, true)
+			doc := testDocument(tt.before)
+			e := NewEditor(doc, true)
 			tt.edit(e)
 			got := e.Doc()
 			if done := e.Finish("w"); done != nil {
@@ -118,22 +118,22 @@
 			if fenced := got.Fence == 11; fenced != tt.fenced {
 				t.Errorf("fence %d, raised %v, want %v", got.Fence, fenced, tt.fenced)
 			}
-			if diff := cmp.Diff(document(tt.before), doc); diff != "" {
+			if diff := cmp.Diff(testDocument(tt.before), doc); diff != "" {
 				t.Errorf("the edit changed its input: %s", diff)
 			}
 		})
 	}
 }
 
-func TestQuorumsAreKeptUntilSettled(t *testing.T) {
-	doc := document()
+func TestPreviousQuorumsKeptUntilSettled(t *testing.T) {
+	doc := testDocument()
 	doc.Previous = []cell.Quorum{{Local: []cell.Member{{ID: "old"}}}}
 	next := cell.Quorum{Local: []cell.Member{{ID: "new"}}}
 	for _, tt := range []struct {
 		settled bool
 		want    int
 	}{{true, 1}, {false, 2}} {
-		e := Edit(doc, tt.settled)
+		e := NewEditor(doc, tt.settled)
 		e.SetQuorum(next)
 		if got := len(e.Finish("w").Previous); got != tt.want {
 			t.Errorf("settled %v: %d previous quorums, want %d", tt.settled, got, tt.want)
