--- a/coordination/controller/command.go
+++ b/coordination/controller/command.go
@@ -15,7 +15,7 @@
 type Command interface{ key() string }
 
 // Write stores the document by a conditional update. Answer: OnWritten.
-type Write struct {
+type WriteDocument struct {
 	Doc *cell.Cell
 	// Expect is the platform version to replace; zero creates the object.
 	Expect uint64
@@ -30,7 +30,7 @@
 }
 
 // Raise tells a witness to follow the fence. Answer: OnApplied.
-type Raise struct {
+type RaiseFence struct {
 	To    cell.Member
 	Fence uint64
 }
@@ -49,29 +49,29 @@
 
 // Reset makes an upstream drop all grants and take a new boot id. Answer:
 // OnReset.
-type Reset struct{ Upstream cell.Upstream }
+type ResetUpstream struct{ Upstream cell.Upstream }
 
 // Redirect records an exported range in the directory of its service. Answer:
 // OnRedirected.
-type Redirect struct {
+type RecordExport struct {
 	Service string
 	Range   cell.Range
 }
 
 // Publish stores the member list of the cell. Answer: OnPublished.
-type Publish struct{ Roster cell.Roster }
+type PublishRoster struct{ Roster cell.Roster }
 
-func (c Publish) key() string         { return "publish" }
-func (c Write) key() string           { return "write" }
+func (c PublishRoster) key() string   { return "publish" }
+func (c WriteDocument) key() string   { return "write" }
 func (c Apply) key() string           { return "apply/" + c.To.ID }
-func (c Raise) key() string           { return "raise/" + c.To.ID }
+func (c RaiseFence) key() string      { return "raise/" + c.To.ID }
 func (c SendGrants) key() string      { return "grant/" + c.Upstream.ID }
 func (c SendRevocations) key() string { return "revoke/" + c.Upstream.ID }
-func (c Reset) key() string           { return "reset/" + c.Upstream.ID }
-func (c Redirect) key() string        { return "redirect/" + c.Service + "/" + c.Range.Span.String() }
+func (c ResetUpstream) key() string   { return "reset/" + c.Upstream.ID }
+func (c RecordExport) key() string    { return "redirect/" + c.Service + "/" + c.Range.Span.String() }
 
 // Applied is the answer of a voter to Apply or Raise.
-type Applied struct {
+type ApplyResult struct {
 	Ack fence.Ack
 	// Version is the cell version that the voter holds; zero for witnesses.
 	Version uint64
--- a/coordination/controller/controller_test.go
+++ b/coordination/controller/controller_test.go
@@ -71,7 +71,7 @@
 
 func describe(cmd Command) string {
 	switch cmd := cmd.(type) {
-	case Write:
+	case WriteDocument:
 		r := cmd.Doc.Service("s").Ranges[0]
 		return fmt.Sprintf("write %s %s@%d>%s%s", r.Phase, r.Owner, r.Epoch, r.Next, r.NextCell)
 	case SendGrants:
@@ -84,15 +84,15 @@
 
 func answer(c *Core, now time.Time, cmd Command) {
 	switch cmd := cmd.(type) {
-	case Write:
+	case WriteDocument:
 		c.OnWritten(now, cmd, cmd.Doc.Version+100, nil)
 	case Apply:
-		c.OnApplied(now, cmd, Applied{Ack: fence.Ack{Voter: cmd.To.ID, Fence: cmd.Doc.Fence}, Version: cmd.Doc.Version}, nil)
+		c.OnApplied(now, cmd, ApplyResult{Ack: fence.Ack{Voter: cmd.To.ID, Fence: cmd.Doc.Fence}, Version: cmd.Doc.Version}, nil)
 	case SendGrants:
 		c.OnGranted(now, cmd, nil)
 	case SendRevocations:
 		c.OnRevoked(now, cmd, nil)
-	case Reset:
+	case ResetUpstream:
 		c.OnReset(now, cmd, "new", nil)
 	}
 }
@@ -182,7 +182,7 @@
 	if !c.Leads(start) {
 		t.Error("does not lead while the lower one was never heard")
 	}
-	c.OnBeat(start, lower)
+	c.OnHeartbeat(start, lower)
 	if c.Leads(start) {
 		t.Error("leads beside a live voter with a lower ID")
 	}
@@ -197,7 +197,7 @@
 func TestResetOfAnotherControllerCounts(t *testing.T) {
 	c := newCore(whole(cell.Vacant, "", ""))
 	c.doc.Upstreams[0].Boot = ""
-	c.OnReset(start, Reset{Upstream: cell.Upstream{ID: "u"}}, "mine", nil)
+	c.OnReset(start, ResetUpstream{Upstream: cell.Upstream{ID: "u"}}, "mine", nil)
 	theirs := c.doc.Clone()
 	theirs.Version, theirs.Fence = 6, 6
 	theirs.Upstreams[0].Boot = "theirs"
@@ -271,7 +271,7 @@
 				}
 				for _, cmd := range c.Step(now) {
 					if apply, ok := cmd.(Apply); ok && apply.To.ID == ended.ID {
-						c.OnApplied(now, apply, Applied{}, errors.New("no answer"))
+						c.OnApplied(now, apply, ApplyResult{}, errors.New("no answer"))
 						continue
 					}
 					answer(c, now, cmd)
--- a/coordination/controller/core.go
+++ b/coordination/controller/core.go
@@ -31,7 +31,7 @@
 	MaxDeadline time.Duration
 	// WideAfter is how long the local voters have to acknowledge a fence
 	// before the witnesses are asked too.
-	WideAfter time.Duration
+	WitnessDelay time.Duration
 	// MemberTTL is the silence after which a voter is replaced.
 	MemberTTL time.Duration
 	// RetryAfter is the pause before a failed command is sent again.
@@ -40,7 +40,7 @@
 	// once by planned moves.
 	ReleasesPerFence int
 	// PartsPerUpstream is the number of ranges per upstream of a new span.
-	PartsPerUpstream int
+	RangesPerUpstream int
 }
 
 // DefaultLimits returns the limits for a budget of four seconds from the loss
@@ -53,14 +53,14 @@
 			RefusedAfter: 400 * time.Millisecond,
 			ReportTTL:    1500 * time.Millisecond,
 		},
-		LeaseTTL:         1200 * time.Millisecond,
-		DrainWait:        10 * time.Millisecond,
-		MaxDeadline:      10 * time.Second,
-		WideAfter:        150 * time.Millisecond,
-		MemberTTL:        1200 * time.Millisecond,
-		RetryAfter:       100 * time.Millisecond,
-		ReleasesPerFence: 16,
-		PartsPerUpstream: 16,
+		LeaseTTL:          1200 * time.Millisecond,
+		DrainWait:         10 * time.Millisecond,
+		MaxDeadline:       10 * time.Second,
+		WitnessDelay:      150 * time.Millisecond,
+		MemberTTL:         1200 * time.Millisecond,
+		RetryAfter:        100 * time.Millisecond,
+		ReleasesPerFence:  16,
+		RangesPerUpstream: 16,
 	}
 }
 
@@ -92,7 +92,7 @@
 	settler   *fence.Settlement
 	fenceSeen time.Time
 	settled   bool
-	applied   map[string]Applied
+	applied   map[string]ApplyResult
 	leases    map[string]time.Time
 	revoked   map[rangeID]bool
 	granted   map[rangeID]bool
@@ -146,7 +146,7 @@
 		placer:      placer,
 		services:    services,
 		newID:       newID,
-		applied:     make(map[string]Applied),
+		applied:     make(map[string]ApplyResult),
 		leases:      make(map[string]time.Time),
 		revoked:     make(map[rangeID]bool),
 		granted:     make(map[rangeID]bool),
@@ -201,7 +201,7 @@
 	c.settler = fence.NewSettlement(doc, c.limits.Fence)
 	c.fenceSeen = now
 	c.settled = false
-	c.applied = make(map[string]Applied)
+	c.applied = make(map[string]ApplyResult)
 	for id, at := range c.dead {
 		c.settler.RecordDead(at, id)
 	}
@@ -236,11 +236,11 @@
 }
 
 // OnMissing notes that the platform has no document of the cell yet.
-func (c *Core) OnMissing() { c.missing = c.doc == nil }
+func (c *Core) OnDocumentMissing() { c.missing = c.doc == nil }
 
 // OnDead notes that an entry process has certainly ended: a later incarnation
 // of it was heard, or the platform no longer lists its VM.
-func (c *Core) OnDead(now time.Time, id string) {
+func (c *Core) OnMemberDead(now time.Time, id string) {
 	if c.isDead(id) {
 		return
 	}
@@ -286,7 +286,7 @@
 }
 
 // OnBeat notes that a member of any cell is alive.
-func (c *Core) OnBeat(now time.Time, m cell.Member) {
+func (c *Core) OnHeartbeat(now time.Time, m cell.Member) {
 	if c.isDead(m.ID) {
 		return
 	}
@@ -301,7 +301,7 @@
 // OnVersion notes that a member of the cell uses the cell document of the given
 // version or a later one. A process never goes back to an older document.
 func (c *Core) OnVersion(now time.Time, m cell.Member, version uint64) {
-	c.OnBeat(now, m)
+	c.OnHeartbeat(now, m)
 	h, ok := c.heard[m.ID]
 	if !ok || m.Cell != c.self.Cell || version <= h.version {
 		return
@@ -324,7 +324,7 @@
 func (c *Core) succeed(now time.Time, id string) {
 	for _, old := range c.voters() {
 		if Supersedes(id, old.ID) {
-			c.OnDead(now, old.ID)
+			c.OnMemberDead(now, old.ID)
 		}
 	}
 }
@@ -342,7 +342,7 @@
 }
 
 // Wants is what the unfinished intents ask of the cell.
-type Wants struct {
+type DesiredState struct {
 	// Upstreams are to be active.
 	Upstreams []cell.Upstream
 	// Drain names upstreams that give up their ranges and leave.
@@ -356,7 +356,7 @@
 
 // SetWants replaces what is asked of the cell. Moves that are pending already
 // are kept.
-func (c *Core) SetWants(w Wants) {
+func (c *Core) SetDesired(w DesiredState) {
 	clear(c.upstreams)
 	clear(c.draining)
 	clear(c.evicted)
--- a/coordination/controller/edit.go
+++ b/coordination/controller/edit.go
@@ -148,7 +148,7 @@
 	} else {
 		gaps = c.gapsOf(e, service, s, seg)
 	}
-	parts := c.limits.PartsPerUpstream * max(1, len(e.Doc().UpstreamsOf(service, cell.Active)))
+	parts := c.limits.RangesPerUpstream * max(1, len(e.Doc().UpstreamsOf(service, cell.Active)))
 	for _, g := range gaps {
 		n := int(float64(parts) * g.Width() / seg.Width())
 		e.Adopt(service, g, seg.Epoch, max(n, 1))
--- a/coordination/controller/results.go
+++ b/coordination/controller/results.go
@@ -9,7 +9,7 @@
 // This file takes over how commands ended.
 
 // OnWritten ends a Write. Version is the platform version of the document.
-func (c *Core) OnWritten(now time.Time, cmd Write, version uint64, err error) {
+func (c *Core) OnWritten(now time.Time, cmd WriteDocument, version uint64, err error) {
 	c.done(now, cmd, err)
 	if err == nil {
 		c.OnDocument(now, cmd.Doc, version)
@@ -17,13 +17,13 @@
 }
 
 // OnApplied ends an Apply or a Raise.
-func (c *Core) OnApplied(now time.Time, cmd Command, a Applied, err error) {
+func (c *Core) OnApplied(now time.Time, cmd Command, a ApplyResult, err error) {
 	c.done(now, cmd, err)
 	if err != nil || c.settler == nil || a.Ack.Fence < c.settler.Fence() {
 		return
 	}
 	c.settler.Record(now, a.Ack)
-	if _, raise := cmd.(Raise); raise {
+	if _, raise := cmd.(RaiseFence); raise {
 		return
 	}
 	c.applied[a.Ack.Voter] = a
@@ -66,7 +66,7 @@
 }
 
 // OnReset ends a Reset with the new boot id of the upstream.
-func (c *Core) OnReset(now time.Time, cmd Reset, boot string, err error) {
+func (c *Core) OnReset(now time.Time, cmd ResetUpstream, boot string, err error) {
 	c.done(now, cmd, err)
 	if err == nil {
 		c.reset[cmd.Upstream.ID] = boot
@@ -80,7 +80,7 @@
 }
 
 // OnRedirected ends a Redirect with the directory as it is now.
-func (c *Core) OnRedirected(now time.Time, cmd Redirect, d *cell.Directory, err error) {
+func (c *Core) OnExportRecorded(now time.Time, cmd RecordExport, d *cell.Directory, err error) {
 	c.done(now, cmd, err)
 	if err == nil {
 		c.OnDirectory(d)
@@ -88,7 +88,7 @@
 }
 
 // OnPublished ends a Publish.
-func (c *Core) OnPublished(now time.Time, cmd Publish, err error) {
+func (c *Core) OnRosterPublished(now time.Time, cmd PublishRoster, err error) {
 	c.done(now, cmd, err)
 	if err == nil {
 		c.OnRoster(now, &cmd.Roster)
--- a/coordination/controller/step.go
+++ b/coordination/controller/step.go
@@ -24,9 +24,9 @@
 		c.settled = c.settler.Settled(now, c.silentGrace())
 	}
 	var out []Command
-	if c.canSettle(now) && c.free(now, Write{}) {
+	if c.canSettle(now) && c.free(now, WriteDocument{}) {
 		if doc := c.edit(now); doc != nil {
-			out = c.issue(out, Write{Doc: doc, Expect: c.version})
+			out = c.issue(out, WriteDocument{Doc: doc, Expect: c.version})
 			return out
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 func (c *Core) bootstrap(now time.Time) []Command {
-	if !c.missing || !c.free(now, Write{}) {
+	if !c.missing || !c.free(now, WriteDocument{}) {
 		return nil
 	}
 	doc := &cell.Cell{
@@ -67,7 +67,7 @@
 		WriteID: c.newID(),
 		Quorum:  cell.Quorum{Local: []cell.Member{c.self}},
 	}
-	return c.issue(nil, Write{Doc: doc})
+	return c.issue(nil, WriteDocument{Doc: doc})
 }
 
 // entriesClear reports whether no entry can send to a range that is being
@@ -131,8 +131,8 @@
 			}
 			continue
 		}
-		if !c.settled && !c.settler.Acked(m.ID) && now.Sub(c.fenceSeen) >= c.limits.WideAfter {
-			out = c.issueFree(now, out, Raise{To: m, Fence: c.doc.Fence})
+		if !c.settled && !c.settler.Acked(m.ID) && now.Sub(c.fenceSeen) >= c.limits.WitnessDelay {
+			out = c.issueFree(now, out, RaiseFence{To: m, Fence: c.doc.Fence})
 		}
 	}
 	return out
@@ -211,7 +211,7 @@
 		if u.State == cell.Lost && c.detector.Judge(now, u.ID, "", 1).Health != detect.Alive {
 			continue
 		}
-		out = c.issueFree(now, out, Reset{Upstream: u})
+		out = c.issueFree(now, out, ResetUpstream{Upstream: u})
 	}
 	return out
 }
@@ -221,7 +221,7 @@
 	for _, s := range c.doc.Services {
 		for _, r := range s.Ranges {
 			if r.Phase == cell.Exported {
-				out = c.issueFree(now, out, Redirect{Service: s.Name, Range: r})
+				out = c.issueFree(now, out, RecordExport{Service: s.Name, Range: r})
 			}
 		}
 	}
@@ -241,5 +241,5 @@
 		WriteID: c.newID(),
 		Members: c.doc.Quorum.Local,
 	}
-	return c.issueFree(now, out, Publish{Roster: next})
+	return c.issueFree(now, out, PublishRoster{Roster: next})
 }
--- a/entry/control.go
+++ b/entry/control.go
@@ -70,7 +70,7 @@
 	if changed && leads {
 		c.term++
 		c.intents = intentBook{}
-		c.core.SetWants(controller.Wants{})
+		c.core.SetDesired(controller.DesiredState{})
 	}
 	c.mu.Unlock()
 	if changed {
@@ -133,12 +133,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout+c.e.limits.DrainWait)
 	defer cancel()
 	switch cmd := cmd.(type) {
-	case controller.Write:
+	case controller.WriteDocument:
 		c.write(ctx, cmd)
 	case controller.Apply:
 		a, err := c.e.apply(ctx, cmd)
 		c.event(func(core *controller.Core, now time.Time) { core.OnApplied(now, cmd, a, err) })
-	case controller.Raise:
+	case controller.RaiseFence:
 		a, err := c.e.raise(ctx, cmd)
 		c.event(func(core *controller.Core, now time.Time) { core.OnApplied(now, cmd, a, err) })
 	case controller.SendGrants:
@@ -147,19 +147,19 @@
 	case controller.SendRevocations:
 		err := c.e.sendRevocations(ctx, cmd)
 		c.event(func(core *controller.Core, now time.Time) { core.OnRevoked(now, cmd, err) })
-	case controller.Reset:
+	case controller.ResetUpstream:
 		boot, err := c.e.reset(ctx, cmd)
 		c.event(func(core *controller.Core, now time.Time) { core.OnReset(now, cmd, boot, err) })
-	case controller.Redirect:
+	case controller.RecordExport:
 		d, err := c.e.redirect(ctx, cmd)
-		c.event(func(core *controller.Core, now time.Time) { core.OnRedirected(now, cmd, d, err) })
-	case controller.Publish:
+		c.event(func(core *controller.Core, now time.Time) { core.OnExportRecorded(now, cmd, d, err) })
+	case controller.PublishRoster:
 		err := c.e.publish(ctx, cmd)
-		c.event(func(core *controller.Core, now time.Time) { core.OnPublished(now, cmd, err) })
+		c.event(func(core *controller.Core, now time.Time) { core.OnRosterPublished(now, cmd, err) })
 	}
 }
 
-func (c *controlLoop) write(ctx context.Context, cmd controller.Write) {
+func (c *controlLoop) write(ctx context.Context, cmd controller.WriteDocument) {
 	version, err := platform.PutOwn(ctx, c.e.store, platform.KindCell, cmd.Doc.Name, cmd.Doc, cmd.Expect)
 	if err != nil {
 		telemetry.Counter(c.e.registry, "platform.writes_failed").Inc(1)
@@ -175,13 +175,13 @@
 	c.event(func(core *controller.Core, now time.Time) { core.OnWritten(now, cmd, version, err) })
 }
 
-func (e *Entry) apply(ctx context.Context, cmd controller.Apply) (controller.Applied, error) {
+func (e *Entry) apply(ctx context.Context, cmd controller.Apply) (controller.ApplyResult, error) {
 	if cmd.To.ID == e.self.ID {
 		return e.applyHere(ctx, cmd.Doc, cmd.DrainWait), nil
 	}
 	doc, err := encodeCell(cmd.Doc)
 	if err != nil {
-		return controller.Applied{}, err
+		return controller.ApplyResult{}, err
 	}
 	resp, err := e.peers.Client(cmd.To.Peer).Apply(ctx, &peerpb.ApplyRequest{
 		To:          cmd.To.ID,
@@ -192,23 +192,23 @@
 		Sender:      memberTo(e.self),
 	})
 	if err != nil {
-		return controller.Applied{}, answer.Wrap(answer.Unreachable, err)
+		return controller.ApplyResult{}, answer.Wrap(answer.Unreachable, err)
 	}
 	return appliedFrom(resp, cmd.Doc.Version), nil
 }
 
-func (e *Entry) raise(ctx context.Context, cmd controller.Raise) (controller.Applied, error) {
+func (e *Entry) raise(ctx context.Context, cmd controller.RaiseFence) (controller.ApplyResult, error) {
 	resp, err := e.peers.Client(cmd.To.Peer).Apply(ctx, &peerpb.ApplyRequest{
 		To: cmd.To.ID, Cell: e.self.Cell, Fence: cmd.Fence,
 	})
 	if err != nil {
-		return controller.Applied{}, answer.Wrap(answer.Unreachable, err)
+		return controller.ApplyResult{}, answer.Wrap(answer.Unreachable, err)
 	}
 	return appliedFrom(resp, 0), nil
 }
 
-func appliedFrom(resp *peerpb.ApplyResponse, version uint64) controller.Applied {
-	a := controller.Applied{
+func appliedFrom(resp *peerpb.ApplyResponse, version uint64) controller.ApplyResult {
+	a := controller.ApplyResult{
 		Ack: fence.Ack{
 			Voter:     resp.Voter,
 			Fence:     resp.Fence,
@@ -231,14 +231,14 @@
 
 // applyHere takes a cell document into use and waits until no request is in
 // flight on ranges that were taken away, for the given time at most.
-func (e *Entry) applyHere(ctx context.Context, doc *cell.Cell, wait time.Duration) controller.Applied {
+func (e *Entry) applyHere(ctx context.Context, doc *cell.Cell, wait time.Duration) controller.ApplyResult {
 	e.takeCell(doc)
 	const look = 2 * time.Millisecond
 	until := e.clock().Add(wait)
 	for len(e.gate.Busy()) > 0 && e.clock().Before(until) && ctx.Err() == nil {
 		time.Sleep(look)
 	}
-	return controller.Applied{
+	return controller.ApplyResult{
 		Ack:     e.gate.Raise(e.self.Cell, doc.Fence),
 		Version: doc.Version,
 		Busy:    e.gate.Busy(),
@@ -264,7 +264,7 @@
 	return err
 }
 
-func (e *Entry) reset(ctx context.Context, cmd controller.Reset) (string, error) {
+func (e *Entry) reset(ctx context.Context, cmd controller.ResetUpstream) (string, error) {
 	u := e.pool.Get(cmd.Upstream.ID)
 	if u == nil {
 		return "", answer.New(answer.NotFound, "upstream %s is not known here", cmd.Upstream.ID)
@@ -278,7 +278,7 @@
 
 // redirect records an exported range in the directory. Another writer may have
 // done so before.
-func (e *Entry) redirect(ctx context.Context, cmd controller.Redirect) (*cell.Directory, error) {
+func (e *Entry) redirect(ctx context.Context, cmd controller.RecordExport) (*cell.Directory, error) {
 	obj, err := e.store.Get(ctx, platform.KindDirectory, cmd.Service)
 	if err != nil {
 		return nil, answer.Wrap(answer.PlatformDown, err)
@@ -303,7 +303,7 @@
 }
 
 // publish stores the member list of the cell.
-func (e *Entry) publish(ctx context.Context, cmd controller.Publish) error {
+func (e *Entry) publish(ctx context.Context, cmd controller.PublishRoster) error {
 	r := cmd.Roster
 	var expect uint64
 	obj, err := e.store.Get(ctx, platform.KindRoster, r.Cell)
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -140,7 +140,7 @@
 func (e *Entry) readOwnCell(ctx context.Context) {
 	obj, err := e.store.Get(ctx, platform.KindCell, e.self.Cell)
 	if errors.Is(err, platform.ErrNotFound) {
-		e.control.event(func(core *controller.Core, _ time.Time) { core.OnMissing() })
+		e.control.event(func(core *controller.Core, _ time.Time) { core.OnDocumentMissing() })
 		return
 	}
 	if err != nil {
--- a/entry/intents.go
+++ b/entry/intents.go
@@ -73,14 +73,14 @@
 		c.mu.Unlock()
 		return
 	}
-	var wants controller.Wants
+	var wants controller.DesiredState
 	var finished []storedIntent
 	for _, s := range open {
 		if c.addWants(&wants, s.intent, doc) {
 			finished = append(finished, s)
 		}
 	}
-	c.core.SetWants(wants)
+	c.core.SetDesired(wants)
 	c.mu.Unlock()
 	for _, s := range finished {
 		go c.finishIntent(s)
@@ -89,7 +89,7 @@
 
 // addWants adds what the intent still asks of this cell. It returns true when
 // nothing is left.
-func (c *controlLoop) addWants(w *controller.Wants, i *intent.Intent, doc *cell.Cell) bool {
+func (c *controlLoop) addWants(w *controller.DesiredState, i *intent.Intent, doc *cell.Cell) bool {
 	done := true
 	for _, s := range i.Plan.Steps {
 		if s.Cell != c.e.self.Cell {
@@ -100,7 +100,7 @@
 	return done
 }
 
-func (c *controlLoop) addStep(w *controller.Wants, i *intent.Intent, s intent.Step, doc *cell.Cell) bool {
+func (c *controlLoop) addStep(w *controller.DesiredState, i *intent.Intent, s intent.Step, doc *cell.Cell) bool {
 	switch s.Action {
 	case planner.ActionAdd:
 		if u := doc.Upstream(s.To); u != nil {
@@ -126,7 +126,7 @@
 
 // addMove wants a move unless it is carried out, or cannot be any more because
 // its new owner has left.
-func (c *controlLoop) addMove(w *controller.Wants, i *intent.Intent, s intent.Step, doc *cell.Cell) bool {
+func (c *controlLoop) addMove(w *controller.DesiredState, i *intent.Intent, s intent.Step, doc *cell.Cell) bool {
 	held := false
 	for _, r := range rangesIn(doc, s) {
 		held = held || s.ToCell != "" || r.Phase != cell.Owned || r.Owner != s.To
--- a/entry/peerserver.go
+++ b/entry/peerserver.go
@@ -122,10 +122,10 @@
 	if req.Fence == 0 {
 		return nil, twirp.RequiredArgumentError("fence")
 	}
-	return applyResponse(controller.Applied{Ack: e.gate.Raise(req.Cell, req.Fence)}), nil
+	return applyResponse(controller.ApplyResult{Ack: e.gate.Raise(req.Cell, req.Fence)}), nil
 }
 
-func applyResponse(a controller.Applied) *peerpb.ApplyResponse {
+func applyResponse(a controller.ApplyResult) *peerpb.ApplyResponse {
 	resp := &peerpb.ApplyResponse{
 		Voter:       a.Ack.Voter,
 		Fence:       a.Ack.Fence,
--- a/proof/fuzz_test.go
+++ b/proof/fuzz_test.go
@@ -212,7 +212,7 @@
 func (m *machine) setWants() {
 	for _, e := range m.entries {
 		if !e.dead && e.self.Cell == cellName {
-			e.core.SetWants(m.wants)
+			e.core.SetDesired(m.wants)
 		}
 	}
 }
--- a/proof/nodes_test.go
+++ b/proof/nodes_test.go
@@ -117,7 +117,7 @@
 	}
 	obj, err := e.w.store.Get(context.Background(), platform.KindCell, cellName)
 	if errors.Is(err, platform.ErrNotFound) {
-		e.core.OnMissing()
+		e.core.OnDocumentMissing()
 		return
 	}
 	doc, err := cell.Decode(obj.Value)
@@ -253,14 +253,14 @@
 func (e *entryNode) execute(cmd controller.Command) {
 	w, core := e.w, e.core
 	switch cmd := cmd.(type) {
-	case controller.Write:
+	case controller.WriteDocument:
 		fail := e.answer(func() { core.OnWritten(e.clock(), cmd, 0, errLost) })
 		w.send(e.slot, "platform", func() { w.put(e, cmd) }, fail)
 	case controller.Apply:
-		fail := e.answer(func() { core.OnApplied(e.clock(), cmd, controller.Applied{}, errLost) })
+		fail := e.answer(func() { core.OnApplied(e.clock(), cmd, controller.ApplyResult{}, errLost) })
 		w.send(e.slot, cmd.To.Peer, func() { w.apply(e, cmd, fail) }, fail)
-	case controller.Raise:
-		fail := e.answer(func() { core.OnApplied(e.clock(), cmd, controller.Applied{}, errLost) })
+	case controller.RaiseFence:
+		fail := e.answer(func() { core.OnApplied(e.clock(), cmd, controller.ApplyResult{}, errLost) })
 		w.send(e.slot, cmd.To.Peer, func() {
 			v := w.byMember(cmd.To)
 			if v.dead || v.paused || v.self.ID != cmd.To.ID {
@@ -269,7 +269,7 @@
 			}
 			ack := v.gate.Raise(cellName, cmd.Fence)
 			w.send(v.slot, e.slot, e.answer(func() {
-				core.OnApplied(e.clock(), cmd, controller.Applied{Ack: ack}, nil)
+				core.OnApplied(e.clock(), cmd, controller.ApplyResult{Ack: ack}, nil)
 			}), fail)
 		}, fail)
 	case controller.SendGrants:
@@ -281,12 +281,12 @@
 			u.own.Revoke(cmd.Revocations)
 			return true
 		}, func(_ string, err error) { core.OnRevoked(e.clock(), cmd, err) })
-	case controller.Reset:
+	case controller.ResetUpstream:
 		w.order(e, cmd.Upstream.ID, func(u *upstreamNode) bool {
 			u.own.Reset()
 			return true
 		}, func(boot string, err error) { core.OnReset(e.clock(), cmd, boot, err) })
-	case controller.Publish:
-		core.OnPublished(e.clock(), cmd, nil)
+	case controller.PublishRoster:
+		core.OnRosterPublished(e.clock(), cmd, nil)
 	}
 }
--- a/proof/world_test.go
+++ b/proof/world_test.go
@@ -48,7 +48,7 @@
 	messages  []message
 	writes    int
 	checked   bool
-	wants     controller.Wants
+	wants     controller.DesiredState
 	// epochs are the highest epochs that ran, by point.
 	epochs map[keyspace.Hash]uint64
 	owners map[keyspace.Hash]string
@@ -87,7 +87,7 @@
 
 func (w *world) limits() controller.Limits {
 	l := controller.DefaultLimits()
-	l.PartsPerUpstream = 2
+	l.RangesPerUpstream = 2
 	// Ownership must hold however soon an upstream is thought lost; sooner than
 	// promises and leases end, the guards are needed most.
 	l.Detect.SuspectAfter = 400 * time.Millisecond
@@ -193,7 +193,7 @@
 }
 
 // put stores a document. The answer may be lost after the write took effect.
-func (w *world) put(e *entryNode, cmd controller.Write) {
+func (w *world) put(e *entryNode, cmd controller.WriteDocument) {
 	core := e.core
 	fail := e.answer(func() { core.OnWritten(e.clock(), cmd, 0, errLost) })
 	if w.down {
@@ -268,7 +268,7 @@
 		return
 	}
 	v.takeDoc(cmd.Doc)
-	a := controller.Applied{
+	a := controller.ApplyResult{
 		Ack:     v.gate.Raise(cellName, cmd.Doc.Fence),
 		Version: cmd.Doc.Version,
 		Busy:    v.gate.Busy(),
