--- a/coordination/controller/controller_test.go
+++ b/coordination/controller/controller_test.go
@@ -19,10 +19,10 @@
 	self  = cell.Member{ID: MemberID("e", start), Cell: "c", Domain: "d", Peer: "p"}
 )
 
-type first struct{}
+type firstUpstream struct{}
 
 // Place implements Placer: everything goes to the first usable upstream.
-func (first) Place(doc *cell.Cell, service string, spans []keyspace.Span, avoid string) []string {
+func (firstUpstream) Place(doc *cell.Cell, service string, spans []keyspace.Span, avoid string) []string {
 	out := make([]string, len(spans))
 	for _, u := range doc.UpstreamsOf(service, cell.Active) {
 		if u.Boot == "" || u.ID == avoid {
@@ -36,14 +36,14 @@
 	return out
 }
 
-type checks struct{}
+type fencedServices struct{}
 
-func (checks) ChecksFences(string) bool { return true }
+func (fencedServices) ChecksFences(string) bool { return true }
 
 // newCore returns a controller alone in its cell, with a document of the ranges
 // and the upstreams u and v.
 func newCore(ranges ...cell.Range) *Core {
-	c := NewCore(self, DefaultLimits(), first{}, checks{}, func() string { return "w" })
+	c := NewCore(self, DefaultLimits(), firstUpstream{}, fencedServices{}, func() string { return "w" })
 	c.OnDocument(start, &cell.Cell{
 		Name: "c", Domain: "d", Version: 5, Fence: 5, Quorum: cell.Quorum{Local: []cell.Member{self}},
 		Upstreams: []cell.Upstream{
@@ -58,12 +58,12 @@
 
 // follow carries out all commands at once, as a network without delay would,
 // and returns what they were.
-func follow(c *Core, now time.Time, rounds int) []string {
+func runSteps(c *Core, now time.Time, rounds int) []string {
 	var out []string
 	for range rounds {
 		for _, cmd := range c.Step(now) {
 			out = append(out, describe(cmd))
-			answer(c, now, cmd)
+			succeed(c, now, cmd)
 		}
 	}
 	return out
@@ -82,7 +82,7 @@
 	return cmd.key()
 }
 
-func answer(c *Core, now time.Time, cmd Command) {
+func succeed(c *Core, now time.Time, cmd Command) {
 	switch cmd := cmd.(type) {
 	case WriteDocument:
 		c.OnWritten(now, cmd, cmd.Doc.Version+100, nil)
@@ -97,11 +97,11 @@
 	}
 }
 
-func whole(phase cell.Phase, owner, next string) cell.Range {
+func wholeRange(phase cell.Phase, owner, next string) cell.Range {
 	return cell.Range{Span: keyspace.Whole(), Epoch: 3, Phase: phase, Owner: owner, Next: next}
 }
 
-func equal(t *testing.T, got []string, want ...string) {
+func checkCommands(t *testing.T, got []string, want ...string) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("commands\n%v\nwant\n%v", got, want)
@@ -109,11 +109,11 @@
 }
 
 func TestPlannedMove(t *testing.T) {
-	c := newCore(whole(cell.Owned, "u", ""))
-	follow(c, start, 2)
+	c := newCore(wholeRange(cell.Owned, "u", ""))
+	runSteps(c, start, 2)
 	c.AddMoves([]handover.Move{{Service: "s", Span: keyspace.Whole(), To: "v"}})
 	apply := "apply/" + self.ID
-	equal(t, follow(c, start, 8),
+	checkCommands(t, runSteps(c, start, 8),
 		"grant v@0 prepare=true",
 		"write releasing u@3>v", apply,
 		"revoke u@3", "grant v@4 prepare=false",
@@ -121,45 +121,45 @@
 }
 
 func TestExport(t *testing.T) {
-	c := newCore(whole(cell.Owned, "u", ""))
-	follow(c, start, 2)
+	c := newCore(wholeRange(cell.Owned, "u", ""))
+	runSteps(c, start, 2)
 	c.AddMoves([]handover.Move{{Service: "s", Span: keyspace.Whole(), ToCell: "other"}})
 	apply := "apply/" + self.ID
-	equal(t, follow(c, start, 6),
+	checkCommands(t, runSteps(c, start, 6),
 		"write releasing u@3>other", apply, "revoke u@3",
 		"write exported @4>other", apply, "redirect/s/"+keyspace.Whole().String())
 }
 
 func TestLostOwner(t *testing.T) {
-	c := newCore(whole(cell.Owned, "u", ""))
-	follow(c, start, 2)
+	c := newCore(wholeRange(cell.Owned, "u", ""))
+	runSteps(c, start, 2)
 	c.OnObservation(start, self.ID, "v", detect.Observation{Boot: "bv"})
 	c.OnObservation(start, self.ID, "u", detect.Observation{Boot: "bu", Silent: 2 * time.Second})
 	apply := "apply/" + self.ID
-	equal(t, follow(c, start, 6),
+	checkCommands(t, runSteps(c, start, 6),
 		"write releasing u@3>v", apply, "grant v@4 prepare=false",
 		"write owned v@4>", apply)
 }
 
 // TestGrantsGoBeforeNewFences has a lost owner's range settled while a move to
 // another cell waits: the grant must not be held up by the fence of the move.
-func TestGrantsGoBeforeNewFences(t *testing.T) {
+func TestGrantsPrecedeNewFences(t *testing.T) {
 	halves := keyspace.Whole().Split(2)
-	lost, other := whole(cell.Releasing, "gone", "v"), whole(cell.Owned, "u", "")
+	lost, other := wholeRange(cell.Releasing, "gone", "v"), wholeRange(cell.Owned, "u", "")
 	lost.Span, other.Span = halves[0], halves[1]
 	c := newCore(lost, other)
 	c.AddMoves([]handover.Move{{Service: "s", Span: halves[1], ToCell: "other"}})
 	apply := "apply/" + self.ID
-	got := follow(c, start, 4)
+	got := runSteps(c, start, 4)
 	if len(got) < 3 {
 		t.Fatalf("commands %v", got)
 	}
-	equal(t, got[:3], apply, "grant v@4 prepare=false", "write owned v@4>")
+	checkCommands(t, got[:3], apply, "grant v@4 prepare=false", "write owned v@4>")
 }
 
-func TestFailedCommandsAreSentAgainAfterAPause(t *testing.T) {
-	c := newCore(whole(cell.Releasing, "u", "v"))
-	follow(c, start, 1)
+func TestFailedCommandsAreRetriedAfterPause(t *testing.T) {
+	c := newCore(wholeRange(cell.Releasing, "u", "v"))
+	runSteps(c, start, 1)
 	c.OnRevoked(start, SendRevocations{Upstream: cell.Upstream{ID: "u"}, Revocations: []control.Revocation{}}, errors.New("lost"))
 	for _, cmd := range c.Step(start) {
 		if cmd.key() == "revoke/u" {
@@ -175,9 +175,9 @@
 	}
 }
 
-func TestLeadsIsTheLowestLiveVoter(t *testing.T) {
+func TestLowestLiveVoterLeads(t *testing.T) {
 	lower := cell.Member{ID: MemberID("a", start), Cell: "c", Peer: "q"}
-	c := newCore(whole(cell.Owned, "u", ""))
+	c := newCore(wholeRange(cell.Owned, "u", ""))
 	c.doc.Quorum.Local = []cell.Member{lower, self}
 	if !c.Leads(start) {
 		t.Error("does not lead while the lower one was never heard")
@@ -194,20 +194,20 @@
 // TestResetOfAnotherControllerCounts resets an upstream while another controller
 // does so too and writes its own boot id. The answer to the first reset must not
 // serve as proof when the upstream is lost later: its lease has to lapse.
-func TestResetOfAnotherControllerCounts(t *testing.T) {
-	c := newCore(whole(cell.Vacant, "", ""))
+func TestBootOfAnotherControllerInvalidatesReset(t *testing.T) {
+	c := newCore(wholeRange(cell.Vacant, "", ""))
 	c.doc.Upstreams[0].Boot = ""
 	c.OnReset(start, ResetUpstream{Upstream: cell.Upstream{ID: "u"}}, "mine", nil)
 	theirs := c.doc.Clone()
 	theirs.Version, theirs.Fence = 6, 6
 	theirs.Upstreams[0].Boot = "theirs"
-	theirs.Services[0].Ranges[0] = whole(cell.Owned, "u", "")
+	theirs.Services[0].Ranges[0] = wholeRange(cell.Owned, "u", "")
 	c.OnDocument(start, theirs, 10)
 	later := start.Add(5 * time.Second)
 	c.OnObservation(later, self.ID, "u", detect.Observation{Boot: "theirs", Silent: 2 * time.Second})
 	c.OnObservation(later, self.ID, "v", detect.Observation{Boot: "bv"})
-	c.leases["u"] = later.Add(time.Minute)
-	for _, got := range follow(c, later, 6) {
+	c.leaseEnds["u"] = later.Add(time.Minute)
+	for _, got := range runSteps(c, later, 6) {
 		if got == "grant v@4 prepare=false" {
 			t.Error("granted to the next owner while the lease of the lost one runs")
 		}
@@ -216,13 +216,13 @@
 
 // TestFormerQuorumsAreForgottenBySuccessors follows a fence whose former voter
 // has ended since; a later document of the fence says that it was settled.
-func TestFormerQuorumsAreForgottenBySuccessors(t *testing.T) {
-	c := newCore(whole(cell.Owned, "u", ""))
+func TestClearedPreviousQuorumsNeedNoAcks(t *testing.T) {
+	c := newCore(wholeRange(cell.Owned, "u", ""))
 	doc := c.doc.Clone()
 	doc.Version, doc.Fence = 6, 6
 	doc.Previous = []cell.Quorum{{Local: []cell.Member{{ID: "ended", Cell: "c"}}}}
 	c.OnDocument(start, doc, 10)
-	c.settler.Record(start, fence.Ack{Voter: self.ID, Fence: 6})
+	c.settlement.Record(start, fence.Ack{Voter: self.ID, Fence: 6})
 	c.Step(start)
 	if c.settled {
 		t.Fatal("settled without the former voter")
@@ -239,7 +239,7 @@
 // TestSoleVoterEndsUnseen guards against a cell that nobody can lead any more:
 // the former sole voter is silent and the document still lists its quorum. Only
 // if it was heard to use that document may another entry go on without it.
-func TestSoleVoterEndsUnseen(t *testing.T) {
+func TestSoleVoterEndsBeforeAcknowledging(t *testing.T) {
 	ended := cell.Member{ID: MemberID("a", start), Cell: "c", Peer: "q"}
 	joined := &cell.Cell{
 		Name: "c", Domain: "d", Version: 6, Fence: 6,
@@ -274,7 +274,7 @@
 						c.OnApplied(now, apply, ApplyResult{}, errors.New("no answer"))
 						continue
 					}
-					answer(c, now, cmd)
+					succeed(c, now, cmd)
 				}
 			}
 			if got := len(c.doc.Quorum.Local) == 1; got != tt.want {
--- a/coordination/controller/core.go
+++ b/coordination/controller/core.go
@@ -89,33 +89,33 @@
 	doc     *cell.Cell
 	version uint64
 
-	settler   *fence.Settlement
-	fenceSeen time.Time
-	settled   bool
-	applied   map[string]ApplyResult
-	leases    map[string]time.Time
-	revoked   map[rangeID]bool
-	granted   map[rangeID]bool
-	prepared  map[prepareID]time.Time
-	reset     map[string]string
-
-	detector    *detect.Detector
-	heard       map[string]heardMember
-	rosters     map[string]*cell.Roster
-	directories map[string]*cell.Directory
-	upstreams   map[string]cell.Upstream
-	draining    map[string]bool
-	evicted     map[string]bool
-	dead        map[string]time.Time
-	missing     bool
-	moves       []handover.Move
-	splits      []handover.Move
-	busy        map[string]bool
-	retryAt     map[string]time.Time
+	settlement  *fence.Settlement
+	fenceSeenAt time.Time
+	settled     bool
+	applied     map[string]ApplyResult
+	leaseEnds   map[string]time.Time
+	revoked     map[grantID]bool
+	granted     map[grantID]bool
+	prepared    map[prepareID]time.Time
+	resetBoots  map[string]string
+
+	detector        *detect.Detector
+	contacts        map[string]contact
+	rosters         map[string]*cell.Roster
+	directories     map[string]*cell.Directory
+	upstreams       map[string]cell.Upstream
+	draining        map[string]bool
+	evicted         map[string]bool
+	dead            map[string]time.Time
+	documentMissing bool
+	pendingMoves    []handover.Move
+	pendingSplits   []handover.Move
+	inFlight        map[string]bool
+	retryAt         map[string]time.Time
 }
 
 // rangeID names one grant of one range.
-type rangeID struct {
+type grantID struct {
 	service string
 	span    keyspace.Span
 	epoch   uint64
@@ -128,9 +128,9 @@
 	to      string
 }
 
-type heardMember struct {
-	member cell.Member
-	at     time.Time
+type contact struct {
+	member      cell.Member
+	lastContact time.Time
 	// version of the cell document that the member uses at least, as heard
 	// first at versionAt. Zero when it told none.
 	version   uint64
@@ -147,20 +147,20 @@
 		services:    services,
 		newID:       newID,
 		applied:     make(map[string]ApplyResult),
-		leases:      make(map[string]time.Time),
-		revoked:     make(map[rangeID]bool),
-		granted:     make(map[rangeID]bool),
+		leaseEnds:   make(map[string]time.Time),
+		revoked:     make(map[grantID]bool),
+		granted:     make(map[grantID]bool),
 		prepared:    make(map[prepareID]time.Time),
-		reset:       make(map[string]string),
+		resetBoots:  make(map[string]string),
 		detector:    detect.New(limits.Detect),
-		heard:       make(map[string]heardMember),
+		contacts:    make(map[string]contact),
 		rosters:     make(map[string]*cell.Roster),
 		directories: make(map[string]*cell.Directory),
 		upstreams:   make(map[string]cell.Upstream),
 		draining:    make(map[string]bool),
 		evicted:     make(map[string]bool),
 		dead:        make(map[string]time.Time),
-		busy:        make(map[string]bool),
+		inFlight:    make(map[string]bool),
 		retryAt:     make(map[string]time.Time),
 	}
 }
@@ -182,61 +182,61 @@
 	if c.doc != nil && doc.Version == c.doc.Version {
 		return
 	}
-	c.trim()
+	c.trimAcks()
 	for _, u := range doc.Upstreams {
 		// Kept until the document shows a boot id: a second reset would make
 		// the first one look like a process that has ended. Once it does, by
 		// whichever controller, the upstream may hold grants again and the
 		// reset proves nothing any more.
 		if u.Boot != "" {
-			delete(c.reset, u.ID)
+			delete(c.resetBoots, u.ID)
 		}
 	}
 	sameFence := c.doc != nil && c.doc.Fence == doc.Fence
 	c.doc = doc
 	if sameFence {
-		c.settler.SetQuorums(doc)
+		c.settlement.SetQuorums(doc)
 		return
 	}
-	c.settler = fence.NewSettlement(doc, c.limits.Fence)
-	c.fenceSeen = now
+	c.settlement = fence.NewSettlement(doc, c.limits.Fence)
+	c.fenceSeenAt = now
 	c.settled = false
 	c.applied = make(map[string]ApplyResult)
 	for id, at := range c.dead {
-		c.settler.RecordDead(at, id)
+		c.settlement.RecordDead(at, id)
 	}
-	for _, h := range c.heard {
-		c.follow(h)
+	for _, h := range c.contacts {
+		c.recordAdopted(h)
 	}
-	c.succeed(now, c.self.ID)
-	for _, id := range sortedKeys(c.heard) {
-		c.succeed(now, id)
+	c.recordPredecessorsDead(now, c.self.ID)
+	for _, id := range sortedKeys(c.contacts) {
+		c.recordPredecessorsDead(now, id)
 	}
 	for _, r := range c.rosters {
 		for _, m := range r.Members {
-			c.succeed(now, m.ID)
+			c.recordPredecessorsDead(now, m.ID)
 		}
 	}
 }
 
 // maxRemembered bounds the acknowledgements kept. Forgotten ones are asked for
 // again, which is harmless: grants and revocations are idempotent.
-const maxRemembered = 1 << 16
+const maxRememberedAcks = 1 << 16
 
-func (c *Core) trim() {
-	if len(c.granted) > maxRemembered {
+func (c *Core) trimAcks() {
+	if len(c.granted) > maxRememberedAcks {
 		clear(c.granted)
 	}
-	if len(c.revoked) > maxRemembered {
+	if len(c.revoked) > maxRememberedAcks {
 		clear(c.revoked)
 	}
-	if len(c.prepared) > maxRemembered {
+	if len(c.prepared) > maxRememberedAcks {
 		clear(c.prepared)
 	}
 }
 
 // OnMissing notes that the platform has no document of the cell yet.
-func (c *Core) OnDocumentMissing() { c.missing = c.doc == nil }
+func (c *Core) OnDocumentMissing() { c.documentMissing = c.doc == nil }
 
 // OnDead notes that an entry process has certainly ended: a later incarnation
 // of it was heard, or the platform no longer lists its VM.
@@ -245,9 +245,9 @@
 		return
 	}
 	c.dead[id] = now
-	delete(c.heard, id)
-	if c.settler != nil {
-		c.settler.RecordDead(now, id)
+	delete(c.contacts, id)
+	if c.settlement != nil {
+		c.settlement.RecordDead(now, id)
 	}
 }
 
@@ -281,7 +281,7 @@
 	}
 	c.rosters[r.Cell] = r
 	for _, m := range r.Members {
-		c.succeed(now, m.ID)
+		c.recordPredecessorsDead(now, m.ID)
 	}
 }
 
@@ -290,11 +290,11 @@
 	if c.isDead(m.ID) {
 		return
 	}
-	c.succeed(now, m.ID)
+	c.recordPredecessorsDead(now, m.ID)
 	if m.Cell == c.self.Cell || c.doc != nil && c.isWide(m.ID) {
-		h := c.heard[m.ID]
-		h.member, h.at = m, now
-		c.heard[m.ID] = h
+		h := c.contacts[m.ID]
+		h.member, h.lastContact = m, now
+		c.contacts[m.ID] = h
 	}
 }
 
@@ -302,26 +302,26 @@
 // version or a later one. A process never goes back to an older document.
 func (c *Core) OnVersion(now time.Time, m cell.Member, version uint64) {
 	c.OnHeartbeat(now, m)
-	h, ok := c.heard[m.ID]
+	h, ok := c.contacts[m.ID]
 	if !ok || m.Cell != c.self.Cell || version <= h.version {
 		return
 	}
 	h.version, h.versionAt = version, now
-	c.heard[m.ID] = h
-	c.follow(h)
+	c.contacts[m.ID] = h
+	c.recordAdopted(h)
 }
 
 // follow tells the settler of a member that uses the document of its fence. It
 // may end before it acknowledges, and nobody else could tell then that a quorum
 // of which it was the only voter is over.
-func (c *Core) follow(h heardMember) {
-	if c.settler != nil && h.version >= c.settler.Fence() {
-		c.settler.RecordAdopted(h.versionAt, h.member.ID)
+func (c *Core) recordAdopted(h contact) {
+	if c.settlement != nil && h.version >= c.settlement.Fence() {
+		c.settlement.RecordAdopted(h.versionAt, h.member.ID)
 	}
 }
 
 // succeed notes that earlier incarnations of the member have ended.
-func (c *Core) succeed(now time.Time, id string) {
+func (c *Core) recordPredecessorsDead(now time.Time, id string) {
 	for _, old := range c.voters() {
 		if Supersedes(id, old.ID) {
 			c.OnMemberDead(now, old.ID)
@@ -377,8 +377,8 @@
 // not added again.
 func (c *Core) AddMoves(moves []handover.Move) {
 	for _, m := range moves {
-		if !slices.Contains(c.moves, m) {
-			c.moves = append(c.moves, m)
+		if !slices.Contains(c.pendingMoves, m) {
+			c.pendingMoves = append(c.pendingMoves, m)
 		}
 	}
 }
@@ -386,9 +386,9 @@
 // AddSplits asks that ranges are cut at the ends of spans.
 func (c *Core) AddSplits(service string, spans []keyspace.Span) {
 	for _, s := range spans {
-		c.splits = append(c.splits, handover.Move{Service: service, Span: s})
+		c.pendingSplits = append(c.pendingSplits, handover.Move{Service: service, Span: s})
 	}
 }
 
 // PendingMoves returns the moves that have not been started.
-func (c *Core) PendingMoves() []handover.Move { return slices.Clone(c.moves) }
+func (c *Core) PendingMoves() []handover.Move { return slices.Clone(c.pendingMoves) }
--- a/coordination/controller/edit.go
+++ b/coordination/controller/edit.go
@@ -27,36 +27,36 @@
 		// again, who may have ended by then.
 		e.MarkChanged()
 	}
-	if c.settled && !c.finishFirst(now, e.Doc()) {
-		c.editMembers(now, e)
-		c.wantDrains()
+	if c.settled && !c.deferToHandovers(now, e.Doc()) {
+		c.editQuorum(now, e)
+		c.planDrains()
 		c.editMoves(now, e)
 	}
-	for _, m := range c.splits {
+	for _, m := range c.pendingSplits {
 		e.Split(m.Service, m.Span)
 	}
-	c.splits = nil
-	c.editOrphans(e)
+	c.pendingSplits = nil
+	c.reserveOwners(e)
 	return e.Finish(c.newID())
 }
 
 // handOverPatience is how long new fences wait for hand-overs under way.
-const handOverPatience = 3 * time.Second
+const maxHandoverDelay = 3 * time.Second
 
 // finishFirst reports whether hand-overs are under way that a new fence would
 // hold up: the next owners get their grants only while the fence is settled.
-func (c *Core) finishFirst(now time.Time, doc *cell.Cell) bool {
-	return handingOver(doc) && now.Sub(c.fenceSeen) < handOverPatience
+func (c *Core) deferToHandovers(now time.Time, doc *cell.Cell) bool {
+	return hasReleasing(doc) && now.Sub(c.fenceSeenAt) < maxHandoverDelay
 }
 
-func (c *Core) editMembers(now time.Time, e *handover.Editor) {
-	want := c.wantedQuorum(now)
+func (c *Core) editQuorum(now time.Time, e *handover.Editor) {
+	want := c.desiredQuorum(now)
 	if !sameQuorum(want, e.Doc().Quorum) {
 		e.SetQuorum(want)
 	}
 }
 
-func handingOver(doc *cell.Cell) bool {
+func hasReleasing(doc *cell.Cell) bool {
 	for _, s := range doc.Services {
 		if slices.ContainsFunc(s.Ranges, func(r cell.Range) bool { return r.Phase == cell.Releasing }) {
 			return true
@@ -80,27 +80,27 @@
 }
 
 func (c *Core) editUpstream(now time.Time, e *handover.Editor, u cell.Upstream) {
-	v := c.detector.Judge(now, u.ID, u.Boot, c.reportsNeeded(now))
+	verdict := c.detector.Judge(now, u.ID, u.Boot, c.reportsNeeded(now))
 	current := e.Doc().Upstream(u.ID)
 	switch {
 	case c.evicted[u.ID] && u.State != cell.Lost:
 		e.MarkLost(u.ID)
-	case u.State == cell.Lost && c.draining[u.ID] && !holds(e.Doc(), u.ID):
+	case u.State == cell.Lost && c.draining[u.ID] && !hasRanges(e.Doc(), u.ID):
 		c.removeUpstream(e, u.ID)
-	case u.State == cell.Lost && v.Health == detect.Alive && c.reset[u.ID] != "":
+	case u.State == cell.Lost && verdict.Health == detect.Alive && c.resetBoots[u.ID] != "":
 		current.State = cell.Active
-		current.Boot = c.reset[u.ID]
+		current.Boot = c.resetBoots[u.ID]
 		e.MarkChanged()
 	case u.State == cell.Lost:
-	case u.Boot == "" && c.reset[u.ID] != "":
-		current.Boot = c.reset[u.ID]
+	case u.Boot == "" && c.resetBoots[u.ID] != "":
+		current.Boot = c.resetBoots[u.ID]
 		e.MarkChanged()
-	case u.Boot != "" && (v.Health == detect.Silent || v.Health == detect.Gone):
+	case u.Boot != "" && (verdict.Health == detect.Silent || verdict.Health == detect.Gone):
 		e.MarkLost(u.ID)
-	case u.State == cell.Active && (c.draining[u.ID] || v.Leaving):
+	case u.State == cell.Active && (c.draining[u.ID] || verdict.Leaving):
 		current.State = cell.Draining
 		e.MarkChanged()
-	case u.State == cell.Draining && c.draining[u.ID] && !holds(e.Doc(), u.ID):
+	case u.State == cell.Draining && c.draining[u.ID] && !hasRanges(e.Doc(), u.ID):
 		c.removeUpstream(e, u.ID)
 	}
 }
@@ -112,7 +112,7 @@
 }
 
 // holds reports whether the upstream owns a range or is about to.
-func holds(doc *cell.Cell, id string) bool {
+func hasRanges(doc *cell.Cell, id string) bool {
 	for _, s := range doc.Services {
 		for _, r := range s.Ranges {
 			if r.Owner == id && r.Phase != cell.Exported || r.Next == id {
@@ -129,7 +129,7 @@
 	for _, name := range sortedKeys(c.directories) {
 		for _, seg := range c.directories[name].Segments {
 			if seg.Cell == c.self.Cell {
-				c.adopt(e, name, seg)
+				c.adoptSegment(e, name, seg)
 				continue
 			}
 			// The directory may have moved on while this cell was cut off:
@@ -140,13 +140,13 @@
 	}
 }
 
-func (c *Core) adopt(e *handover.Editor, service string, seg cell.Segment) {
+func (c *Core) adoptSegment(e *handover.Editor, service string, seg cell.Segment) {
 	s := e.Doc().Service(service)
 	var gaps []keyspace.Span
 	if s == nil {
 		gaps = []keyspace.Span{seg.Span}
 	} else {
-		gaps = c.gapsOf(e, service, s, seg)
+		gaps = c.uncoveredSpans(e, service, s, seg)
 	}
 	parts := c.limits.RangesPerUpstream * max(1, len(e.Doc().UpstreamsOf(service, cell.Active)))
 	for _, g := range gaps {
@@ -157,7 +157,7 @@
 
 // gapsOf returns the parts of the segment that no range covers. An exported
 // range that came back by a newer directory is replaced.
-func (c *Core) gapsOf(e *handover.Editor, service string, s *cell.Service, seg cell.Segment) []keyspace.Span {
+func (c *Core) uncoveredSpans(e *handover.Editor, service string, s *cell.Service, seg cell.Segment) []keyspace.Span {
 	var returned []keyspace.Span
 	for _, r := range s.Ranges {
 		if r.Phase == cell.Exported && seg.Covers(r.Span) && seg.Epoch > r.Epoch {
@@ -191,7 +191,7 @@
 	for _, s := range c.doc.Services {
 		for _, r := range s.Ranges {
 			if r.Phase == cell.Vacant && r.Next != "" {
-				c.finish(e, s.Name, r)
+				c.completeRange(e, s.Name, r)
 			}
 		}
 	}
@@ -202,20 +202,20 @@
 	for _, s := range c.doc.Services {
 		for _, r := range s.Ranges {
 			if r.Phase == cell.Releasing && c.released(now, s.Name, r) {
-				c.finish(e, s.Name, r)
+				c.completeRange(e, s.Name, r)
 			}
 		}
 	}
 }
 
-func (c *Core) finish(e *handover.Editor, service string, r cell.Range) {
+func (c *Core) completeRange(e *handover.Editor, service string, r cell.Range) {
 	if r.Next != "" {
 		next := e.Doc().Upstream(r.Next)
 		if next == nil || next.State == cell.Lost {
 			e.SkipReserved(service, r.Span)
 			return
 		}
-		if !c.granted[rangeID{service, r.Span, r.Epoch + 1, r.Next}] {
+		if !c.granted[grantID{service, r.Span, r.Epoch + 1, r.Next}] {
 			return
 		}
 	}
@@ -223,7 +223,7 @@
 }
 
 // wantDrains plans moves for the ranges of draining upstreams.
-func (c *Core) wantDrains() {
+func (c *Core) planDrains() {
 	for _, u := range c.doc.Upstreams {
 		if u.State != cell.Draining {
 			continue
@@ -236,23 +236,23 @@
 		}
 		for i, to := range c.placer.Place(c.doc, u.Service, spans, u.ID) {
 			if to != "" {
-				c.moves = append(c.moves, handover.Move{Service: u.Service, Span: spans[i], To: to})
+				c.pendingMoves = append(c.pendingMoves, handover.Move{Service: u.Service, Span: spans[i], To: to})
 			}
 		}
 	}
 }
 
 func (c *Core) hasMove(service string, span keyspace.Span) bool {
-	return slices.ContainsFunc(c.moves, func(m handover.Move) bool {
+	return slices.ContainsFunc(c.pendingMoves, func(m handover.Move) bool {
 		return m.Service == service && m.Covers(span)
 	})
 }
 
 // editMoves starts the wanted moves whose new owner is prepared.
 func (c *Core) editMoves(now time.Time, e *handover.Editor) {
-	kept := c.moves[:0]
+	kept := c.pendingMoves[:0]
 	started := 0
-	for _, m := range c.moves {
+	for _, m := range c.pendingMoves {
 		switch {
 		case m.To != "" && !c.usable(m.To):
 		case m.To != "" && !c.isPrepared(now, m) || started >= c.limits.ReleasesPerFence:
@@ -261,7 +261,7 @@
 			started += e.Release(m)
 		}
 	}
-	c.moves = kept
+	c.pendingMoves = kept
 }
 
 func (c *Core) usable(id string) bool {
@@ -277,11 +277,11 @@
 // editOrphans reserves an owner for ranges that have none to come: vacant ones,
 // and those of lost upstreams as soon as the loss is written, so that the grant
 // follows the release without another write.
-func (c *Core) editOrphans(e *handover.Editor) {
+func (c *Core) reserveOwners(e *handover.Editor) {
 	for _, s := range slices.Clone(e.Doc().Services) {
 		var spans []keyspace.Span
 		for _, r := range s.Ranges {
-			if orphaned(e.Doc(), r) {
+			if needsOwner(e.Doc(), r) {
 				spans = append(spans, r.Span)
 			}
 		}
@@ -296,7 +296,7 @@
 	}
 }
 
-func orphaned(doc *cell.Cell, r cell.Range) bool {
+func needsOwner(doc *cell.Cell, r cell.Range) bool {
 	if r.Next != "" || r.NextCell != "" {
 		return false
 	}
--- a/coordination/controller/explain.go
+++ b/coordination/controller/explain.go
@@ -16,10 +16,10 @@
 	}
 	silent := 0
 	for _, m := range c.voters() {
-		if !c.settler.Acked(m.ID) {
+		if !c.settlement.Acked(m.ID) {
 			silent++
 		}
 	}
 	return fmt.Sprintf("version=%d fence=%d leads=%v settled=%v can_settle=%v silent=%d former=%d busy=%d moves=%d",
-		c.doc.Version, c.doc.Fence, c.Leads(now), c.settled, c.canSettle(now), silent, len(c.doc.Previous), busy, len(c.moves))
+		c.doc.Version, c.doc.Fence, c.Leads(now), c.settled, c.canSettle(now), silent, len(c.doc.Previous), busy, len(c.pendingMoves))
 }
--- a/coordination/controller/members.go
+++ b/coordination/controller/members.go
@@ -19,15 +19,15 @@
 // lowest ID of the voters heard lately. Two may believe so for a while.
 func (c *Core) Leads(now time.Time) bool {
 	if c.doc == nil {
-		return c.lowest(now, func(string) bool { return true })
+		return c.isLowest(now, func(string) bool { return true })
 	}
-	if c.lowest(now, c.doc.Quorum.HasLocal) {
+	if c.isLowest(now, c.doc.Quorum.HasLocal) {
 		return true
 	}
-	if c.doc.Quorum.HasLocal(c.self.ID) || c.anyVoterAlive(now) {
+	if c.doc.Quorum.HasLocal(c.self.ID) || c.anyVoterInContact(now) {
 		return false
 	}
-	return c.lowest(now, func(string) bool { return true })
+	return c.isLowest(now, func(string) bool { return true })
 }
 
 // Leaders returns the live voters with the lowest and the second lowest ID: the
@@ -38,8 +38,8 @@
 	}
 	var out []cell.Member
 	for _, m := range c.doc.Quorum.Local {
-		h, ok := c.heard[m.ID]
-		if m.ID == c.self.ID || ok && c.fresh(now, h) {
+		h, ok := c.contacts[m.ID]
+		if m.ID == c.self.ID || ok && c.inContact(now, h) {
 			out = append(out, m)
 		}
 	}
@@ -52,44 +52,44 @@
 func (c *Core) reportsNeeded(now time.Time) int {
 	live := 0
 	for _, m := range c.doc.Quorum.Local {
-		if h, ok := c.heard[m.ID]; m.ID == c.self.ID || ok && c.fresh(now, h) {
+		if h, ok := c.contacts[m.ID]; m.ID == c.self.ID || ok && c.inContact(now, h) {
 			live++
 		}
 	}
 	return (live + 1) / 2
 }
 
-func (c *Core) lowest(now time.Time, among func(string) bool) bool {
+func (c *Core) isLowest(now time.Time, among func(string) bool) bool {
 	if !among(c.self.ID) {
 		return false
 	}
-	for id, h := range c.heard {
-		if h.member.Cell == c.self.Cell && id < c.self.ID && among(id) && c.fresh(now, h) {
+	for id, h := range c.contacts {
+		if h.member.Cell == c.self.Cell && id < c.self.ID && among(id) && c.inContact(now, h) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Core) anyVoterAlive(now time.Time) bool {
+func (c *Core) anyVoterInContact(now time.Time) bool {
 	for _, m := range c.doc.Quorum.Local {
-		if h, ok := c.heard[m.ID]; ok && c.fresh(now, h) {
+		if h, ok := c.contacts[m.ID]; ok && c.inContact(now, h) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Core) fresh(now time.Time, h heardMember) bool {
-	return now.Sub(h.at) < c.limits.MemberTTL
+func (c *Core) inContact(now time.Time, h contact) bool {
+	return now.Sub(h.lastContact) < c.limits.MemberTTL
 }
 
 // voters returns everyone who votes in the known document, in any quorum.
 func (c *Core) voters() []cell.Member {
-	if c.settler == nil {
+	if c.settlement == nil {
 		return nil
 	}
-	return c.settler.Voters()
+	return c.settlement.Voters()
 }
 
 // canSettle reports whether enough voters are in contact for a new fence to
@@ -102,18 +102,18 @@
 		quorums = append(quorums, c.doc.Previous...)
 	}
 	for _, q := range quorums {
-		if !c.reachesHalf(now, q.Local) || !c.reachesHalf(now, q.Wide) {
+		if !c.halfInContact(now, q.Local) || !c.halfInContact(now, q.Wide) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Core) reachesHalf(now time.Time, set []cell.Member) bool {
+func (c *Core) halfInContact(now time.Time, set []cell.Member) bool {
 	count := 0
 	for _, m := range set {
-		h, ok := c.heard[m.ID]
-		if m.ID == c.self.ID || c.isDead(m.ID) || ok && c.fresh(now, h) {
+		h, ok := c.contacts[m.ID]
+		if m.ID == c.self.ID || c.isDead(m.ID) || ok && c.inContact(now, h) {
 			count++
 		}
 	}
@@ -121,15 +121,15 @@
 }
 
 // wantedQuorum returns the live entries of the cell, and the witnesses.
-func (c *Core) wantedQuorum(now time.Time) cell.Quorum {
+func (c *Core) desiredQuorum(now time.Time) cell.Quorum {
 	q := cell.Quorum{Local: []cell.Member{c.self}}
-	for _, h := range c.heard {
-		if h.member.Cell == c.self.Cell && h.member.ID != c.self.ID && c.fresh(now, h) {
+	for _, h := range c.contacts {
+		if h.member.Cell == c.self.Cell && h.member.ID != c.self.ID && c.inContact(now, h) {
 			q.Local = append(q.Local, h.member)
 		}
 	}
 	slices.SortFunc(q.Local, compareMembers)
-	witnesses := c.witnesses()
+	witnesses := c.chooseWitnesses()
 	if len(witnesses) > 0 {
 		q.Wide = append(slices.Clone(q.Local), witnesses...)
 	}
@@ -140,7 +140,7 @@
 
 // witnesses picks voters of other cells. Current witnesses that still stand in
 // their own cell's document are kept, so that the set changes rarely.
-func (c *Core) witnesses() []cell.Member {
+func (c *Core) chooseWitnesses() []cell.Member {
 	var out []cell.Member
 	perCell := make(map[string]int)
 	add := func(m cell.Member) {
--- a/coordination/controller/results.go
+++ b/coordination/controller/results.go
@@ -10,7 +10,7 @@
 
 // OnWritten ends a Write. Version is the platform version of the document.
 func (c *Core) OnWritten(now time.Time, cmd WriteDocument, version uint64, err error) {
-	c.done(now, cmd, err)
+	c.commandEnded(now, cmd, err)
 	if err == nil {
 		c.OnDocument(now, cmd.Doc, version)
 	}
@@ -18,19 +18,19 @@
 
 // OnApplied ends an Apply or a Raise.
 func (c *Core) OnApplied(now time.Time, cmd Command, a ApplyResult, err error) {
-	c.done(now, cmd, err)
-	if err != nil || c.settler == nil || a.Ack.Fence < c.settler.Fence() {
+	c.commandEnded(now, cmd, err)
+	if err != nil || c.settlement == nil || a.Ack.Fence < c.settlement.Fence() {
 		return
 	}
-	c.settler.Record(now, a.Ack)
+	c.settlement.Record(now, a.Ack)
 	if _, raise := cmd.(RaiseFence); raise {
 		return
 	}
 	c.applied[a.Ack.Voter] = a
 	for _, l := range a.Leases {
 		until := now.Add(l.Remaining + c.drift(l.Remaining))
-		if until.After(c.leases[l.Upstream]) {
-			c.leases[l.Upstream] = until
+		if until.After(c.leaseEnds[l.Upstream]) {
+			c.leaseEnds[l.Upstream] = until
 		}
 	}
 }
@@ -41,7 +41,7 @@
 
 // OnGranted ends a SendGrants.
 func (c *Core) OnGranted(now time.Time, cmd SendGrants, err error) {
-	c.done(now, cmd, err)
+	c.commandEnded(now, cmd, err)
 	if err != nil {
 		return
 	}
@@ -50,26 +50,26 @@
 			c.prepared[prepareID{g.Service, g.Span, cmd.Upstream.ID}] = now
 			continue
 		}
-		c.granted[rangeID{g.Service, g.Span, g.Epoch, cmd.Upstream.ID}] = true
+		c.granted[grantID{g.Service, g.Span, g.Epoch, cmd.Upstream.ID}] = true
 	}
 }
 
 // OnRevoked ends a SendRevocations.
 func (c *Core) OnRevoked(now time.Time, cmd SendRevocations, err error) {
-	c.done(now, cmd, err)
+	c.commandEnded(now, cmd, err)
 	if err != nil {
 		return
 	}
 	for _, r := range cmd.Revocations {
-		c.revoked[rangeID{r.Service, r.Span, r.Epoch, cmd.Upstream.ID}] = true
+		c.revoked[grantID{r.Service, r.Span, r.Epoch, cmd.Upstream.ID}] = true
 	}
 }
 
 // OnReset ends a Reset with the new boot id of the upstream.
 func (c *Core) OnReset(now time.Time, cmd ResetUpstream, boot string, err error) {
-	c.done(now, cmd, err)
+	c.commandEnded(now, cmd, err)
 	if err == nil {
-		c.reset[cmd.Upstream.ID] = boot
+		c.resetBoots[cmd.Upstream.ID] = boot
 		c.detector.Forget(now, cmd.Upstream.ID)
 		for id := range c.granted {
 			if id.holder == cmd.Upstream.ID {
@@ -81,7 +81,7 @@
 
 // OnRedirected ends a Redirect with the directory as it is now.
 func (c *Core) OnExportRecorded(now time.Time, cmd RecordExport, d *cell.Directory, err error) {
-	c.done(now, cmd, err)
+	c.commandEnded(now, cmd, err)
 	if err == nil {
 		c.OnDirectory(d)
 	}
@@ -89,14 +89,14 @@
 
 // OnPublished ends a Publish.
 func (c *Core) OnRosterPublished(now time.Time, cmd PublishRoster, err error) {
-	c.done(now, cmd, err)
+	c.commandEnded(now, cmd, err)
 	if err == nil {
 		c.OnRoster(now, &cmd.Roster)
 	}
 }
 
-func (c *Core) done(now time.Time, cmd Command, err error) {
-	delete(c.busy, cmd.key())
+func (c *Core) commandEnded(now time.Time, cmd Command, err error) {
+	delete(c.inFlight, cmd.key())
 	if err != nil {
 		c.retryAt[cmd.key()] = now.Add(c.limits.RetryAfter)
 	} else {
--- a/coordination/controller/step.go
+++ b/coordination/controller/step.go
@@ -20,43 +20,43 @@
 	if c.doc == nil {
 		return c.bootstrap(now)
 	}
-	if c.settler != nil && !c.settled {
-		c.settled = c.settler.Settled(now, c.silentGrace())
+	if c.settlement != nil && !c.settled {
+		c.settled = c.settlement.Settled(now, c.silentGrace())
 	}
 	var out []Command
-	if c.canSettle(now) && c.free(now, WriteDocument{}) {
+	if c.canSettle(now) && c.canIssue(now, WriteDocument{}) {
 		if doc := c.edit(now); doc != nil {
 			out = c.issue(out, WriteDocument{Doc: doc, Expect: c.version})
 			return out
 		}
 	}
-	out = c.distribute(now, out)
-	out = c.revoke(now, out)
-	out = c.grant(now, out)
-	out = c.prepare(now, out)
-	out = c.resets(now, out)
-	out = c.redirects(now, out)
-	return c.roster(now, out)
+	out = c.distributeDocument(now, out)
+	out = c.sendRevocations(now, out)
+	out = c.sendGrants(now, out)
+	out = c.sendPreparations(now, out)
+	out = c.sendResets(now, out)
+	out = c.recordExports(now, out)
+	return c.publishRoster(now, out)
 }
 
-func (c *Core) free(now time.Time, cmd Command) bool {
-	return !c.busy[cmd.key()] && !now.Before(c.retryAt[cmd.key()])
+func (c *Core) canIssue(now time.Time, cmd Command) bool {
+	return !c.inFlight[cmd.key()] && !now.Before(c.retryAt[cmd.key()])
 }
 
 func (c *Core) issue(out []Command, cmd Command) []Command {
-	c.busy[cmd.key()] = true
+	c.inFlight[cmd.key()] = true
 	return append(out, cmd)
 }
 
-func (c *Core) issueFree(now time.Time, out []Command, cmd Command) []Command {
-	if !c.free(now, cmd) {
+func (c *Core) tryIssue(now time.Time, out []Command, cmd Command) []Command {
+	if !c.canIssue(now, cmd) {
 		return out
 	}
 	return c.issue(out, cmd)
 }
 
 func (c *Core) bootstrap(now time.Time) []Command {
-	if !c.missing || !c.free(now, WriteDocument{}) {
+	if !c.documentMissing || !c.canIssue(now, WriteDocument{}) {
 		return nil
 	}
 	doc := &cell.Cell{
@@ -72,7 +72,7 @@
 
 // entriesClear reports whether no entry can send to a range that is being
 // released, and none has a request to it in flight.
-func (c *Core) entriesClear(service string, span keyspace.Span) bool {
+func (c *Core) entriesDrained(service string, span keyspace.Span) bool {
 	if !c.settled {
 		return false
 	}
@@ -95,31 +95,31 @@
 	}
 	u := c.doc.Upstream(r.Owner)
 	if u == nil || u.State == cell.Lost {
-		return c.lapsed(now, service, r)
+		return c.lostOwnerReleased(now, service, r)
 	}
-	return c.entriesClear(service, r.Span) && c.revoked[rangeID{service, r.Span, r.Epoch, r.Owner}]
+	return c.entriesDrained(service, r.Span) && c.revoked[grantID{service, r.Span, r.Epoch, r.Owner}]
 }
 
 // lapsed reports whether a lost upstream certainly serves nothing of the range
 // any more.
-func (c *Core) lapsed(now time.Time, service string, r cell.Range) bool {
-	reset := c.reset[r.Owner] != ""
+func (c *Core) lostOwnerReleased(now time.Time, service string, r cell.Range) bool {
+	reset := c.resetBoots[r.Owner] != ""
 	switch {
 	case c.evicted[r.Owner]:
 		return true
 	case c.services.ChecksFences(service):
-		return reset || !now.Before(c.leases[r.Owner])
+		return reset || !now.Before(c.leaseEnds[r.Owner])
 	case c.detector.Judge(now, r.Owner, "", c.reportsNeeded(now)).Health == detect.Gone:
 		return true
 	}
 	// The process lives and does not check what it is sent: a reset does not
 	// stop requests that are under way to it.
-	return reset && c.entriesClear(service, r.Span)
+	return reset && c.entriesDrained(service, r.Span)
 }
 
 // distribute hands the document to the voters of the cell, and the fence to
 // the witnesses when the voters alone do not settle it.
-func (c *Core) distribute(now time.Time, out []Command) []Command {
+func (c *Core) distributeDocument(now time.Time, out []Command) []Command {
 	for _, m := range c.voters() {
 		if c.isDead(m.ID) {
 			continue
@@ -127,32 +127,32 @@
 		if m.Cell == c.self.Cell {
 			a := c.applied[m.ID]
 			if a.Version < c.doc.Version || len(a.Busy) > 0 {
-				out = c.issueFree(now, out, Apply{To: m, Doc: c.doc, DrainWait: c.limits.DrainWait})
+				out = c.tryIssue(now, out, Apply{To: m, Doc: c.doc, DrainWait: c.limits.DrainWait})
 			}
 			continue
 		}
-		if !c.settled && !c.settler.Acked(m.ID) && now.Sub(c.fenceSeen) >= c.limits.WitnessDelay {
-			out = c.issueFree(now, out, RaiseFence{To: m, Fence: c.doc.Fence})
+		if !c.settled && !c.settlement.Acked(m.ID) && now.Sub(c.fenceSeenAt) >= c.limits.WitnessDelay {
+			out = c.tryIssue(now, out, RaiseFence{To: m, Fence: c.doc.Fence})
 		}
 	}
 	return out
 }
 
 // revoke takes ranges back from living owners once no entry sends to them.
-func (c *Core) revoke(now time.Time, out []Command) []Command {
+func (c *Core) sendRevocations(now time.Time, out []Command) []Command {
 	for _, u := range c.doc.Upstreams {
 		if u.State == cell.Lost {
 			continue
 		}
 		var list []control.Revocation
 		for _, r := range rangesOf(c.doc, u.Service) {
-			id := rangeID{u.Service, r.Span, r.Epoch, u.ID}
-			if r.Phase == cell.Releasing && r.Owner == u.ID && !c.revoked[id] && c.entriesClear(u.Service, r.Span) {
+			id := grantID{u.Service, r.Span, r.Epoch, u.ID}
+			if r.Phase == cell.Releasing && r.Owner == u.ID && !c.revoked[id] && c.entriesDrained(u.Service, r.Span) {
 				list = append(list, control.Revocation{Service: u.Service, Span: r.Span, Epoch: r.Epoch})
 			}
 		}
 		if len(list) > 0 {
-			out = c.issueFree(now, out, SendRevocations{Upstream: u, Revocations: list})
+			out = c.tryIssue(now, out, SendRevocations{Upstream: u, Revocations: list})
 		}
 	}
 	return out
@@ -166,14 +166,14 @@
 }
 
 // grant sends the grants of ranges whose former owner has released them.
-func (c *Core) grant(now time.Time, out []Command) []Command {
+func (c *Core) sendGrants(now time.Time, out []Command) []Command {
 	for _, u := range c.doc.Upstreams {
 		if u.State == cell.Lost || u.Boot == "" {
 			continue
 		}
 		var list []control.Grant
 		for _, r := range rangesOf(c.doc, u.Service) {
-			if r.Next != u.ID || c.granted[rangeID{u.Service, r.Span, r.Epoch + 1, u.ID}] {
+			if r.Next != u.ID || c.granted[grantID{u.Service, r.Span, r.Epoch + 1, u.ID}] {
 				continue
 			}
 			if r.Phase == cell.Vacant || r.Phase == cell.Releasing && c.released(now, u.Service, r) {
@@ -181,47 +181,47 @@
 			}
 		}
 		if len(list) > 0 {
-			out = c.issueFree(now, out, SendGrants{Upstream: u, Grants: list})
+			out = c.tryIssue(now, out, SendGrants{Upstream: u, Grants: list})
 		}
 	}
 	return out
 }
 
 // prepare warms up the new owners of wanted moves.
-func (c *Core) prepare(now time.Time, out []Command) []Command {
+func (c *Core) sendPreparations(now time.Time, out []Command) []Command {
 	byOwner := make(map[string][]control.Grant)
-	for _, m := range c.moves {
+	for _, m := range c.pendingMoves {
 		if m.To == "" || !c.usable(m.To) || c.isPrepared(now, m) {
 			continue
 		}
 		byOwner[m.To] = append(byOwner[m.To], control.Grant{Service: m.Service, Span: m.Span, Prepare: true})
 	}
 	for _, id := range sortedKeys(byOwner) {
-		out = c.issueFree(now, out, SendGrants{Upstream: *c.doc.Upstream(id), Grants: byOwner[id]})
+		out = c.tryIssue(now, out, SendGrants{Upstream: *c.doc.Upstream(id), Grants: byOwner[id]})
 	}
 	return out
 }
 
 // resets clears upstreams that join or come back, before they count.
-func (c *Core) resets(now time.Time, out []Command) []Command {
+func (c *Core) sendResets(now time.Time, out []Command) []Command {
 	for _, u := range c.doc.Upstreams {
-		if u.Boot != "" || c.reset[u.ID] != "" || c.draining[u.ID] {
+		if u.Boot != "" || c.resetBoots[u.ID] != "" || c.draining[u.ID] {
 			continue
 		}
 		if u.State == cell.Lost && c.detector.Judge(now, u.ID, "", 1).Health != detect.Alive {
 			continue
 		}
-		out = c.issueFree(now, out, ResetUpstream{Upstream: u})
+		out = c.tryIssue(now, out, ResetUpstream{Upstream: u})
 	}
 	return out
 }
 
 // redirects records exported ranges in their directory.
-func (c *Core) redirects(now time.Time, out []Command) []Command {
+func (c *Core) recordExports(now time.Time, out []Command) []Command {
 	for _, s := range c.doc.Services {
 		for _, r := range s.Ranges {
 			if r.Phase == cell.Exported {
-				out = c.issueFree(now, out, RecordExport{Service: s.Name, Range: r})
+				out = c.tryIssue(now, out, RecordExport{Service: s.Name, Range: r})
 			}
 		}
 	}
@@ -229,7 +229,7 @@
 }
 
 // roster publishes the members of the cell for the entries of other cells.
-func (c *Core) roster(now time.Time, out []Command) []Command {
+func (c *Core) publishRoster(now time.Time, out []Command) []Command {
 	known := c.rosters[c.self.Cell]
 	if known != nil && slices.Equal(known.Members, c.doc.Quorum.Local) {
 		return out
@@ -241,5 +241,5 @@
 		WriteID: c.newID(),
 		Members: c.doc.Quorum.Local,
 	}
-	return c.issueFree(now, out, PublishRoster{Roster: next})
+	return c.tryIssue(now, out, PublishRoster{Roster: next})
 }
--- a/scripts/guards.sh
+++ b/scripts/guards.sh
@@ -39,7 +39,7 @@
 queue promise-after-fence coordination/fence/fence.go 'if version < s.floor {' 'if false {' OneOwnerUnderPartitions
 queue majority coordination/fence/fence.go 'return h.scratch[len(voters)/2]' 'return h.scratch[0]' OneOwnerUnderPartitions
 queue previous-quorums coordination/fence/fence.go 'append(slices.Clone(doc.Previous), doc.Quorum)' '[]cell.Quorum{doc.Quorum}' OneOwnerWithTwoEntries
-queue lease-wait coordination/controller/step.go 'return reset || !now.Before(c.leases[r.Owner])' 'return true' OneOwnerWithFencedUpstreams
+queue lease-wait coordination/controller/step.go 'return reset || !now.Before(c.leaseEnds[r.Owner])' 'return true' OneOwnerWithFencedUpstreams
 queue lease-within-right coordination/lease/lease.go 'min(t.limits.TTL, rightUntil.Sub(s.answeredAt))' 't.limits.TTL' OneOwnerUnderPartitions
 queue late-renewal standin/upstream/owner.go 'min(time.Duration(r.UntilNanos), o.clock()+maxLease)' 'o.clock() + 1200*time.Millisecond' OneOwnerUnderPartitions
 queue boot-of-grant standin/upstream/owner.go 'if g.Boot != o.boot {' 'if false {' OneOwnerWithFencedUpstreams
