--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,10 +1,11 @@
-// Package lease keeps what one entry knows of the upstreams of its cell, and
-// decides which lease renewals it may send them.
+// Package lease tracks the upstreams of a cell as seen by one entry and decides
+// which lease renewals the entry may send to them.
 //
-// A lease is bounded twice. It ends before the entry's own right to send, so
-// that an entry that was fenced off cannot keep an old owner alive. And it is
-// counted from the upstream's clock in an earlier answer, so that a renewal
-// that is delivered late extends nothing.
+// Two rules bound a lease. It ends no later than the entry's own right to send,
+// so that an entry that has been fenced off cannot extend the lease of a former
+// owner. And its end is given in the upstream's own time, counted from the clock
+// value in the upstream's last answer, so that a renewal that arrives late does
+// not extend the lease.
 package lease
 
 import (
@@ -17,38 +18,42 @@
 	"github.com/rockcroft/rockcroft/state/cell"
 )
 
-// Limits bound the leases.
+// Limits configures lease durations.
 type Limits struct {
-	// TTL is the longest lease, by the clock of the entry.
+	// TTL is the maximum lease duration, measured by the entry's clock.
 	TTL time.Duration
-	// DriftPercent bounds how much two clocks differ in rate, in percent.
+	// DriftPercent is the maximum difference in rate between two clocks, in
+	// percent.
 	DriftPercent int
 }
 
-// Book holds the state of all upstreams as one entry sees them. It is not safe
-// for concurrent use.
+// Tracker holds what one entry knows about each upstream of its cell. It is not
+// safe for concurrent use.
 type Tracker struct {
 	limits Limits
 	byID   map[string]*upstreamState
 }
 
-// record is the state of one upstream.
+// upstreamState is what the entry knows about one upstream.
 type upstreamState struct {
 	boot string
-	// clock is the upstream's clock in its last answer, received at.
+	// answerClock is the upstream's clock, in nanoseconds, as stated in its last
+	// answer. The answer was received at answeredAt, by the entry's clock.
 	answerClock int64
 	answeredAt  time.Time
-	// since is when the entry first asked.
+	// firstAsked is when the upstream was first recorded; its silence is counted
+	// from then until it has answered.
 	firstAsked time.Time
 	refused    bool
 	leaving    bool
 	lost       bool
-	// until is when the longest lease given has certainly lapsed.
+	// leaseEnd is the time, by the entry's clock, after which no lease sent to
+	// the upstream is valid any more.
 	leaseEnd       time.Time
 	awaitingAnswer bool
 }
 
-// NewBook returns an empty book.
+// NewTracker returns a tracker that knows no upstreams.
 func NewTracker(l Limits) *Tracker { return &Tracker{limits: l, byID: make(map[string]*upstreamState)} }
 
 func (t *Tracker) state(id string, now time.Time) *upstreamState {
@@ -60,7 +65,8 @@
 	return s
 }
 
-// MarkLost stops renewals and reports whether the upstream was in use before.
+// MarkLost stops renewals and reports whether the upstream was not marked lost
+// before.
 func (t *Tracker) MarkLost(now time.Time, id string) bool {
 	s := t.state(id, now)
 	wasUsable := !s.lost
@@ -68,10 +74,10 @@
 	return wasUsable
 }
 
-// MarkUsed allows renewals again.
+// MarkUsable allows renewals again after MarkLost.
 func (t *Tracker) MarkUsable(now time.Time, id string) { t.state(id, now).lost = false }
 
-// Keep drops what is known of upstreams that are not in the document.
+// Prune forgets the upstreams that are not in the document.
 func (t *Tracker) Prune(doc *cell.Cell) {
 	for id := range t.byID {
 		if doc.Upstream(id) == nil {
@@ -80,7 +86,8 @@
 	}
 }
 
-// LastSeen returns the time of the last answer, zero when there was none.
+// LastAnswer returns the time of the upstream's last answer, or the zero time if
+// it never answered.
 func (t *Tracker) LastAnswer(id string) time.Time {
 	if s := t.byID[id]; s != nil {
 		return s.answeredAt
@@ -88,9 +95,10 @@
 	return time.Time{}
 }
 
-// Renew prepares the next message to an upstream. Right is the end of the
-// entry's own right to send. An empty renewal only asks for the status. It
-// returns false while the last message is not answered.
+// NextRenewal returns the next renewal to send to an upstream. The entry itself
+// may send requests until rightUntil. An empty renewal extends no lease and only
+// asks for the upstream's status. NextRenewal returns false while an earlier
+// renewal is still unanswered.
 func (t *Tracker) NextRenewal(now, rightUntil time.Time, u cell.Upstream) (control.Renewal, bool) {
 	s := t.state(u.ID, now)
 	if s.awaitingAnswer {
@@ -100,8 +108,8 @@
 	if s.lost || u.State == cell.Lost || u.Boot == "" || s.boot != u.Boot || !now.Before(rightUntil) {
 		return control.Renewal{}, true
 	}
-	// By this entry's clock the lease may last the whole time: the upstream is
-	// given less, as its clock may be the slower one.
+	// The entry counts on the full lifetime by its own clock. The upstream gets
+	// a shorter lease, because its clock may run slower.
 	lifetime := min(t.limits.TTL, rightUntil.Sub(s.answeredAt))
 	ttl := lifetime - lifetime*time.Duration(2*t.limits.DriftPercent)/100
 	if ttl <= 0 {
@@ -113,7 +121,7 @@
 	return control.Renewal{Boot: u.Boot, UntilNanos: s.answerClock + int64(ttl)}, true
 }
 
-// Answered notes the answer to a renewal.
+// RecordAnswer records the upstream's answer to a renewal.
 func (t *Tracker) RecordAnswer(now time.Time, id string, st control.Status) {
 	s := t.state(id, now)
 	s.awaitingAnswer = false
@@ -124,21 +132,21 @@
 	s.leaving = st.Leaving
 }
 
-// Failed notes that a renewal had no answer. Refused says that the connection
-// was actively refused.
+// RecordFailure records that a renewal failed without an answer. Refused reports
+// whether the upstream's host refused the connection.
 func (t *Tracker) RecordFailure(now time.Time, id string, refused bool) {
 	s := t.state(id, now)
 	s.awaitingAnswer = false
 	s.refused = refused
 }
 
-// Left is the time until a lease has lapsed.
+// RemainingLease is the time until the leases of one upstream have expired.
 type RemainingLease struct {
 	Upstream  string
 	Remaining time.Duration
 }
 
-// Lost returns the time left of the leases given to lost upstreams.
+// LostLeases returns the unexpired leases of upstreams that are marked lost.
 func (t *Tracker) LostLeases(now time.Time) []RemainingLease {
 	var out []RemainingLease
 	for id, s := range t.byID {
@@ -150,13 +158,13 @@
 	return out
 }
 
-// Seen is the observation of one upstream.
+// UpstreamObservation is an observation together with the upstream it is about.
 type UpstreamObservation struct {
 	Upstream string
 	detect.Observation
 }
 
-// Seen returns what this entry saw of every upstream.
+// Observations returns the entry's current observation of every known upstream.
 func (t *Tracker) Observations(now time.Time) []UpstreamObservation {
 	out := make([]UpstreamObservation, 0, len(t.byID))
 	for id, s := range t.byID {
