--- a/coordination/fence/fence.go
+++ b/coordination/fence/fence.go
@@ -1,16 +1,18 @@
-// Package fence decides when an entry may send requests to upstreams and when
-// a controller may rely on every other entry having stopped.
+// Package fence decides when an entry may send requests to upstreams, and when a
+// controller may rely on all entries with an older cell document having stopped.
 //
-// An entry sends only while a strict majority of the local voters, or of the
-// wide voters, of its cell have promised within the last TTL that they have
-// acknowledged no newer fence. A controller that raises the fence collects
-// acknowledgements until the silent voters can no longer form either majority,
-// and then waits one TTL. The platform is not involved: it serializes the cell
-// document, and entries keep their right to send while it is down.
+// A fence is a version of the cell document: entries that know only older versions
+// must not send. An entry sends only while a strict majority of its cell's local
+// voters, or of its wide voters, has promised within the last TTL that it has
+// acknowledged no fence newer than the entry's document. A controller that raises
+// the fence collects acknowledgements until the voters that have not answered can
+// no longer form either majority, and then waits one TTL. The fence is then
+// settled. The platform takes no part in this beyond serializing the writes of the
+// cell document, so entries keep their right to send while it is down.
 //
-// Promises live in memory. A restarted process has a new member ID, is no
-// voter until the cell document names it, and so cannot break the promise of
-// its predecessor.
+// Promises are kept in memory only. This is safe because a restarted process has a
+// new member ID and is not a voter until the cell document names it, so it cannot
+// break a promise of its earlier incarnation.
 package fence
 
 import (
@@ -20,53 +22,63 @@
 	"github.com/rockcroft/rockcroft/state/cell"
 )
 
-// Limits are the times of the protocol.
+// Limits configures the timing of the protocol.
 type Limits struct {
-	// TTL is how long a promise holds, by the clock of the entry that asked.
+	// TTL is how long a promise is valid, by the clock of the entry that asked
+	// for it.
 	TTL time.Duration
-	// DriftPercent bounds how much two clocks differ in rate, in percent.
+	// DriftPercent is the maximum difference in rate between two clocks, in
+	// percent.
 	DriftPercent int
 }
 
-// holderTTL is the time an entry relies on a promise.
+// holderTTL is how long an entry relies on a promise, by its own clock.
 func (l Limits) holderTTL() time.Duration { return l.TTL }
 
-// voterTTL is the time after which a promise given is certain to have lapsed.
+// voterTTL is how long a voter or controller must wait, by its own clock, until
+// every promise has expired at the entry that relies on it.
 func (l Limits) voterTTL() time.Duration {
 	return l.TTL + l.TTL*time.Duration(l.DriftPercent)/100
 }
 
-// Promise is a voter's answer to an entry.
+// Promise is a voter's answer to an entry that asks for the right to send.
 type Promise struct {
-	// Granted is false when the voter acknowledged a newer fence.
+	// Granted is false if the voter has acknowledged a fence newer than the
+	// entry's document.
 	Granted bool
-	// Floor is the highest fence that the voter acknowledged.
+	// Floor is the highest fence that the voter has acknowledged.
 	Floor uint64
 }
 
 // Ack is a voter's answer to a controller that raised the fence.
 type Ack struct {
 	Voter string
-	// Fence is the fence that the voter follows now; it may be newer.
+	// Fence is the highest fence that the voter has acknowledged. It may be newer
+	// than the one the controller asked for.
 	Fence uint64
-	// GuestWait is how long promises to entries outside of the local quorum
-	// may still hold; zero when there are none.
+	// NonVoterWait is how long promises to entries outside the local quorum may
+	// still be valid, or zero if there are none.
 	NonVoterWait time.Duration
 }
 
-// Voter keeps what one process promised, for every cell it votes in.
+// Voter holds the promises of one process, for each cell it votes in.
 type Voter struct {
 	id     string
 	limits Limits
 	cells  map[string]*cellState
 }
 
+// cellState holds the promises to the entries of one cell.
 type cellState struct {
-	floor          uint64
+	// floor is the highest fence acknowledged. Promises to entries with older
+	// documents are refused.
+	floor uint64
+	// nonVotersUntil is when all promises to entries outside the local quorum
+	// have expired.
 	nonVotersUntil time.Time
 }
 
-// NewVoter returns a voter without promises.
+// NewVoter returns a voter that has made no promises.
 func NewVoter(id string, limits Limits) *Voter {
 	return &Voter{id: id, limits: limits, cells: make(map[string]*cellState)}
 }
@@ -80,8 +92,8 @@
 	return s
 }
 
-// Promise answers an entry that knows version of the named cell. Guest says
-// that the entry is not a local voter.
+// Promise answers an entry whose document of the named cell has the given version.
+// NonVoter reports that the entry is not a local voter of the cell.
 func (v *Voter) Promise(now time.Time, name string, version uint64, nonVoter bool) Promise {
 	s := v.state(name)
 	if version < s.floor {
@@ -93,7 +105,7 @@
 	return Promise{Granted: true, Floor: s.floor}
 }
 
-// Raise acknowledges a fence of the named cell. The floor never sinks.
+// Raise acknowledges a fence of the named cell. The floor never decreases.
 func (v *Voter) Raise(now time.Time, name string, fence uint64) Ack {
 	s := v.state(name)
 	s.floor = max(s.floor, fence)
@@ -104,10 +116,12 @@
 	return ack
 }
 
-// Floor returns the highest fence acknowledged for the named cell.
+// Floor returns the highest fence that the voter has acknowledged for the named
+// cell.
 func (v *Voter) Floor(name string) uint64 { return v.state(name).floor }
 
-// Holder decides whether one entry may send to the upstreams of its cell.
+// Holder collects the promises made to one entry and decides whether the entry may
+// send to the upstreams of its cell.
 type Holder struct {
 	id       string
 	limits   Limits
@@ -116,12 +130,13 @@
 	scratch  []time.Time
 }
 
-// NewHolder returns a holder without a right.
+// NewHolder returns a holder without promises, and so without the right to send.
 func NewHolder(id string, limits Limits) *Holder {
 	return &Holder{id: id, limits: limits, promises: make(map[string]time.Time)}
 }
 
-// Adopt sets the quorum of the version in use.
+// SetQuorum sets the voters, as named by the document version in use, and drops the
+// promises of all others.
 func (h *Holder) SetQuorum(q cell.Quorum) {
 	h.quorum = q
 	for id := range h.promises {
@@ -131,7 +146,8 @@
 	}
 }
 
-// Record notes a promise of a voter to a question asked at the given time.
+// Record records a promise of a voter. It is valid from askedAt, the time at which
+// the entry asked for it.
 func (h *Holder) Record(voter string, askedAt time.Time) {
 	if !h.quorum.Has(voter) {
 		return
@@ -142,15 +158,16 @@
 	}
 }
 
-// Until returns the time up to which the entry may send. A time not after now
-// means that it must not. The entry's own vote counts as promised now.
+// ValidUntil returns the time until which the entry may send. If it is not after
+// now, the entry must not send. The entry's own vote counts as promised now.
 func (h *Holder) ValidUntil(now time.Time) time.Time {
 	if h.quorum.Has(h.id) {
 		h.promises[h.id] = now.Add(h.limits.holderTTL())
 	}
 	until := h.majorityUntil(h.quorum.Local)
-	// An entry outside of the local quorum is a guest: only local voters
-	// report guests to the controller, so only their promises count.
+	// For an entry outside the local quorum only the promises of local voters
+	// count, because only local voters report promises to such entries to the
+	// controller.
 	if h.quorum.HasLocal(h.id) {
 		if wide := h.majorityUntil(h.quorum.Wide); wide.After(until) {
 			until = wide
@@ -159,6 +176,8 @@
 	return until
 }
 
+// majorityUntil returns the time until which a strict majority of the voters keeps
+// its promises.
 func (h *Holder) majorityUntil(voters []cell.Member) time.Time {
 	if len(voters) == 0 {
 		return time.Time{}
@@ -171,23 +190,26 @@
 	return h.scratch[len(voters)/2]
 }
 
-// Settler tells a controller when a fence is settled: no entry that knows only
-// older versions may send any more.
+// Settlement tracks the acknowledgements of one fence and tells a controller when
+// the fence is settled: no entry that knows only older versions may send any more.
 type Settlement struct {
 	fence   uint64
 	limits  Limits
 	quorums []cell.Quorum
 	acks    map[string]time.Time
-	// follows holds voters that were heard to follow the fence but have not
-	// acknowledged it, since when.
+	// adopted holds, for voters known to use a document of the fence or a later
+	// one, since when that is known. Unlike an acknowledgement it does not
+	// report the promises to entries outside the local quorum.
 	adopted map[string]time.Time
-	// guestsTo is when promises to entries outside of the quorum have lapsed.
+	// nonVotersUntil is when the reported promises to entries outside the local
+	// quorum have expired.
 	nonVotersUntil time.Time
-	// deadAt is when the last voter that ended was known to have ended.
+	// lastDeath is the latest time at which a voter was known to have ended.
 	lastDeath time.Time
 }
 
-// NewSettler starts settling the fence of the given document.
+// NewSettlement returns a settlement of the document's fence without
+// acknowledgements.
 func NewSettlement(doc *cell.Cell, limits Limits) *Settlement {
 	return &Settlement{
 		fence:   doc.Fence,
@@ -198,16 +220,17 @@
 	}
 }
 
-// Narrow takes the quorums of a later document of the same fence. One that no
-// longer lists former quorums says that they were settled.
+// SetQuorums replaces the quorums by those of a later document with the same fence.
+// A document that no longer lists previous quorums shows that the fence was settled
+// for them.
 func (s *Settlement) SetQuorums(doc *cell.Cell) {
 	s.quorums = append(slices.Clone(doc.Previous), doc.Quorum)
 }
 
-// Fence returns the fence being settled.
+// Fence returns the fence that is being settled.
 func (s *Settlement) Fence() uint64 { return s.fence }
 
-// Voters returns everyone whose acknowledgement counts.
+// Voters returns the members of all quorums of the document, each once.
 func (s *Settlement) Voters() []cell.Member {
 	var out []cell.Member
 	seen := make(map[string]bool)
@@ -222,7 +245,8 @@
 	return out
 }
 
-// Record notes an acknowledgement received at now.
+// Record records an acknowledgement received at now. Acknowledgements of older
+// fences are ignored.
 func (s *Settlement) Record(now time.Time, ack Ack) {
 	if ack.Fence < s.fence {
 		return
@@ -235,8 +259,8 @@
 	}
 }
 
-// RecordDead notes a voter whose process had certainly ended at the given time.
-// Others than voters do not matter.
+// RecordDead records that the process of a voter had ended at the given time. It
+// counts as an acknowledgement. Members that are not voters are ignored.
 func (s *Settlement) RecordDead(at time.Time, id string) {
 	if s.Acked(id) || !slices.ContainsFunc(s.quorums, func(q cell.Quorum) bool { return q.Has(id) }) {
 		return
@@ -247,10 +271,11 @@
 	}
 }
 
-// RecordFollows notes a voter that used a document of the fence or of a later
-// one at the given time. It promises nothing under older documents any more,
-// but what it promised guests before is not known, and what it has under way
-// neither: that has to lapse.
+// RecordAdopted records that a voter used a document of the fence or a later one at
+// the given time. The voter makes no more promises to entries with older documents.
+// But the promises it made before to entries outside the local quorum, and the
+// requests it still has in flight, are unknown, so the controller must wait until
+// both have ended.
 func (s *Settlement) RecordAdopted(at time.Time, id string) {
 	if _, ok := s.adopted[id]; !ok {
 		s.adopted[id] = at
@@ -263,9 +288,9 @@
 	return ok
 }
 
-// Settled reports whether every right given under an older fence is over. Grace
-// is waited for more where entries did not answer themselves, for requests that
-// they may have under way to upstreams that do not check epochs.
+// Settled reports whether every right to send under an older fence has ended. If
+// entries did not acknowledge the fence themselves, grace is added to the wait: they
+// may still have requests in flight to upstreams that do not check epochs.
 func (s *Settlement) Settled(now time.Time, grace time.Duration) bool {
 	if !s.nonVotersUntil.IsZero() && now.Before(s.nonVotersUntil.Add(grace)) {
 		return false
@@ -291,7 +316,9 @@
 	return true
 }
 
-// blockedAt returns when the silent voters could no longer form a majority.
+// allBlockedAt returns since when, in every quorum, the voters that may still
+// promise under an older fence cannot form a majority. It returns false if in some
+// quorum they still can.
 func (s *Settlement) allBlockedAt() (time.Time, bool) {
 	var at time.Time
 	for _, q := range s.quorums {
@@ -308,8 +335,8 @@
 	return at, true
 }
 
-// boundSince returns since when the voter certainly promises nothing under an
-// older fence.
+// boundSince returns since when the voter makes no promises under an older fence,
+// and whether that is known.
 func (s *Settlement) boundSince(id string) (time.Time, bool) {
 	if at, ok := s.acks[id]; ok {
 		return at, true
@@ -318,6 +345,8 @@
 	return at, ok
 }
 
+// majorityBlockedAt returns since when the other members of the set cannot form a
+// strict majority under an older fence, and whether that is so.
 func (s *Settlement) majorityBlockedAt(set []cell.Member) (time.Time, bool) {
 	var times []time.Time
 	for _, m := range set {
--- a/coordination/fence/fence_test.go
+++ b/coordination/fence/fence_test.go
@@ -28,14 +28,14 @@
 		self        string
 		want        bool
 	}{
-		{"alone", []string{"a"}, nil, nil, "a", true},
+		{"single voter", []string{"a"}, nil, nil, "a", true},
 		{"one of two", []string{"a", "b"}, nil, nil, "a", false},
 		{"two of two", []string{"a", "b"}, nil, []string{"b"}, "a", true},
 		{"two of three", []string{"a", "b", "c"}, nil, []string{"c"}, "a", true},
 		{"wide majority", []string{"a", "b"}, []string{"a", "b", "x", "y", "z"}, []string{"x", "y"}, "a", true},
 		{"wide minority", []string{"a", "b"}, []string{"a", "b", "x", "y", "z"}, []string{"x"}, "a", false},
-		{"guest with local majority", []string{"b", "c"}, nil, []string{"b", "c"}, "a", true},
-		{"guest with wide majority", []string{"b", "c"}, []string{"b", "c", "x"}, []string{"x", "b"}, "a", false},
+		{"non-voter with local majority", []string{"b", "c"}, nil, []string{"b", "c"}, "a", true},
+		{"non-voter with wide majority only", []string{"b", "c"}, []string{"b", "c", "x"}, []string{"x", "b"}, "a", false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 				t.Errorf("may send %v, want %v", got, tt.want)
 			}
 			if h.ValidUntil(start.Add(limits.TTL)).After(start.Add(limits.TTL)) && len(tt.promised) > 0 {
-				t.Error("the right outlives its promises")
+				t.Error("may send after the promises have expired")
 			}
 		})
 	}
@@ -57,19 +57,19 @@
 func TestVoterRefusesVersionsBelowItsFence(t *testing.T) {
 	v := NewVoter("v", limits)
 	if !v.Promise(start, "c", 5, false).Granted {
-		t.Fatal("no promise without a fence")
+		t.Fatal("promise refused before any fence was raised")
 	}
 	v.Raise(start, "c", 7)
 	v.Raise(start, "c", 6)
 	if p := v.Promise(start, "c", 6, false); p.Granted || p.Floor != 7 {
-		t.Errorf("promise %+v after fence 7", p)
+		t.Errorf("got promise %+v for version 6 after fence 7", p)
 	}
 	if !v.Promise(start, "other", 1, false).Granted {
-		t.Error("the fence of one cell binds another")
+		t.Error("the fence of one cell applies to another cell")
 	}
 	v.Promise(start, "c", 7, true)
 	if ack := v.Raise(start, "c", 8); ack.NonVoterWait <= limits.TTL {
-		t.Errorf("guests may hold a right for %s, TTL %s", ack.NonVoterWait, limits.TTL)
+		t.Errorf("non-voter wait is %s, want more than the TTL of %s", ack.NonVoterWait, limits.TTL)
 	}
 }
 
@@ -87,13 +87,13 @@
 		at    time.Time
 		want  bool
 	}{
-		{"all local at once", []string{"a", "b", "c"}, 9, 0, start, true},
-		{"a minority never", []string{"a"}, 9, 0, late, false},
-		{"half without the wait", []string{"a", "b", "x"}, 9, 0, start, false},
-		{"half after the wait", []string{"a", "b", "x"}, 9, 0, late, true},
-		{"half local, too few wide", []string{"a", "b"}, 9, 0, late, false},
-		{"acks of an older fence", []string{"a", "b", "c"}, 8, 0, late, false},
-		{"grace for silent entries", []string{"a", "b", "x"}, 9, time.Minute, late, false},
+		{"all local voters, without a wait", []string{"a", "b", "c"}, 9, 0, start, true},
+		{"minority, never", []string{"a"}, 9, 0, late, false},
+		{"half of each set, before the wait", []string{"a", "b", "x"}, 9, 0, start, false},
+		{"half of each set, after the wait", []string{"a", "b", "x"}, 9, 0, late, true},
+		{"half of the local voters, too few wide voters", []string{"a", "b"}, 9, 0, late, false},
+		{"acknowledgements of an older fence", []string{"a", "b", "c"}, 8, 0, late, false},
+		{"grace for entries that did not answer", []string{"a", "b", "x"}, 9, time.Minute, late, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestSettledCoversPreviousQuorums changes the voters: the majority of the old
-// ones must be blocked too.
+// TestSettledCoversPreviousQuorums changes the voters. Entries with the old document
+// rely on the old voters, so a majority of those must be blocked too.
 func TestSettledCoversPreviousQuorums(t *testing.T) {
 	doc := &cell.Cell{
 		Fence:    2,
@@ -119,17 +119,18 @@
 	s := NewSettlement(doc, limits)
 	s.Record(start, Ack{Voter: "d", Fence: 2})
 	if s.Settled(start.Add(time.Hour), 0) {
-		t.Error("settled while the former voters may still promise each other")
+		t.Error("settled while the previous voters can still form a majority")
 	}
 	s.Record(start, Ack{Voter: "a", Fence: 2})
 	s.Record(start, Ack{Voter: "b", Fence: 2})
 	if !s.Settled(start.Add(time.Hour), 0) {
-		t.Error("not settled with the majority of both")
+		t.Error("not settled with a majority of both quorums")
 	}
 }
 
-// TestDeadVotersAreWaitedForOnce lets a voter end long ago: a new fence does not
-// wait for its last requests again, and those who never voted do not matter.
+// TestGraceStartsAtVoterDeath checks that the grace for the requests of a dead voter
+// is counted from its death, so that a new fence does not wait for them again, and
+// that the death of a member that never voted is ignored.
 func TestGraceStartsAtVoterDeath(t *testing.T) {
 	doc := &cell.Cell{Fence: 2, Quorum: cell.Quorum{Local: members("a", "b")}}
 	s := NewSettlement(doc, limits)
@@ -143,12 +144,13 @@
 	s.Record(start, Ack{Voter: "a", Fence: 2})
 	s.RecordDead(start, "b")
 	if s.Settled(start, 10*time.Second) {
-		t.Error("settled while requests of the dead voter may be under way")
+		t.Error("settled while requests of the dead voter may be in flight")
 	}
 }
 
-// TestSoleVoterThatFollowedAndEnded guards against a former quorum that nobody
-// can speak for: its only voter was heard to use the new document and ended.
+// TestSoleVoterEndsAfterAdoptingFence guards against a fence that can never settle
+// because the only voter of a previous quorum ended before it acknowledged. It is
+// enough that the voter was known to use the new document.
 func TestSoleVoterEndsAfterAdoptingFence(t *testing.T) {
 	doc := &cell.Cell{
 		Fence:    2,
@@ -158,14 +160,14 @@
 	s := NewSettlement(doc, limits)
 	s.Record(start, Ack{Voter: "b", Fence: 2})
 	if s.Settled(start.Add(time.Hour), 0) {
-		t.Fatal("settled while the sole voter may still be sending")
+		t.Fatal("settled while the only voter may still send")
 	}
 	s.RecordAdopted(start, "a")
-	// Guests of a may send as long as its last promise to them holds, and
-	// requests of a may be under way for the grace.
+	// Entries that hold a promise of a may send until it expires, and requests
+	// of a may be in flight for the length of the grace.
 	const grace = 10 * time.Second
 	if s.Settled(start.Add(limits.voterTTL()+grace-1), grace) {
-		t.Error("settled before what a promised and sent has lapsed")
+		t.Error("settled before the promises and requests of a have ended")
 	}
 	if !s.Settled(start.Add(limits.voterTTL()+grace), grace) {
 		t.Error("not settled")
