--- a/coordination/handover/handover.go
+++ b/coordination/handover/handover.go
@@ -1,14 +1,14 @@
-// Package handover holds the edits of a cell document by which ranges change
-// owner. Each edit is a pure function from one document to the next; the
-// controller stores the result by a conditional update.
+// Package handover edits a cell document to change the owners of ranges. An edit
+// takes one version of the document and produces the next, without side effects;
+// the controller stores the result with a conditional update.
 //
 //	Owned --Release--> Releasing --Complete--> Owned by Next, epoch+1
 //	                             \-----------> Exported to NextCell
 //	                             \-----------> Vacant
 //	Vacant --Reserve--> Vacant with Next --Complete--> Owned by Next, epoch+1
 //
-// A reserved epoch is durable before the grant is sent, so two controllers
-// never grant one epoch to two upstreams.
+// The document names the next owner before the grant of the next epoch is sent,
+// so two controllers never grant the same epoch to two upstreams.
 package handover
 
 import (
@@ -16,26 +16,27 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// Move asks that a range changes owner. An empty To and ToCell leave the range
-// vacant.
+// Move requests that the owned ranges within Span pass to the upstream To or to
+// the cell ToCell. If both are empty, the ranges become vacant.
 type Move struct {
 	Service string `json:"service"`
 	keyspace.Span
 	To     string `json:"to,omitempty"`
 	ToCell string `json:"to_cell,omitempty"`
-	// Intent names the intent behind the move, if any.
+	// Intent is the ID of the intent that requested the move, if any.
 	Intent string `json:"intent,omitempty"`
 }
 
-// Editor prepares the next version of a document.
+// Editor builds the next version of a cell document.
 type Editor struct {
 	doc         *cell.Cell
 	raisesFence bool
 	changed     bool
 }
 
-// Edit starts an edit of doc, which stays untouched. Settled says that the
-// fence of doc is known to be settled, so earlier quorums can be forgotten.
+// NewEditor returns an editor for the version after doc, which is not modified.
+// Settled reports that the fence of doc is settled, that is, no entry that knows
+// only older versions may send any more; the previous quorums are then dropped.
 func NewEditor(doc *cell.Cell, settled bool) *Editor {
 	next := doc.Clone()
 	next.Version++
@@ -45,13 +46,14 @@
 	return &Editor{doc: next}
 }
 
-// Doc returns the document being prepared.
+// Doc returns the document being edited.
 func (e *Editor) Doc() *cell.Cell { return e.doc }
 
-// Changed reports whether any edit had an effect.
+// Changed reports whether any edit changed the document.
 func (e *Editor) Changed() bool { return e.changed }
 
-// Finish returns the document with its write id, or nil when nothing changed.
+// Finish sets the write ID and returns the document, or returns nil if nothing
+// changed.
 func (e *Editor) Finish(writeID string) *cell.Cell {
 	if !e.changed {
 		return nil
@@ -63,10 +65,11 @@
 	return e.doc
 }
 
-// Touch marks the document as changed by an edit made through Doc.
+// MarkChanged records that the caller changed the document returned by Doc.
 func (e *Editor) MarkChanged() { e.changed = true }
 
-// SetQuorum replaces the voters and raises the fence.
+// SetQuorum replaces the voters and raises the fence. The replaced quorum is kept
+// among the previous ones until the new fence is settled.
 func (e *Editor) SetQuorum(q cell.Quorum) {
 	e.doc.Previous = append(e.doc.Previous, e.doc.Quorum)
 	e.doc.Quorum = q
@@ -74,8 +77,8 @@
 	e.changed = true
 }
 
-// Release takes the owned parts of the move's span from their owners. It
-// returns how many ranges are being released by it.
+// Release starts to release the owned ranges within the span of the move, except
+// those that m.To owns already. It returns the number of ranges it released.
 func (e *Editor) Release(m Move) int {
 	s := e.doc.Service(m.Service)
 	if s == nil {
@@ -101,8 +104,8 @@
 	return count
 }
 
-// Reserve names the upstream that takes a vacant range, or one that is being
-// released without a next owner.
+// Reserve sets the next owner of a range that is vacant or being released and has
+// no next owner or cell yet. It reports whether it did so.
 func (e *Editor) Reserve(service string, span keyspace.Span, next string) bool {
 	r := e.rangeAt(service, span)
 	if r == nil || r.Next != "" || r.NextCell != "" || (r.Phase != cell.Vacant && r.Phase != cell.Releasing) {
@@ -113,8 +116,9 @@
 	return true
 }
 
-// Complete ends the hand-over of a range: the grant of Epoch+1 to Next is
-// acknowledged, or there is no Next.
+// Complete ends the handover of a range at the given epoch. The caller must know
+// that the old owner has released the range and that the next owner, if any, has
+// acknowledged its grant of epoch+1.
 func (e *Editor) Complete(service string, span keyspace.Span, epoch uint64) bool {
 	r := e.rangeAt(service, span)
 	if r == nil || r.Epoch != epoch || (r.Phase != cell.Releasing && r.Phase != cell.Vacant) {
@@ -122,8 +126,9 @@
 	}
 	switch {
 	case r.NextCell != "":
-		// The epoch rises here too, so that a range that comes back is told
-		// from one whose export is not recorded yet.
+		// An export raises the epoch too, so that a range that another cell
+		// returns can be distinguished from one whose export the directory
+		// does not show yet.
 		r.Phase = cell.Exported
 		r.Owner = ""
 		r.Epoch++
@@ -142,9 +147,10 @@
 	return true
 }
 
-// Lose marks an upstream as lost and releases its ranges. Ranges reserved for
-// it are passed over with Skip once their old owner has released them. The
-// fence rises in any case: its acknowledgements tell which leases are left.
+// MarkLost marks an upstream as lost and starts to release its ranges. Ranges
+// reserved for it are handled by SkipReserved once their old owner has released
+// them. The fence rises even if the upstream owns nothing, because the
+// acknowledgements of the fence state which of its leases are still valid.
 func (e *Editor) MarkLost(id string) {
 	u := e.doc.Upstream(id)
 	if u == nil || u.State == cell.Lost {
@@ -166,9 +172,9 @@
 	}
 }
 
-// Skip passes over a reserved owner that was lost before it served. The
-// reservation may have been granted, so its epoch is used up and the range is
-// released from the reserved owner in turn. The old owner must have released.
+// SkipReserved handles a next owner that was lost before its handover completed.
+// It may have received the grant, so its epoch counts as used and the range must
+// be released from it as well. The old owner must have released the range before.
 func (e *Editor) SkipReserved(service string, span keyspace.Span) bool {
 	r := e.rangeAt(service, span)
 	if r == nil || r.Next == "" || (r.Phase != cell.Vacant && r.Phase != cell.Releasing) {
@@ -183,7 +189,8 @@
 	return true
 }
 
-// Adopt inserts a span that the directory gave to this cell as vacant parts.
+// Adopt adds a span that the directory assigned to this cell, as the given number
+// of vacant ranges.
 func (e *Editor) Adopt(service string, span keyspace.Span, epoch uint64, parts int) {
 	s := e.doc.EnsureService(service)
 	for _, part := range span.Split(parts) {
@@ -192,8 +199,9 @@
 	e.changed = true
 }
 
-// Drop removes exported ranges, and vacant ones that are not reserved, within
-// span; the directory names another cell.
+// Drop removes the ranges within span that are exported, or vacant without a next
+// owner. The directory has assigned span to another cell, or has returned an
+// exported span to this one.
 func (e *Editor) Drop(service string, span keyspace.Span) {
 	s := e.doc.Service(service)
 	if s == nil {
@@ -211,7 +219,7 @@
 	s.Ranges = kept
 }
 
-// Split cuts a range at the ends of span without a change of owner.
+// Split splits ranges at the bounds of span without changing owners.
 func (e *Editor) Split(service string, span keyspace.Span) {
 	s := e.doc.Service(service)
 	if s == nil {
@@ -222,7 +230,7 @@
 	e.changed = e.changed || len(s.Ranges) != before
 }
 
-// exact returns the range with just this span, or nil.
+// rangeAt returns the range whose span equals the given one, or nil.
 func (e *Editor) rangeAt(service string, span keyspace.Span) *cell.Range {
 	s := e.doc.Service(service)
 	if s == nil {
--- a/coordination/handover/handover_test.go
+++ b/coordination/handover/handover_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestEdits states a document's ranges, an edit, the ranges wanted, and whether
-// the fence has to rise.
+// TestEdits applies one edit to a document with one range and checks the resulting
+// ranges, whether the fence rises, and that the input document is unchanged.
 func TestEdits(t *testing.T) {
 	owned := cell.Range{Span: span(0, 99), Epoch: 3, Phase: cell.Owned, Owner: "u"}
 	releasing := cell.Range{Span: span(0, 99), Epoch: 3, Phase: cell.Releasing, Owner: "u", Next: "v"}
@@ -40,7 +40,7 @@
 		fenced bool
 	}{
 		{
-			"release of a part splits the range", owned,
+			"releasing a part splits the range", owned,
 			func(e *Editor) { e.Release(Move{Service: "s", Span: span(10, 10), To: "v"}) },
 			[]cell.Range{
 				{Span: span(0, 9), Epoch: 3, Phase: cell.Owned, Owner: "u"},
@@ -49,22 +49,22 @@
 			}, true,
 		},
 		{
-			"completing gives the next owner the next epoch", releasing,
+			"completing grants the next epoch to the next owner", releasing,
 			func(e *Editor) { e.Complete("s", span(0, 99), 3) },
 			[]cell.Range{{Span: span(0, 99), Epoch: 4, Phase: cell.Owned, Owner: "v"}}, false,
 		},
 		{
-			"completing an epoch that has passed does nothing", releasing,
+			"completing an old epoch does nothing", releasing,
 			func(e *Editor) { e.Complete("s", span(0, 99), 2) },
 			[]cell.Range{releasing}, false,
 		},
 		{
-			"losing the owner releases", owned,
+			"losing the owner releases its range", owned,
 			func(e *Editor) { e.MarkLost("u") },
 			[]cell.Range{{Span: span(0, 99), Epoch: 3, Phase: cell.Releasing, Owner: "u"}}, true,
 		},
 		{
-			"losing an owner that is releasing still raises the fence: its leases must be asked for",
+			"losing an owner that is releasing raises the fence to learn its remaining leases",
 			releasing, func(e *Editor) { e.MarkLost("u") }, []cell.Range{releasing}, true,
 		},
 		{
@@ -72,20 +72,20 @@
 			func(e *Editor) { e.MarkLost("v") }, []cell.Range{reserved}, true,
 		},
 		{
-			"skipping uses up the reserved epoch", reserved,
+			"skipping consumes the reserved epoch", reserved,
 			func(e *Editor) { e.SkipReserved("s", span(0, 99)) },
 			[]cell.Range{{Span: span(0, 99), Epoch: 4, Phase: cell.Releasing, Owner: "v"}}, true,
 		},
 		{
-			"reserving names the next owner", vacant,
+			"reserving sets the next owner", vacant,
 			func(e *Editor) { e.Reserve("s", span(0, 99), "v") }, []cell.Range{reserved}, false,
 		},
 		{
-			"reserving twice keeps the first", reserved,
+			"a second reservation does not replace the first", reserved,
 			func(e *Editor) { e.Reserve("s", span(0, 99), "u") }, []cell.Range{reserved}, false,
 		},
 		{
-			"exporting uses up an epoch",
+			"exporting raises the epoch",
 			cell.Range{Span: span(0, 99), Epoch: 3, Phase: cell.Releasing, Owner: "u", NextCell: "d"},
 			func(e *Editor) { e.Complete("s", span(0, 99), 3) },
 			[]cell.Range{{Span: span(0, 99), Epoch: 4, Phase: cell.Exported, NextCell: "d"}}, false,
@@ -95,7 +95,7 @@
 			func(e *Editor) { e.Drop("s", span(0, 99)) }, []cell.Range{reserved}, false,
 		},
 		{
-			"splitting changes no owner", owned,
+			"splitting keeps the owner", owned,
 			func(e *Editor) { e.Split("s", span(0, 49)) },
 			[]cell.Range{
 				{Span: span(0, 49), Epoch: 3, Phase: cell.Owned, Owner: "u"},
@@ -119,7 +119,7 @@
 				t.Errorf("fence %d, raised %v, want %v", got.Fence, fenced, tt.fenced)
 			}
 			if diff := cmp.Diff(testDocument(tt.before), doc); diff != "" {
-				t.Errorf("the edit changed its input: %s", diff)
+				t.Errorf("the edit modified the input document: %s", diff)
 			}
 		})
 	}
