--- a/coordination/controller/command.go
+++ b/coordination/controller/command.go
@@ -10,55 +10,57 @@
 	"github.com/rockcroft/rockcroft/state/cell"
 )
 
-// Command is something the process around the core has to do. Each ends with
-// exactly one call of the matching On method, also when it fails.
+// Command is an operation that the process running the core must perform. For each
+// command it must call the matching On method exactly once, also if it failed.
 type Command interface{ key() string }
 
-// Write stores the document by a conditional update. Answer: OnWritten.
+// WriteDocument stores the cell document with a conditional update. It ends with
+// OnWritten.
 type WriteDocument struct {
 	Doc *cell.Cell
-	// Expect is the platform version to replace; zero creates the object.
+	// Expect is the platform version that the update replaces; zero creates the
+	// object.
 	Expect uint64
 }
 
-// Apply hands the document to a voter of the cell. Answer: OnApplied.
+// Apply sends the cell document to a voter of the cell. It ends with OnApplied.
 type Apply struct {
 	To  cell.Member
 	Doc *cell.Cell
-	// DrainWait bounds how long the voter waits for requests in flight.
+	// DrainWait limits how long the voter waits for requests in flight.
 	DrainWait time.Duration
 }
 
-// Raise tells a witness to follow the fence. Answer: OnApplied.
+// RaiseFence asks a witness to acknowledge the fence. It ends with OnApplied.
 type RaiseFence struct {
 	To    cell.Member
 	Fence uint64
 }
 
-// SendGrants gives ranges to an upstream. Answer: OnGranted.
+// SendGrants grants ranges to an upstream. It ends with OnGranted.
 type SendGrants struct {
 	Upstream cell.Upstream
 	Grants   []control.Grant
 }
 
-// SendRevocations takes ranges back from an upstream. Answer: OnRevoked.
+// SendRevocations revokes ranges from an upstream. It ends with OnRevoked.
 type SendRevocations struct {
 	Upstream    cell.Upstream
 	Revocations []control.Revocation
 }
 
-// Reset makes an upstream drop all grants and take a new boot id. Answer:
-// OnReset.
+// ResetUpstream makes an upstream drop all grants and take a new boot ID. It ends
+// with OnReset.
 type ResetUpstream struct{ Upstream cell.Upstream }
 
-// Redirect records an exported range in the directory of its service. Answer:
-// OnRedirected.
+// RecordExport records an exported range in the directory of its service. It ends
+// with OnExportRecorded.
 type RecordExport struct {
 	Service string
 	Range   cell.Range
 }
 
-// Publish stores the member list of the cell. Answer: OnPublished.
+// PublishRoster stores the member list of the cell. It ends with OnRosterPublished.
 type PublishRoster struct{ Roster cell.Roster }
 
 func (c PublishRoster) key() string   { return "publish" }
@@ -70,13 +72,15 @@
 func (c ResetUpstream) key() string   { return "reset/" + c.Upstream.ID }
 func (c RecordExport) key() string    { return "redirect/" + c.Service + "/" + c.Range.Span.String() }
 
-// Applied is the answer of a voter to Apply or Raise.
+// ApplyResult is the answer of a voter to Apply or RaiseFence.
 type ApplyResult struct {
 	Ack fence.Ack
-	// Version is the cell version that the voter holds; zero for witnesses.
+	// Version is the version of the cell document that the voter uses; zero for
+	// witnesses.
 	Version uint64
-	// Busy are the released ranges to which requests are still in flight.
+	// Busy lists the released ranges that still have requests in flight.
 	Busy []gate.BusyRange
-	// Leases are the longest leases that the voter gave to upstreams.
+	// Leases lists the longest unexpired leases that the voter gave to lost
+	// upstreams.
 	Leases []lease.RemainingLease
 }
--- a/coordination/controller/controller_test.go
+++ b/coordination/controller/controller_test.go
@@ -21,7 +21,7 @@
 
 type firstUpstream struct{}
 
-// Place implements Placer: everything goes to the first usable upstream.
+// Place implements Placer. It assigns all spans to the first usable upstream.
 func (firstUpstream) Place(doc *cell.Cell, service string, spans []keyspace.Span, avoid string) []string {
 	out := make([]string, len(spans))
 	for _, u := range doc.UpstreamsOf(service, cell.Active) {
@@ -40,8 +40,8 @@
 
 func (fencedServices) ChecksFences(string) bool { return true }
 
-// newCore returns a controller alone in its cell, with a document of the ranges
-// and the upstreams u and v.
+// newCore returns the only controller of a cell with the given ranges and the
+// upstreams u and v.
 func newCore(ranges ...cell.Range) *Core {
 	c := NewCore(self, DefaultLimits(), firstUpstream{}, fencedServices{}, func() string { return "w" })
 	c.OnDocument(start, &cell.Cell{
@@ -56,8 +56,8 @@
 	return c
 }
 
-// follow carries out all commands at once, as a network without delay would,
-// and returns what they were.
+// runSteps calls Step for a number of rounds, lets every command succeed at once,
+// and returns descriptions of the commands.
 func runSteps(c *Core, now time.Time, rounds int) []string {
 	var out []string
 	for range rounds {
@@ -104,7 +104,7 @@
 func checkCommands(t *testing.T, got []string, want ...string) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("commands\n%v\nwant\n%v", got, want)
+		t.Errorf("got commands\n%v\nwant\n%v", got, want)
 	}
 }
 
@@ -141,8 +141,9 @@
 		"write owned v@4>", apply)
 }
 
-// TestGrantsGoBeforeNewFences has a lost owner's range settled while a move to
-// another cell waits: the grant must not be held up by the fence of the move.
+// TestGrantsPrecedeNewFences has a range of a lost owner that can be granted, and a
+// pending move to another cell. The move raises the fence, which would delay the
+// grant, so the grant must come first.
 func TestGrantsPrecedeNewFences(t *testing.T) {
 	halves := keyspace.Whole().Split(2)
 	lost, other := wholeRange(cell.Releasing, "gone", "v"), wholeRange(cell.Owned, "u", "")
@@ -152,7 +153,7 @@
 	apply := "apply/" + self.ID
 	got := runSteps(c, start, 4)
 	if len(got) < 3 {
-		t.Fatalf("commands %v", got)
+		t.Fatalf("got commands %v, want at least 3", got)
 	}
 	checkCommands(t, got[:3], apply, "grant v@4 prepare=false", "write owned v@4>")
 }
@@ -163,7 +164,7 @@
 	c.OnRevoked(start, SendRevocations{Upstream: cell.Upstream{ID: "u"}, Revocations: []control.Revocation{}}, errors.New("lost"))
 	for _, cmd := range c.Step(start) {
 		if cmd.key() == "revoke/u" {
-			t.Error("sent again at once")
+			t.Error("failed command was issued again without a delay")
 		}
 	}
 	found := false
@@ -171,7 +172,7 @@
 		found = found || cmd.key() == "revoke/u"
 	}
 	if !found {
-		t.Error("not sent again")
+		t.Error("failed command was not issued again")
 	}
 }
 
@@ -180,20 +181,21 @@
 	c := newCore(wholeRange(cell.Owned, "u", ""))
 	c.doc.Quorum.Local = []cell.Member{lower, self}
 	if !c.Leads(start) {
-		t.Error("does not lead while the lower one was never heard")
+		t.Error("does not lead although no voter with a lower ID was heard")
 	}
 	c.OnHeartbeat(start, lower)
 	if c.Leads(start) {
-		t.Error("leads beside a live voter with a lower ID")
+		t.Error("leads although a voter with a lower ID is alive")
 	}
 	if !c.Leads(start.Add(2 * time.Second)) {
-		t.Error("does not lead after the lower one fell silent")
+		t.Error("does not lead after the voter with the lower ID fell silent")
 	}
 }
 
-// TestResetOfAnotherControllerCounts resets an upstream while another controller
-// does so too and writes its own boot id. The answer to the first reset must not
-// serve as proof when the upstream is lost later: its lease has to lapse.
+// TestBootOfAnotherControllerInvalidatesReset guards against a grant to a second
+// owner while the first still holds a lease. Two controllers reset an upstream and
+// the other one writes its boot ID. When the upstream is lost later, the controller
+// must not take its own earlier reset as proof, but wait for the lease to expire.
 func TestBootOfAnotherControllerInvalidatesReset(t *testing.T) {
 	c := newCore(wholeRange(cell.Vacant, "", ""))
 	c.doc.Upstreams[0].Boot = ""
@@ -209,13 +211,14 @@
 	c.leaseEnds["u"] = later.Add(time.Minute)
 	for _, got := range runSteps(c, later, 6) {
 		if got == "grant v@4 prepare=false" {
-			t.Error("granted to the next owner while the lease of the lost one runs")
+			t.Error("granted to the next owner before the lease of the lost one expired")
 		}
 	}
 }
 
-// TestFormerQuorumsAreForgottenBySuccessors follows a fence whose former voter
-// has ended since; a later document of the fence says that it was settled.
+// TestClearedPreviousQuorumsNeedNoAcks guards against a fence that never settles
+// because a previous voter has ended. A later document with the same fence and no
+// previous quorums shows that another controller settled it.
 func TestClearedPreviousQuorumsNeedNoAcks(t *testing.T) {
 	c := newCore(wholeRange(cell.Owned, "u", ""))
 	doc := c.doc.Clone()
@@ -225,20 +228,21 @@
 	c.settlement.Record(start, fence.Ack{Voter: self.ID, Fence: 6})
 	c.Step(start)
 	if c.settled {
-		t.Fatal("settled without the former voter")
+		t.Fatal("settled without the previous voter")
 	}
 	cleared := doc.Clone()
 	cleared.Version, cleared.Previous = 7, nil
 	c.OnDocument(start, cleared, 11)
 	c.Step(start)
 	if !c.settled {
-		t.Error("not settled after the former quorum was cleared")
+		t.Error("not settled after the previous quorum was cleared")
 	}
 }
 
-// TestSoleVoterEndsUnseen guards against a cell that nobody can lead any more:
-// the former sole voter is silent and the document still lists its quorum. Only
-// if it was heard to use that document may another entry go on without it.
+// TestSoleVoterEndsBeforeAcknowledging guards against a cell that no entry can lead:
+// the only voter of a previous quorum is silent, and the document still lists that
+// quorum. Another entry may continue without it only if the voter was known to use
+// that document.
 func TestSoleVoterEndsBeforeAcknowledging(t *testing.T) {
 	ended := cell.Member{ID: MemberID("a", start), Cell: "c", Peer: "q"}
 	joined := &cell.Cell{
@@ -252,11 +256,11 @@
 		after  uint64
 		want   bool
 	}{
-		{"heard before the document came", 6, 0, true},
-		{"heard after the document came", 5, 6, true},
-		{"heard of a later one", 7, 0, true},
-		{"heard with the former document only", 5, 5, false},
-		{"heard without a version", 0, 0, false},
+		{"used the document before it arrived", 6, 0, true},
+		{"used the document after it arrived", 5, 6, true},
+		{"used a later document", 7, 0, true},
+		{"used the previous document only", 5, 5, false},
+		{"reported no version", 0, 0, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -267,7 +271,7 @@
 			for i := range 100 {
 				now := start.Add(time.Duration(i) * 50 * time.Millisecond)
 				if i == 20 && len(c.doc.Previous) == 0 {
-					t.Fatal("went on before the promises of the silent voter have lapsed")
+					t.Fatal("continued before the promises of the silent voter expired")
 				}
 				for _, cmd := range c.Step(now) {
 					if apply, ok := cmd.(Apply); ok && apply.To.ID == ended.ID {
@@ -278,7 +282,7 @@
 				}
 			}
 			if got := len(c.doc.Quorum.Local) == 1; got != tt.want {
-				t.Errorf("went on alone: %v, want %v (%s)", got, tt.want, c.Explain(start.Add(5*time.Second)))
+				t.Errorf("continued alone: %v, want %v (%s)", got, tt.want, c.Explain(start.Add(5*time.Second)))
 			}
 		})
 	}
--- a/coordination/controller/core.go
+++ b/coordination/controller/core.go
@@ -1,10 +1,10 @@
-// Package controller decides what happens in one cell: who votes, which
-// upstreams count, and how ranges pass from owner to owner.
+// Package controller manages one cell: it decides which entries vote, which
+// upstreams may own ranges, and how ranges pass from one owner to the next.
 //
-// Core is deterministic: events and the time come in, commands go out. Any
-// entry of the cell may run one. The conditional update of the cell document
-// serializes them, so that two at once are wasteful but harmless, and all steps
-// can be resumed from the document alone.
+// Core is deterministic: it takes events and the time, and returns commands. Every
+// entry of the cell may run one. Conditional updates of the cell document serialize
+// their decisions, so two active controllers waste work but do no harm. A new
+// controller can resume every step from the document alone.
 package controller
 
 import (
@@ -18,33 +18,34 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// Limits are the times and sizes a controller works with.
+// Limits configures the timing and sizes of a controller.
 type Limits struct {
 	Fence  fence.Limits
 	Detect detect.Limits
-	// LeaseTTL bounds the lease of an upstream.
+	// LeaseTTL is the maximum duration of an upstream's lease.
 	LeaseTTL time.Duration
-	// DrainWait is how long one Apply waits for requests in flight before it
-	// reports the ranges that are still busy.
+	// DrainWait is how long a voter that handles one Apply waits for requests in
+	// flight before it reports the ranges that are still busy.
 	DrainWait time.Duration
-	// MaxDeadline is the longest deadline of a request.
+	// MaxDeadline is the longest allowed request deadline.
 	MaxDeadline time.Duration
-	// WideAfter is how long the local voters have to acknowledge a fence
-	// before the witnesses are asked too.
+	// WitnessDelay is how long the controller waits for the local voters to
+	// acknowledge a fence before it asks the witnesses too.
 	WitnessDelay time.Duration
-	// MemberTTL is the silence after which a voter is replaced.
+	// MemberTTL is how long a voter may be silent before it is replaced.
 	MemberTTL time.Duration
-	// RetryAfter is the pause before a failed command is sent again.
+	// RetryAfter is the delay before a failed command is issued again.
 	RetryAfter time.Duration
-	// ReleasesPerFence bounds how many ranges are taken from their owners at
-	// once by planned moves.
+	// ReleasesPerFence limits how many ranges the planned moves may start to
+	// release with one fence.
 	ReleasesPerFence int
-	// PartsPerUpstream is the number of ranges per upstream of a new span.
+	// RangesPerUpstream is the number of ranges per active upstream into which a
+	// span is split when the cell takes it over.
 	RangesPerUpstream int
 }
 
-// DefaultLimits returns the limits for a budget of four seconds from the loss
-// of an upstream to the next owner.
+// DefaultLimits returns limits that let a range of a lost upstream have its next
+// owner within four seconds of the loss.
 func DefaultLimits() Limits {
 	return Limits{
 		Fence: fence.Limits{TTL: 1200 * time.Millisecond, DriftPercent: 2},
@@ -64,21 +65,21 @@
 	}
 }
 
-// Placer chooses owners for ranges that need one.
+// Placer chooses the owners of ranges.
 type Placer interface {
-	// Place returns an active upstream of the cell for each span, or "" when
-	// there is none. Avoid is never chosen.
+	// Place returns an active upstream of the cell for each span, or "" if there
+	// is none. It never chooses the upstream avoid.
 	Place(doc *cell.Cell, service string, spans []keyspace.Span, avoid string) []string
 }
 
-// Services tells the core what it must know of a service's configuration.
+// Services gives access to the configuration of services.
 type Services interface {
-	// ChecksFences reports whether upstreams of the service refuse requests
-	// without a valid lease and epoch.
+	// ChecksFences reports whether the upstreams of the service refuse requests
+	// for which they have no valid lease at the request's epoch.
 	ChecksFences(service string) bool
 }
 
-// Core is the state of one controller. It is not safe for concurrent use.
+// Core holds the state of one controller. It is not safe for concurrent use.
 type Core struct {
 	self     cell.Member
 	limits   Limits
@@ -86,35 +87,48 @@
 	services Services
 	newID    func() string
 
+	// doc is the newest known cell document, and version its platform version,
+	// zero if unknown.
 	doc     *cell.Cell
 	version uint64
 
+	// settlement tracks the fence of doc, which was first seen at fenceSeenAt.
 	settlement  *fence.Settlement
 	fenceSeenAt time.Time
 	settled     bool
-	applied     map[string]ApplyResult
-	leaseEnds   map[string]time.Time
-	revoked     map[grantID]bool
-	granted     map[grantID]bool
-	prepared    map[prepareID]time.Time
-	resetBoots  map[string]string
-
-	detector        *detect.Detector
-	contacts        map[string]contact
-	rosters         map[string]*cell.Roster
-	directories     map[string]*cell.Directory
-	upstreams       map[string]cell.Upstream
-	draining        map[string]bool
-	evicted         map[string]bool
+	// applied holds the last answer of each voter to an Apply with this fence.
+	applied map[string]ApplyResult
+	// leaseEnds holds, by upstream, when all its reported leases will have expired.
+	leaseEnds map[string]time.Time
+	// revoked and granted hold what the upstreams have acknowledged.
+	revoked map[grantID]bool
+	granted map[grantID]bool
+	// prepared holds when an upstream acknowledged that it prepares for a span.
+	prepared map[prepareID]time.Time
+	// resetBoots holds, by upstream, the boot ID after a reset that the document
+	// does not show yet.
+	resetBoots map[string]string
+
+	detector    *detect.Detector
+	contacts    map[string]contact
+	rosters     map[string]*cell.Roster
+	directories map[string]*cell.Directory
+	upstreams   map[string]cell.Upstream
+	draining    map[string]bool
+	evicted     map[string]bool
+	// dead holds the members whose processes have ended, and since when that is
+	// known.
 	dead            map[string]time.Time
 	documentMissing bool
 	pendingMoves    []handover.Move
 	pendingSplits   []handover.Move
-	inFlight        map[string]bool
-	retryAt         map[string]time.Time
+	// inFlight and retryAt are keyed by command: those not ended yet, and when
+	// failed ones may be issued again.
+	inFlight map[string]bool
+	retryAt  map[string]time.Time
 }
 
-// rangeID names one grant of one range.
+// grantID identifies one grant of one range.
 type grantID struct {
 	service string
 	span    keyspace.Span
@@ -122,23 +136,25 @@
 	holder  string
 }
 
+// prepareID identifies the preparation of an upstream for a span.
 type prepareID struct {
 	service string
 	span    keyspace.Span
 	to      string
 }
 
+// contact is the last contact with a member.
 type contact struct {
 	member      cell.Member
 	lastContact time.Time
-	// version of the cell document that the member uses at least, as heard
-	// first at versionAt. Zero when it told none.
+	// version is the newest cell version that the member is known to use, zero
+	// if none, and versionAt is when that became known.
 	version   uint64
 	versionAt time.Time
 }
 
-// NewCore returns a controller for the cell of self. NewID returns a fresh
-// write id with each call.
+// NewCore returns a controller for the cell of self. NewID must return a unique
+// write ID on each call.
 func NewCore(self cell.Member, limits Limits, placer Placer, services Services, newID func() string) *Core {
 	return &Core{
 		self:        self,
@@ -165,17 +181,18 @@
 	}
 }
 
-// Doc returns the newest cell document known, or nil.
+// Doc returns the newest known cell document, or nil.
 func (c *Core) Doc() *cell.Cell { return c.doc }
 
-// OnDocument takes a cell document read from the platform at the given object
-// version. Older documents than the one known are ignored.
+// OnDocument handles a cell document that was read from the platform at the given
+// object version, or received from a peer with version zero. Documents older than
+// the known one are ignored.
 func (c *Core) OnDocument(now time.Time, doc *cell.Cell, version uint64) {
 	if doc.Name != c.self.Cell || c.doc != nil && doc.Version < c.doc.Version {
 		return
 	}
-	// A document from a peer comes without its platform version; the first
-	// write then conflicts and the document is read again.
+	// The platform version of a document from a peer is unknown. The next write
+	// then conflicts, and the document is read from the platform again.
 	if version != 0 || c.doc == nil || doc.Version > c.doc.Version {
 		c.version = version
 	}
@@ -184,10 +201,11 @@
 	}
 	c.trimAcks()
 	for _, u := range doc.Upstreams {
-		// Kept until the document shows a boot id: a second reset would make
-		// the first one look like a process that has ended. Once it does, by
-		// whichever controller, the upstream may hold grants again and the
-		// reset proves nothing any more.
+		// The boot ID of a reset is kept until the document shows a boot ID,
+		// so that the upstream is not reset again: the boot ID of the first
+		// reset would then look like that of a process that has ended. Once
+		// any controller has written a boot ID, the upstream may hold new
+		// grants, so the reset no longer proves that it holds none.
 		if u.Boot != "" {
 			delete(c.resetBoots, u.ID)
 		}
@@ -219,8 +237,9 @@
 	}
 }
 
-// maxRemembered bounds the acknowledgements kept. Forgotten ones are asked for
-// again, which is harmless: grants and revocations are idempotent.
+// maxRememberedAcks limits the number of acknowledgements kept of each kind. Those
+// dropped are requested again, which is harmless because grants and revocations are
+// idempotent.
 const maxRememberedAcks = 1 << 16
 
 func (c *Core) trimAcks() {
@@ -235,11 +254,11 @@
 	}
 }
 
-// OnMissing notes that the platform has no document of the cell yet.
+// OnDocumentMissing records that the platform holds no document of the cell yet.
 func (c *Core) OnDocumentMissing() { c.documentMissing = c.doc == nil }
 
-// OnDead notes that an entry process has certainly ended: a later incarnation
-// of it was heard, or the platform no longer lists its VM.
+// OnMemberDead records that an entry process has certainly ended: a later
+// incarnation of it is known, or the platform no longer lists its VM.
 func (c *Core) OnMemberDead(now time.Time, id string) {
 	if c.isDead(id) {
 		return
@@ -256,8 +275,9 @@
 	return ok
 }
 
-// silentGrace is added to the wait for silent entries when some service in the
-// cell has upstreams that do not check epochs.
+// silentGrace returns the additional wait for entries that do not answer. It is
+// needed if a service of the cell has upstreams that do not check epochs: requests
+// of such an entry may still be in flight to them.
 func (c *Core) silentGrace() time.Duration {
 	for _, s := range c.doc.Services {
 		if !c.services.ChecksFences(s.Name) {
@@ -267,14 +287,14 @@
 	return 0
 }
 
-// OnDirectory takes a directory document.
+// OnDirectory handles a directory document.
 func (c *Core) OnDirectory(d *cell.Directory) {
 	if known := c.directories[d.Service]; known == nil || known.Version < d.Version {
 		c.directories[d.Service] = d
 	}
 }
 
-// OnRoster takes the member list of a cell.
+// OnRoster handles the member list of a cell.
 func (c *Core) OnRoster(now time.Time, r *cell.Roster) {
 	if known := c.rosters[r.Cell]; known != nil && known.Version >= r.Version {
 		return
@@ -285,7 +305,7 @@
 	}
 }
 
-// OnBeat notes that a member of any cell is alive.
+// OnHeartbeat records that a member of any cell is alive.
 func (c *Core) OnHeartbeat(now time.Time, m cell.Member) {
 	if c.isDead(m.ID) {
 		return
@@ -298,8 +318,8 @@
 	}
 }
 
-// OnVersion notes that a member of the cell uses the cell document of the given
-// version or a later one. A process never goes back to an older document.
+// OnVersion records that a member of the cell uses the given version of the cell
+// document or a later one. A process never returns to an older document.
 func (c *Core) OnVersion(now time.Time, m cell.Member, version uint64) {
 	c.OnHeartbeat(now, m)
 	h, ok := c.contacts[m.ID]
@@ -311,16 +331,18 @@
 	c.recordAdopted(h)
 }
 
-// follow tells the settler of a member that uses the document of its fence. It
-// may end before it acknowledges, and nobody else could tell then that a quorum
-// of which it was the only voter is over.
+// recordAdopted informs the settlement if a member uses a document of the current
+// fence or a later one. If that member is the only voter of a previous quorum and
+// ends before it acknowledges, nothing else shows that the quorum makes no more
+// promises under older fences.
 func (c *Core) recordAdopted(h contact) {
 	if c.settlement != nil && h.version >= c.settlement.Fence() {
 		c.settlement.RecordAdopted(h.versionAt, h.member.ID)
 	}
 }
 
-// succeed notes that earlier incarnations of the member have ended.
+// recordPredecessorsDead records that the earlier incarnations of a member have
+// ended.
 func (c *Core) recordPredecessorsDead(now time.Time, id string) {
 	for _, old := range c.voters() {
 		if Supersedes(id, old.ID) {
@@ -329,6 +351,8 @@
 	}
 }
 
+// isWide reports whether the member is a wide voter of the current or a previous
+// quorum.
 func (c *Core) isWide(id string) bool {
 	if c.doc.Quorum.HasWide(id) {
 		return true
@@ -336,45 +360,44 @@
 	return slices.ContainsFunc(c.doc.Previous, func(q cell.Quorum) bool { return q.HasWide(id) })
 }
 
-// OnObservation notes what an entry saw of an upstream.
+// OnObservation records what an entry observed of an upstream.
 func (c *Core) OnObservation(now time.Time, entry, upstream string, o detect.Observation) {
 	c.detector.Report(now, entry, upstream, o)
 }
 
-// Wants is what the unfinished intents ask of the cell.
+// DesiredState is what the unfinished intents request of the cell.
 type DesiredState struct {
-	// Upstreams are to be active.
+	// Upstreams lists the upstreams that shall be active.
 	Upstreams []cell.Upstream
-	// Drain names upstreams that give up their ranges and leave.
+	// Drain lists the upstreams that shall hand over their ranges and leave.
 	Drain []string
-	// Evict names upstreams that have ended on an operator's word. For those
-	// that do not check epochs nothing else proves it when they are silent.
+	// Evict lists the upstreams that, as an operator confirms, have ended. If an
+	// upstream that does not check epochs is silent, nothing else proves that it
+	// has ended.
 	Evict []string
-	// Moves are changes of owner.
+	// Moves lists the requested changes of owner.
 	Moves []handover.Move
 }
 
-// SetWants replaces what is asked of the cell. Moves that are pending already
-// are kept.
-func (c *Core) SetDesired(w DesiredState) {
+// SetDesired replaces the desired state. Moves that are already pending are kept.
+func (c *Core) SetDesired(desired DesiredState) {
 	clear(c.upstreams)
 	clear(c.draining)
 	clear(c.evicted)
-	for _, u := range w.Upstreams {
+	for _, u := range desired.Upstreams {
 		c.upstreams[u.ID] = u
 	}
-	for _, id := range append(slices.Clone(w.Drain), w.Evict...) {
+	for _, id := range append(slices.Clone(desired.Drain), desired.Evict...) {
 		c.draining[id] = true
 		delete(c.upstreams, id)
 	}
-	for _, id := range w.Evict {
+	for _, id := range desired.Evict {
 		c.evicted[id] = true
 	}
-	c.AddMoves(w.Moves)
+	c.AddMoves(desired.Moves)
 }
 
-// AddMoves asks for changes of owner once. A move that is pending already is
-// not added again.
+// AddMoves adds pending moves. A move that is already pending is not added again.
 func (c *Core) AddMoves(moves []handover.Move) {
 	for _, m := range moves {
 		if !slices.Contains(c.pendingMoves, m) {
@@ -383,12 +406,12 @@
 	}
 }
 
-// AddSplits asks that ranges are cut at the ends of spans.
+// AddSplits requests that ranges are split at the bounds of the spans.
 func (c *Core) AddSplits(service string, spans []keyspace.Span) {
 	for _, s := range spans {
 		c.pendingSplits = append(c.pendingSplits, handover.Move{Service: service, Span: s})
 	}
 }
 
-// PendingMoves returns the moves that have not been started.
+// PendingMoves returns the moves that have not started yet.
 func (c *Core) PendingMoves() []handover.Move { return slices.Clone(c.pendingMoves) }
--- a/coordination/controller/edit.go
+++ b/coordination/controller/edit.go
@@ -10,10 +10,11 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// prepareTTL is how long a prepared owner counts as warm before the release.
+// prepareTTL is how long an upstream counts as prepared for a range before the
+// current owner starts to release it.
 const prepareTTL = 30 * time.Second
 
-// edit returns the next document, or nil when nothing is to change.
+// edit returns the next version of the cell document, or nil if nothing changes.
 func (c *Core) edit(now time.Time) *cell.Cell {
 	e := handover.NewEditor(c.doc, c.settled)
 	c.editUpstreams(now, e)
@@ -23,8 +24,9 @@
 		c.editReleased(now, e)
 	}
 	if c.settled && len(c.doc.Previous) > 0 {
-		// Written down, so that a successor need not hear from former voters
-		// again, who may have ended by then.
+		// Dropping the previous quorums is worth a write of its own: a later
+		// controller then needs no answers from the former voters, which may
+		// have ended by then.
 		e.MarkChanged()
 	}
 	if c.settled && !c.deferToHandovers(now, e.Doc()) {
@@ -40,11 +42,12 @@
 	return e.Finish(c.newID())
 }
 
-// handOverPatience is how long new fences wait for hand-overs under way.
+// maxHandoverDelay is how long a new fence waits for handovers in progress.
 const maxHandoverDelay = 3 * time.Second
 
-// finishFirst reports whether hand-overs are under way that a new fence would
-// hold up: the next owners get their grants only while the fence is settled.
+// deferToHandovers reports whether edits that raise the fence must wait for
+// handovers in progress. A new fence would delay those, because next owners receive
+// their grants only while the fence is settled.
 func (c *Core) deferToHandovers(now time.Time, doc *cell.Cell) bool {
 	return hasReleasing(doc) && now.Sub(c.fenceSeenAt) < maxHandoverDelay
 }
@@ -56,6 +59,7 @@
 	}
 }
 
+// hasReleasing reports whether any range is being released.
 func hasReleasing(doc *cell.Cell) bool {
 	for _, s := range doc.Services {
 		if slices.ContainsFunc(s.Ranges, func(r cell.Range) bool { return r.Phase == cell.Releasing }) {
@@ -65,6 +69,7 @@
 	return false
 }
 
+// editUpstreams adds the desired upstreams and updates the state of each upstream.
 func (c *Core) editUpstreams(now time.Time, e *handover.Editor) {
 	for _, u := range sortedUpstreams(c.upstreams) {
 		if e.Doc().Upstream(u.ID) == nil {
@@ -111,7 +116,7 @@
 	e.MarkChanged()
 }
 
-// holds reports whether the upstream owns a range or is about to.
+// hasRanges reports whether the upstream owns a range or is the next owner of one.
 func hasRanges(doc *cell.Cell, id string) bool {
 	for _, s := range doc.Services {
 		for _, r := range s.Ranges {
@@ -123,8 +128,8 @@
 	return false
 }
 
-// editDirectories adopts spans that a directory gave to this cell and drops
-// exported ranges that another cell has now.
+// editDirectories adopts the spans that a directory assigned to this cell, and
+// releases and drops those that it assigned to other cells.
 func (c *Core) editDirectories(e *handover.Editor) {
 	for _, name := range sortedKeys(c.directories) {
 		for _, seg := range c.directories[name].Segments {
@@ -132,14 +137,16 @@
 				c.adoptSegment(e, name, seg)
 				continue
 			}
-			// The directory may have moved on while this cell was cut off:
-			// what it still owns there it has to give up.
+			// The directory may have changed while this cell was cut off
+			// from the platform, so ranges that it still owns within the
+			// segment must be released.
 			e.Release(handover.Move{Service: name, Span: seg.Span, ToCell: seg.Cell})
 			e.Drop(name, seg.Span)
 		}
 	}
 }
 
+// adoptSegment adds vacant ranges for the parts of the segment that have none.
 func (c *Core) adoptSegment(e *handover.Editor, service string, seg cell.Segment) {
 	s := e.Doc().Service(service)
 	var gaps []keyspace.Span
@@ -155,8 +162,8 @@
 	}
 }
 
-// gapsOf returns the parts of the segment that no range covers. An exported
-// range that came back by a newer directory is replaced.
+// uncoveredSpans returns the parts of the segment that no range covers. It first
+// drops exported ranges that a newer directory has returned to this cell.
 func (c *Core) uncoveredSpans(e *handover.Editor, service string, s *cell.Service, seg cell.Segment) []keyspace.Span {
 	var returned []keyspace.Span
 	for _, r := range s.Ranges {
@@ -185,8 +192,8 @@
 	return gaps
 }
 
-// editReserved completes vacant ranges whose reserved owner has its grant. Their
-// release was proven before, so that no fence has to be settled for them.
+// editReserved completes vacant ranges whose next owner has acknowledged its grant.
+// Their release was proven earlier, so this does not need a settled fence.
 func (c *Core) editReserved(e *handover.Editor) {
 	for _, s := range c.doc.Services {
 		for _, r := range s.Ranges {
@@ -197,7 +204,8 @@
 	}
 }
 
-// editReleased completes or passes on every range whose release is proven.
+// editReleased completes the handover of every range that is proven to be released,
+// or skips a next owner that was lost.
 func (c *Core) editReleased(now time.Time, e *handover.Editor) {
 	for _, s := range c.doc.Services {
 		for _, r := range s.Ranges {
@@ -208,6 +216,8 @@
 	}
 }
 
+// completeRange completes the handover of a released range if its next owner has
+// acknowledged the grant, and skips the next owner if it was lost.
 func (c *Core) completeRange(e *handover.Editor, service string, r cell.Range) {
 	if r.Next != "" {
 		next := e.Doc().Upstream(r.Next)
@@ -222,7 +232,7 @@
 	e.Complete(service, r.Span, r.Epoch)
 }
 
-// wantDrains plans moves for the ranges of draining upstreams.
+// planDrains adds moves for the ranges of draining upstreams.
 func (c *Core) planDrains() {
 	for _, u := range c.doc.Upstreams {
 		if u.State != cell.Draining {
@@ -242,13 +252,15 @@
 	}
 }
 
+// hasMove reports whether a pending move covers the span.
 func (c *Core) hasMove(service string, span keyspace.Span) bool {
 	return slices.ContainsFunc(c.pendingMoves, func(m handover.Move) bool {
 		return m.Service == service && m.Covers(span)
 	})
 }
 
-// editMoves starts the wanted moves whose new owner is prepared.
+// editMoves starts the pending moves whose new owner is prepared, up to the limit
+// of releases per fence.
 func (c *Core) editMoves(now time.Time, e *handover.Editor) {
 	kept := c.pendingMoves[:0]
 	started := 0
@@ -264,6 +276,7 @@
 	c.pendingMoves = kept
 }
 
+// usable reports whether an upstream may be granted ranges.
 func (c *Core) usable(id string) bool {
 	u := c.doc.Upstream(id)
 	return u != nil && u.State == cell.Active && u.Boot != ""
@@ -274,9 +287,9 @@
 	return ok && now.Sub(at) < prepareTTL
 }
 
-// editOrphans reserves an owner for ranges that have none to come: vacant ones,
-// and those of lost upstreams as soon as the loss is written, so that the grant
-// follows the release without another write.
+// reserveOwners sets the next owner of ranges that need one: vacant ranges, and
+// those of lost upstreams. The latter get theirs in the same write that records the
+// loss, so that the grant can follow the release without another write.
 func (c *Core) reserveOwners(e *handover.Editor) {
 	for _, s := range slices.Clone(e.Doc().Services) {
 		var spans []keyspace.Span
@@ -296,6 +309,8 @@
 	}
 }
 
+// needsOwner reports whether a range is vacant or being released by a lost owner, and has
+// no next owner or cell.
 func needsOwner(doc *cell.Cell, r cell.Range) bool {
 	if r.Next != "" || r.NextCell != "" {
 		return false
--- a/coordination/controller/explain.go
+++ b/coordination/controller/explain.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Explain describes in one line what the controller waits for.
+// Explain returns a one-line summary of the controller's state that shows what it is
+// waiting for.
 func (c *Core) Explain(now time.Time) string {
 	if c.doc == nil {
 		return "no document"
--- a/coordination/controller/members.go
+++ b/coordination/controller/members.go
@@ -8,15 +8,18 @@
 	"github.com/rockcroft/rockcroft/state/cell"
 )
 
-// Sizes of the witness set: few, because each is asked at every unsettled
-// fence, and spread, because a domain may be cut off whole.
+// Limits of the witness set. It is small because the controller asks every witness
+// about each fence that stays unsettled, and spread over cells because a whole
+// failure domain may be cut off at once.
 const (
 	maxWitnesses     = 5
 	witnessesPerCell = 2
 )
 
-// Leads reports whether this entry runs the controller of its cell: it has the
-// lowest ID of the voters heard lately. Two may believe so for a while.
+// Leads reports whether this entry runs the controller of its cell, that is, whether
+// it has the lowest ID among the voters in contact. Without a document or a voter in
+// contact, the lowest ID of all entries counts. Two entries may lead at once for a
+// short time.
 func (c *Core) Leads(now time.Time) bool {
 	if c.doc == nil {
 		return c.isLowest(now, func(string) bool { return true })
@@ -31,7 +34,7 @@
 }
 
 // Leaders returns the live voters with the lowest and the second lowest ID: the
-// controller and the one that would follow it.
+// controller and its successor.
 func (c *Core) Leaders(now time.Time) []cell.Member {
 	if c.doc == nil {
 		return nil
@@ -47,8 +50,8 @@
 	return out[:min(2, len(out))]
 }
 
-// reportsNeeded is the number of entries that must have reported on an upstream
-// before it can be lost: half of the live voters.
+// reportsNeeded returns how many entries must have reported on an upstream before it
+// can be declared lost: half of the live voters, rounded up.
 func (c *Core) reportsNeeded(now time.Time) int {
 	live := 0
 	for _, m := range c.doc.Quorum.Local {
@@ -59,6 +62,8 @@
 	return (live + 1) / 2
 }
 
+// isLowest reports whether this entry has the lowest ID of the entries of the cell
+// that are in contact and accepted by among.
 func (c *Core) isLowest(now time.Time, among func(string) bool) bool {
 	if !among(c.self.ID) {
 		return false
@@ -80,11 +85,12 @@
 	return false
 }
 
+// inContact reports whether the member was heard from within MemberTTL.
 func (c *Core) inContact(now time.Time, h contact) bool {
 	return now.Sub(h.lastContact) < c.limits.MemberTTL
 }
 
-// voters returns everyone who votes in the known document, in any quorum.
+// voters returns the voters of all quorums of the known document.
 func (c *Core) voters() []cell.Member {
 	if c.settlement == nil {
 		return nil
@@ -92,10 +98,10 @@
 	return c.settlement.Voters()
 }
 
-// canSettle reports whether enough voters are in contact for a new fence to
-// become settled. Without that, a controller that is cut off would only take
-// votes and ranges away that nobody can hand out again. Former quorums count
-// until the present fence is settled: nobody follows them after that.
+// canSettle reports whether enough voters are in contact for a new fence to become
+// settled. Without this check a controller that is cut off could remove votes and
+// ranges that it cannot assign again. Previous quorums count until the current fence
+// is settled; after that no entry relies on them.
 func (c *Core) canSettle(now time.Time) bool {
 	quorums := []cell.Quorum{c.doc.Quorum}
 	if !c.settled {
@@ -109,6 +115,8 @@
 	return true
 }
 
+// halfInContact reports whether at least half of the members are in contact or are
+// known to have ended.
 func (c *Core) halfInContact(now time.Time, set []cell.Member) bool {
 	count := 0
 	for _, m := range set {
@@ -120,7 +128,8 @@
 	return 2*count >= len(set)
 }
 
-// wantedQuorum returns the live entries of the cell, and the witnesses.
+// desiredQuorum returns the quorum that the cell should have: its live entries as local
+// voters and, if there are witnesses, these entries and the witnesses as wide voters.
 func (c *Core) desiredQuorum(now time.Time) cell.Quorum {
 	q := cell.Quorum{Local: []cell.Member{c.self}}
 	for _, h := range c.contacts {
@@ -138,8 +147,8 @@
 
 func compareMembers(a, b cell.Member) int { return strings.Compare(a.ID, b.ID) }
 
-// witnesses picks voters of other cells. Current witnesses that still stand in
-// their own cell's document are kept, so that the set changes rarely.
+// chooseWitnesses selects voters of other cells as witnesses. Current witnesses that
+// are still on the roster of their cell are kept, so that the set changes rarely.
 func (c *Core) chooseWitnesses() []cell.Member {
 	var out []cell.Member
 	perCell := make(map[string]int)
--- a/coordination/controller/results.go
+++ b/coordination/controller/results.go
@@ -6,9 +6,10 @@
 	"github.com/rockcroft/rockcroft/state/cell"
 )
 
-// This file takes over how commands ended.
+// This file handles the results of commands.
 
-// OnWritten ends a Write. Version is the platform version of the document.
+// OnWritten handles the result of a WriteDocument. Version is the new platform
+// version of the document.
 func (c *Core) OnWritten(now time.Time, cmd WriteDocument, version uint64, err error) {
 	c.commandEnded(now, cmd, err)
 	if err == nil {
@@ -16,7 +17,7 @@
 	}
 }
 
-// OnApplied ends an Apply or a Raise.
+// OnApplied handles the result of an Apply or a RaiseFence.
 func (c *Core) OnApplied(now time.Time, cmd Command, a ApplyResult, err error) {
 	c.commandEnded(now, cmd, err)
 	if err != nil || c.settlement == nil || a.Ack.Fence < c.settlement.Fence() {
@@ -35,11 +36,12 @@
 	}
 }
 
+// drift returns the largest difference between two clocks over the duration.
 func (c *Core) drift(d time.Duration) time.Duration {
 	return d * time.Duration(c.limits.Fence.DriftPercent) / 100
 }
 
-// OnGranted ends a SendGrants.
+// OnGranted handles the result of a SendGrants.
 func (c *Core) OnGranted(now time.Time, cmd SendGrants, err error) {
 	c.commandEnded(now, cmd, err)
 	if err != nil {
@@ -54,7 +56,7 @@
 	}
 }
 
-// OnRevoked ends a SendRevocations.
+// OnRevoked handles the result of a SendRevocations.
 func (c *Core) OnRevoked(now time.Time, cmd SendRevocations, err error) {
 	c.commandEnded(now, cmd, err)
 	if err != nil {
@@ -65,7 +67,8 @@
 	}
 }
 
-// OnReset ends a Reset with the new boot id of the upstream.
+// OnReset handles the result of a ResetUpstream. Boot is the new boot ID of the
+// upstream.
 func (c *Core) OnReset(now time.Time, cmd ResetUpstream, boot string, err error) {
 	c.commandEnded(now, cmd, err)
 	if err == nil {
@@ -79,7 +82,8 @@
 	}
 }
 
-// OnRedirected ends a Redirect with the directory as it is now.
+// OnExportRecorded handles the result of a RecordExport. D is the directory as it is
+// now.
 func (c *Core) OnExportRecorded(now time.Time, cmd RecordExport, d *cell.Directory, err error) {
 	c.commandEnded(now, cmd, err)
 	if err == nil {
@@ -87,7 +91,7 @@
 	}
 }
 
-// OnPublished ends a Publish.
+// OnRosterPublished handles the result of a PublishRoster.
 func (c *Core) OnRosterPublished(now time.Time, cmd PublishRoster, err error) {
 	c.commandEnded(now, cmd, err)
 	if err == nil {
@@ -95,6 +99,7 @@
 	}
 }
 
+// commandEnded allows the command to be issued again, after a delay if it failed.
 func (c *Core) commandEnded(now time.Time, cmd Command, err error) {
 	delete(c.inFlight, cmd.key())
 	if err != nil {
--- a/coordination/controller/sorted.go
+++ b/coordination/controller/sorted.go
@@ -7,8 +7,8 @@
 	"github.com/rockcroft/rockcroft/state/cell"
 )
 
-// sortedKeys returns the keys in order, so that decisions do not depend on the
-// order of a map.
+// sortedKeys returns the keys in order, so that decisions do not depend on map
+// iteration order.
 func sortedKeys[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/coordination/controller/step.go
+++ b/coordination/controller/step.go
@@ -11,7 +11,7 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// Step returns the commands to carry out now. It is called after events and at
+// Step returns the commands to perform now. It must be called after events and at
 // regular intervals.
 func (c *Core) Step(now time.Time) []Command {
 	if !c.Leads(now) {
@@ -39,15 +39,18 @@
 	return c.publishRoster(now, out)
 }
 
+// canIssue reports whether the command is neither in flight nor waiting for a retry.
 func (c *Core) canIssue(now time.Time, cmd Command) bool {
 	return !c.inFlight[cmd.key()] && !now.Before(c.retryAt[cmd.key()])
 }
 
+// issue appends the command to out and marks it as in flight.
 func (c *Core) issue(out []Command, cmd Command) []Command {
 	c.inFlight[cmd.key()] = true
 	return append(out, cmd)
 }
 
+// tryIssue issues the command if canIssue allows it.
 func (c *Core) tryIssue(now time.Time, out []Command, cmd Command) []Command {
 	if !c.canIssue(now, cmd) {
 		return out
@@ -55,6 +58,7 @@
 	return c.issue(out, cmd)
 }
 
+// bootstrap creates the first document of a cell, with this entry as the only voter.
 func (c *Core) bootstrap(now time.Time) []Command {
 	if !c.documentMissing || !c.canIssue(now, WriteDocument{}) {
 		return nil
@@ -70,8 +74,8 @@
 	return c.issue(nil, WriteDocument{Doc: doc})
 }
 
-// entriesClear reports whether no entry can send to a range that is being
-// released, and none has a request to it in flight.
+// entriesDrained reports whether no entry can send requests to a range that is being
+// released, and none has such a request in flight.
 func (c *Core) entriesDrained(service string, span keyspace.Span) bool {
 	if !c.settled {
 		return false
@@ -87,8 +91,8 @@
 	return true
 }
 
-// released reports whether the owner of a releasing range certainly holds it
-// no more.
+// released reports whether the owner of a range that is being released is proven not
+// to hold it any more.
 func (c *Core) released(now time.Time, service string, r cell.Range) bool {
 	if !c.settled {
 		return false
@@ -100,8 +104,8 @@
 	return c.entriesDrained(service, r.Span) && c.revoked[grantID{service, r.Span, r.Epoch, r.Owner}]
 }
 
-// lapsed reports whether a lost upstream certainly serves nothing of the range
-// any more.
+// lostOwnerReleased reports whether a lost upstream is proven not to serve any
+// request for the range any more.
 func (c *Core) lostOwnerReleased(now time.Time, service string, r cell.Range) bool {
 	reset := c.resetBoots[r.Owner] != ""
 	switch {
@@ -112,13 +116,13 @@
 	case c.detector.Judge(now, r.Owner, "", c.reportsNeeded(now)).Health == detect.Gone:
 		return true
 	}
-	// The process lives and does not check what it is sent: a reset does not
-	// stop requests that are under way to it.
+	// The process may be running and does not check the epoch of requests, so a
+	// reset does not stop requests that are already in flight to it.
 	return reset && c.entriesDrained(service, r.Span)
 }
 
-// distribute hands the document to the voters of the cell, and the fence to
-// the witnesses when the voters alone do not settle it.
+// distributeDocument sends the document to the voters of the cell. If these do not
+// settle the fence within WitnessDelay, it sends the fence to the witnesses too.
 func (c *Core) distributeDocument(now time.Time, out []Command) []Command {
 	for _, m := range c.voters() {
 		if c.isDead(m.ID) {
@@ -138,7 +142,8 @@
 	return out
 }
 
-// revoke takes ranges back from living owners once no entry sends to them.
+// sendRevocations revokes releasing ranges from owners that are not lost, once no
+// entry sends requests to the ranges any more.
 func (c *Core) sendRevocations(now time.Time, out []Command) []Command {
 	for _, u := range c.doc.Upstreams {
 		if u.State == cell.Lost {
@@ -158,6 +163,7 @@
 	return out
 }
 
+// rangesOf returns the ranges of the service, or nil if the cell does not have it.
 func rangesOf(doc *cell.Cell, service string) []cell.Range {
 	if s := doc.Service(service); s != nil {
 		return s.Ranges
@@ -165,7 +171,8 @@
 	return nil
 }
 
-// grant sends the grants of ranges whose former owner has released them.
+// sendGrants grants ranges to their next owners once the former owners have released
+// them.
 func (c *Core) sendGrants(now time.Time, out []Command) []Command {
 	for _, u := range c.doc.Upstreams {
 		if u.State == cell.Lost || u.Boot == "" {
@@ -187,7 +194,7 @@
 	return out
 }
 
-// prepare warms up the new owners of wanted moves.
+// sendPreparations tells the new owners of pending moves to prepare for their ranges.
 func (c *Core) sendPreparations(now time.Time, out []Command) []Command {
 	byOwner := make(map[string][]control.Grant)
 	for _, m := range c.pendingMoves {
@@ -202,7 +209,8 @@
 	return out
 }
 
-// resets clears upstreams that join or come back, before they count.
+// sendResets resets upstreams that join or come back after a loss. They are granted
+// ranges only after that.
 func (c *Core) sendResets(now time.Time, out []Command) []Command {
 	for _, u := range c.doc.Upstreams {
 		if u.Boot != "" || c.resetBoots[u.ID] != "" || c.draining[u.ID] {
@@ -216,7 +224,7 @@
 	return out
 }
 
-// redirects records exported ranges in their directory.
+// recordExports records exported ranges in the directories of their services.
 func (c *Core) recordExports(now time.Time, out []Command) []Command {
 	for _, s := range c.doc.Services {
 		for _, r := range s.Ranges {
@@ -228,7 +236,8 @@
 	return out
 }
 
-// roster publishes the members of the cell for the entries of other cells.
+// publishRoster publishes the local voters of the cell for the entries of other
+// cells, if they have changed.
 func (c *Core) publishRoster(now time.Time, out []Command) []Command {
 	known := c.rosters[c.self.Cell]
 	if known != nil && slices.Equal(known.Members, c.doc.Quorum.Local) {
