--- a/proof/fuzz_test.go
+++ b/proof/fuzz_test.go
@@ -15,8 +15,8 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// init fixes seed and run counts, so that CI has the same verdict on every run.
-// Flags on the command line go before them.
+// init sets the seed and the run counts of rapid, so that CI gets the same result on
+// every run. Flags on the command line override them.
 func init() {
 	for name, value := range map[string]string{
 		"rapid.seed": "1", "rapid.checks": "80", "rapid.steps": "50", "rapid.nofailfile": "true",
@@ -27,15 +27,17 @@
 	}
 }
 
-// machine is the rapid state machine over a world.
+// stateMachine provides the actions and checks that rapid runs on a simulation.
 type stateMachine struct{ *simulation }
 
+// advance moves the time forward and runs one tick.
 func (m *stateMachine) advance(d time.Duration) {
 	m.now += d
 	m.tick()
 }
 
-// settle delivers everything under way, several rounds.
+// deliverAll delivers all messages in flight that are not held, for several rounds.
+// It checks the ownership after each round.
 func (m *stateMachine) deliverAll(rounds int) {
 	for range rounds {
 		for i, n := 0, len(m.messages); n > 0; n-- {
@@ -49,7 +51,9 @@
 	}
 }
 
-// actions are the steps that rapid chooses from.
+// actions returns the actions that rapid chooses from. Rapid orders them by name, so
+// a changed name makes every seed choose other actions. A number at the end of a name
+// repeats an action to have it chosen more often.
 func (m *stateMachine) actions() map[string]func(*rapid.T) {
 	pickEntry := func(t *rapid.T) *entryNode {
 		return m.entries[rapid.IntRange(0, len(m.entries)-1).Draw(t, "entry")]
@@ -70,7 +74,7 @@
 			m.deliverAll(2)
 		}
 	}
-	// Long enough for a loss to be noticed, settled and handed over.
+	// Long enough to detect a loss, settle the fence and complete the handover.
 	longRun := func(*rapid.T) {
 		for range 50 {
 			m.advance(70 * time.Millisecond)
@@ -188,7 +192,8 @@
 	}
 }
 
-// isolate cuts an entry off from all others, but not from upstreams.
+// isolateEntry cuts an entry off from all other entries, and from the platform if
+// asked to, but not from the upstreams.
 func (m *stateMachine) isolateEntry(e *entryNode, platform bool) {
 	for _, other := range m.entries {
 		if other != e {
@@ -200,7 +205,7 @@
 	}
 }
 
-// strand cuts an upstream off from all entries but one.
+// isolateUpstream cuts an upstream off from all entries except one.
 func (m *stateMachine) isolateUpstream(u *upstreamNode, keep *entryNode) {
 	for _, e := range m.entries {
 		if e != keep {
@@ -209,6 +214,7 @@
 	}
 }
 
+// setDesired passes the desired state to all running controllers.
 func (m *stateMachine) setDesired() {
 	for _, e := range m.entries {
 		if !e.dead && e.self.Cell == cellName {
@@ -217,7 +223,7 @@
 	}
 }
 
-// heal ends all faults and lets the system come to rest.
+// heal ends all faults and gives the system time to recover.
 func (m *stateMachine) heal() {
 	clear(m.cutLinks)
 	m.platformDown, m.loseWriteAnswer = false, false
@@ -241,7 +247,8 @@
 	}
 	rounds := 100
 	if !m.fencedUpstreams {
-		// Each wait for silent entries takes the longest deadline more.
+		// Each wait for entries that do not answer is longer by the maximum
+		// request deadline.
 		rounds = 500
 	}
 	for range rounds {
@@ -251,14 +258,15 @@
 	}
 }
 
-// live checks that every entry serves every point after the faults have ended.
+// checkAvailability checks that every entry of the cell has the right to send and a
+// route to an owner of every key. It is called when there are no faults.
 func (m *stateMachine) checkAvailability(t *rapid.T) {
 	for _, e := range m.entries {
 		if e.self.Cell != cellName {
 			continue
 		}
 		if !e.gate.MaySend() {
-			t.Fatalf("%s may not send after all faults ended: %s", e.self.ID, m.describeState(pointOf(0)))
+			t.Fatalf("%s has no right to send after all faults ended: %s", e.self.ID, m.describeState(pointOf(0)))
 		}
 		for i := range numPoints {
 			if r := e.gate.Route(serviceName, pointOf(i)); r.Where != gate.Local {
@@ -268,6 +276,7 @@
 	}
 }
 
+// describeState returns the state around a key for failure messages.
 func (m *stateMachine) describeState(h keyspace.Hash) string {
 	doc := m.entries[0].core.Doc()
 	s := doc.Service(serviceName)
@@ -285,12 +294,15 @@
 	return fmt.Sprintf("version %d %s epoch %d owner %q next %q;%s", doc.Version, r.Phase, r.Epoch, r.Owner, r.Next, states)
 }
 
-// partitions are the actions of the test that looks at partitions alone, so that
-// they meet each other more often than among all actions.
+// partitionActions are the actions of the test that is limited to partitions. With
+// fewer kinds of actions, partitions coincide more often than among all actions.
 var partitionActions = []string{
 	"", "run", "long run", "long run2", "partition", "partition2", "heal", "hold", "move", "kill entry",
 }
 
+// runSimulation starts a simulation, runs random actions on it, ends all faults, and
+// checks that every entry then serves every key. If only is given, the actions are
+// limited to these.
 func runSimulation(t *rapid.T, fencedUpstreams bool, entries, witnesses int, only ...string) {
 	m := &stateMachine{newSimulation(t, fencedUpstreams, entries, witnesses, 3)}
 	m.setDesired()
@@ -310,12 +322,12 @@
 	stats.requests += m.executed
 }
 
-// effort counts what the runs of one test did.
+// stats counts the work done by the runs of one test.
 var stats struct {
 	runs, actions, ticks, messages, requests int
 }
 
-// logEffort prints the counts when the test ends.
+// logStats resets the counts and logs them when the test ends.
 func logStats(t *testing.T) {
 	stats.runs, stats.actions, stats.ticks, stats.messages, stats.requests = 0, 0, 0, 0, 0
 	t.Cleanup(func() {
@@ -339,8 +351,10 @@
 	rapid.Check(t, func(t *rapid.T) { runSimulation(t, true, 3, 2, partitionActions...) })
 }
 
-// Without checks at the upstreams the entries are the only fence. A frozen
-// upstream that wakes with requests in its queue is not covered; see the claims.
+// TestOneOwnerWithUnfencedUpstreams runs upstreams that do not check epochs, so that
+// only the entries enforce the fence. It does not freeze upstreams: one that resumes
+// may execute requests from its queue after it has lost the range, which no entry can
+// prevent.
 func TestOneOwnerWithUnfencedUpstreams(t *testing.T) {
 	logStats(t)
 	rapid.Check(t, func(t *rapid.T) { runSimulation(t, false, 3, 2) })
--- a/proof/nodes_test.go
+++ b/proof/nodes_test.go
@@ -16,9 +16,11 @@
 	"github.com/rockcroft/rockcroft/transport/platform"
 )
 
+// entryNode is a simulated entry process.
 type entryNode struct {
-	sim    *simulation
-	name   string
+	sim  *simulation
+	name string
+	// rate is the speed of the clock relative to the simulated time.
 	rate   float64
 	self   cell.Member
 	core   *controller.Core
@@ -29,6 +31,7 @@
 	starts int
 }
 
+// upstreamNode is a simulated upstream process.
 type upstreamNode struct {
 	sim       *simulation
 	id        string
@@ -37,28 +40,29 @@
 	frozen    bool
 	dead      bool
 	starts    int
-	// held are control messages and requests that wait while it is frozen.
+	// queued holds control messages and requests that arrived while the upstream
+	// was frozen.
 	queued []queuedMessage
 }
 
-// heldMessage waits for a frozen process. It fails when the process ends.
+// queuedMessage waits until a frozen process resumes. It fails if the process ends.
 type queuedMessage struct{ run, fail func() }
 
 func (e *entryNode) clock() time.Time {
 	return startTime.Add(time.Duration(float64(e.sim.now) * e.rate))
 }
 
-func (e *entryNode) start(cellOf string) {
+func (e *entryNode) start(homeCell string) {
 	e.starts++
 	e.dead, e.paused = false, false
 	e.self = cell.Member{
-		ID: controller.MemberID(e.name, time.Unix(0, int64(e.starts))), Domain: cellOf, Cell: cellOf, Peer: e.name,
+		ID: controller.MemberID(e.name, time.Unix(0, int64(e.starts))), Domain: homeCell, Cell: homeCell, Peer: e.name,
 	}
 	l := e.sim.limits()
 	e.core = controller.NewCore(e.self, l, roundRobin{}, e.sim, e.sim.newID)
 	e.gate = gate.New(e.self, l.Fence, e.clock)
 	e.leases = lease.NewTracker(lease.Limits{TTL: l.LeaseTTL, DriftPercent: l.Fence.DriftPercent})
-	if cellOf != cellName {
+	if homeCell != cellName {
 		return
 	}
 	e.core.OnDirectory(&cell.Directory{
@@ -78,8 +82,8 @@
 	u.ownership = upstream.NewOwnership(u.clock, fmt.Sprintf("%s-boot%d", u.id, u.starts), 0)
 }
 
-// handle runs f now, or when the upstream wakes up. Requests to a process that
-// has ended fail.
+// handle runs f now, or when a frozen upstream resumes. It calls fail if the process
+// of the given start count has ended.
 func (u *upstreamNode) handle(starts int, f func(), fail func()) {
 	switch {
 	case u.dead || u.starts != starts:
@@ -91,6 +95,7 @@
 	}
 }
 
+// resume ends a freeze and handles the queued messages.
 func (u *upstreamNode) resume() {
 	u.frozen = false
 	queued := u.queued
@@ -100,7 +105,7 @@
 	}
 }
 
-// kill ends the process. What it held gets no answer.
+// kill ends the process. Its queued messages fail.
 func (u *upstreamNode) kill() {
 	u.dead, u.frozen = true, false
 	queued := u.queued
@@ -110,7 +115,7 @@
 	}
 }
 
-// read takes the cell document from the platform, as the controller does.
+// readPlatform reads the cell document from the platform, as the leading entry does.
 func (e *entryNode) readPlatform() {
 	if e.sim.platformDown || !e.sim.connected(e.name, "platform") || !e.core.Leads(e.clock()) {
 		return
@@ -128,6 +133,7 @@
 	e.core.OnDocument(e.clock(), doc, obj.Version)
 }
 
+// applyDocument passes a cell document to the components of the entry.
 func (e *entryNode) applyDocument(doc *cell.Cell) {
 	before := e.gate.Version()
 	e.gate.Apply(doc)
@@ -144,6 +150,7 @@
 	e.core.OnDocument(e.clock(), doc, 0)
 }
 
+// sendHeartbeats sends a heartbeat to the entries of the cell and to its witnesses.
 func (e *entryNode) sendHeartbeats() {
 	doc := e.gate.Doc()
 	for _, other := range e.sim.entries {
@@ -153,6 +160,8 @@
 	}
 }
 
+// sendHeartbeat sends a heartbeat to another entry. It carries the observations of
+// upstreams and asks for a promise.
 func (e *entryNode) sendHeartbeat(other *entryNode, doc *cell.Cell) {
 	sim, askedAt, self, to := e.sim, e.clock(), e.self, other.self
 	var version uint64
@@ -191,7 +200,7 @@
 	}, func() {})
 }
 
-// pull takes the cell document of another entry.
+// fetchDocument fetches and applies the cell document of another entry.
 func (e *entryNode) fetchDocument(other *entryNode) {
 	id := e.self.ID
 	e.sim.send(e.name, other.name, func() {
@@ -207,6 +216,7 @@
 	}, func() {})
 }
 
+// renewLeases sends a renewal to each upstream.
 func (e *entryNode) renewLeases() {
 	doc := e.gate.Doc()
 	if doc == nil {
@@ -233,14 +243,15 @@
 	}
 }
 
+// step performs the commands of the controller.
 func (e *entryNode) step() {
 	for _, cmd := range e.core.Step(e.clock()) {
 		e.execute(cmd)
 	}
 }
 
-// answer wraps the end of a command: the core hears of it once, unless its
-// process has ended since.
+// ifRunning wraps the callback that reports the result of a command to the core. It
+// does nothing if the process that issued the command has ended.
 func (e *entryNode) ifRunning(f func()) func() {
 	starts := e.starts
 	return func() {
--- a/proof/simulation_test.go
+++ b/proof/simulation_test.go
@@ -25,17 +25,17 @@
 
 var errMessageLost = errors.New("message lost")
 
-// message is something under way: it takes effect when it is delivered, or
-// fails when it is dropped.
+// message is a message in flight. Its effect is deliver if it arrives and drop if it
+// is lost.
 type message struct {
 	from, to string
 	deliver  func()
 	drop     func()
-	// held messages stay under way until they are picked or the faults end.
+	// held messages stay in flight until an action picks them or the faults end.
 	held bool
 }
 
-// world is the state of one run.
+// simulation is the state of one run: the nodes, the network and the faults.
 type simulation struct {
 	t               *rapid.T
 	now             time.Duration
@@ -49,7 +49,8 @@
 	writes          int
 	fencedUpstreams bool
 	desired         controller.DesiredState
-	// epochs are the highest epochs that ran, by point.
+	// lastEpochs and lastOwners hold, by key, the epoch and the upstream of the
+	// last executed request.
 	lastEpochs map[keyspace.Hash]uint64
 	lastOwners map[keyspace.Hash]string
 	executed   int
@@ -88,14 +89,15 @@
 func (sim *simulation) limits() controller.Limits {
 	l := controller.DefaultLimits()
 	l.RangesPerUpstream = 2
-	// Ownership must hold however soon an upstream is thought lost; sooner than
-	// promises and leases end, the guards are needed most.
+	// Ownership must stay exclusive however early an upstream is declared lost.
+	// Detection is faster here than promises and leases expire, because then
+	// correctness depends on the fence and the leases alone.
 	l.Detect.SuspectAfter = 400 * time.Millisecond
 	l.Detect.RefusedAfter = 200 * time.Millisecond
 	return l
 }
 
-// otherRoster lists the witnesses at this moment.
+// witnessRoster returns the roster of the cell of the witnesses as it is now.
 func (sim *simulation) witnessRoster() *cell.Roster {
 	r := &cell.Roster{Cell: "other", Domain: "other", Version: 1}
 	for _, e := range sim.entries {
@@ -115,7 +117,7 @@
 	return fmt.Sprintf("w%d", sim.writes)
 }
 
-// roundRobin places ranges on upstreams in turn.
+// roundRobin assigns ranges to the upstreams in turn.
 type roundRobin struct{}
 
 // Place implements controller.Placer.
@@ -135,16 +137,19 @@
 	return out
 }
 
+// connected reports whether the link between two nodes is not cut.
 func (sim *simulation) connected(a, b string) bool {
 	return !sim.cutLinks[a+"|"+b] && !sim.cutLinks[b+"|"+a]
 }
 
-// send puts a message under way. Between ends that are cut off it is lost.
+// send adds a message to those in flight. It is lost if the link is cut at the time
+// of its delivery.
 func (sim *simulation) send(from, to string, deliver, drop func()) {
 	sim.messages = append(sim.messages, message{from: from, to: to, deliver: deliver, drop: drop})
 }
 
-// take removes message i and delivers it, or drops it when its ends are cut.
+// deliverOrDrop removes message i and delivers it, or drops it if lose is set or its
+// link is cut.
 func (sim *simulation) deliverOrDrop(i int, lose bool) {
 	stats.messages++
 	m := sim.messages[i]
@@ -174,7 +179,8 @@
 	return nil
 }
 
-// tick lets every running entry do what its loops do: beat, renew, step.
+// tick runs the periodic work of every running entry once: heartbeats, lease
+// renewals, controller steps and one request.
 func (sim *simulation) tick() {
 	stats.ticks++
 	sim.ticks++
@@ -194,7 +200,7 @@
 	}
 }
 
-// put stores a document. The answer may be lost after the write took effect.
+// put stores a cell document. The answer may be lost after the write took effect.
 func (sim *simulation) put(e *entryNode, cmd controller.WriteDocument) {
 	core := e.core
 	fail := e.ifRunning(func() { core.OnWritten(e.clock(), cmd, 0, errMessageLost) })
@@ -212,7 +218,8 @@
 	}), fail)
 }
 
-// flaky loses the answer of a write that took effect, when told to.
+// lossyStore is a store that, if told to, loses the answer to the next write after the
+// write took effect.
 type lossyStore struct{ sim *simulation }
 
 func (f lossyStore) Get(ctx context.Context, kind, name string) (platform.Object, error) {
@@ -238,10 +245,11 @@
 
 func (f lossyStore) VMs(ctx context.Context) ([]platform.VM, error) { return f.sim.store.VMs(ctx) }
 
-// checkWrite checks that no epoch falls from one stored document to the next.
+// checkWrite checks that the document is valid and that no epoch is lower than in the
+// stored document.
 func (sim *simulation) checkWrite(next *cell.Cell) {
 	if err := next.Validate(); err != nil {
-		sim.t.Fatalf("document to be written: %v", err)
+		sim.t.Fatalf("invalid document to be written: %v", err)
 	}
 	obj, err := sim.store.Get(context.Background(), platform.KindCell, cellName)
 	if err != nil {
@@ -263,6 +271,7 @@
 	}
 }
 
+// apply handles an Apply command at its voter.
 func (sim *simulation) apply(from *entryNode, cmd controller.Apply, fail func()) {
 	v := sim.entryByMember(cmd.To)
 	if v.dead || v.paused || v.self.ID != cmd.To.ID {
@@ -280,7 +289,8 @@
 	sim.send(v.name, from.name, from.ifRunning(func() { core.OnApplied(from.clock(), cmd, a, nil) }), fail)
 }
 
-// order sends a control message to an upstream.
+// sendControl sends a control message to an upstream and reports its boot ID or an
+// error to done.
 func (sim *simulation) sendControl(e *entryNode, id string, act func(*upstreamNode) bool, done func(string, error)) {
 	u := sim.upstreamByID(id)
 	fail := e.ifRunning(func() { done("", errMessageLost) })
@@ -298,13 +308,13 @@
 	}, fail)
 }
 
-// pointOf returns one of a few points that stand for all keys.
+// pointOf returns one of a few hashes that stand for all keys.
 func pointOf(i int) keyspace.Hash {
 	return keyspace.Hash(uint64(i)*(1<<61) + 12345)
 }
 
-// request sends one request through an entry. The process may be paused
-// between its check and its send: the message is then delivered much later.
+// request sends one request through an entry. A message that is delivered late also
+// covers a process that is paused between its check of the right and its send.
 func (sim *simulation) request(e *entryNode, h keyspace.Hash) {
 	if e.dead || e.paused || e.self.Cell != cellName {
 		return
@@ -328,7 +338,8 @@
 	}, leave)
 }
 
-// run is the execution of a request at an upstream.
+// execute runs a request at an upstream and checks that no request ran before at a
+// newer epoch, or at another upstream at the same epoch.
 func (sim *simulation) execute(u *upstreamNode, h keyspace.Hash, epoch uint64) {
 	if sim.fencedUpstreams {
 		if owned, _ := u.ownership.Check(h, epoch); !owned {
@@ -345,7 +356,9 @@
 	sim.lastEpochs[h], sim.lastOwners[h] = epoch, u.id
 }
 
-// oneOwner checks that at most one upstream would run each point.
+// checkSingleOwner checks that at most one running upstream holds each key. It does
+// not apply to upstreams that do not check epochs: they serve requests for keys that
+// they do not hold, so execute checks the order of those requests.
 func (sim *simulation) checkSingleOwner() {
 	if !sim.fencedUpstreams {
 		return
