--- a/coordination/controller/controller_test.go
+++ b/coordination/controller/controller_test.go
@@ -19,10 +19,10 @@
 	self  = cell.Member{ID: MemberID("e", start), Cell: "c", Domain: "d", Peer: "p"}
 )
 
-type first struct{}
+type firstUpstream struct{}
 
-// Place implements Placer: everything goes to the first usable upstream.
-func (first) Place(doc *cell.Cell, service string, spans []keyspace.Span, avoid string) []string {
+// Place implements Placer. It assigns all spans to the first usable upstream.
+func (firstUpstream) Place(doc *cell.Cell, service string, spans []keyspace.Span, avoid string) []string {
 	out := make([]string, len(spans))
 	for _, u := range doc.UpstreamsOf(service, cell.Active) {
 		if u.Boot == "" || u.ID == avoid {
@@ -36,14 +36,14 @@
 	return out
 }
 
-type checks struct{}
+type fencedServices struct{}
 
-func (checks) ChecksFences(string) bool { return true }
+func (fencedServices) ChecksFences(string) bool { return true }
 
-// newCore returns a controller alone in its cell, with a document of the ranges
-// and the upstreams u and v.
+// newCore returns the only controller of a cell with the given ranges and the
+// upstreams u and v.
 func newCore(ranges ...cell.Range) *Core {
-	c := NewCore(self, DefaultLimits(), first{}, checks{}, func() string { return "w" })
+	c := NewCore(self, DefaultLimits(), firstUpstream{}, fencedServices{}, func() string { return "w" })
 	c.OnDocument(start, &cell.Cell{
 		Name: "c", Domain: "d", Version: 5, Fence: 5, Quorum: cell.Quorum{Local: []cell.Member{self}},
 		Upstreams: []cell.Upstream{
@@ -56,14 +56,14 @@
 	return c
 }
 
-// follow carries out all commands at once, as a network without delay would,
-// and returns what they were.
-func follow(c *Core, now time.Time, rounds int) []string {
+// runSteps calls Step for a number of rounds, lets every command succeed at once,
+// and returns descriptions of the commands.
+func runSteps(c *Core, now time.Time, rounds int) []string {
 	var out []string
 	for range rounds {
 		for _, cmd := range c.Step(now) {
 			out = append(out, describe(cmd))
-			answer(c, now, cmd)
+			succeed(c, now, cmd)
 		}
 	}
 	return out
@@ -71,7 +71,7 @@
 
 func describe(cmd Command) string {
 	switch cmd := cmd.(type) {
-	case Write:
+	case WriteDocument:
 		r := cmd.Doc.Service("s").Ranges[0]
 		return fmt.Sprintf("write %s %s@%d>%s%s", r.Phase, r.Owner, r.Epoch, r.Next, r.NextCell)
 	case SendGrants:
@@ -82,38 +82,38 @@
 	return cmd.key()
 }
 
-func answer(c *Core, now time.Time, cmd Command) {
+func succeed(c *Core, now time.Time, cmd Command) {
 	switch cmd := cmd.(type) {
-	case Write:
+	case WriteDocument:
 		c.OnWritten(now, cmd, cmd.Doc.Version+100, nil)
 	case Apply:
-		c.OnApplied(now, cmd, Applied{Ack: fence.Ack{Voter: cmd.To.ID, Fence: cmd.Doc.Fence}, Version: cmd.Doc.Version}, nil)
+		c.OnApplied(now, cmd, ApplyResult{Ack: fence.Ack{Voter: cmd.To.ID, Fence: cmd.Doc.Fence}, Version: cmd.Doc.Version}, nil)
 	case SendGrants:
 		c.OnGranted(now, cmd, nil)
 	case SendRevocations:
 		c.OnRevoked(now, cmd, nil)
-	case Reset:
+	case ResetUpstream:
 		c.OnReset(now, cmd, "new", nil)
 	}
 }
 
-func whole(phase cell.Phase, owner, next string) cell.Range {
+func wholeRange(phase cell.Phase, owner, next string) cell.Range {
 	return cell.Range{Span: keyspace.Whole(), Epoch: 3, Phase: phase, Owner: owner, Next: next}
 }
 
-func equal(t *testing.T, got []string, want ...string) {
+func checkCommands(t *testing.T, got []string, want ...string) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("commands\n%v\nwant\n%v", got, want)
+		t.Errorf("got commands\n%v\nwant\n%v", got, want)
 	}
 }
 
 func TestPlannedMove(t *testing.T) {
-	c := newCore(whole(cell.Owned, "u", ""))
-	follow(c, start, 2)
+	c := newCore(wholeRange(cell.Owned, "u", ""))
+	runSteps(c, start, 2)
 	c.AddMoves([]handover.Move{{Service: "s", Span: keyspace.Whole(), To: "v"}})
 	apply := "apply/" + self.ID
-	equal(t, follow(c, start, 8),
+	checkCommands(t, runSteps(c, start, 8),
 		"grant v@0 prepare=true",
 		"write releasing u@3>v", apply,
 		"revoke u@3", "grant v@4 prepare=false",
@@ -121,49 +121,50 @@
 }
 
 func TestExport(t *testing.T) {
-	c := newCore(whole(cell.Owned, "u", ""))
-	follow(c, start, 2)
+	c := newCore(wholeRange(cell.Owned, "u", ""))
+	runSteps(c, start, 2)
 	c.AddMoves([]handover.Move{{Service: "s", Span: keyspace.Whole(), ToCell: "other"}})
 	apply := "apply/" + self.ID
-	equal(t, follow(c, start, 6),
+	checkCommands(t, runSteps(c, start, 6),
 		"write releasing u@3>other", apply, "revoke u@3",
 		"write exported @4>other", apply, "redirect/s/"+keyspace.Whole().String())
 }
 
 func TestLostOwner(t *testing.T) {
-	c := newCore(whole(cell.Owned, "u", ""))
-	follow(c, start, 2)
+	c := newCore(wholeRange(cell.Owned, "u", ""))
+	runSteps(c, start, 2)
 	c.OnObservation(start, self.ID, "v", detect.Observation{Boot: "bv"})
 	c.OnObservation(start, self.ID, "u", detect.Observation{Boot: "bu", Silent: 2 * time.Second})
 	apply := "apply/" + self.ID
-	equal(t, follow(c, start, 6),
+	checkCommands(t, runSteps(c, start, 6),
 		"write releasing u@3>v", apply, "grant v@4 prepare=false",
 		"write owned v@4>", apply)
 }
 
-// TestGrantsGoBeforeNewFences has a lost owner's range settled while a move to
-// another cell waits: the grant must not be held up by the fence of the move.
-func TestGrantsGoBeforeNewFences(t *testing.T) {
+// TestGrantsPrecedeNewFences has a range of a lost owner that can be granted, and a
+// pending move to another cell. The move raises the fence, which would delay the
+// grant, so the grant must come first.
+func TestGrantsPrecedeNewFences(t *testing.T) {
 	halves := keyspace.Whole().Split(2)
-	lost, other := whole(cell.Releasing, "gone", "v"), whole(cell.Owned, "u", "")
+	lost, other := wholeRange(cell.Releasing, "gone", "v"), wholeRange(cell.Owned, "u", "")
 	lost.Span, other.Span = halves[0], halves[1]
 	c := newCore(lost, other)
 	c.AddMoves([]handover.Move{{Service: "s", Span: halves[1], ToCell: "other"}})
 	apply := "apply/" + self.ID
-	got := follow(c, start, 4)
+	got := runSteps(c, start, 4)
 	if len(got) < 3 {
-		t.Fatalf("commands %v", got)
+		t.Fatalf("got commands %v, want at least 3", got)
 	}
-	equal(t, got[:3], apply, "grant v@4 prepare=false", "write owned v@4>")
+	checkCommands(t, got[:3], apply, "grant v@4 prepare=false", "write owned v@4>")
 }
 
-func TestFailedCommandsAreSentAgainAfterAPause(t *testing.T) {
-	c := newCore(whole(cell.Releasing, "u", "v"))
-	follow(c, start, 1)
+func TestFailedCommandsAreRetriedAfterPause(t *testing.T) {
+	c := newCore(wholeRange(cell.Releasing, "u", "v"))
+	runSteps(c, start, 1)
 	c.OnRevoked(start, SendRevocations{Upstream: cell.Upstream{ID: "u"}, Revocations: []control.Revocation{}}, errors.New("lost"))
 	for _, cmd := range c.Step(start) {
 		if cmd.key() == "revoke/u" {
-			t.Error("sent again at once")
+			t.Error("failed command was issued again without a delay")
 		}
 	}
 	found := false
@@ -171,75 +172,78 @@
 		found = found || cmd.key() == "revoke/u"
 	}
 	if !found {
-		t.Error("not sent again")
+		t.Error("failed command was not issued again")
 	}
 }
 
-func TestLeadsIsTheLowestLiveVoter(t *testing.T) {
+func TestLowestLiveVoterLeads(t *testing.T) {
 	lower := cell.Member{ID: MemberID("a", start), Cell: "c", Peer: "q"}
-	c := newCore(whole(cell.Owned, "u", ""))
+	c := newCore(wholeRange(cell.Owned, "u", ""))
 	c.doc.Quorum.Local = []cell.Member{lower, self}
 	if !c.Leads(start) {
-		t.Error("does not lead while the lower one was never heard")
+		t.Error("does not lead although no voter with a lower ID was heard")
 	}
-	c.OnBeat(start, lower)
+	c.OnHeartbeat(start, lower)
 	if c.Leads(start) {
-		t.Error("leads beside a live voter with a lower ID")
+		t.Error("leads although a voter with a lower ID is alive")
 	}
 	if !c.Leads(start.Add(2 * time.Second)) {
-		t.Error("does not lead after the lower one fell silent")
+		t.Error("does not lead after the voter with the lower ID fell silent")
 	}
 }
 
-// TestResetOfAnotherControllerCounts resets an upstream while another controller
-// does so too and writes its own boot id. The answer to the first reset must not
-// serve as proof when the upstream is lost later: its lease has to lapse.
-func TestResetOfAnotherControllerCounts(t *testing.T) {
-	c := newCore(whole(cell.Vacant, "", ""))
+// TestBootOfAnotherControllerInvalidatesReset guards against a grant to a second
+// owner while the first still holds a lease. Two controllers reset an upstream and
+// the other one writes its boot ID. When the upstream is lost later, the controller
+// must not take its own earlier reset as proof, but wait for the lease to expire.
+func TestBootOfAnotherControllerInvalidatesReset(t *testing.T) {
+	c := newCore(wholeRange(cell.Vacant, "", ""))
 	c.doc.Upstreams[0].Boot = ""
-	c.OnReset(start, Reset{Upstream: cell.Upstream{ID: "u"}}, "mine", nil)
+	c.OnReset(start, ResetUpstream{Upstream: cell.Upstream{ID: "u"}}, "mine", nil)
 	theirs := c.doc.Clone()
 	theirs.Version, theirs.Fence = 6, 6
 	theirs.Upstreams[0].Boot = "theirs"
-	theirs.Services[0].Ranges[0] = whole(cell.Owned, "u", "")
+	theirs.Services[0].Ranges[0] = wholeRange(cell.Owned, "u", "")
 	c.OnDocument(start, theirs, 10)
 	later := start.Add(5 * time.Second)
 	c.OnObservation(later, self.ID, "u", detect.Observation{Boot: "theirs", Silent: 2 * time.Second})
 	c.OnObservation(later, self.ID, "v", detect.Observation{Boot: "bv"})
-	c.leases["u"] = later.Add(time.Minute)
-	for _, got := range follow(c, later, 6) {
+	c.leaseEnds["u"] = later.Add(time.Minute)
+	for _, got := range runSteps(c, later, 6) {
 		if got == "grant v@4 prepare=false" {
-			t.Error("granted to the next owner while the lease of the lost one runs")
+			t.Error("granted to the next owner before the lease of the lost one expired")
 		}
 	}
 }
 
-// TestFormerQuorumsAreForgottenBySuccessors follows a fence whose former voter
-// has ended since; a later document of the fence says that it was settled.
-func TestFormerQuorumsAreForgottenBySuccessors(t *testing.T) {
-	c := newCore(whole(cell.Owned, "u", ""))
+// TestClearedPreviousQuorumsNeedNoAcks guards against a fence that never settles
+// because a previous voter has ended. A later document with the same fence and no
+// previous quorums shows that another controller settled it.
+func TestClearedPreviousQuorumsNeedNoAcks(t *testing.T) {
+	c := newCore(wholeRange(cell.Owned, "u", ""))
 	doc := c.doc.Clone()
 	doc.Version, doc.Fence = 6, 6
 	doc.Previous = []cell.Quorum{{Local: []cell.Member{{ID: "ended", Cell: "c"}}}}
 	c.OnDocument(start, doc, 10)
-	c.settler.Record(start, fence.Ack{Voter: self.ID, Fence: 6})
+	c.settlement.Record(start, fence.Ack{Voter: self.ID, Fence: 6})
 	c.Step(start)
 	if c.settled {
-		t.Fatal("settled without the former voter")
+		t.Fatal("settled without the previous voter")
 	}
 	cleared := doc.Clone()
 	cleared.Version, cleared.Previous = 7, nil
 	c.OnDocument(start, cleared, 11)
 	c.Step(start)
 	if !c.settled {
-		t.Error("not settled after the former quorum was cleared")
+		t.Error("not settled after the previous quorum was cleared")
 	}
 }
 
-// TestSoleVoterEndsUnseen guards against a cell that nobody can lead any more:
-// the former sole voter is silent and the document still lists its quorum. Only
-// if it was heard to use that document may another entry go on without it.
-func TestSoleVoterEndsUnseen(t *testing.T) {
+// TestSoleVoterEndsBeforeAcknowledging guards against a cell that no entry can lead:
+// the only voter of a previous quorum is silent, and the document still lists that
+// quorum. Another entry may continue without it only if the voter was known to use
+// that document.
+func TestSoleVoterEndsBeforeAcknowledging(t *testing.T) {
 	ended := cell.Member{ID: MemberID("a", start), Cell: "c", Peer: "q"}
 	joined := &cell.Cell{
 		Name: "c", Domain: "d", Version: 6, Fence: 6,
@@ -252,11 +256,11 @@
 		after  uint64
 		want   bool
 	}{
-		{"heard before the document came", 6, 0, true},
-		{"heard after the document came", 5, 6, true},
-		{"heard of a later one", 7, 0, true},
-		{"heard with the former document only", 5, 5, false},
-		{"heard without a version", 0, 0, false},
+		{"used the document before it arrived", 6, 0, true},
+		{"used the document after it arrived", 5, 6, true},
+		{"used a later document", 7, 0, true},
+		{"used the previous document only", 5, 5, false},
+		{"reported no version", 0, 0, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -267,18 +271,18 @@
 			for i := range 100 {
 				now := start.Add(time.Duration(i) * 50 * time.Millisecond)
 				if i == 20 && len(c.doc.Previous) == 0 {
-					t.Fatal("went on before the promises of the silent voter have lapsed")
+					t.Fatal("continued before the promises of the silent voter expired")
 				}
 				for _, cmd := range c.Step(now) {
 					if apply, ok := cmd.(Apply); ok && apply.To.ID == ended.ID {
-						c.OnApplied(now, apply, Applied{}, errors.New("no answer"))
+						c.OnApplied(now, apply, ApplyResult{}, errors.New("no answer"))
 						continue
 					}
-					answer(c, now, cmd)
+					succeed(c, now, cmd)
 				}
 			}
 			if got := len(c.doc.Quorum.Local) == 1; got != tt.want {
-				t.Errorf("went on alone: %v, want %v (%s)", got, tt.want, c.Explain(start.Add(5*time.Second)))
+				t.Errorf("continued alone: %v, want %v (%s)", got, tt.want, c.Explain(start.Add(5*time.Second)))
 			}
 		})
 	}
--- a/coordination/controller/explain.go
+++ b/coordination/controller/explain.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Explain describes in one line what the controller waits for.
+// Explain returns a one-line summary of the controller's state that shows what it is
+// waiting for.
 func (c *Core) Explain(now time.Time) string {
 	if c.doc == nil {
 		return "no document"
@@ -16,10 +17,10 @@
 	}
 	silent := 0
 	for _, m := range c.voters() {
-		if !c.settler.Acked(m.ID) {
+		if !c.settlement.Acked(m.ID) {
 			silent++
 		}
 	}
 	return fmt.Sprintf("version=%d fence=%d leads=%v settled=%v can_settle=%v silent=%d former=%d busy=%d moves=%d",
-		c.doc.Version, c.doc.Fence, c.Leads(now), c.settled, c.canSettle(now), silent, len(c.doc.Previous), busy, len(c.moves))
+		c.doc.Version, c.doc.Fence, c.Leads(now), c.settled, c.canSettle(now), silent, len(c.doc.Previous), busy, len(c.pendingMoves))
 }
--- a/coordination/controller/members.go
+++ b/coordination/controller/members.go
@@ -8,38 +8,41 @@
 	"github.com/rockcroft/rockcroft/state/cell"
 )
 
-// Sizes of the witness set: few, because each is asked at every unsettled
-// fence, and spread, because a domain may be cut off whole.
+// Limits of the witness set. It is small because the controller asks every witness
+// about each fence that stays unsettled, and spread over cells because a whole
+// failure domain may be cut off at once.
 const (
 	maxWitnesses     = 5
 	witnessesPerCell = 2
 )
 
-// Leads reports whether this entry runs the controller of its cell: it has the
-// lowest ID of the voters heard lately. Two may believe so for a while.
+// Leads reports whether this entry runs the controller of its cell, that is, whether
+// it has the lowest ID among the voters in contact. Without a document or a voter in
+// contact, the lowest ID of all entries counts. Two entries may lead at once for a
+// short time.
 func (c *Core) Leads(now time.Time) bool {
 	if c.doc == nil {
-		return c.lowest(now, func(string) bool { return true })
+		return c.isLowest(now, func(string) bool { return true })
 	}
-	if c.lowest(now, c.doc.Quorum.HasLocal) {
+	if c.isLowest(now, c.doc.Quorum.HasLocal) {
 		return true
 	}
-	if c.doc.Quorum.HasLocal(c.self.ID) || c.anyVoterAlive(now) {
+	if c.doc.Quorum.HasLocal(c.self.ID) || c.anyVoterInContact(now) {
 		return false
 	}
-	return c.lowest(now, func(string) bool { return true })
+	return c.isLowest(now, func(string) bool { return true })
 }
 
 // Leaders returns the live voters with the lowest and the second lowest ID: the
-// controller and the one that would follow it.
+// controller and its successor.
 func (c *Core) Leaders(now time.Time) []cell.Member {
 	if c.doc == nil {
 		return nil
 	}
 	var out []cell.Member
 	for _, m := range c.doc.Quorum.Local {
-		h, ok := c.heard[m.ID]
-		if m.ID == c.self.ID || ok && c.fresh(now, h) {
+		h, ok := c.contacts[m.ID]
+		if m.ID == c.self.ID || ok && c.inContact(now, h) {
 			out = append(out, m)
 		}
 	}
@@ -47,89 +50,95 @@
 	return out[:min(2, len(out))]
 }
 
-// reportsNeeded is the number of entries that must have reported on an upstream
-// before it can be lost: half of the live voters.
+// reportsNeeded returns how many entries must have reported on an upstream before it
+// can be declared lost: half of the live voters, rounded up.
 func (c *Core) reportsNeeded(now time.Time) int {
 	live := 0
 	for _, m := range c.doc.Quorum.Local {
-		if h, ok := c.heard[m.ID]; m.ID == c.self.ID || ok && c.fresh(now, h) {
+		if h, ok := c.contacts[m.ID]; m.ID == c.self.ID || ok && c.inContact(now, h) {
 			live++
 		}
 	}
 	return (live + 1) / 2
 }
 
-func (c *Core) lowest(now time.Time, among func(string) bool) bool {
+// isLowest reports whether this entry has the lowest ID of the entries of the cell
+// that are in contact and accepted by among.
+func (c *Core) isLowest(now time.Time, among func(string) bool) bool {
 	if !among(c.self.ID) {
 		return false
 	}
-	for id, h := range c.heard {
-		if h.member.Cell == c.self.Cell && id < c.self.ID && among(id) && c.fresh(now, h) {
+	for id, h := range c.contacts {
+		if h.member.Cell == c.self.Cell && id < c.self.ID && among(id) && c.inContact(now, h) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Core) anyVoterAlive(now time.Time) bool {
+func (c *Core) anyVoterInContact(now time.Time) bool {
 	for _, m := range c.doc.Quorum.Local {
-		if h, ok := c.heard[m.ID]; ok && c.fresh(now, h) {
+		if h, ok := c.contacts[m.ID]; ok && c.inContact(now, h) {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Core) fresh(now time.Time, h heardMember) bool {
-	return now.Sub(h.at) < c.limits.MemberTTL
+// inContact reports whether the member was heard from within MemberTTL.
+func (c *Core) inContact(now time.Time, h contact) bool {
+	return now.Sub(h.lastContact) < c.limits.MemberTTL
 }
 
-// voters returns everyone who votes in the known document, in any quorum.
+// voters returns the voters of all quorums of the known document.
 func (c *Core) voters() []cell.Member {
-	if c.settler == nil {
+	if c.settlement == nil {
 		return nil
 	}
-	return c.settler.Voters()
+	return c.settlement.Voters()
 }
 
-// canSettle reports whether enough voters are in contact for a new fence to
-// become settled. Without that, a controller that is cut off would only take
-// votes and ranges away that nobody can hand out again. Former quorums count
-// until the present fence is settled: nobody follows them after that.
+// canSettle reports whether enough voters are in contact for a new fence to become
+// settled. Without this check a controller that is cut off could remove votes and
+// ranges that it cannot assign again. Previous quorums count until the current fence
+// is settled; after that no entry relies on them.
 func (c *Core) canSettle(now time.Time) bool {
 	quorums := []cell.Quorum{c.doc.Quorum}
 	if !c.settled {
 		quorums = append(quorums, c.doc.Previous...)
 	}
 	for _, q := range quorums {
-		if !c.reachesHalf(now, q.Local) || !c.reachesHalf(now, q.Wide) {
+		if !c.halfInContact(now, q.Local) || !c.halfInContact(now, q.Wide) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Core) reachesHalf(now time.Time, set []cell.Member) bool {
+// halfInContact reports whether at least half of the members are in contact or are
+// known to have ended.
+func (c *Core) halfInContact(now time.Time, set []cell.Member) bool {
 	count := 0
 	for _, m := range set {
-		h, ok := c.heard[m.ID]
-		if m.ID == c.self.ID || c.isDead(m.ID) || ok && c.fresh(now, h) {
+		h, ok := c.contacts[m.ID]
+		if m.ID == c.self.ID || c.isDead(m.ID) || ok && c.inContact(now, h) {
 			count++
 		}
 	}
 	return 2*count >= len(set)
 }
 
-// wantedQuorum returns the live entries of the cell, and the witnesses.
-func (c *Core) wantedQuorum(now time.Time) cell.Quorum {
+// desiredQuorum returns the quorum that the cell should have: its live entries as local
+// voters and, if there are witnesses, these entries and the witnesses as wide voters.
+func (c *Core) desiredQuorum(now time.Time) cell.Quorum {
 	q := cell.Quorum{Local: []cell.Member{c.self}}
-	for _, h := range c.heard {
-		if h.member.Cell == c.self.Cell && h.member.ID != c.self.ID && c.fresh(now, h) {
+	for _, h := range c.contacts {
+		if h.member.Cell == c.self.Cell && h.member.ID != c.self.ID && c.inContact(now, h) {
 			q.Local = append(q.Local, h.member)
 		}
 	}
 	slices.SortFunc(q.Local, compareMembers)
-	witnesses := c.witnesses()
+	witnesses := c.chooseWitnesses()
 	if len(witnesses) > 0 {
 		q.Wide = append(slices.Clone(q.Local), witnesses...)
 	}
@@ -138,9 +147,9 @@
 
 func compareMembers(a, b cell.Member) int { return strings.Compare(a.ID, b.ID) }
 
-// witnesses picks voters of other cells. Current witnesses that still stand in
-// their own cell's document are kept, so that the set changes rarely.
-func (c *Core) witnesses() []cell.Member {
+// chooseWitnesses selects voters of other cells as witnesses. Current witnesses that
+// are still on the roster of their cell are kept, so that the set changes rarely.
+func (c *Core) chooseWitnesses() []cell.Member {
 	var out []cell.Member
 	perCell := make(map[string]int)
 	add := func(m cell.Member) {
--- a/coordination/controller/results.go
+++ b/coordination/controller/results.go
@@ -6,42 +6,44 @@
 	"github.com/rockcroft/rockcroft/state/cell"
 )
 
-// This file takes over how commands ended.
+// This file handles the results of commands.
 
-// OnWritten ends a Write. Version is the platform version of the document.
-func (c *Core) OnWritten(now time.Time, cmd Write, version uint64, err error) {
-	c.done(now, cmd, err)
+// OnWritten handles the result of a WriteDocument. Version is the new platform
+// version of the document.
+func (c *Core) OnWritten(now time.Time, cmd WriteDocument, version uint64, err error) {
+	c.commandEnded(now, cmd, err)
 	if err == nil {
 		c.OnDocument(now, cmd.Doc, version)
 	}
 }
 
-// OnApplied ends an Apply or a Raise.
-func (c *Core) OnApplied(now time.Time, cmd Command, a Applied, err error) {
-	c.done(now, cmd, err)
-	if err != nil || c.settler == nil || a.Ack.Fence < c.settler.Fence() {
+// OnApplied handles the result of an Apply or a RaiseFence.
+func (c *Core) OnApplied(now time.Time, cmd Command, a ApplyResult, err error) {
+	c.commandEnded(now, cmd, err)
+	if err != nil || c.settlement == nil || a.Ack.Fence < c.settlement.Fence() {
 		return
 	}
-	c.settler.Record(now, a.Ack)
-	if _, raise := cmd.(Raise); raise {
+	c.settlement.Record(now, a.Ack)
+	if _, raise := cmd.(RaiseFence); raise {
 		return
 	}
 	c.applied[a.Ack.Voter] = a
 	for _, l := range a.Leases {
 		until := now.Add(l.Remaining + c.drift(l.Remaining))
-		if until.After(c.leases[l.Upstream]) {
-			c.leases[l.Upstream] = until
+		if until.After(c.leaseEnds[l.Upstream]) {
+			c.leaseEnds[l.Upstream] = until
 		}
 	}
 }
 
+// drift returns the largest difference between two clocks over the duration.
 func (c *Core) drift(d time.Duration) time.Duration {
 	return d * time.Duration(c.limits.Fence.DriftPercent) / 100
 }
 
-// OnGranted ends a SendGrants.
+// OnGranted handles the result of a SendGrants.
 func (c *Core) OnGranted(now time.Time, cmd SendGrants, err error) {
-	c.done(now, cmd, err)
+	c.commandEnded(now, cmd, err)
 	if err != nil {
 		return
 	}
@@ -50,26 +52,27 @@
 			c.prepared[prepareID{g.Service, g.Span, cmd.Upstream.ID}] = now
 			continue
 		}
-		c.granted[rangeID{g.Service, g.Span, g.Epoch, cmd.Upstream.ID}] = true
+		c.granted[grantID{g.Service, g.Span, g.Epoch, cmd.Upstream.ID}] = true
 	}
 }
 
-// OnRevoked ends a SendRevocations.
+// OnRevoked handles the result of a SendRevocations.
 func (c *Core) OnRevoked(now time.Time, cmd SendRevocations, err error) {
-	c.done(now, cmd, err)
+	c.commandEnded(now, cmd, err)
 	if err != nil {
 		return
 	}
 	for _, r := range cmd.Revocations {
-		c.revoked[rangeID{r.Service, r.Span, r.Epoch, cmd.Upstream.ID}] = true
+		c.revoked[grantID{r.Service, r.Span, r.Epoch, cmd.Upstream.ID}] = true
 	}
 }
 
-// OnReset ends a Reset with the new boot id of the upstream.
-func (c *Core) OnReset(now time.Time, cmd Reset, boot string, err error) {
-	c.done(now, cmd, err)
+// OnReset handles the result of a ResetUpstream. Boot is the new boot ID of the
+// upstream.
+func (c *Core) OnReset(now time.Time, cmd ResetUpstream, boot string, err error) {
+	c.commandEnded(now, cmd, err)
 	if err == nil {
-		c.reset[cmd.Upstream.ID] = boot
+		c.resetBoots[cmd.Upstream.ID] = boot
 		c.detector.Reset(now, cmd.Upstream.ID)
 		for id := range c.granted {
 			if id.holder == cmd.Upstream.ID {
@@ -79,24 +82,26 @@
 	}
 }
 
-// OnRedirected ends a Redirect with the directory as it is now.
-func (c *Core) OnRedirected(now time.Time, cmd Redirect, d *cell.Directory, err error) {
-	c.done(now, cmd, err)
+// OnExportRecorded handles the result of a RecordExport. D is the directory as it is
+// now.
+func (c *Core) OnExportRecorded(now time.Time, cmd RecordExport, d *cell.Directory, err error) {
+	c.commandEnded(now, cmd, err)
 	if err == nil {
 		c.OnDirectory(d)
 	}
 }
 
-// OnPublished ends a Publish.
-func (c *Core) OnPublished(now time.Time, cmd Publish, err error) {
-	c.done(now, cmd, err)
+// OnRosterPublished handles the result of a PublishRoster.
+func (c *Core) OnRosterPublished(now time.Time, cmd PublishRoster, err error) {
+	c.commandEnded(now, cmd, err)
 	if err == nil {
 		c.OnRoster(now, &cmd.Roster)
 	}
 }
 
-func (c *Core) done(now time.Time, cmd Command, err error) {
-	delete(c.busy, cmd.key())
+// commandEnded allows the command to be issued again, after a delay if it failed.
+func (c *Core) commandEnded(now time.Time, cmd Command, err error) {
+	delete(c.inFlight, cmd.key())
 	if err != nil {
 		c.retryAt[cmd.key()] = now.Add(c.limits.RetryAfter)
 	} else {
--- a/coordination/controller/step.go
+++ b/coordination/controller/step.go
@@ -11,7 +11,7 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// Step returns the commands to carry out now. It is called after events and at
+// Step returns the commands to perform now. It must be called after events and at
 // regular intervals.
 func (c *Core) Step(now time.Time) []Command {
 	if !c.Leads(now) {
@@ -20,43 +20,47 @@
 	if c.doc == nil {
 		return c.bootstrap(now)
 	}
-	if c.settler != nil && !c.settled {
-		c.settled = c.settler.Settled(now, c.silentGrace())
+	if c.settlement != nil && !c.settled {
+		c.settled = c.settlement.Settled(now, c.silentGrace())
 	}
 	var out []Command
-	if c.canSettle(now) && c.free(now, Write{}) {
+	if c.canSettle(now) && c.canIssue(now, WriteDocument{}) {
 		if doc := c.edit(now); doc != nil {
-			out = c.issue(out, Write{Doc: doc, Expect: c.version})
+			out = c.issue(out, WriteDocument{Doc: doc, Expect: c.version})
 			return out
 		}
 	}
-	out = c.distribute(now, out)
-	out = c.revoke(now, out)
-	out = c.grant(now, out)
-	out = c.prepare(now, out)
-	out = c.resets(now, out)
-	out = c.redirects(now, out)
-	return c.roster(now, out)
+	out = c.distributeDocument(now, out)
+	out = c.sendRevocations(now, out)
+	out = c.sendGrants(now, out)
+	out = c.sendPreparations(now, out)
+	out = c.sendResets(now, out)
+	out = c.recordExports(now, out)
+	return c.publishRoster(now, out)
 }
 
-func (c *Core) free(now time.Time, cmd Command) bool {
-	return !c.busy[cmd.key()] && !now.Before(c.retryAt[cmd.key()])
+// canIssue reports whether the command is neither in flight nor waiting for a retry.
+func (c *Core) canIssue(now time.Time, cmd Command) bool {
+	return !c.inFlight[cmd.key()] && !now.Before(c.retryAt[cmd.key()])
 }
 
+// issue appends the command to out and marks it as in flight.
 func (c *Core) issue(out []Command, cmd Command) []Command {
-	c.busy[cmd.key()] = true
+	c.inFlight[cmd.key()] = true
 	return append(out, cmd)
 }
 
-func (c *Core) issueFree(now time.Time, out []Command, cmd Command) []Command {
-	if !c.free(now, cmd) {
+// tryIssue issues the command if canIssue allows it.
+func (c *Core) tryIssue(now time.Time, out []Command, cmd Command) []Command {
+	if !c.canIssue(now, cmd) {
 		return out
 	}
 	return c.issue(out, cmd)
 }
 
+// bootstrap creates the first document of a cell, with this entry as the only voter.
 func (c *Core) bootstrap(now time.Time) []Command {
-	if !c.missing || !c.free(now, Write{}) {
+	if !c.documentMissing || !c.canIssue(now, WriteDocument{}) {
 		return nil
 	}
 	doc := &cell.Cell{
@@ -67,12 +71,12 @@
 		WriteID: c.newID(),
 		Quorum:  cell.Quorum{Local: []cell.Member{c.self}},
 	}
-	return c.issue(nil, Write{Doc: doc})
+	return c.issue(nil, WriteDocument{Doc: doc})
 }
 
-// entriesClear reports whether no entry can send to a range that is being
-// released, and none has a request to it in flight.
-func (c *Core) entriesClear(service string, span keyspace.Span) bool {
+// entriesDrained reports whether no entry can send requests to a range that is being
+// released, and none has such a request in flight.
+func (c *Core) entriesDrained(service string, span keyspace.Span) bool {
 	if !c.settled {
 		return false
 	}
@@ -87,39 +91,39 @@
 	return true
 }
 
-// released reports whether the owner of a releasing range certainly holds it
-// no more.
+// released reports whether the owner of a range that is being released is proven not
+// to hold it any more.
 func (c *Core) released(now time.Time, service string, r cell.Range) bool {
 	if !c.settled {
 		return false
 	}
 	u := c.doc.Upstream(r.Owner)
 	if u == nil || u.State == cell.Lost {
-		return c.lapsed(now, service, r)
+		return c.lostOwnerReleased(now, service, r)
 	}
-	return c.entriesClear(service, r.Span) && c.revoked[rangeID{service, r.Span, r.Epoch, r.Owner}]
+	return c.entriesDrained(service, r.Span) && c.revoked[grantID{service, r.Span, r.Epoch, r.Owner}]
 }
 
-// lapsed reports whether a lost upstream certainly serves nothing of the range
-// any more.
-func (c *Core) lapsed(now time.Time, service string, r cell.Range) bool {
-	reset := c.reset[r.Owner] != ""
+// lostOwnerReleased reports whether a lost upstream is proven not to serve any
+// request for the range any more.
+func (c *Core) lostOwnerReleased(now time.Time, service string, r cell.Range) bool {
+	reset := c.resetBoots[r.Owner] != ""
 	switch {
 	case c.evicted[r.Owner]:
 		return true
 	case c.services.ChecksFences(service):
-		return reset || !now.Before(c.leases[r.Owner])
+		return reset || !now.Before(c.leaseEnds[r.Owner])
 	case c.detector.Assess(now, r.Owner, "", c.reportsNeeded(now)).Health == detect.Gone:
 		return true
 	}
-	// The process lives and does not check what it is sent: a reset does not
-	// stop requests that are under way to it.
-	return reset && c.entriesClear(service, r.Span)
+	// The process may be running and does not check the epoch of requests, so a
+	// reset does not stop requests that are already in flight to it.
+	return reset && c.entriesDrained(service, r.Span)
 }
 
-// distribute hands the document to the voters of the cell, and the fence to
-// the witnesses when the voters alone do not settle it.
-func (c *Core) distribute(now time.Time, out []Command) []Command {
+// distributeDocument sends the document to the voters of the cell. If these do not
+// settle the fence within WitnessDelay, it sends the fence to the witnesses too.
+func (c *Core) distributeDocument(now time.Time, out []Command) []Command {
 	for _, m := range c.voters() {
 		if c.isDead(m.ID) {
 			continue
@@ -127,37 +131,39 @@
 		if m.Cell == c.self.Cell {
 			a := c.applied[m.ID]
 			if a.Version < c.doc.Version || len(a.Busy) > 0 {
-				out = c.issueFree(now, out, Apply{To: m, Doc: c.doc, DrainWait: c.limits.DrainWait})
+				out = c.tryIssue(now, out, Apply{To: m, Doc: c.doc, DrainWait: c.limits.DrainWait})
 			}
 			continue
 		}
-		if !c.settled && !c.settler.Acked(m.ID) && now.Sub(c.fenceSeen) >= c.limits.WideAfter {
-			out = c.issueFree(now, out, Raise{To: m, Fence: c.doc.Fence})
+		if !c.settled && !c.settlement.Acked(m.ID) && now.Sub(c.fenceSeenAt) >= c.limits.WitnessDelay {
+			out = c.tryIssue(now, out, RaiseFence{To: m, Fence: c.doc.Fence})
 		}
 	}
 	return out
 }
 
-// revoke takes ranges back from living owners once no entry sends to them.
-func (c *Core) revoke(now time.Time, out []Command) []Command {
+// sendRevocations revokes releasing ranges from owners that are not lost, once no
+// entry sends requests to the ranges any more.
+func (c *Core) sendRevocations(now time.Time, out []Command) []Command {
 	for _, u := range c.doc.Upstreams {
 		if u.State == cell.Lost {
 			continue
 		}
 		var list []control.Revocation
 		for _, r := range rangesOf(c.doc, u.Service) {
-			id := rangeID{u.Service, r.Span, r.Epoch, u.ID}
-			if r.Phase == cell.Releasing && r.Owner == u.ID && !c.revoked[id] && c.entriesClear(u.Service, r.Span) {
+			id := grantID{u.Service, r.Span, r.Epoch, u.ID}
+			if r.Phase == cell.Releasing && r.Owner == u.ID && !c.revoked[id] && c.entriesDrained(u.Service, r.Span) {
 				list = append(list, control.Revocation{Service: u.Service, Span: r.Span, Epoch: r.Epoch})
 			}
 		}
 		if len(list) > 0 {
-			out = c.issueFree(now, out, SendRevocations{Upstream: u, Revocations: list})
+			out = c.tryIssue(now, out, SendRevocations{Upstream: u, Revocations: list})
 		}
 	}
 	return out
 }
 
+// rangesOf returns the ranges of the service, or nil if the cell does not have it.
 func rangesOf(doc *cell.Cell, service string) []cell.Range {
 	if s := doc.Service(service); s != nil {
 		return s.Ranges
@@ -165,15 +171,16 @@
 	return nil
 }
 
-// grant sends the grants of ranges whose former owner has released them.
-func (c *Core) grant(now time.Time, out []Command) []Command {
+// sendGrants grants ranges to their next owners once the former owners have released
+// them.
+func (c *Core) sendGrants(now time.Time, out []Command) []Command {
 	for _, u := range c.doc.Upstreams {
 		if u.State == cell.Lost || u.Boot == "" {
 			continue
 		}
 		var list []control.Grant
 		for _, r := range rangesOf(c.doc, u.Service) {
-			if r.Next != u.ID || c.granted[rangeID{u.Service, r.Span, r.Epoch + 1, u.ID}] {
+			if r.Next != u.ID || c.granted[grantID{u.Service, r.Span, r.Epoch + 1, u.ID}] {
 				continue
 			}
 			if r.Phase == cell.Vacant || r.Phase == cell.Releasing && c.released(now, u.Service, r) {
@@ -181,55 +188,57 @@
 			}
 		}
 		if len(list) > 0 {
-			out = c.issueFree(now, out, SendGrants{Upstream: u, Grants: list})
+			out = c.tryIssue(now, out, SendGrants{Upstream: u, Grants: list})
 		}
 	}
 	return out
 }
 
-// prepare warms up the new owners of wanted moves.
-func (c *Core) prepare(now time.Time, out []Command) []Command {
+// sendPreparations tells the new owners of pending moves to prepare for their ranges.
+func (c *Core) sendPreparations(now time.Time, out []Command) []Command {
 	byOwner := make(map[string][]control.Grant)
-	for _, m := range c.moves {
+	for _, m := range c.pendingMoves {
 		if m.To == "" || !c.usable(m.To) || c.isPrepared(now, m) {
 			continue
 		}
 		byOwner[m.To] = append(byOwner[m.To], control.Grant{Service: m.Service, Span: m.Span, Prepare: true})
 	}
 	for _, id := range sortedKeys(byOwner) {
-		out = c.issueFree(now, out, SendGrants{Upstream: *c.doc.Upstream(id), Grants: byOwner[id]})
+		out = c.tryIssue(now, out, SendGrants{Upstream: *c.doc.Upstream(id), Grants: byOwner[id]})
 	}
 	return out
 }
 
-// resets clears upstreams that join or come back, before they count.
-func (c *Core) resets(now time.Time, out []Command) []Command {
+// sendResets resets upstreams that join or come back after a loss. They are granted
+// ranges only after that.
+func (c *Core) sendResets(now time.Time, out []Command) []Command {
 	for _, u := range c.doc.Upstreams {
-		if u.Boot != "" || c.reset[u.ID] != "" || c.draining[u.ID] {
+		if u.Boot != "" || c.resetBoots[u.ID] != "" || c.draining[u.ID] {
 			continue
 		}
 		if u.State == cell.Lost && c.detector.Assess(now, u.ID, "", 1).Health != detect.Alive {
 			continue
 		}
-		out = c.issueFree(now, out, Reset{Upstream: u})
+		out = c.tryIssue(now, out, ResetUpstream{Upstream: u})
 	}
 	return out
 }
 
-// redirects records exported ranges in their directory.
-func (c *Core) redirects(now time.Time, out []Command) []Command {
+// recordExports records exported ranges in the directories of their services.
+func (c *Core) recordExports(now time.Time, out []Command) []Command {
 	for _, s := range c.doc.Services {
 		for _, r := range s.Ranges {
 			if r.Phase == cell.Exported {
-				out = c.issueFree(now, out, Redirect{Service: s.Name, Range: r})
+				out = c.tryIssue(now, out, RecordExport{Service: s.Name, Range: r})
 			}
 		}
 	}
 	return out
 }
 
-// roster publishes the members of the cell for the entries of other cells.
-func (c *Core) roster(now time.Time, out []Command) []Command {
+// publishRoster publishes the local voters of the cell for the entries of other
+// cells, if they have changed.
+func (c *Core) publishRoster(now time.Time, out []Command) []Command {
 	known := c.rosters[c.self.Cell]
 	if known != nil && slices.Equal(known.Members, c.doc.Quorum.Local) {
 		return out
@@ -241,5 +250,5 @@
 		WriteID: c.newID(),
 		Members: c.doc.Quorum.Local,
 	}
-	return c.issueFree(now, out, Publish{Roster: next})
+	return c.tryIssue(now, out, PublishRoster{Roster: next})
 }
--- a/coordination/gate/gate.go
+++ b/coordination/gate/gate.go
@@ -170,7 +170,7 @@
 		g.rightUntil.Store(0)
 		return
 	}
-	g.rightUntil.Store(int64(g.holder.Until(now).Sub(g.base)))
+	g.rightUntil.Store(int64(g.holder.ValidUntil(now).Sub(g.base)))
 }
 
 // Apply installs a cell document. Documents that are not newer than the current one are ignored.
@@ -183,7 +183,7 @@
 	g.doc = doc
 	now := g.clock()
 	g.voter.Raise(now, g.self.Cell, doc.Fence)
-	g.holder.Adopt(doc.Quorum)
+	g.holder.SetQuorum(doc.Quorum)
 	g.replaceTable()
 	g.refresh(now)
 }
--- a/entry/peerserver.go
+++ b/entry/peerserver.go
@@ -122,14 +122,14 @@
 	if req.Fence == 0 {
 		return nil, twirp.RequiredArgumentError("fence")
 	}
-	return applyResponse(controller.Applied{Ack: e.gate.RaiseFence(req.Cell, req.Fence)}), nil
+	return applyResponse(controller.ApplyResult{Ack: e.gate.RaiseFence(req.Cell, req.Fence)}), nil
 }
 
-func applyResponse(a controller.Applied) *peerpb.ApplyResponse {
+func applyResponse(a controller.ApplyResult) *peerpb.ApplyResponse {
 	resp := &peerpb.ApplyResponse{
 		Voter:       a.Ack.Voter,
 		Fence:       a.Ack.Fence,
-		GuestWaitMs: roundUp(a.Ack.GuestWait),
+		GuestWaitMs: roundUp(a.Ack.NonVoterWait),
 	}
 	for _, b := range a.Busy {
 		resp.Busy = append(resp.Busy, &peerpb.BusyRange{
