--- a/bench/lab/control.go
+++ b/bench/lab/control.go
@@ -40,7 +40,7 @@
 	// total adds up the reports of all gateways, by upstream, work what they have seen of
 	// runs, by service.
 	total map[string]report
-	work  map[string]*worktime.Book
+	work  map[string]*worktime.Estimator
 	last  []map[string]report
 	// demand is what each gateway is asked for, by service.
 	demand []map[string]float64
@@ -70,7 +70,7 @@
 func newControl(w *world) *control {
 	c := &control{
 		w: w, tables: make(map[string]*spans.Table), heat: make(map[string]*ownership.Heat),
-		total: make(map[string]report), work: make(map[string]*worktime.Book), last: make([]map[string]report, w.sc.Gateways),
+		total: make(map[string]report), work: make(map[string]*worktime.Estimator), last: make([]map[string]report, w.sc.Gateways),
 		demand: make([]map[string]float64, w.sc.Gateways), admit: make(map[string]map[uint16]float64), balanced: make(map[string]time.Duration),
 		gaps: make(map[string]*spans.Gaps), settled: make(map[string]map[uint16]time.Duration), coldTo: make(map[string]map[uint16]time.Duration),
 	}
@@ -78,7 +78,7 @@
 	c.book = warmup.NewBook(w.now().Add(-warmup.RightTime))
 	for i := range w.sc.Services {
 		s := &w.sc.Services[i]
-		c.work[s.Name] = worktime.NewBook()
+		c.work[s.Name] = worktime.NewEstimator()
 		if !s.Keyed {
 			continue
 		}
@@ -113,7 +113,7 @@
 // capacity is how many requests a second the upstream can run, as far as it takes them.
 func (c *control) capacity(u *upstream, rate float64) float64 {
 	if limit, ok := c.limits.Of(u.one.ID, 0); ok && !c.w.sc.Off.NoNamedLimits {
-		return min(rate, quota.Used*limit)
+		return min(rate, quota.TargetUtilization*limit)
 	}
 	return rate
 }
--- a/coordination/dispatch/bench_test.go
+++ b/coordination/dispatch/bench_test.go
@@ -46,7 +46,7 @@
 func BenchmarkMaySend(b *testing.B) {
 	s := crowded(b, 313, 0)
 	g := Grant{Instance: s.upstreams["u1"].Instance}
-	s.upstreams["u1"].said.Note(start, notice.Notice{Leaving: true, Rest: time.Second})
+	s.upstreams["u1"].said.Apply(start, notice.Notice{Leaving: true, Rest: time.Second})
 	b.ReportAllocs()
 	for b.Loop() {
 		if s.MaySend(start.Add(time.Millisecond), g) {
--- a/coordination/dispatch/closed.go
+++ b/coordination/dispatch/closed.go
@@ -72,7 +72,7 @@
 		if w.Owner != "" && u.ID != w.Owner || excluded(w, u.ID) || !u.said.Resting(now) {
 			continue
 		}
-		if left := u.said.RestLeft(now); least == 0 || left < least {
+		if left := u.said.RestRemaining(now); least == 0 || left < least {
 			least = left
 		}
 	}
--- a/coordination/dispatch/limited.go
+++ b/coordination/dispatch/limited.go
@@ -30,7 +30,7 @@
 	// others is what the other gateways are asked for; negative when that is not known.
 	others float64
 	// turn says which of the requests here are let through.
-	turn quota.Turn
+	turn quota.Sampler
 }
 
 // newLimit returns a limit that is heard of first now.
@@ -38,7 +38,7 @@
 	return &limit{
 		Rate:   quota.Rate{PerSecond: one.PerSecond, Since: now},
 		others: one.Wanted,
-		turn:   quota.NewTurn(s.rng.Float64(), s.rng.Float64()),
+		turn:   quota.NewSampler(s.rng.Float64(), s.rng.Float64()),
 	}
 }
 
@@ -104,7 +104,7 @@
 	if w.heldBack {
 		return false
 	}
-	if u.limit.turn.Take(u.limit.Admit(now, u.wantedByAll(now)), s.rng.Float64()) {
+	if u.limit.turn.Take(u.limit.AdmitFraction(now, u.wantedByAll(now)), s.rng.Float64()) {
 		w.admitted = u
 		return true
 	}
--- a/coordination/dispatch/limited_test.go
+++ b/coordination/dispatch/limited_test.go
@@ -79,7 +79,7 @@
 		if refused[Limited]+went["a1"] != batch {
 			t.Fatalf("refused: %v", refused)
 		}
-		due := quota.Used * perSecond / wanted * batch * float64(i+1)
+		due := quota.TargetUtilization * perSecond / wanted * batch * float64(i+1)
 		if stray := due - float64(let); stray < -2 || stray > 2 {
 			t.Errorf("%d of %d let through, %.1f due", let, batch*(i+1), due)
 		}
--- a/coordination/dispatch/notices.go
+++ b/coordination/dispatch/notices.go
@@ -13,10 +13,10 @@
 func (s *Service) Noticed(now time.Time, g Grant, n notice.Notice) notice.Change {
 	u := s.granted(g)
 	if u == nil {
-		return s.unlisted.Note(now, g.Instance.ID, g.Instance.Incarnation(), n)
+		return s.unlisted.Apply(now, g.Instance.ID, g.Instance.Incarnation(), n)
 	}
-	c := u.said.Note(now, n)
-	if c.Leaves {
+	c := u.said.Apply(now, n)
+	if c.StartedLeaving {
 		s.noteLeaving(now, u)
 	}
 	u.proving = u.proving || n.Rest > 0
@@ -63,9 +63,9 @@
 }
 
 // Said returns what the upstream of a grant has said of itself.
-func (s *Service) Said(g Grant) notice.Standing {
+func (s *Service) Said(g Grant) notice.State {
 	if u := s.granted(g); u != nil {
 		return u.said
 	}
-	return notice.Standing{}
+	return notice.State{}
 }
--- a/coordination/dispatch/report.go
+++ b/coordination/dispatch/report.go
@@ -41,7 +41,7 @@
 		if u.pause > 0 || u.silent(now, s.typical) {
 			l.Silent = max(now.Sub(u.lastAnswer), time.Millisecond)
 		}
-		l.Leaving, l.Rest = u.said.Leaving(), u.said.RestLeft(now)
+		l.Leaving, l.Rest = u.said.Leaving(), u.said.RestRemaining(now)
 		if mean > 0 || l.Silent > 0 || l.Runs.Runs > 0 || l.Leaving || l.Rest > 0 {
 			out = append(out, l)
 		}
--- a/coordination/dispatch/service.go
+++ b/coordination/dispatch/service.go
@@ -57,7 +57,7 @@
 	upstreams map[string]*Upstream
 	order     []*Upstream
 	// unlisted is what upstreams have said that are not among them any more.
-	unlisted notice.Book
+	unlisted notice.Store
 	// ranked are the same in this gateway's order of preference.
 	ranked ranking
 	// queue holds the requests that wait for any upstream; those for an owner wait
@@ -121,7 +121,7 @@
 	}
 	for _, gone := range s.upstreams {
 		s.refuseAll(gone, NoUpstream)
-		s.unlisted.Keep(now, gone.ID, gone.Incarnation(), gone.said)
+		s.unlisted.Save(now, gone.ID, gone.Incarnation(), gone.said)
 	}
 	s.upstreams = known
 	s.entrusted = slices.DeleteFunc(s.entrusted, func(u *Upstream) bool { return known[u.ID] != u })
--- a/coordination/dispatch/upstream.go
+++ b/coordination/dispatch/upstream.go
@@ -120,7 +120,7 @@
 	toldOthers float64
 	toldAt     time.Time
 	// said is what it has said of itself to this gateway.
-	said notice.Standing
+	said notice.State
 	// proving says that it has rested and not answered a request since: one at a time goes there.
 	proving bool
 	// leavingSince is when it was first known to be leaving; zero when it is not.
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -9,19 +9,19 @@
 import "time"
 
 const (
-	// Used is the part of the rate that is let through: what others are asked for is some
+	// TargetUtilization is the part of the rate that is let through: what others are asked for is some
 	// reports old, and grows while clients come.
-	Used = 0.92
-	// queued is how much of what came before the rate was known to all is made up for, and makeUp
+	TargetUtilization = 0.92
+	// backlogTime is how much of what came before the rate was known to all is made up for, and makeUp
 	// the time within which: that lies in the upstream's queue, and it names a rate because it
 	// has too much already.
-	queued = 1250 * time.Millisecond
-	makeUp = 4 * time.Second
-	// least is the part of the rate that is let through in any case, and trials how many requests
+	backlogTime = 1250 * time.Millisecond
+	backlogRecovery = 4 * time.Second
+	// minFraction is the part of the rate that is let through in any case, and trials how many requests
 	// a second, by all gateways, to an upstream that takes hardly any: its answers tell when it
 	// takes more again.
-	least  = 0.1
-	trials = 0.5
+	minFraction  = 0.1
+	probeRate = 0.5
 )
 
 // Rate is a rate that all gateways together keep to.
@@ -32,58 +32,58 @@
 	Since time.Time
 }
 
-// Admit returns the part of the requests to be let through, 0 to 1, when all gateways together
+// AdmitFraction returns the part of the requests to be let through, 0 to 1, when all gateways together
 // are asked for so many a second.
-func (r Rate) Admit(now time.Time, wanted float64) float64 {
+func (r Rate) AdmitFraction(now time.Time, wanted float64) float64 {
 	if wanted <= 0 {
 		return 1
 	}
-	rate := Used * r.PerSecond
-	if now.Sub(r.Since) < makeUp {
-		excess := max(wanted-r.PerSecond, 0) * queued.Seconds()
-		rate = max(rate-excess/makeUp.Seconds(), least*r.PerSecond)
+	rate := TargetUtilization * r.PerSecond
+	if now.Sub(r.Since) < backlogRecovery {
+		excess := max(wanted-r.PerSecond, 0) * backlogTime.Seconds()
+		rate = max(rate-excess/backlogRecovery.Seconds(), minFraction*r.PerSecond)
 	}
-	return min(max(rate, trials)/wanted, 1)
+	return min(max(rate, probeRate)/wanted, 1)
 }
 
-// Turn lets a part of one gateway's requests through: of as many as make up one, exactly one, and
+// Sampler lets a part of one gateway's requests through: of as many as make up one, exactly one, and
 // which of them is random, so that callers who take turns are all let through at times. A coin
 // for each request would stray from the part by the root of their number.
-type Turn struct {
-	// owed is what the requests make up since the present step began, falls where in the step
+type Sampler struct {
+	// credit is what the requests make up since the present step began, threshold where in the step
 	// one is let through. It is below zero while the one of the step before is made up for.
-	owed, falls float64
+	credit, threshold float64
 }
 
-// NewTurn begins at a random place of a step, given two random numbers from 0 to 1, so that the
+// NewSampler begins at a random place of a step, given two random numbers from 0 to 1, so that the
 // first ones of many gateways do not come together.
-func NewTurn(chance, falls float64) Turn {
-	t := Turn{owed: chance, falls: falls}
-	if t.owed >= t.falls {
+func NewSampler(chance, falls float64) Sampler {
+	t := Sampler{credit: chance, threshold: falls}
+	if t.credit >= t.threshold {
 		// That of this step has been let through before.
-		t.owed--
+		t.credit--
 	}
 	return t
 }
 
 // Take reports whether the next request is let through, of which a part from 0 to 1 is. chance is
 // a random number from 0 to 1.
-func (t *Turn) Take(part, chance float64) bool {
+func (t *Sampler) Take(part, chance float64) bool {
 	if part >= 1 {
 		return true
 	}
-	t.owed += part
-	if t.owed < t.falls {
+	t.credit += part
+	if t.credit < t.threshold {
 		return false
 	}
-	t.owed--
-	t.falls = chance
+	t.credit--
+	t.threshold = chance
 	return true
 }
 
-// meterTime is how long requests count in a meter's rate: long beside the interval of reports,
+// meterWindow is how long requests count in a meter's rate: long beside the interval of reports,
 // as hundreds of gateways see single requests in it.
-const meterTime = 500 * time.Millisecond
+const meterWindow = 500 * time.Millisecond
 
 // Meter measures what one gateway is asked for.
 type Meter struct {
@@ -99,7 +99,7 @@
 // is to be called for each report.
 func (m *Meter) Rate(now time.Time) float64 {
 	if span := now.Sub(m.at); span > 0 && !m.at.IsZero() {
-		weight := min(span.Seconds()/meterTime.Seconds(), 1)
+		weight := min(span.Seconds()/meterWindow.Seconds(), 1)
 		m.rate += weight * (float64(m.count)/span.Seconds() - m.rate)
 	}
 	m.count, m.at = 0, now
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -34,13 +34,13 @@
 	demand []float64
 	meters []Meter
 	told   []float64
-	turns  []Turn
+	turns  []Sampler
 	sent   []time.Duration
 }
 
 // newFleet spreads a demand unevenly.
 func newFleet(rng *rand.Rand, gateways int, wanted float64) *fleet {
-	f := &fleet{rng: rng, demand: make([]float64, gateways), meters: make([]Meter, gateways), told: make([]float64, gateways), turns: make([]Turn, gateways)}
+	f := &fleet{rng: rng, demand: make([]float64, gateways), meters: make([]Meter, gateways), told: make([]float64, gateways), turns: make([]Sampler, gateways)}
 	sum := 0.0
 	for i := range f.demand {
 		f.demand[i] = rng.ExpFloat64()
@@ -49,7 +49,7 @@
 	// Of its own, so that the requests of a seed are the same whatever is decided.
 	phases := rand.New(rand.NewPCG(uint64(gateways), 2))
 	for i := range f.turns {
-		f.turns[i] = NewTurn(phases.Float64(), phases.Float64())
+		f.turns[i] = NewSampler(phases.Float64(), phases.Float64())
 	}
 	for i := range f.demand {
 		f.demand[i] *= wanted / sum
@@ -72,7 +72,7 @@
 				continue
 			}
 			f.meters[i].Add()
-			if !f.named || f.turns[i].Take(f.rate.Admit(at(now), f.meters[i].Last()+f.told[i]), f.rng.Float64()) {
+			if !f.named || f.turns[i].Take(f.rate.AdmitFraction(at(now), f.meters[i].Last()+f.told[i]), f.rng.Float64()) {
 				f.sent = append(f.sent, now)
 			}
 		}
@@ -162,7 +162,7 @@
 func TestTurnTakesItsPart(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
-		turn := NewTurn(rng.Float64(), rng.Float64())
+		turn := NewSampler(rng.Float64(), rng.Float64())
 		due, took := 0.0, 0
 		for range 1000 {
 			part := rng.Float64()
@@ -186,7 +186,7 @@
 // let through about as often as the others.
 func TestTurnStarvesNoCaller(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	turn := NewTurn(rng.Float64(), rng.Float64())
+	turn := NewSampler(rng.Float64(), rng.Float64())
 	var took [4]int
 	for i := range 4000 {
 		if turn.Take(1.0/float64(len(took)), rng.Float64()) {
@@ -219,17 +219,17 @@
 	r := Rate{PerSecond: 10, Since: start}
 	later := at(time.Hour)
 	for wanted, part := range map[float64]float64{0: 1, 5: 1, 9: 1, 92: 0.1} {
-		if got := r.Admit(later, wanted); got < part-1e-9 || got > part+1e-9 {
+		if got := r.AdmitFraction(later, wanted); got < part-1e-9 || got > part+1e-9 {
 			t.Errorf("%g of %g a second", got, wanted)
 		}
 	}
-	if got := (Rate{Since: start}).Admit(later, 10); got*10 != trials {
+	if got := (Rate{Since: start}).AdmitFraction(later, 10); got*10 != probeRate {
 		t.Errorf("%g a second where none is taken: only trials tell when it takes some again", got*10)
 	}
-	if soon := r.Admit(start, 30); soon <= 0 || soon >= r.Admit(later, 30) {
-		t.Errorf("%g at once, %g later", soon, r.Admit(later, 30))
+	if soon := r.AdmitFraction(start, 30); soon <= 0 || soon >= r.AdmitFraction(later, 30) {
+		t.Errorf("%g at once, %g later", soon, r.AdmitFraction(later, 30))
 	}
-	if most := r.Admit(start, 1000); most*1000 < least*r.PerSecond-1e-9 {
+	if most := r.AdmitFraction(start, 1000); most*1000 < minFraction*r.PerSecond-1e-9 {
 		t.Errorf("%g a second: its answers do not tell any more", most*1000)
 	}
 }
--- a/coordination/worktime/worktime.go
+++ b/coordination/worktime/worktime.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// mostRuns is how many runs an estimate remembers: more recent ones take the place of
+	// maxRuns is how many runs an estimate remembers: more recent ones take the place of
 	// older ones. With 30 the error is a sixth where times vary as much as their mean, and
 	// an upstream that turns slow shows after some 20 runs.
-	mostRuns = 30
-	// typicalRuns is how many runs the mean of the service counts for in the estimate of
+	maxRuns = 30
+	// priorRuns is how many runs the mean of the service counts for in the estimate of
 	// an upstream.
-	typicalRuns = 4
-	// mostSlownesses is how many runs the mean slowness of an upstream remembers: it changes
+	priorRuns = 4
+	// maxSlownessRuns is how many runs the mean slowness of an upstream remembers: it changes
 	// some times a second, so several runs see the same, and what it is in the mean does not
 	// change with a service's requests.
-	mostSlownesses = 120
-	// typicalMost is how many runs the mean of the service remembers.
-	typicalMost = 2000
+	maxSlownessRuns = 120
+	// maxServiceRuns is how many runs the mean of the service remembers.
+	maxServiceRuns = 2000
 )
 
 // Sum is what was seen of some runs. Runs may be a fraction: a run whose time is partly
@@ -70,8 +70,8 @@
 	return time.Duration(float64(s.Total) / s.Runs)
 }
 
-// within returns the sum scaled down to so many runs, if it has more.
-func (s Sum) within(runs float64) Sum {
+// limitedTo returns the sum scaled down to so many runs, if it has more.
+func (s Sum) limitedTo(runs float64) Sum {
 	if s.Runs <= runs {
 		return s
 	}
@@ -79,62 +79,62 @@
 	return Sum{Total: time.Duration(float64(s.Total) * part), Runs: runs, Slowness: s.Slowness * part}
 }
 
-// Book holds the estimates of one service. It is not safe for concurrent use.
-type Book struct {
+// Estimator holds the estimates of one service. It is not safe for concurrent use.
+type Estimator struct {
 	service Sum
-	byID    map[string]Sum
-	// slow are the slownesses, remembered for longer, in Sums without a total.
-	slow map[string]Sum
+	sums    map[string]Sum
+	// slownesses are the slownesses, remembered for longer, in Sums without a total.
+	slownesses map[string]Sum
 }
 
-// NewBook returns a book in which nothing was seen.
-func NewBook() *Book { return &Book{byID: make(map[string]Sum), slow: make(map[string]Sum)} }
+// NewEstimator returns a book in which nothing was seen.
+func NewEstimator() *Estimator { return &Estimator{sums: make(map[string]Sum), slownesses: make(map[string]Sum)} }
 
 // Add notes runs of an upstream.
-func (b *Book) Add(id string, runs Sum) {
+func (b *Estimator) Add(id string, runs Sum) {
 	if runs.Runs <= 0 || runs.Total < 0 {
 		return
 	}
 	if runs.Slowness <= 0 {
 		runs.Slowness = runs.Runs
 	}
-	b.byID[id] = b.byID[id].Add(runs).within(mostRuns)
-	b.service = b.service.Add(runs).within(typicalMost)
-	b.slow[id] = b.slow[id].Add(Sum{Runs: runs.Runs, Slowness: runs.Slowness}).within(mostSlownesses)
+	b.sums[id] = b.sums[id].Add(runs).limitedTo(maxRuns)
+	b.service = b.service.Add(runs).limitedTo(maxServiceRuns)
+	b.slownesses[id] = b.slownesses[id].Add(Sum{Runs: runs.Runs, Slowness: runs.Slowness}).limitedTo(maxSlownessRuns)
 }
 
-// Typical returns the mean time of a run over all upstreams; zero before any was seen.
-func (b *Book) Typical() time.Duration {
+// ServiceMean returns the mean time of a run over all upstreams; zero before any was seen.
+func (b *Estimator) ServiceMean() time.Duration {
 	return time.Duration(b.service.MeanSlowness() * float64(b.service.Mean()))
 }
 
 // Estimate returns what is known of an upstream; zero before any run of the service was seen.
-func (b *Book) Estimate(id string) Estimate {
-	typical := Sum{Total: typicalRuns * b.service.Mean(), Runs: typicalRuns}
+func (b *Estimator) Estimate(id string) Estimate {
+	typical := Sum{Total: priorRuns * b.service.Mean(), Runs: priorRuns}
 	slowness := b.slowness(id)
-	work := b.byID[id].Add(typical).Mean()
+	work := b.sums[id].Add(typical).Mean()
 	return Estimate{Work: time.Duration(slowness * float64(work)), Slowness: slowness}
 }
 
 // Mean returns the mean time of a run at an upstream; zero before any run of the service was
 // seen.
-func (b *Book) Mean(id string) time.Duration { return b.Estimate(id).Work }
+func (b *Estimator) Mean(id string) time.Duration { return b.Estimate(id).Work }
 
 // slowness returns the mean slowness of an upstream.
-func (b *Book) slowness(id string) float64 {
-	typical := Sum{Runs: typicalRuns, Slowness: typicalRuns * b.service.MeanSlowness()}
-	return b.slow[id].Add(typical).MeanSlowness()
+func (b *Estimator) slowness(id string) float64 {
+	typical := Sum{Runs: priorRuns, Slowness: priorRuns * b.service.MeanSlowness()}
+	return b.slownesses[id].Add(typical).MeanSlowness()
 }
 
-// Forget drops what was seen of an upstream: it has started again.
-func (b *Book) Forget(id string) {
-	delete(b.byID, id)
-	delete(b.slow, id)
+// Remove drops what was seen of an upstream: it has started again.
+func (b *Estimator) Remove(id string) {
+	delete(b.sums, id)
+	delete(b.slownesses, id)
 }
 
-// Keep drops all upstreams but those for which keep says so.
-func (b *Book) Keep(keep func(id string) bool) {
+// Retain drops all upstreams but those for which keep says so.
+func (b *Estimator) Retain(keep func(id string) bool) {
 	gone := func(id string, _ Sum) bool { return !keep(id) }
-	maps.DeleteFunc(b.byID, gone)
-	maps.DeleteFunc(b.slow, gone)
+	maps.DeleteFunc(b.sums, gone)
+	maps.DeleteFunc(b.slownesses, gone)
 }
--- a/coordination/worktime/worktime_test.go
+++ b/coordination/worktime/worktime_test.go
@@ -16,7 +16,7 @@
 
 // TestFewRunsSayLittle: one long run hardly moves the estimate of an upstream, many do.
 func TestFewRunsSayLittle(t *testing.T) {
-	b := NewBook()
+	b := NewEstimator()
 	for range 200 {
 		b.Add("usual", Sum{Total: 100 * ms, Runs: 1})
 	}
@@ -26,12 +26,12 @@
 		b.Add("slow", Sum{Total: 300 * ms, Runs: 1})
 	}
 	near(t, "after many", b.Mean("slow"), 290*ms)
-	near(t, "never seen", b.Mean("new"), b.Typical())
+	near(t, "never seen", b.Mean("new"), b.ServiceMean())
 }
 
 // TestChangeShows: an upstream that turns slow seems so after some twenty runs.
 func TestChangeShows(t *testing.T) {
-	b := NewBook()
+	b := NewEstimator()
 	for range 1000 {
 		b.Add("a", Sum{Total: 100 * ms, Runs: 1})
 		b.Add("b", Sum{Total: 100 * ms, Runs: 1})
@@ -42,35 +42,35 @@
 	if got := b.Mean("a"); got < 200*ms {
 		t.Errorf("%s after twenty runs of 400 ms", got)
 	}
-	b.Forget("a")
-	near(t, "after it has started again", b.Mean("a"), b.Typical())
+	b.Remove("a")
+	near(t, "after it has started again", b.Mean("a"), b.ServiceMean())
 }
 
 // TestGoneOnesAreDropped, so that a book does not grow with upstreams that are replaced.
 func TestGoneOnesAreDropped(t *testing.T) {
-	b := NewBook()
+	b := NewEstimator()
 	b.Add("a", Sum{Total: 400 * ms, Runs: 4})
 	b.Add("b", Sum{Total: 100 * ms, Runs: 1})
-	b.Keep(func(id string) bool { return id == "b" })
-	if len(b.byID) != 1 || b.Mean("b") == 0 {
-		t.Errorf("kept %v", b.byID)
+	b.Retain(func(id string) bool { return id == "b" })
+	if len(b.sums) != 1 || b.Mean("b") == 0 {
+		t.Errorf("kept %v", b.sums)
 	}
 }
 
 // TestNothingSeen: without runs there is no estimate, and what is no run is not taken.
 func TestNothingSeen(t *testing.T) {
-	b := NewBook()
+	b := NewEstimator()
 	b.Add("a", Sum{Total: 100 * ms})
 	b.Add("a", Sum{Total: -ms, Runs: 1})
-	if b.Mean("a") != 0 || b.Typical() != 0 {
-		t.Errorf("%s, %s", b.Mean("a"), b.Typical())
+	if b.Mean("a") != 0 || b.ServiceMean() != 0 {
+		t.Errorf("%s, %s", b.Mean("a"), b.ServiceMean())
 	}
 }
 
 // TestSlownessIsRememberedForLonger than the time of a run: an upstream that says how slow it
 // is at the moment is taken for as fast as it is in the mean.
 func TestSlownessIsRememberedForLonger(t *testing.T) {
-	b := NewBook()
+	b := NewEstimator()
 	for i := range 300 {
 		slowness := 1.0
 		if i%50 >= 40 {
@@ -85,6 +85,6 @@
 	if got := b.Estimate("a").Slowness; got < 1.3 || got > 1.5 {
 		t.Errorf("mean slowness %g", got)
 	}
-	b.Forget("a")
-	near(t, "after it has started again", b.Mean("a"), b.Typical())
+	b.Remove("a")
+	near(t, "after it has started again", b.Mean("a"), b.ServiceMean())
 }
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -371,7 +371,7 @@
 	}
 	capacity := float64(one.Slots) / work.Seconds()
 	if limit, ok := k.limits.of(one); ok {
-		return min(capacity, quota.Used*limit)
+		return min(capacity, quota.TargetUtilization*limit)
 	}
 	return capacity
 }
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -22,16 +22,16 @@
 // noticed logs what a notice has changed.
 func (f *front) noticed(g dispatch.Grant, n notice.Notice, c notice.Change) {
 	log := f.log.With("upstream", g.Instance.ID, "service", g.Instance.Service)
-	if c.Leaves {
+	if c.StartedLeaving {
 		log.Info("upstream says that it leaves")
 	}
-	if c.Rests {
+	if c.StartedResting {
 		log.Info("upstream asks for rest", "rest_ms", n.Rest.Milliseconds())
 	}
 }
 
 // countNoticed counts a request that is sent to an upstream which leaves or rests.
-func (f *front) countNoticed(g dispatch.Grant, said notice.Standing) {
+func (f *front) countNoticed(g dispatch.Grant, said notice.State) {
 	if said.Leaving() {
 		f.meters.inc(f.meters.service(noticesSentLeaving, g.Instance.Service))
 	}
@@ -42,7 +42,7 @@
 
 // maySend reports whether a request that was granted may go to its upstream now, and what that has
 // said of itself.
-func (t *traffic) maySend(s *service, g dispatch.Grant) (bool, notice.Standing) {
+func (t *traffic) maySend(s *service, g dispatch.Grant) (bool, notice.State) {
 	now := t.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/sieve.go
+++ b/gateway/sieve.go
@@ -83,7 +83,7 @@
 				continue
 			}
 		}
-		l.RestMs = min(l.RestMs, milliseconds(notice.MostRest))
+		l.RestMs = min(l.RestMs, milliseconds(notice.MaxRest))
 		out = append(out, l)
 	}
 	return out
--- a/gateway/worktimes.go
+++ b/gateway/worktimes.go
@@ -87,7 +87,7 @@
 	view *view
 
 	mu    sync.Mutex
-	books map[string]*worktime.Book
+	books map[string]*worktime.Estimator
 	// told are the estimates as they are told; never changed in place.
 	told map[string]worktime.Estimate
 	// answered is when a gateway last told that an upstream had answered requests.
@@ -96,14 +96,14 @@
 }
 
 func newWorkTimes(v *view, now func() time.Time) *workTimes {
-	return &workTimes{view: v, books: make(map[string]*worktime.Book), answered: make(map[string]time.Time), now: now}
+	return &workTimes{view: v, books: make(map[string]*worktime.Estimator), answered: make(map[string]time.Time), now: now}
 }
 
 // begin forgets everything but what the former leader told.
 func (w *workTimes) begin(told map[string]worktime.Estimate) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.books, w.answered = make(map[string]*worktime.Book), make(map[string]time.Time)
+	w.books, w.answered = make(map[string]*worktime.Estimator), make(map[string]time.Time)
 	w.told = told
 	for id, one := range told {
 		slowness := max(one.Slowness, leastSlowness)
@@ -145,10 +145,10 @@
 }
 
 // book returns the book of a service. The lock is held.
-func (w *workTimes) book(service string) *worktime.Book {
+func (w *workTimes) book(service string) *worktime.Estimator {
 	b := w.books[service]
 	if b == nil {
-		b = worktime.NewBook()
+		b = worktime.NewEstimator()
 		w.books[service] = b
 	}
 	return b
@@ -165,7 +165,7 @@
 func (w *workTimes) forget(service, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.book(service).Forget(id)
+	w.book(service).Remove(id)
 	delete(w.answered, id)
 }
 
@@ -189,7 +189,7 @@
 	out := make(map[string]worktime.Estimate, known.Len())
 	for _, service := range known.Services() {
 		b := w.book(service)
-		b.Keep(func(id string) bool { return known.Get(id) != nil })
+		b.Retain(func(id string) bool { return known.Get(id) != nil })
 		for _, one := range known.Service(service) {
 			if estimate := b.Estimate(one.ID); estimate.Work > 0 {
 				out[one.ID] = estimate
--- a/gateway/worktimes_test.go
+++ b/gateway/worktimes_test.go
@@ -47,7 +47,7 @@
 		t.Errorf("told %v", got)
 	}
 	w.forget("s", "b")
-	if got, typical := w.of("s", "b"), w.book("s").Typical(); got != typical {
+	if got, typical := w.of("s", "b"), w.book("s").ServiceMean(); got != typical {
 		t.Errorf("%s after it has started again, the mean is %s", got, typical)
 	}
 	if sum := runsOf(&syncpb.Load{WorkUs: 10, Runs: 3}); sum != (worktime.Sum{Total: 30 * time.Microsecond, Runs: 3, Slowness: 3}) {
