--- a/bench/lab/gateway.go
+++ b/bench/lab/gateway.go
@@ -131,7 +131,7 @@
 	}
 	wanted := make(map[string]float64)
 	for _, name := range g.names {
-		maps.Copy(wanted, g.dispatch[name].Wanted(g.w.now()))
+		maps.Copy(wanted, g.dispatch[name].LimitedDemand(g.w.now()))
 	}
 	keys := g.keys
 	g.keys = make(map[string][]uint16)
--- a/bench/lab/limits.go
+++ b/bench/lab/limits.go
@@ -123,7 +123,7 @@
 		if !known {
 			wanted = -1
 		}
-		out[l.Upstream] = dispatch.Limit{PerSecond: l.PerSecond, Wanted: wanted}
+		out[l.Upstream] = dispatch.Limit{PerSecond: l.PerSecond, OthersDemand: wanted}
 	}
 	return out
 }
--- a/coordination/dispatch/bench_test.go
+++ b/coordination/dispatch/bench_test.go
@@ -23,7 +23,7 @@
 				kind = "owner"
 			}
 			b.Run(fmt.Sprintf("%s/%d/%d", kind, c.upstreams, c.waiting), func(b *testing.B) {
-				s := crowded(b, c.upstreams, c.waiting)
+				s := busyService(b, c.upstreams, c.waiting)
 				now := start.Add(time.Second)
 				w := &Want{Owner: owner, Objective: time.Second, Deadline: now.Add(time.Hour), Until: now.Add(time.Hour)}
 				w.Verdict = func(Grant, Refusal) { b.Fatal("the request had to wait") }
@@ -44,7 +44,7 @@
 // BenchmarkMaySend is the last question before the bytes of a request go out. The aim is 100 ns and
 // no allocation.
 func BenchmarkMaySend(b *testing.B) {
-	s := crowded(b, 313, 0)
+	s := busyService(b, 313, 0)
 	g := Grant{Instance: s.upstreams["u1"].Instance}
 	s.upstreams["u1"].said.Apply(start, notice.Notice{Leaving: true, Rest: time.Second})
 	b.ReportAllocs()
@@ -55,9 +55,9 @@
 	}
 }
 
-// crowded returns a service of so many upstreams, with so many requests that wait for
+// busyService returns a service of so many upstreams, with so many requests that wait for
 // the first one.
-func crowded(tb testing.TB, upstreams, waiting int) *Service {
+func busyService(tb testing.TB, upstreams, waiting int) *Service {
 	tb.Helper()
 	s := NewService("a", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 	var list []*instances.Instance
@@ -78,7 +78,7 @@
 // TestDecisionAllocatesNothing: the path of a request that finds room makes no garbage.
 func TestDecisionAllocatesNothing(t *testing.T) {
 	for _, owner := range []string{"", "u1"} {
-		s := crowded(t, 313, 500)
+		s := busyService(t, 313, 500)
 		now := start.Add(time.Second)
 		w := &Want{Owner: owner, Objective: time.Second, Deadline: now.Add(time.Hour), Until: now.Add(time.Hour)}
 		allocs := testing.AllocsPerRun(100, func() {
--- a/coordination/dispatch/demand.go
+++ b/coordination/dispatch/demand.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// partOf is this gateway's part of the demand.
-func (s *Service) partOf(news News) float64 {
+// demandFraction is this gateway's part of the demand.
+func (s *Service) demandFraction(news News) float64 {
 	if s.gateways == 1 {
 		return 1
 	}
@@ -27,12 +27,12 @@
 	return s.demand
 }
 
-// measure sums up what the usable upstreams can run.
-func (s *Service) measure(now time.Time) {
+// updateRate sums up what the usable upstreams can run.
+func (s *Service) updateRate(now time.Time) {
 	s.rate = 0
 	for _, u := range s.order {
 		if s.usable(now, u) {
-			s.rate += u.takes(u.rate(now, s.typical))
+			s.rate += u.cappedRate(u.rate(now, s.typical))
 		}
 	}
 }
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -22,12 +22,12 @@
 // number, such as "a1", of two slots each.
 func newService(ids ...string) *Service {
 	s := NewService("a", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
-	s.SetUpstreams(start, list(ids...))
+	s.SetUpstreams(start, instanceList(ids...))
 	s.ReportAll(start, News{Gateways: 1})
 	return s
 }
 
-func list(ids ...string) []*instances.Instance {
+func instanceList(ids ...string) []*instances.Instance {
 	var out []*instances.Instance
 	for _, id := range ids {
 		out = append(out, &instances.Instance{ID: id, Domain: id[:1], Slots: 2})
@@ -35,7 +35,7 @@
 	return out
 }
 
-func want() *Want {
+func newWant() *Want {
 	return &Want{Objective: 300 * ms, Deadline: at(time.Second), Until: at(60 * ms), Verdict: func(Grant, Refusal) {}}
 }
 
@@ -48,49 +48,49 @@
 	return g
 }
 
-// known returns a service of one upstream whose work time is known.
-func known(work time.Duration) *Service {
+// serviceWithWorkTime returns a service of one upstream whose work time is serviceWithWorkTime.
+func serviceWithWorkTime(work time.Duration) *Service {
 	s := newService("a1")
 	s.typical = work
-	learn(s, "a1", work)
+	learnWorkTime(s, "a1", work)
 	return s
 }
 
-// learn lets an upstream answer one request in the given time.
-func learn(s *Service, id string, took time.Duration) {
+// learnWorkTime lets an upstream answer one request in the given time.
+func learnWorkTime(s *Service, id string, took time.Duration) {
 	s.Done(at(took), Grant{Instance: instances.Instance{ID: id}, Began: start}, Answered)
 	s.upstreams[id].mine = 0
 }
 
-func TestOwnDomainFirst(t *testing.T) {
+func TestOwnDomainIsPreferred(t *testing.T) {
 	s := newService("a1", "b1", "c1")
-	if g := mustGrant(t, s, start, want()); g.Instance.ID != "a1" {
+	if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "a1" {
 		t.Errorf("sent to %s", g.Instance.ID)
 	}
 }
 
-func TestFasterOneOfAnotherDomain(t *testing.T) {
+func TestFasterUpstreamOfAnotherDomain(t *testing.T) {
 	s := newService("a1", "b1")
-	learn(s, "a1", 300*ms)
-	learn(s, "b1", 50*ms)
+	learnWorkTime(s, "a1", 300*ms)
+	learnWorkTime(s, "b1", 50*ms)
 	if g := mustGrant(t, s, at(400*ms), &Want{Objective: 2 * time.Second, Deadline: at(time.Minute), Until: at(time.Minute)}); g.Instance.ID != "b1" {
 		t.Errorf("sent to %s", g.Instance.ID)
 	}
 }
 
-// TestFullUpstreamsAreLeftAlone: beyond the bound requests wait, and the first
+// TestFullUpstreamQueuesByPriority: beyond the bound requests wait, and the first
 // end lets the most important through.
-func TestFullUpstreamsAreLeftAlone(t *testing.T) {
-	s := known(10 * ms)
+func TestFullUpstreamQueuesByPriority(t *testing.T) {
+	s := serviceWithWorkTime(10 * ms)
 	var last Grant
 	for range int(2 * slotFactor) {
-		w := want()
+		w := newWant()
 		w.Objective = time.Minute
 		last = mustGrant(t, s, start, w)
 	}
 	verdicts := make(map[int]bool)
 	for _, priority := range []int{2, 0, 1} {
-		w := want()
+		w := newWant()
 		w.Priority = priority
 		w.Verdict = func(_ Grant, r Refusal) { verdicts[priority] = r == 0 }
 		if _, r, decided := s.Offer(start, w); decided {
@@ -107,40 +107,40 @@
 	}
 }
 
-func TestOthersRequestsCount(t *testing.T) {
+func TestReportedRequestsCount(t *testing.T) {
 	s := newService("a1", "b1")
 	s.ReportAll(start, News{InFlight: map[string]float64{"a1": 6}, Gateways: 3})
-	if g := mustGrant(t, s, start, want()); g.Instance.ID != "b1" {
+	if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "b1" {
 		t.Errorf("sent to the full one")
 	}
 	s.ReportAll(start, News{Gateways: 3})
-	if g := mustGrant(t, s, start, want()); g.Instance.ID != "a1" {
+	if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "a1" {
 		t.Errorf("an old report still counts")
 	}
 }
 
 func TestLeavingUpstreamGetsNothing(t *testing.T) {
 	s := newService("a1", "b1")
-	leaving := list("a1", "b1")
+	leaving := instanceList("a1", "b1")
 	leaving[0].Leaving = true
 	s.SetUpstreams(start, leaving)
 	for range 2 {
-		if g := mustGrant(t, s, start, want()); g.Instance.ID != "b1" {
+		if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "b1" {
 			t.Fatal("sent to the leaving one")
 		}
 	}
 	s.SetUpstreams(start, nil)
-	if _, r, decided := s.Offer(start, want()); !decided || r != NoUpstream {
+	if _, r, decided := s.Offer(start, newWant()); !decided || r != NoUpstream {
 		t.Errorf("refusal %v", r)
 	}
 }
 
-// TestUnreachableIsTriedAgain: after a failure the upstream gets nothing for a
+// TestUnreachableUpstreamIsProbed: after a failure the upstream gets nothing for a
 // while, then one request at a time until one is answered.
-func TestUnreachableIsTriedAgain(t *testing.T) {
+func TestUnreachableUpstreamIsProbed(t *testing.T) {
 	s := newService("a1")
-	s.Done(at(10*ms), mustGrant(t, s, start, want()), Unreachable)
-	w := want()
+	s.Done(at(10*ms), mustGrant(t, s, start, newWant()), Unreachable)
+	w := newWant()
 	w.Until = at(10 * ms)
 	if _, r, _ := s.Offer(at(10*ms), w); r != NoRoom {
 		t.Errorf("offered at once: %v", r)
@@ -157,11 +157,11 @@
 	}
 }
 
-// TestOneLongRunIsNoSilence: a single request that runs long does not close the
+// TestOneLongRunIsNotSilence: a single request that runs long does not close the
 // upstream; several that are overdue together do.
-func TestOneLongRunIsNoSilence(t *testing.T) {
+func TestOneLongRunIsNotSilence(t *testing.T) {
 	s := newService("a1")
-	learn(s, "a1", 100*ms)
+	learnWorkTime(s, "a1", 100*ms)
 	now := at(200 * ms)
 	w := &Want{Objective: time.Second, Deadline: at(time.Minute), Until: at(time.Minute)}
 	mustGrant(t, s, now, w)
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestSlownessIsLearned: the work time is learned without what waited ahead.
-func TestSlownessIsLearned(t *testing.T) {
+// TestWorkTimeExcludesQueueing: the work time is learned without what waited ahead.
+func TestWorkTimeExcludesQueueing(t *testing.T) {
 	u := newUpstream(instances.Instance{ID: "a1", Slots: 2}, start)
 	u.observe(start, 300*ms, 5)
 	if u.work != 100*ms {
@@ -188,13 +188,13 @@
 }
 
 func TestTooLateIsRefusedAtOnce(t *testing.T) {
-	s := known(50 * ms)
+	s := serviceWithWorkTime(50 * ms)
 	for range int(2 * slotFactor) {
-		w := want()
+		w := newWant()
 		w.Objective = time.Minute
 		mustGrant(t, s, start, w)
 	}
-	w := want()
+	w := newWant()
 	w.Deadline = at(10 * ms)
 	if _, r, decided := s.Offer(start, w); !decided || r != TooLate {
 		t.Errorf("refusal %v, decided %v", r, decided)
@@ -204,7 +204,7 @@
 // TestOwnerOnly: a request for an owner goes nowhere else.
 func TestOwnerOnly(t *testing.T) {
 	s := newService("a1", "b1")
-	w := want()
+	w := newWant()
 	w.Owner = "b1"
 	if g := mustGrant(t, s, start, w); g.Instance.ID != "b1" {
 		t.Errorf("sent to %s", g.Instance.ID)
@@ -215,15 +215,15 @@
 	}
 }
 
-// TestRestartedUpstreamIsAnother: nothing that was learned of an upstream before it started
+// TestRestartedUpstreamStartsFresh: nothing that was learned of an upstream before it started
 // again is held against it, ends of requests to its former start are not its own, and what
 // waits for it waits on.
-func TestRestartedUpstreamIsAnother(t *testing.T) {
+func TestRestartedUpstreamStartsFresh(t *testing.T) {
 	s := newService("a1")
 	s.upstreams["a1"].BornMs = 1
 	var before []Grant
 	for {
-		w := want()
+		w := newWant()
 		w.Owner = "a1"
 		g, _, decided := s.Offer(start, w)
 		if !decided {
@@ -235,7 +235,7 @@
 		t.Fatalf("%d wait, %d sent", s.waiting, len(before))
 	}
 	s.Done(start, before[0], Unreachable)
-	again := list("a1")
+	again := instanceList("a1")
 	again[0].BornMs = 2
 	s.SetUpstreams(at(ms), again)
 	u := s.upstreams["a1"]
@@ -250,16 +250,16 @@
 	}
 }
 
-// TestHotKeysAreThinned: of the requests for a hot key about the told part is let through, of
+// TestHotKeysAreSampled: of the requests for a hot key about the told part is let through, of
 // others all, and without news no limit holds for long.
-func TestHotKeysAreThinned(t *testing.T) {
+func TestHotKeysAreSampled(t *testing.T) {
 	s := newService("a1")
 	s.ReportAll(start, News{Gateways: limitsFrom, Admit: map[uint16]float64{7: 0.25}})
 	s.upstreams["a1"].share.part = 1
 	through := func(now time.Time, key uint16) int {
 		n := 0
 		for range 1000 {
-			w := want()
+			w := newWant()
 			w.Owner, w.Key = "a1", key
 			g, r, decided := s.Offer(now, w)
 			if !decided || r != 0 && r != HotKey {
@@ -283,27 +283,27 @@
 	}
 }
 
-// TestLetThroughOnce: a request for a hot key that was let through is not drawn for again when
+// TestAdmittedRequestIsNotSampledAgain: a request for a hot key that was let through is not drawn for again when
 // its owner turned out to be another; a second try beside it is.
-func TestLetThroughOnce(t *testing.T) {
+func TestAdmittedRequestIsNotSampledAgain(t *testing.T) {
 	s := newService("a1")
 	s.ReportAll(start, News{Gateways: limitsFrom, Admit: map[uint16]float64{7: 0}})
 	s.upstreams["a1"].share.part = 1
-	w := want()
+	w := newWant()
 	w.Owner, w.Key = "a1", 7
 	if _, r, _ := s.Offer(start, w); r != HotKey {
 		t.Errorf("refusal %v", r)
 	}
-	w = want()
+	w = newWant()
 	w.Owner, w.Key, w.Again = "a1", 7, true
 	mustGrant(t, s, start, w)
 }
 
-// TestWarmUpCountsBesideWhatIsTold: of an upstream that has just started all are told the mean
+// TestWarmUpRaisesReportedWorkTime: of an upstream that has just started all are told the mean
 // of the service, and it is slower.
-func TestWarmUpCountsBesideWhatIsTold(t *testing.T) {
+func TestWarmUpRaisesReportedWorkTime(t *testing.T) {
 	s := newService()
-	one := list("a1")
+	one := instanceList("a1")
 	one[0].WarmUp = time.Second
 	s.typical = 100 * ms
 	s.SetUpstreams(start, one)
@@ -317,21 +317,21 @@
 	}
 }
 
-// TestFewAreCompared: a gateway sends to the same few upstreams while they are sound, others
+// TestFewUpstreamsAreCompared: a gateway sends to the same few upstreams while they are sound, others
 // to others, and beyond them where they fail.
-func TestFewAreCompared(t *testing.T) {
+func TestFewUpstreamsAreCompared(t *testing.T) {
 	var ids []string
 	for i := range 40 {
 		ids = append(ids, fmt.Sprintf("a%d", i), fmt.Sprintf("b%d", i))
 	}
 	used := func(seed uint64, fail bool) map[string]bool {
 		s := NewService("a", 2*time.Second, rand.New(rand.NewPCG(seed, 2)))
-		s.SetUpstreams(start, list(ids...))
+		s.SetUpstreams(start, instanceList(ids...))
 		s.ReportAll(start, News{Gateways: 300})
 		out := make(map[string]bool)
 		for i := range 100 {
 			now := at(time.Duration(i) * 100 * ms)
-			g := mustGrant(t, s, now, want())
+			g := mustGrant(t, s, now, newWant())
 			out[g.Instance.ID] = true
 			end := Answered
 			if fail {
@@ -342,20 +342,20 @@
 		return out
 	}
 	one, other := used(1, false), used(7, false)
-	if len(one) > 2*compared || len(other) > 2*compared {
+	if len(one) > 2*candidates || len(other) > 2*candidates {
 		t.Errorf("%d and %d upstreams are used", len(one), len(other))
 	}
 	if cmp.Equal(one, other) {
 		t.Error("two gateways use the same upstreams")
 	}
-	if n := len(used(1, true)); n <= 2*compared {
+	if n := len(used(1, true)); n <= 2*candidates {
 		t.Errorf("only %d are tried though all fail", n)
 	}
 }
 
-// TestNothingIsLost: whatever comes and goes, each request gets one verdict and
+// TestEachRequestGetsOneVerdict: whatever comes and goes, each request gets one verdict and
 // no slot stays taken.
-func TestNothingIsLost(t *testing.T) {
+func TestEachRequestGetsOneVerdict(t *testing.T) {
 	s := newService("a1", "b1", "c1")
 	rng := rand.New(rand.NewPCG(3, 4))
 	var running []Grant
@@ -420,10 +420,10 @@
 // for longer than allowed.
 func TestLeavingOwner(t *testing.T) {
 	s := newService("a1")
-	leaving := list("a1")
+	leaving := instanceList("a1")
 	leaving[0].Leaving = true
 	s.SetUpstreams(start, leaving)
-	w := want()
+	w := newWant()
 	w.Owner, w.Until, w.Deadline = "a1", at(time.Minute), at(time.Minute)
 	mustGrant(t, s, at(time.Second), w)
 	if _, r, decided := s.Offer(at(2*time.Second), w); decided && r == 0 {
@@ -431,11 +431,11 @@
 	}
 }
 
-// TestBlindGatewaysShare: before a report, and as it ages, the other gateways are
+// TestInflightEstimateWithoutReports: before a report, and as it ages, the other gateways are
 // taken to send as much as this one, so that all together fill an upstream once.
-func TestBlindGatewaysShare(t *testing.T) {
+func TestInflightEstimateWithoutReports(t *testing.T) {
 	fresh := NewService("a", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
-	fresh.SetUpstreams(start, list("a1"))
+	fresh.SetUpstreams(start, instanceList("a1"))
 	u := fresh.upstreams["a1"]
 	u.mine = 2
 	if n := u.inflight(start); n != 2*firstGateways {
@@ -450,24 +450,24 @@
 	}
 }
 
-// TestBrokenByAFullUpstream: one that breaks connections with all its slots taken is
+// TestConnectionBrokenByFullUpstream: one that breaks connections with all its slots taken is
 // full and is left alone for a moment; with slots free it only failed. (Second tries
 // reached the same full upstream 2 ms after the first: 446 answers of unknown outcome on
 // abyconnect-sim-grown quiet-1.)
-func TestBrokenByAFullUpstream(t *testing.T) {
+func TestConnectionBrokenByFullUpstream(t *testing.T) {
 	for name, c := range map[string]struct {
 		running int
 		want    bool
 	}{"full": {5, false}, "slots free": {1, true}} {
-		s := known(10 * ms)
-		w := want()
+		s := serviceWithWorkTime(10 * ms)
+		w := newWant()
 		w.Objective = time.Minute
 		var last Grant
 		for range c.running {
 			last = mustGrant(t, s, start, w)
 		}
 		s.Done(at(ms), last, Broken)
-		again := want()
+		again := newWant()
 		again.Objective = time.Minute
 		again.Verdict = func(Grant, Refusal) {}
 		if _, _, decided := s.Offer(at(ms), again); decided != c.want {
--- a/coordination/dispatch/limited_test.go
+++ b/coordination/dispatch/limits_test.go
@@ -9,29 +9,29 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// limited returns a service of one gateway of several, whose upstreams of the IDs name a limit
+// limitedService returns a service of one gateway of several, whose upstreams of the IDs name a limit
 // while so many requests a second are wanted of each, and so many are asked for here.
-func limited(limits map[string]float64, wanted, here float64, ids ...string) *Service {
+func limitedService(limits map[string]float64, wanted, here float64, ids ...string) *Service {
 	s := newService(ids...)
 	s.typical = 10 * ms
 	news := News{Gateways: 3, Limits: make(map[string]Limit)}
 	for id, perSecond := range limits {
-		news.Limits[id] = Limit{PerSecond: perSecond, Wanted: wanted - here}
+		news.Limits[id] = Limit{PerSecond: perSecond, OthersDemand: wanted - here}
 	}
 	s.ReportAll(start, news)
-	s.Wanted(start.Add(-time.Second))
+	s.LimitedDemand(start.Add(-time.Second))
 	for _, u := range s.order {
 		for range int(here) {
 			u.wanted.Add()
 		}
 	}
-	s.Wanted(start)
+	s.LimitedDemand(start)
 	return s
 }
 
-// askMany offers requests one after the other, each when the former has been answered, and
+// offerMany offers requests one after the other, each when the former has been answered, and
 // counts where they went and why they were refused.
-func askMany(s *Service, n int, owner string) (went map[string]int, refused map[Refusal]int) {
+func offerMany(s *Service, n int, owner string) (went map[string]int, refused map[Refusal]int) {
 	went, refused = make(map[string]int), make(map[Refusal]int)
 	for i := range n {
 		now := at(time.Minute + time.Duration(i)*20*ms)
@@ -54,27 +54,27 @@
 // TestLimitedOwnerRefusesAtOnce: requests for the keys of an owner that takes a quarter of what
 // is asked for are let through by that part, and the rest is refused without a wait.
 func TestLimitedOwnerRefusesAtOnce(t *testing.T) {
-	s := limited(map[string]float64{"a1": 10}, 40, 10, "a1", "a2")
-	went, refused := askMany(s, 2000, "a1")
+	s := limitedService(map[string]float64{"a1": 10}, 40, 10, "a1", "a2")
+	went, refused := offerMany(s, 2000, "a1")
 	if n := went["a1"]; n < 380 || n > 520 {
 		t.Errorf("%d of 2000 let through, the limit is a quarter", n)
 	}
 	if refused[Limited]+went["a1"] != 2000 {
 		t.Errorf("refused: %v", refused)
 	}
-	if went, _ := askMany(s, 100, "a2"); went["a2"] != 100 {
+	if went, _ := offerMany(s, 100, "a2"); went["a2"] != 100 {
 		t.Errorf("%d of 100 let through to an owner that names no limit", went["a2"])
 	}
 }
 
-// TestLimitedOwnerTakesWhatItNames: of few requests too, callers get as many through as the owner
+// TestLimitedOwnerGetsItsLimit: of few requests too, callers get as many through as the owner
 // takes, and not by luck fewer or more.
-func TestLimitedOwnerTakesWhatItNames(t *testing.T) {
+func TestLimitedOwnerGetsItsLimit(t *testing.T) {
 	const perSecond, wanted, batch = 10.0, 40.0, 20
-	s := limited(map[string]float64{"a1": perSecond}, wanted, 10, "a1")
+	s := limitedService(map[string]float64{"a1": perSecond}, wanted, 10, "a1")
 	let := 0
 	for i := range 50 {
-		went, refused := askMany(s, batch, "a1")
+		went, refused := offerMany(s, batch, "a1")
 		let += went["a1"]
 		if refused[Limited]+went["a1"] != batch {
 			t.Fatalf("refused: %v", refused)
@@ -86,28 +86,28 @@
 	}
 }
 
-// TestLimitedUpstreamIsSpared: what any may run goes to the others, and nothing is refused.
-func TestLimitedUpstreamIsSpared(t *testing.T) {
-	s := limited(map[string]float64{"a1": 10}, 100, 40, "a1", "a2")
-	went, refused := askMany(s, 2000, "")
+// TestExcessGoesToUnlimitedUpstreams: what any may run goes to the others, and nothing is refused.
+func TestExcessGoesToUnlimitedUpstreams(t *testing.T) {
+	s := limitedService(map[string]float64{"a1": 10}, 100, 40, "a1", "a2")
+	went, refused := offerMany(s, 2000, "")
 	if len(refused) > 0 || went["a1"] == 0 || went["a1"] > 300 {
 		t.Errorf("went %v, refused %v", went, refused)
 	}
 }
 
-// TestAllLimited: where all name a limit the rest is refused at once.
-func TestAllLimited(t *testing.T) {
-	s := limited(map[string]float64{"a1": 10, "a2": 10}, 100, 40, "a1", "a2")
-	went, refused := askMany(s, 2000, "")
+// TestExcessIsRefusedWhenAllAreLimited: where all name a limit the rest is refused at once.
+func TestExcessIsRefusedWhenAllAreLimited(t *testing.T) {
+	s := limitedService(map[string]float64{"a1": 10, "a2": 10}, 100, 40, "a1", "a2")
+	went, refused := offerMany(s, 2000, "")
 	if n := went["a1"] + went["a2"]; n < 100 || n > 700 || refused[Limited] != 2000-n {
 		t.Errorf("went %v, refused %v", went, refused)
 	}
 }
 
-// TestWaitingRequestsAreJudgedOnce: by a limit that is named while they wait. Judged at each look
+// TestWaitingRequestsAreSampledOnce: by a limit that is named while they wait. Judged at each look
 // they would all get through.
-func TestWaitingRequestsAreJudgedOnce(t *testing.T) {
-	s := limited(nil, 0, 40, "a1")
+func TestWaitingRequestsAreSampledOnce(t *testing.T) {
+	s := limitedService(nil, 0, 40, "a1")
 	passed, refused := 0, 0
 	verdict := func(_ Grant, r Refusal) {
 		if r == 0 {
@@ -127,7 +127,7 @@
 	if waiting < 10 {
 		t.Fatalf("%d wait", waiting)
 	}
-	s.SetLimits(start, map[string]Limit{"a1": {PerSecond: 1, Wanted: 60}})
+	s.SetLimits(start, map[string]Limit{"a1": {PerSecond: 1, OthersDemand: 60}})
 	for i := range 50 {
 		s.Tick(at(time.Duration(i) * 20 * ms))
 	}
@@ -139,28 +139,28 @@
 	}
 }
 
-// TestLimitEnds: when an upstream names none any more it gets all again.
-func TestLimitEnds(t *testing.T) {
-	s := limited(map[string]float64{"a1": 1}, 100, 40, "a1")
+// TestWithdrawnLimitLetsAllThrough: when an upstream names none any more it gets all again.
+func TestWithdrawnLimitLetsAllThrough(t *testing.T) {
+	s := limitedService(map[string]float64{"a1": 1}, 100, 40, "a1")
 	s.ReportAll(at(time.Second), News{Gateways: 3})
-	if went, _ := askMany(s, 100, "a1"); went["a1"] != 100 {
+	if went, _ := offerMany(s, 100, "a1"); went["a1"] != 100 {
 		t.Errorf("%d of 100 let through", went["a1"])
 	}
 }
 
-// TestUnknownOthersAreAlike: before a gateway has heard what the others are asked for, it takes
+// TestUnknownDemandIsAssumedEqual: before a gateway has heard what the others are asked for, it takes
 // its part of the limit and not the whole.
-func TestUnknownOthersAreAlike(t *testing.T) {
-	s := limited(nil, 0, 40, "a1")
-	s.SetLimits(start, map[string]Limit{"a1": {PerSecond: 30, Wanted: -1}})
-	if n := s.upstreams["a1"].wantedByAll(at(time.Hour)); n < 100 || n > 140 {
+func TestUnknownDemandIsAssumedEqual(t *testing.T) {
+	s := limitedService(nil, 0, 40, "a1")
+	s.SetLimits(start, map[string]Limit{"a1": {PerSecond: 30, OthersDemand: -1}})
+	if n := s.upstreams["a1"].totalDemand(at(time.Hour)); n < 100 || n > 140 {
 		t.Errorf("%.0f wanted by three gateways, 40 by this one", n)
 	}
 }
 
-// TestLimitIsThatOfAllGateways: several gateways that hear of each other by reports keep within
+// TestGatewaysKeepLimitTogether: several gateways that hear of each other by reports keep within
 // the limit of one owner together, and let through most of it.
-func TestLimitIsThatOfAllGateways(t *testing.T) {
+func TestGatewaysKeepLimitTogether(t *testing.T) {
 	const (
 		gateways, perSecond = 11, 10.0
 		report              = 100 * ms
@@ -183,8 +183,8 @@
 				for _, n := range told {
 					others += n
 				}
-				s.ReportAll(at(now), News{Gateways: gateways, Limits: map[string]Limit{"u": {PerSecond: perSecond, Wanted: others}}})
-				told[i] = s.Wanted(at(now))["u"]
+				s.ReportAll(at(now), News{Gateways: gateways, Limits: map[string]Limit{"u": {PerSecond: perSecond, OthersDemand: others}}})
+				told[i] = s.LimitedDemand(at(now))["u"]
 			}
 			if rng.Float64() >= 3*perSecond*ms.Seconds()/gateways {
 				continue
--- a/coordination/dispatch/notices_test.go
+++ b/coordination/dispatch/notices_test.go
@@ -7,48 +7,48 @@
 	"github.com/rockcroft/rockcroft/coordination/notice"
 )
 
-// forOwner wants the owner of a key.
-func forOwner(owner string) *Want {
-	w := want()
+// wantOwner wants the owner of a key.
+func wantOwner(owner string) *Want {
+	w := newWant()
 	w.Owner = owner
 	return w
 }
 
-// notices lets an upstream answer a request that was granted, and say something of itself.
-func notices(s *Service, now time.Time, g Grant, n notice.Notice) {
-	s.Noticed(now, g, n)
+// answerWithNotice lets an upstream answer a request that was granted, and say something of itself.
+func answerWithNotice(s *Service, now time.Time, g Grant, n notice.Notice) {
+	s.ApplyNotice(now, g, n)
 	s.Done(now, g, Answered)
 }
 
-// TestOneThatSaysItLeavesGetsNothing: others are sent to from the word on, also once a request
+// TestLeavingNoticeStopsRequests: others are sent to from the word on, also once a request
 // for them waits, and no later answer without it takes it back.
-func TestOneThatSaysItLeavesGetsNothing(t *testing.T) {
+func TestLeavingNoticeStopsRequests(t *testing.T) {
 	s := newService("a1", "b1")
-	notices(s, start, mustGrant(t, s, start, want()), notice.Notice{Leaving: true})
+	answerWithNotice(s, start, mustGrant(t, s, start, newWant()), notice.Notice{Leaving: true})
 	for i := range 4 {
-		g := mustGrant(t, s, at(time.Duration(i)*ms), want())
+		g := mustGrant(t, s, at(time.Duration(i)*ms), newWant())
 		if g.Instance.ID != "b1" {
 			t.Fatalf("sent to %s", g.Instance.ID)
 		}
 	}
-	s.Noticed(at(10*ms), Grant{Instance: s.upstreams["a1"].Instance}, notice.Notice{})
-	if r := s.closed(at(time.Hour), s.upstreams["a1"]); r != Leaving {
+	s.ApplyNotice(at(10*ms), Grant{Instance: s.upstreams["a1"].Instance}, notice.Notice{})
+	if r := s.blockedReason(at(time.Hour), s.upstreams["a1"]); r != Leaving {
 		t.Errorf("after an answer without the word: %v", r)
 	}
 }
 
-// TestOwnerThatSaysItLeaves gets requests for a moment, until its keys have moved, and then none:
+// TestLeavingNoticeOfOwner gets requests for a moment, until its keys have moved, and then none:
 // what waits is refused, and what was granted before is not sent.
-func TestOwnerThatSaysItLeaves(t *testing.T) {
+func TestLeavingNoticeOfOwner(t *testing.T) {
 	s := newService("a1")
-	g := mustGrant(t, s, start, forOwner("a1"))
-	notices(s, start, g, notice.Notice{Leaving: true})
-	granted := mustGrant(t, s, at(s.drain), forOwner("a1"))
+	g := mustGrant(t, s, start, wantOwner("a1"))
+	answerWithNotice(s, start, g, notice.Notice{Leaving: true})
+	granted := mustGrant(t, s, at(s.drain), wantOwner("a1"))
 	for range 8 {
-		s.Offer(at(s.drain), forOwner("a1"))
+		s.Offer(at(s.drain), wantOwner("a1"))
 	}
 	refused := Refusal(0)
-	w := forOwner("a1")
+	w := wantOwner("a1")
 	w.Until, w.Deadline = at(time.Minute), at(time.Hour)
 	w.Objective = time.Hour
 	w.Verdict = func(_ Grant, r Refusal) { refused = r }
@@ -66,155 +66,155 @@
 	if s.MaySend(after, granted) {
 		t.Error("sent too late")
 	}
-	if _, r, decided := s.Offer(after, forOwner("a1")); !decided || r != Leaving {
+	if _, r, decided := s.Offer(after, wantOwner("a1")); !decided || r != Leaving {
 		t.Errorf("too late: %v, decided %v", r, decided)
 	}
-	cold := forOwner("a1")
+	cold := wantOwner("a1")
 	cold.Cold = true
 	if _, r, decided := s.Offer(after, cold); !decided || r != Leaving {
 		t.Errorf("cold and too late: %v, decided %v", r, decided)
 	}
 }
 
-// TestWordsOutlastLists: a list without an upstream, and one with it again, do not take back what
+// TestNoticesOutlastMissingEntries: a list without an upstream, and one with it again, do not take back what
 // it has said; another start of it has said nothing.
-func TestWordsOutlastLists(t *testing.T) {
+func TestNoticesOutlastMissingEntries(t *testing.T) {
 	s := newService("a1", "b1")
-	born := list("a1", "b1")
+	born := instanceList("a1", "b1")
 	born[0].BornMs = 1000
 	s.SetUpstreams(start, born)
-	notices(s, start, Grant{Instance: *born[0], Began: start}, notice.Notice{Leaving: true})
-	s.SetUpstreams(at(ms), list("b1"))
+	answerWithNotice(s, start, Grant{Instance: *born[0], Began: start}, notice.Notice{Leaving: true})
+	s.SetUpstreams(at(ms), instanceList("b1"))
 	s.SetUpstreams(at(time.Minute), born)
-	if s.closedOwner(at(time.Minute+s.drain+ms), s.upstreams["a1"]) != Leaving {
+	if s.ownerBlockedReason(at(time.Minute+s.drain+ms), s.upstreams["a1"]) != Leaving {
 		t.Error("forgotten")
 	}
-	again := list("a1", "b1")
+	again := instanceList("a1", "b1")
 	again[0].BornMs = 2000
 	s.SetUpstreams(at(2*time.Minute), again)
-	if r := s.closed(at(time.Hour), s.upstreams["a1"]); r != 0 {
+	if r := s.blockedReason(at(time.Hour), s.upstreams["a1"]); r != 0 {
 		t.Errorf("another start: %v", r)
 	}
-	s.Noticed(at(2*time.Minute), Grant{Instance: *born[0]}, notice.Notice{Leaving: true})
-	if r := s.closed(at(time.Hour), s.upstreams["a1"]); r != 0 {
+	s.ApplyNotice(at(2*time.Minute), Grant{Instance: *born[0]}, notice.Notice{Leaving: true})
+	if r := s.blockedReason(at(time.Hour), s.upstreams["a1"]); r != 0 {
 		t.Errorf("another start, after an answer of the former: %v", r)
 	}
 }
 
-// TestEntryTakesLeavingBack: an upstream that was only shown as leaving serves again when it is
+// TestEntryRevokesLeaving: an upstream that was only shown as leaving serves again when it is
 // not any more, and has its time anew when it is once more.
-func TestEntryTakesLeavingBack(t *testing.T) {
+func TestEntryRevokesLeaving(t *testing.T) {
 	s := newService("a1")
-	leaving := list("a1")
+	leaving := instanceList("a1")
 	leaving[0].Leaving = true
 	s.SetUpstreams(start, leaving)
-	s.SetUpstreams(at(time.Minute), list("a1"))
-	g := mustGrant(t, s, at(time.Minute), forOwner("a1"))
+	s.SetUpstreams(at(time.Minute), instanceList("a1"))
+	g := mustGrant(t, s, at(time.Minute), wantOwner("a1"))
 	s.Done(at(time.Minute), g, Answered)
 	s.SetUpstreams(at(2*time.Minute), leaving)
-	if r := s.closedOwner(at(2*time.Minute+s.drain), s.upstreams["a1"]); r != 0 {
+	if r := s.ownerBlockedReason(at(2*time.Minute+s.drain), s.upstreams["a1"]); r != 0 {
 		t.Errorf("within its time: %v", r)
 	}
 }
 
-// TestRestingGetsNothing, neither as an owner nor else, for as long as it has asked for, whatever it
+// TestRestingUpstreamGetsNothing, neither as an owner nor else, for as long as it has asked for, whatever it
 // answers meanwhile; then one request at a time goes there until one is answered.
-func TestRestingGetsNothing(t *testing.T) {
+func TestRestingUpstreamGetsNothing(t *testing.T) {
 	s := newService("a1", "b1")
-	asked := mustGrant(t, s, start, want())
-	early := mustGrant(t, s, start, forOwner("a1"))
-	s.Noticed(start, asked, notice.Notice{Rest: 3 * time.Second})
+	asked := mustGrant(t, s, start, newWant())
+	early := mustGrant(t, s, start, wantOwner("a1"))
+	s.ApplyNotice(start, asked, notice.Notice{Rest: 3 * time.Second})
 	s.Done(start, asked, Full)
 	if s.MaySend(start, early) {
 		t.Error("what was granted before is sent")
 	}
-	s.Noticed(at(ms), early, notice.Notice{})
-	s.Noticed(at(2*ms), early, notice.Notice{Rest: time.Second})
+	s.ApplyNotice(at(ms), early, notice.Notice{})
+	s.ApplyNotice(at(2*ms), early, notice.Notice{Rest: time.Second})
 	s.Done(at(3*ms), early, Answered)
 	for _, d := range []time.Duration{4 * ms, time.Second + 3*ms, 3*time.Second - ms} {
-		later := forOwner("a1")
+		later := wantOwner("a1")
 		later.Until, later.Deadline = at(time.Minute), at(time.Minute)
 		if _, r, decided := s.Offer(at(d), later); !decided || r != Resting {
 			t.Errorf("its keys after %s: %v, decided %v", d, r, decided)
 		}
-		if g := mustGrant(t, s, at(d), want()); g.Instance.ID != "b1" {
+		if g := mustGrant(t, s, at(d), newWant()); g.Instance.ID != "b1" {
 			t.Errorf("sent to %s after %s", g.Instance.ID, d)
 		} else {
 			s.Done(at(d), g, Answered)
 		}
-		if left := s.RestLeft(at(d), later); left != 3*time.Second-d {
+		if left := s.RestRemaining(at(d), later); left != 3*time.Second-d {
 			t.Errorf("%s left after %s", left, d)
 		}
 	}
-	trial := mustGrant(t, s, at(3*time.Second), forOwner("a1"))
-	if _, r, decided := s.Offer(at(3*time.Second), forOwner("a1")); decided && r == 0 {
+	trial := mustGrant(t, s, at(3*time.Second), wantOwner("a1"))
+	if _, r, decided := s.Offer(at(3*time.Second), wantOwner("a1")); decided && r == 0 {
 		t.Error("two at once after the rest")
 	}
 	s.Done(at(3*time.Second+ms), trial, Answered)
 	for range 2 {
-		mustGrant(t, s, at(3*time.Second+2*ms), forOwner("a1"))
+		mustGrant(t, s, at(3*time.Second+2*ms), wantOwner("a1"))
 	}
 }
 
-// TestWaitingForRestingIsRefused at once, with the time to come back, also where any could run it.
-func TestWaitingForRestingIsRefused(t *testing.T) {
-	s := known(10 * ms)
+// TestRequestsWaitingForRestingUpstreamAreRefused at once, with the time to come back, also where any could run it.
+func TestRequestsWaitingForRestingUpstreamAreRefused(t *testing.T) {
+	s := serviceWithWorkTime(10 * ms)
 	var last Grant
 	for range int(2 * slotFactor) {
-		w := want()
+		w := newWant()
 		w.Objective = time.Minute
 		last = mustGrant(t, s, start, w)
 	}
 	refused := make(map[string]Refusal)
-	for name, w := range map[string]*Want{"owner": forOwner("a1"), "any": want()} {
+	for name, w := range map[string]*Want{"owner": wantOwner("a1"), "any": newWant()} {
 		w.Verdict = func(_ Grant, r Refusal) { refused[name] = r }
 		if _, r, decided := s.Offer(start, w); decided {
 			t.Fatalf("%s decided at once: %v", name, r)
 		}
 	}
-	s.Noticed(at(ms), last, notice.Notice{Rest: time.Second})
+	s.ApplyNotice(at(ms), last, notice.Notice{Rest: time.Second})
 	s.Done(at(ms), last, Full)
 	s.Tick(at(2 * ms))
 	if refused["owner"] != Resting || refused["any"] != Resting || s.Waiting() != 0 {
 		t.Errorf("refused %v, %d wait", refused, s.Waiting())
 	}
-	if _, r, decided := s.Offer(at(3*ms), want()); !decided || r != Resting {
+	if _, r, decided := s.Offer(at(3*ms), newWant()); !decided || r != Resting {
 		t.Errorf("the next: %v, decided %v", r, decided)
 	}
 }
 
-// TestRestsAreBounded: an upstream that asks for a day is asked again after some minutes.
-func TestRestsAreBounded(t *testing.T) {
+// TestRestIsBounded: an upstream that asks for a day is asked again after some minutes.
+func TestRestIsBounded(t *testing.T) {
 	s := newService("a1")
-	g := mustGrant(t, s, start, want())
-	s.Noticed(start, g, notice.Notice{Rest: 24 * time.Hour})
+	g := mustGrant(t, s, start, newWant())
+	s.ApplyNotice(start, g, notice.Notice{Rest: 24 * time.Hour})
 	s.Done(start, g, Full)
-	if left := s.RestLeft(start, want()); left != 5*time.Minute {
+	if left := s.RestRemaining(start, newWant()); left != 5*time.Minute {
 		t.Errorf("rests for %s", left)
 	}
 }
 
-// TestAnswersOfOneNotListed count when it is listed again, from when they came, and not for another
+// TestNoticesOfUnlistedUpstream count when it is listed again, from when they came, and not for another
 // start whose answers come meanwhile; what was granted before is not sent.
-func TestAnswersOfOneNotListed(t *testing.T) {
+func TestNoticesOfUnlistedUpstream(t *testing.T) {
 	s := newService("a1")
-	born := list("a1")
+	born := instanceList("a1")
 	born[0].BornMs = 2000
 	s.SetUpstreams(start, born)
-	now, later := mustGrant(t, s, start, want()), mustGrant(t, s, start, forOwner("a1"))
+	now, later := mustGrant(t, s, start, newWant()), mustGrant(t, s, start, wantOwner("a1"))
 	s.SetUpstreams(at(ms), nil)
 	if s.MaySend(at(2*ms), later) {
 		t.Error("sent to one that is not listed")
 	}
-	notices(s, at(2*ms), now, notice.Notice{Leaving: true, Rest: 3 * time.Second})
+	answerWithNotice(s, at(2*ms), now, notice.Notice{Leaving: true, Rest: 3 * time.Second})
 	former := now
 	former.Instance.BornMs = 1000
-	notices(s, at(3*ms), former, notice.Notice{Rest: time.Minute})
+	answerWithNotice(s, at(3*ms), former, notice.Notice{Rest: time.Minute})
 	s.SetUpstreams(at(time.Second), born)
-	if left := s.RestLeft(at(time.Second), want()); left != 2*time.Second+2*ms {
+	if left := s.RestRemaining(at(time.Second), newWant()); left != 2*time.Second+2*ms {
 		t.Errorf("%s left to rest", left)
 	}
-	if r := s.closedOwner(at(3*time.Second+3*ms), s.upstreams["a1"]); r != Leaving {
+	if r := s.ownerBlockedReason(at(3*time.Second+3*ms), s.upstreams["a1"]); r != Leaving {
 		t.Errorf("a new time for its keys: %v", r)
 	}
 }
--- a/coordination/dispatch/queue.go
+++ b/coordination/dispatch/queue.go
@@ -59,10 +59,10 @@
 	return n
 }
 
-// each calls visit with all requests, the most important and then the oldest first,
+// forEach calls visit with all requests, the most important and then the oldest first,
 // and takes out those for which it says so. It ends when visit says that the rest
 // stays.
-func (q *queue) each(visit func(*Want) (taken, rest bool)) {
+func (q *queue) forEach(visit func(*Want) (taken, rest bool)) {
 	for i := range q.levels {
 		wants := q.levels[i].wants
 		kept := wants[:0]
@@ -89,12 +89,12 @@
 	}
 }
 
-// late takes out the requests whose time to wait is over.
-func (q *queue) late(now time.Time, refuse func(*Want)) {
+// expire takes out the requests whose time to wait is over.
+func (q *queue) expire(now time.Time, refuse func(*Want)) {
 	if q.size == 0 {
 		return
 	}
-	q.each(func(w *Want) (taken, rest bool) {
+	q.forEach(func(w *Want) (taken, rest bool) {
 		if now.Before(w.Until) {
 			return false, false
 		}
--- a/coordination/dispatch/report.go
+++ b/coordination/dispatch/report.go
@@ -57,31 +57,31 @@
 	Usable    int
 	// Waiting is the number of requests that wait here.
 	Waiting int
-	// Mine are the requests from here at the owner, or at all upstreams, Hung those of
+	// OwnInflight are the requests from here at the owner, or at all upstreams, Hung those of
 	// them that seem forgotten there; Others those that other gateways reported,
 	// ReportAge ago.
-	Mine      int
-	Hung      int
-	Others    float64
-	ReportAge time.Duration
+	OwnInflight    int
+	HungInflight   int
+	OthersInflight float64
+	ReportAge      time.Duration
 	// Slots is how many run at once there, Work how long one takes.
-	Slots int
-	Work  time.Duration
+	Slots   int
+	RunTime time.Duration
 	// Part is this gateway's part of the room, Saved how much of it is left at the
 	// owner.
-	Part  float64
-	Saved float64
-	// Limited is the number of them that name a limit, Limit the owner's, in requests a second,
+	Part       float64
+	SavedShare float64
+	// LimitedUpstreams is the number of them that name a limit, Limit the owner's, in requests a second,
 	// and Wanted what all gateways are asked for of the owner.
-	Limited int
-	Limit   float64
-	Wanted  float64
+	LimitedUpstreams int
+	Limit            float64
+	TotalDemand      float64
 }
 
 // Explain returns what a decision for the owner, or for any upstream, would be
 // made from.
 func (s *Service) Explain(now time.Time, owner string) Explanation {
-	e := Explanation{Waiting: s.waiting, Work: s.typical, Part: s.part}
+	e := Explanation{Waiting: s.waiting, RunTime: s.typical, Part: s.part}
 	for _, u := range s.order {
 		if owner != "" && u.ID != owner {
 			continue
@@ -90,22 +90,22 @@
 		if s.usable(now, u) {
 			e.Usable++
 		}
-		e.Mine += u.mine
-		e.Hung += u.hung
-		e.Others += u.others
+		e.OwnInflight += u.mine
+		e.HungInflight += u.hung
+		e.OthersInflight += u.others
 		e.Slots += u.Slots
 		if !u.othersAt.IsZero() {
 			e.ReportAge = max(e.ReportAge, now.Sub(u.othersAt))
 		}
 		if u.limit != nil {
-			e.Limited++
+			e.LimitedUpstreams++
 		}
 		if owner != "" && u.limit != nil {
-			e.Limit, e.Wanted = u.limit.PerSecond, u.wantedByAll(now)
+			e.Limit, e.TotalDemand = u.limit.PerSecond, u.totalDemand(now)
 		}
 		if owner != "" {
-			e.Work = u.workTime(now, s.typical)
-			e.Saved = u.share.saved
+			e.RunTime = u.workTime(now, s.typical)
+			e.SavedShare = u.share.saved
 		}
 	}
 	return e
--- a/coordination/dispatch/service.go
+++ b/coordination/dispatch/service.go
@@ -113,8 +113,8 @@
 		}
 		s.noteEntry(now, u, *one)
 		u.off = s.Off
-		s.noteLeaving(now, u)
-		s.noteEvacuated(now, u)
+		s.updateLeaving(now, u)
+		s.updateEvacuated(now, u)
 		known[one.ID] = u
 		s.order = append(s.order, u)
 		delete(s.upstreams, one.ID)
@@ -125,9 +125,9 @@
 	}
 	s.upstreams = known
 	s.entrusted = slices.DeleteFunc(s.entrusted, func(u *Upstream) bool { return known[u.ID] != u })
-	s.ranked.set(s.order, s.domain)
-	s.measure(now)
-	s.pumpAll(now)
+	s.ranked.update(s.order, s.domain)
+	s.updateRate(now)
+	s.grantWaiting(now)
 }
 
 // begin returns an upstream of which nothing is known. former is the one that had its ID
@@ -145,7 +145,7 @@
 	u.said = s.unlisted.Take(one.ID, one.Incarnation())
 	if s.evacuated(one.Domain) {
 		// Since when it is evacuated is not known of one that is listed only now.
-		u.evacuatedSince = now.Add(-2 * evacuationDrain)
+		u.evacuatedSince = now.Add(-2 * evacuationGrace)
 	}
 	s.noteWarming(now, u)
 	return u
@@ -154,7 +154,7 @@
 // ReportAll takes over what the other gateways reported.
 func (s *Service) ReportAll(now time.Time, news News) {
 	s.gateways = max(news.Gateways, 1)
-	s.part = s.partOf(news)
+	s.part = s.demandFraction(news)
 	s.admit, s.admitAt = news.Admit, now
 	s.takeRights(news.Rights)
 	s.SetLimits(now, news.Limits)
@@ -167,8 +167,8 @@
 		u.othersAt = now
 		u.share.report(now, u.rate(now, s.typical), s.part, u.inflight(now), u.Slots)
 	}
-	s.measure(now)
-	s.pumpAll(now)
+	s.updateRate(now)
+	s.grantWaiting(now)
 }
 
 // Offer asks for an upstream. Without a grant or a refusal the request waits
@@ -190,7 +190,7 @@
 			return Grant{}, NoUpstream, true
 		}
 		u.wanted.Add()
-		if !s.admits(now, w, u) {
+		if !s.withinLimit(now, w, u) {
 			return Grant{}, Limited, true
 		}
 		q = &u.queue
@@ -200,7 +200,7 @@
 			return g, 0, true
 		}
 	}
-	if r := s.hopeless(now, w, u, q.ahead(w.Priority)); r != 0 {
+	if r := s.waitRefusal(now, w, u, q.ahead(w.Priority)); r != 0 {
 		return Grant{}, r, true
 	}
 	q.add(w)
@@ -228,8 +228,8 @@
 	switch {
 	case u == nil:
 		return Grant{}, NoUpstream, true
-	case s.closedOwner(now, u) != 0:
-		return Grant{}, s.closedOwner(now, u), true
+	case s.ownerBlockedReason(now, u) != 0:
+		return Grant{}, s.ownerBlockedReason(now, u), true
 	case !s.answers(now, u):
 		return Grant{}, OwnerSilent, true
 	case !s.mayStart(now, u):
@@ -238,7 +238,7 @@
 		return Grant{}, ColdKey, true
 	}
 	u.wanted.Add()
-	if !s.admits(now, w, u) {
+	if !s.withinLimit(now, w, u) {
 		return Grant{}, Limited, true
 	}
 	g := s.send(now, u)
@@ -253,7 +253,7 @@
 	if w.Owner != "" {
 		best = s.owner(now, w)
 	} else {
-		best = s.best(now, w)
+		best = s.chooseUpstream(now, w)
 	}
 	if best == nil {
 		return Grant{}, false
@@ -284,12 +284,12 @@
 // answers reports whether an owner takes requests: it is not about to end, was
 // reached lately and has not fallen silent.
 func (s *Service) answers(now time.Time, u *Upstream) bool {
-	return s.closedOwner(now, u) == 0 && u.answers(now, s.typical)
+	return s.ownerBlockedReason(now, u) == 0 && u.answers(now, s.typical)
 }
 
 // usable reports whether the upstream may get a request that any may run.
 func (s *Service) usable(now time.Time, u *Upstream) bool {
-	return s.closed(now, u) == 0 && u.usable(now, s.typical) && s.mayStart(now, u)
+	return s.blockedReason(now, u) == 0 && u.usable(now, s.typical) && s.mayStart(now, u)
 }
 
 func excluded(w *Want, id string) bool {
@@ -303,7 +303,7 @@
 
 // Done ends a try and lets waiting requests through.
 func (s *Service) Done(now time.Time, g Grant, o Outcome) {
-	u := s.granted(g)
+	u := s.grantedUpstream(g)
 	if u == nil {
 		return
 	}
@@ -314,8 +314,8 @@
 	if o == Answered && u.work > 0 && !g.Cold && !g.Warming {
 		s.typical += time.Duration(workWeight / 4 * (u.usualSlowness()*float64(u.work) - float64(s.typical)))
 	}
-	s.pump(now, &u.queue)
-	s.pump(now, &s.queue)
+	s.grantFromQueue(now, &u.queue)
+	s.grantFromQueue(now, &s.queue)
 }
 
 // learnCold learns how much longer requests for cold keys run.
--- a/coordination/dispatch/share_test.go
+++ b/coordination/dispatch/share_test.go
@@ -142,12 +142,12 @@
 // TestHungRequestsTakeNoRoom: a request that the upstream never answers, while it answers
 // those that were sent later, does not count as in flight until its timeout.
 func TestHungRequestsTakeNoRoom(t *testing.T) {
-	s := known(20 * ms)
+	s := serviceWithWorkTime(20 * ms)
 	u := s.upstreams["a1"]
-	hung := mustGrant(t, s, start, want())
+	hung := mustGrant(t, s, start, newWant())
 	for i := range hungAfter + 1 {
 		now := at(time.Duration(i+1) * 100 * ms)
-		w := want()
+		w := newWant()
 		w.Deadline, w.Until = now.Add(time.Second), now
 		s.Done(now.Add(20*ms), mustGrant(t, s, now, w), Answered)
 	}
@@ -163,11 +163,11 @@
 // TestLongRunIsNotHung: one that runs long is passed by some, but not for twice the time
 // that it was expected to take.
 func TestLongRunIsNotHung(t *testing.T) {
-	s := known(100 * ms)
-	mustGrant(t, s, start, want())
+	s := serviceWithWorkTime(100 * ms)
+	mustGrant(t, s, start, newWant())
 	for i := range 2 * hungAfter {
 		now := at(time.Duration(i) * 10 * ms)
-		w := want()
+		w := newWant()
 		w.Deadline, w.Until = now.Add(time.Second), now
 		s.Done(now.Add(10*ms), mustGrant(t, s, now, w), Answered)
 	}
@@ -180,8 +180,8 @@
 // as long. They get through while the owner is half idle, never wait, and teach nothing
 // about its other keys.
 func TestColdKeysLeaveRoom(t *testing.T) {
-	s := known(10 * ms)
-	w := want()
+	s := serviceWithWorkTime(10 * ms)
+	w := newWant()
 	w.Owner, w.Cold = "a1", true
 	g := mustGrant(t, s, start, w)
 	if !g.Cold || g.Expected <= 10*ms {
@@ -190,7 +190,7 @@
 	if _, r, decided := s.Offer(start, w); !decided || r != ColdKey {
 		t.Errorf("a second one at an owner of two slots: %v, decided %v", r, decided)
 	}
-	warm := want()
+	warm := newWant()
 	warm.Owner = "a1"
 	mustGrant(t, s, start, warm)
 	s.Done(at(400*ms), g, Answered)
--- a/coordination/dispatch/told.go
+++ b/coordination/dispatch/told.go
@@ -26,7 +26,7 @@
 // Told takes over what an upstream said of itself with the answer to a request, before the
 // end of the request is noted.
 func (s *Service) Told(now time.Time, g Grant, load instances.Load) {
-	u := s.granted(g)
+	u := s.grantedUpstream(g)
 	if u == nil {
 		return
 	}
--- a/coordination/dispatch/told_test.go
+++ b/coordination/dispatch/told_test.go
@@ -21,7 +21,7 @@
 	s.ReportAll(start, News{Gateways: 1, Work: map[string]worktime.Estimate{
 		"a1": {Work: 100 * ms, Slowness: 1.4}, "a2": {Work: 130 * ms, Slowness: 1.4},
 	}})
-	if g := mustGrant(t, s, start, want()); g.Instance.ID != "a1" {
+	if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "a1" {
 		t.Fatalf("sent to %s, which is slower in the mean", g.Instance.ID)
 	}
 	u := s.upstreams["a1"]
@@ -30,7 +30,7 @@
 		t.Errorf("%s in a slow moment", got)
 	}
 	s.Done(at(ms), Grant{Instance: u.Instance, Began: start}, Left)
-	if g := mustGrant(t, s, at(ms), want()); g.Instance.ID != "a2" {
+	if g := mustGrant(t, s, at(ms), newWant()); g.Instance.ID != "a2" {
 		t.Errorf("sent to %s in its slow moment", g.Instance.ID)
 	}
 	if got := u.workTime(at(ms+slownessHalf), s.typical); got != 200*ms {
@@ -67,7 +67,7 @@
 	s := newService("a1")
 	s.ReportAll(start, News{Gateways: 3, InFlight: map[string]float64{"a1": 1}})
 	u := s.upstreams["a1"]
-	g := mustGrant(t, s, start, want())
+	g := mustGrant(t, s, start, newWant())
 	s.Told(start, g, instances.Load{Running: 2, Waiting: 5, Slots: 2})
 	if got := u.inflight(start); got != 7 {
 		t.Errorf("%g in flight, it said 7", got)
@@ -80,7 +80,7 @@
 // TestUpstreamsThatSayNothing are estimated as before.
 func TestUpstreamsThatSayNothing(t *testing.T) {
 	s := newService("a1")
-	learn(s, "a1", 100*ms)
+	learnWorkTime(s, "a1", 100*ms)
 	u := s.upstreams["a1"]
 	if got := u.workTime(at(time.Second), s.typical); got != 100*ms || u.runs.MeanSlowness() != 1 {
 		t.Errorf("work %s, runs %v", got, u.runs)
--- a/coordination/dispatch/upstream.go
+++ b/coordination/dispatch/upstream.go
@@ -141,7 +141,7 @@
 	// wanted measures the requests from here that it would get, limit is the limit that it
 	// names, or nil.
 	wanted quota.Meter
-	limit  *limit
+	limit  *upstreamLimit
 	// queue holds the requests that wait for this upstream only.
 	queue queue
 }
--- a/coordination/dispatch/waiting.go
+++ b/coordination/dispatch/waiting.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// hopeless reports why it makes no sense to wait behind so many, or zero.
-func (s *Service) hopeless(now time.Time, w *Want, u *Upstream, ahead int) Refusal {
-	if r := s.closedAll(now, w); r != 0 {
+// waitRefusal reports why it makes no sense to wait behind so many, or zero.
+func (s *Service) waitRefusal(now time.Time, w *Want, u *Upstream, ahead int) Refusal {
+	if r := s.requestBlockedReason(now, w); r != 0 {
 		return r
 	}
 	if !now.Before(w.Until) {
 		return NoRoom
 	}
-	if s.limitedOut(now, w) {
+	if s.blockedByLimits(now, w) {
 		return Limited
 	}
 	if u != nil && !s.mayStart(now, u) && u.nextStart.After(w.Until) {
@@ -23,16 +23,16 @@
 	if wait > w.Until.Sub(now) {
 		return NoRoom
 	}
-	if !w.Goal.IsZero() && !s.Off.NoLikelihood && now.Add(wait+s.likelyRun(now, u)).After(w.Goal) {
+	if !w.Goal.IsZero() && !s.Off.NoLikelihood && now.Add(wait+s.likelyRunTime(now, u)).After(w.Goal) {
 		return NoRoom
 	}
 	return 0
 }
 
-// likelyRun is within what time an upstream likely answers a request that has waited:
+// likelyRunTime is within what time an upstream likely answers a request that has waited:
 // the expected time and one mean run more, as work times have tails: by the expected time
 // alone, half of those who waited longest are late.
-func (s *Service) likelyRun(now time.Time, u *Upstream) time.Duration {
+func (s *Service) likelyRunTime(now time.Time, u *Upstream) time.Duration {
 	if u == nil {
 		return 2 * s.typical
 	}
@@ -70,30 +70,30 @@
 // Tick refuses requests that have waited too long and lets others through
 // whose upstreams have room again.
 func (s *Service) Tick(now time.Time) {
-	s.measure(now)
+	s.updateRate(now)
 	if s.waiting == 0 {
 		return
 	}
-	s.pumpAll(now)
-	late := func(w *Want) { s.refuse(w, s.lateReason(now, w)) }
+	s.grantWaiting(now)
+	late := func(w *Want) { s.refuse(w, s.expiryReason(now, w)) }
 	for _, u := range s.order {
-		if r := s.closedOwner(now, u); r != 0 {
+		if r := s.ownerBlockedReason(now, u); r != 0 {
 			s.refuseAll(u, r)
 		}
-		u.queue.late(now, late)
+		u.queue.expire(now, late)
 	}
-	s.refuseHopeless(now)
-	s.queue.late(now, late)
+	s.refuseUnservable(now)
+	s.queue.expire(now, late)
 }
 
-// refuseHopeless refuses requests that wait for any upstream when there is none to which they may
+// refuseUnservable refuses requests that wait for any upstream when there is none to which they may
 // go.
-func (s *Service) refuseHopeless(now time.Time) {
-	if s.queue.size == 0 || s.closedAll(now, &Want{}) == 0 {
+func (s *Service) refuseUnservable(now time.Time) {
+	if s.queue.size == 0 || s.requestBlockedReason(now, &Want{}) == 0 {
 		return
 	}
-	s.queue.each(func(w *Want) (taken, rest bool) {
-		s.refuse(w, s.closedAll(now, w))
+	s.queue.forEach(func(w *Want) (taken, rest bool) {
+		s.refuse(w, s.requestBlockedReason(now, w))
 		return true, false
 	})
 }
@@ -107,38 +107,38 @@
 
 // refuseAll refuses what waits for one upstream.
 func (s *Service) refuseAll(u *Upstream, r Refusal) {
-	u.queue.each(func(w *Want) (taken, rest bool) {
+	u.queue.forEach(func(w *Want) (taken, rest bool) {
 		s.refuse(w, r)
 		return true, false
 	})
 }
 
-func (s *Service) lateReason(now time.Time, w *Want) Refusal {
-	if r := s.closedAll(now, w); r != 0 {
+func (s *Service) expiryReason(now time.Time, w *Want) Refusal {
+	if r := s.requestBlockedReason(now, w); r != 0 {
 		return r
 	}
 	return NoRoom
 }
 
-// pumpAll lets through whatever waits and has room.
-func (s *Service) pumpAll(now time.Time) {
+// grantWaiting lets through whatever waits and has room.
+func (s *Service) grantWaiting(now time.Time) {
 	if s.waiting == 0 {
 		return
 	}
 	for _, u := range s.order {
-		s.pump(now, &u.queue)
+		s.grantFromQueue(now, &u.queue)
 	}
-	s.pump(now, &s.queue)
+	s.grantFromQueue(now, &s.queue)
 }
 
-// pump lets waiting requests of one queue through, the most important and then the
+// grantFromQueue lets waiting requests of one queue through, the most important and then the
 // oldest first. One that finds no room, though it may go anywhere, ends it.
-func (s *Service) pump(now time.Time, q *queue) {
+func (s *Service) grantFromQueue(now time.Time, q *queue) {
 	if q.size == 0 {
 		return
 	}
-	q.each(func(w *Want) (taken, rest bool) {
-		if s.limitedOut(now, w) {
+	q.forEach(func(w *Want) (taken, rest bool) {
+		if s.blockedByLimits(now, w) {
 			s.refuse(w, Limited)
 			return true, false
 		}
--- a/coordination/dispatch/warming.go
+++ b/coordination/dispatch/warming.go
@@ -52,7 +52,7 @@
 	for _, u := range s.order {
 		s.noteWarming(now, u)
 	}
-	s.measure(now)
+	s.updateRate(now)
 }
 
 // bounded reports whether the upstream warms up and its requests are bounded.
@@ -131,7 +131,7 @@
 			continue
 		}
 		if u.delay(now, s.typical) <= w.Objective {
-			c.offer(u, u.score(now, s.typical, w.Objective, s.domain, s.rng))
+			c.consider(u, u.score(now, s.typical, w.Objective, s.domain, s.rng))
 		}
 	}
 }
--- a/coordination/dispatch/warming_test.go
+++ b/coordination/dispatch/warming_test.go
@@ -14,7 +14,7 @@
 
 // warmed returns upstreams as their entries tell, each change with a new revision.
 func warmed(revision uint64, left time.Duration, ids ...string) []*instances.Instance {
-	out := list(ids...)
+	out := instanceList(ids...)
 	for _, one := range out {
 		one.Revision, one.WarmUp = revision, left
 	}
@@ -110,7 +110,7 @@
 	if n, all := f.most("a1", 0, 3*time.Second), len(f.arrivals["a1"]); float64(n) > bound || all < 6 {
 		t.Errorf("%d requests in a second, %d in all", n, all)
 	}
-	w := want()
+	w := newWant()
 	w.Owner, w.Until, w.Deadline = "a1", at(time.Second+60*ms), at(2*time.Second)
 	refused := 0
 	for _, s := range f.services {
@@ -128,8 +128,8 @@
 func TestTakenBackDomainIsDoubted(t *testing.T) {
 	f := newFleet(20, WarmUp{Bound: bound}, "a1")
 	for _, s := range f.services {
-		s.SetEvacuated(start, inDomain("a"))
-		s.SetEvacuated(at(time.Second), inDomain(""))
+		s.SetEvacuated(start, onlyDomain("a"))
+		s.SetEvacuated(at(time.Second), onlyDomain(""))
 		s.SetUpstreams(at(1100*ms), warmed(2, 0, "a1"))
 	}
 	f.press(1100*ms, time.Second+entryAge, "")
@@ -147,11 +147,11 @@
 func TestRunsWhileWarmingAreNotLearned(t *testing.T) {
 	s := newService("a1")
 	s.SetWarmUp(start, WarmUp{Bound: bound})
-	learn(s, "a1", 100*ms)
+	learnWorkTime(s, "a1", 100*ms)
 	s.SetUpstreams(at(100*ms), warmed(2, 3*time.Second, "a1"))
 	s.ReportAll(at(100*ms), News{Gateways: 1, Rights: map[string]time.Time{"a1": at(4 * time.Second)}})
 	before := s.upstreams["a1"].work
-	g := mustGrant(t, s, at(100*ms), want())
+	g := mustGrant(t, s, at(100*ms), newWant())
 	s.Done(at(900*ms), g, Answered)
 	if u := s.upstreams["a1"]; u.work != before || u.runs.Runs > 1 {
 		t.Errorf("work %s after %s", u.work, before)
@@ -163,5 +163,5 @@
 func TestUnboundedWarmUp(t *testing.T) {
 	s := newService("a1")
 	s.SetUpstreams(start, warmed(2, 3*time.Second, "a1"))
-	mustGrant(t, s, start, want())
+	mustGrant(t, s, start, newWant())
 }
--- a/coordination/dispatch/words_test.go
+++ b/coordination/dispatch/words_test.go
@@ -146,7 +146,7 @@
 	if until := w.now.Add(min(n.Rest, longestRest)); n.Rest > 0 && until.After(one.restUntil) {
 		one.restUntil = until
 	}
-	w.service.Noticed(w.now, g, n)
+	w.service.ApplyNotice(w.now, g, n)
 	w.service.Done(w.now, g, outcome)
 }
 
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -17,30 +17,30 @@
 	// demand.
 	window       = 4 * time.Second
 	settledAfter = 3 * time.Second
-	mostTimes    = 1.5
-	extra        = 5
-	leastTimes   = 0.8
+	maxFactor    = 1.5
+	allowance    = 5
+	minFactor    = 0.8
 )
 
 // fleet is many gateways that send to one upstream.
 type fleet struct {
-	rng   *rand.Rand
-	rate  Rate
-	named bool
-	// alone lets them hear nothing of each other.
-	alone bool
+	rng     *rand.Rand
+	rate    Rate
+	limited bool
+	// isolated lets them hear nothing of each other.
+	isolated bool
 	// demand is how many requests a second each is asked for, meters what each measures, told
 	// what each was last told of the others.
-	demand []float64
-	meters []Meter
-	told   []float64
-	turns  []Sampler
-	sent   []time.Duration
+	demand       []float64
+	meters       []Meter
+	othersDemand []float64
+	samplers     []Sampler
+	sent         []time.Duration
 }
 
 // newFleet spreads a demand unevenly.
 func newFleet(rng *rand.Rand, gateways int, wanted float64) *fleet {
-	f := &fleet{rng: rng, demand: make([]float64, gateways), meters: make([]Meter, gateways), told: make([]float64, gateways), turns: make([]Sampler, gateways)}
+	f := &fleet{rng: rng, demand: make([]float64, gateways), meters: make([]Meter, gateways), othersDemand: make([]float64, gateways), samplers: make([]Sampler, gateways)}
 	sum := 0.0
 	for i := range f.demand {
 		f.demand[i] = rng.ExpFloat64()
@@ -48,8 +48,8 @@
 	}
 	// Of its own, so that the requests of a seed are the same whatever is decided.
 	phases := rand.New(rand.NewPCG(uint64(gateways), 2))
-	for i := range f.turns {
-		f.turns[i] = NewSampler(phases.Float64(), phases.Float64())
+	for i := range f.samplers {
+		f.samplers[i] = NewSampler(phases.Float64(), phases.Float64())
 	}
 	for i := range f.demand {
 		f.demand[i] *= wanted / sum
@@ -57,49 +57,49 @@
 	return f
 }
 
-// report is the time between reports, and what they say is as old again when it is told.
-const report = 125 * ms
+// reportInterval is the time between reports, and what they say is as old again when it is told.
+const reportInterval = 125 * ms
 
-// play sends what is asked for from one time to another, times the demand, as far as it is let
+// run sends what is asked for from one time to another, times the demand, as far as it is let
 // through.
-func (f *fleet) play(from, to time.Duration, times float64) {
+func (f *fleet) run(from, to time.Duration, times float64) {
 	for now := from; now < to; now += ms {
-		if now/report != (now-ms)/report {
-			f.tell(at(now))
+		if now/reportInterval != (now-ms)/reportInterval {
+			f.exchangeReports(at(now))
 		}
 		for i, d := range f.demand {
 			if f.rng.Float64() >= times*d*ms.Seconds() {
 				continue
 			}
 			f.meters[i].Add()
-			if !f.named || f.turns[i].Take(f.rate.AdmitFraction(at(now), f.meters[i].Last()+f.told[i]), f.rng.Float64()) {
+			if !f.limited || f.samplers[i].Take(f.rate.AdmitFraction(at(now), f.meters[i].Last()+f.othersDemand[i]), f.rng.Float64()) {
 				f.sent = append(f.sent, now)
 			}
 		}
 	}
 }
 
-// tell lets each hear what the others said with their last reports, and report anew.
-func (f *fleet) tell(now time.Time) {
+// exchangeReports lets each hear what the others said with their last reports, and report anew.
+func (f *fleet) exchangeReports(now time.Time) {
 	sum := 0.0
 	for i := range f.meters {
 		sum += f.meters[i].Last()
 	}
 	for i := range f.meters {
-		if !f.alone {
-			f.told[i] = sum - f.meters[i].Last()
+		if !f.isolated {
+			f.othersDemand[i] = sum - f.meters[i].Last()
 		}
 		f.meters[i].Rate(now)
 	}
 }
 
-// name lets all hear of a rate.
-func (f *fleet) name(now time.Duration, perSecond float64) {
-	f.rate, f.named = Rate{PerSecond: perSecond, Since: at(now)}, true
+// setRate lets all hear of a rate.
+func (f *fleet) setRate(now time.Duration, perSecond float64) {
+	f.rate, f.limited = Rate{PerSecond: perSecond, Since: at(now)}, true
 }
 
-// in returns how many requests came in the window that ends at a time.
-func (f *fleet) in(end time.Duration) int {
+// sentInWindow returns how many requests came sentInWindow the window that ends at a time.
+func (f *fleet) sentInWindow(end time.Duration) int {
 	n := 0
 	for _, at := range f.sent {
 		if at > end-window && at <= end {
@@ -109,8 +109,8 @@
 	return n
 }
 
-// since returns how many requests came since a time.
-func (f *fleet) since(from time.Duration) int {
+// sentSince returns how many requests came sentSince a time.
+func (f *fleet) sentSince(from time.Duration) int {
 	n := 0
 	for _, at := range f.sent {
 		if at >= from {
@@ -120,17 +120,17 @@
 	return n
 }
 
-// TestSumKeepsToTheRate: an upstream that gets three to four times what it names gets no more
+// TestTotalKeepsToRate: an upstream that gets three to four times what it names gets no more
 // than it may, by all gateways together, from three seconds after it first said so; what came in
 // the second before counts. And it gets most of it. At few gateways and many, with uneven demand
 // and bursts, and a rate below one request a second for each.
-func TestSumKeepsToTheRate(t *testing.T) { sumKeepsToTheRate(t, 60, 76*time.Second) }
+func TestTotalKeepsToRate(t *testing.T) { testTotalKeepsToRate(t, 60, 76*time.Second) }
 
-// TestSumReachesTheRateSoon: the same, and most of the rate is used within twelve seconds already.
-func TestSumReachesTheRateSoon(t *testing.T) { sumKeepsToTheRate(t, 100, 28*time.Second) }
+// TestTotalReachesRateSoon: the same, and most of the rate is used within twelve seconds already.
+func TestTotalReachesRateSoon(t *testing.T) { testTotalKeepsToRate(t, 100, 28*time.Second) }
 
-// sumKeepsToTheRate plays so many seeds to an end.
-func sumKeepsToTheRate(t *testing.T, seeds uint64, end time.Duration) {
+// testTotalKeepsToRate plays so many seeds to an end.
+func testTotalKeepsToRate(t *testing.T, seeds uint64, end time.Duration) {
 	t.Helper()
 	for seed := range seeds {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -139,27 +139,27 @@
 		f := newFleet(rng, gateways, (3+rng.Float64())*perSecond)
 		const named, burst, calm = 4 * time.Second, 12 * time.Second, 16 * time.Second
 		heard := named + time.Duration(rng.Float64()*float64(250*ms))
-		f.play(0, heard, 1)
-		f.name(heard, perSecond)
-		f.play(heard, burst, 1)
-		f.play(burst, calm, 1+0.7*rng.Float64())
-		f.play(calm, end, 1)
+		f.run(0, heard, 1)
+		f.setRate(heard, perSecond)
+		f.run(heard, burst, 1)
+		f.run(burst, calm, 1+0.7*rng.Float64())
+		f.run(calm, end, 1)
 		for at := named + settledAfter; at <= end; at += 50 * ms {
-			got := f.in(at)
-			if most := mostTimes*window.Seconds()*perSecond + extra; float64(got) > most {
+			got := f.sentInWindow(at)
+			if most := maxFactor*window.Seconds()*perSecond + allowance; float64(got) > most {
 				t.Fatalf("seed %d: %d gateways, %.1f a second: %d in 4 s, allowed %.0f, %s after it was named",
 					seed, gateways, perSecond, got, most, at-named)
 			}
 		}
-		if got, want := float64(f.since(calm))/(end-calm).Seconds(), leastTimes*perSecond; got < want {
+		if got, want := float64(f.sentSince(calm))/(end-calm).Seconds(), minFactor*perSecond; got < want {
 			t.Errorf("seed %d: %d gateways, %.1f a second: got %.1f, %.1f wanted", seed, gateways, perSecond, got, want)
 		}
 	}
 }
 
-// TestTurnTakesItsPart: never more than one request away from the part, also one that changes, and
+// TestSamplerAdmitsItsFraction: never more than one request away from the part, also one that changes, and
 // nothing is held back of all.
-func TestTurnTakesItsPart(t *testing.T) {
+func TestSamplerAdmitsItsFraction(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
 		turn := NewSampler(rng.Float64(), rng.Float64())
@@ -182,9 +182,9 @@
 	}
 }
 
-// TestTurnStarvesNoCaller: callers that come in a fixed order, as many as make up one, are each
+// TestSamplerStarvesNoCaller: callers that come in a fixed order, as many as make up one, are each
 // let through about as often as the others.
-func TestTurnStarvesNoCaller(t *testing.T) {
+func TestSamplerStarvesNoCaller(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	turn := NewSampler(rng.Float64(), rng.Float64())
 	var took [4]int
@@ -200,22 +200,22 @@
 	}
 }
 
-// TestEachByItselfDoesNot: gateways that each keep to the rate, and do not know of the others,
+// TestIsolatedGatewaysExceedRate: gateways that each keep to the rate, and do not know of the others,
 // do not keep to it together.
-func TestEachByItselfDoesNot(t *testing.T) {
+func TestIsolatedGatewaysExceedRate(t *testing.T) {
 	const perSecond = 10.0
 	f := newFleet(rand.New(rand.NewPCG(1, 1)), 11, 4*perSecond)
-	f.alone = true
-	f.name(0, perSecond)
-	f.play(0, 12*time.Second, 1)
-	if got, most := f.in(12*time.Second), mostTimes*window.Seconds()*perSecond+extra; float64(got) <= most {
+	f.isolated = true
+	f.setRate(0, perSecond)
+	f.run(0, 12*time.Second, 1)
+	if got, most := f.sentInWindow(12*time.Second), maxFactor*window.Seconds()*perSecond+allowance; float64(got) <= most {
 		t.Errorf("%d in 4 s, allowed %.0f: the test does not show the fault", got, most)
 	}
 }
 
-// TestAdmit: nothing is held back where there is room, only trials are let through where none is
+// TestAdmitFraction: nothing is held back where there is room, only trials are let through where none is
 // taken, and soon after a rate was named less than later.
-func TestAdmit(t *testing.T) {
+func TestAdmitFraction(t *testing.T) {
 	r := Rate{PerSecond: 10, Since: start}
 	later := at(time.Hour)
 	for wanted, part := range map[float64]float64{0: 1, 5: 1, 9: 1, 92: 0.1} {
--- a/coordination/worktime/worktime_test.go
+++ b/coordination/worktime/worktime_test.go
@@ -7,30 +7,30 @@
 
 const ms = time.Millisecond
 
-func near(t *testing.T, what string, got, want time.Duration) {
+func checkNear(t *testing.T, what string, got, want time.Duration) {
 	t.Helper()
 	if diff := got - want; diff > want/20 || diff < -want/20 {
 		t.Errorf("%s: %s, want about %s", what, got, want)
 	}
 }
 
-// TestFewRunsSayLittle: one long run hardly moves the estimate of an upstream, many do.
-func TestFewRunsSayLittle(t *testing.T) {
+// TestFewRunsHardlyMoveEstimate: one long run hardly moves the estimate of an upstream, many do.
+func TestFewRunsHardlyMoveEstimate(t *testing.T) {
 	b := NewEstimator()
 	for range 200 {
 		b.Add("usual", Sum{Total: 100 * ms, Runs: 1})
 	}
 	b.Add("once", Sum{Total: 300 * ms, Runs: 1})
-	near(t, "after one run of three times the mean", b.Mean("once"), 140*ms)
+	checkNear(t, "after one run of three times the mean", b.Mean("once"), 140*ms)
 	for range 200 {
 		b.Add("slow", Sum{Total: 300 * ms, Runs: 1})
 	}
-	near(t, "after many", b.Mean("slow"), 290*ms)
-	near(t, "never seen", b.Mean("new"), b.ServiceMean())
+	checkNear(t, "after many", b.Mean("slow"), 290*ms)
+	checkNear(t, "never seen", b.Mean("new"), b.ServiceMean())
 }
 
-// TestChangeShows: an upstream that turns slow seems so after some twenty runs.
-func TestChangeShows(t *testing.T) {
+// TestSlowdownShowsWithinTwentyRuns: an upstream that turns slow seems so after some twenty runs.
+func TestSlowdownShowsWithinTwentyRuns(t *testing.T) {
 	b := NewEstimator()
 	for range 1000 {
 		b.Add("a", Sum{Total: 100 * ms, Runs: 1})
@@ -43,11 +43,11 @@
 		t.Errorf("%s after twenty runs of 400 ms", got)
 	}
 	b.Remove("a")
-	near(t, "after it has started again", b.Mean("a"), b.ServiceMean())
+	checkNear(t, "after it has started again", b.Mean("a"), b.ServiceMean())
 }
 
-// TestGoneOnesAreDropped, so that a book does not grow with upstreams that are replaced.
-func TestGoneOnesAreDropped(t *testing.T) {
+// TestRetainDropsRemovedUpstreams, so that a book does not grow with upstreams that are replaced.
+func TestRetainDropsRemovedUpstreams(t *testing.T) {
 	b := NewEstimator()
 	b.Add("a", Sum{Total: 400 * ms, Runs: 4})
 	b.Add("b", Sum{Total: 100 * ms, Runs: 1})
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestNothingSeen: without runs there is no estimate, and what is no run is not taken.
-func TestNothingSeen(t *testing.T) {
+// TestNoEstimateWithoutRuns: without runs there is no estimate, and what is no run is not taken.
+func TestNoEstimateWithoutRuns(t *testing.T) {
 	b := NewEstimator()
 	b.Add("a", Sum{Total: 100 * ms})
 	b.Add("a", Sum{Total: -ms, Runs: 1})
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestSlownessIsRememberedForLonger than the time of a run: an upstream that says how slow it
+// TestSlownessIsAveragedOverMoreRuns than the time of a run: an upstream that says how slow it
 // is at the moment is taken for as fast as it is in the mean.
-func TestSlownessIsRememberedForLonger(t *testing.T) {
+func TestSlownessIsAveragedOverMoreRuns(t *testing.T) {
 	b := NewEstimator()
 	for i := range 300 {
 		slowness := 1.0
@@ -80,11 +80,11 @@
 		b.Add("fast", Sum{Total: 100 * ms, Runs: 1, Slowness: 0.7})
 	}
 	// The last ten runs were in a slow moment.
-	near(t, "mean", b.Mean("a"), 140*ms)
-	near(t, "mean of a fast one", b.Mean("fast"), 71*ms)
+	checkNear(t, "mean", b.Mean("a"), 140*ms)
+	checkNear(t, "mean of a fast one", b.Mean("fast"), 71*ms)
 	if got := b.Estimate("a").Slowness; got < 1.3 || got > 1.5 {
 		t.Errorf("mean slowness %g", got)
 	}
 	b.Remove("a")
-	near(t, "after it has started again", b.Mean("a"), b.ServiceMean())
+	checkNear(t, "after it has started again", b.Mean("a"), b.ServiceMean())
 }
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -64,7 +64,7 @@
 		e := g.traffic.explain(s, "")
 		m.gauge(m.service(queueWaiting, name), int64(e.Waiting))
 		m.gauge(m.service(roomSlots, name), int64(e.Slots))
-		m.gauge(m.service(roomInFlight, name), int64(e.Mine)+int64(e.Others))
+		m.gauge(m.service(roomInFlight, name), int64(e.OwnInflight)+int64(e.OthersInflight))
 		m.gauge(m.service(roomUsable, name), int64(e.Usable))
 		m.gauge(m.service(budgetLeft, name), int64(g.traffic.budgetLeft(s)))
 	}
--- a/gateway/limitnews.go
+++ b/gateway/limitnews.go
@@ -83,7 +83,7 @@
 		if !known {
 			wanted = -1
 		}
-		out[l.Upstream] = dispatch.Limit{PerSecond: l.PerSecond, Wanted: wanted}
+		out[l.Upstream] = dispatch.Limit{PerSecond: l.PerSecond, OthersDemand: wanted}
 	}
 	return out
 }
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -48,7 +48,7 @@
 // each gateway by itself could not have kept to a sum over all.
 // Evidence: with the lines and metrics of limits in place all gateways noticed the limit within the
 // first answers, and what they sent stayed what it was. Gateways that each keep to the limit send
-// 160 requests in 4 s of 40 allowed (quota.TestEachByItselfDoesNot).
+// 160 requests in 4 s of 40 allowed (quota.TestIsolatedGatewaysExceedRate).
 func TestNamedLimitsAreKept(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -46,7 +46,7 @@
 	now := t.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.dispatch.MaySend(now, g), s.dispatch.Said(g)
+	return s.dispatch.MaySend(now, g), s.dispatch.NoticeState(g)
 }
 
 // noticeGauges tells how many upstreams of each service leave and rest, by what they have said here.
@@ -54,7 +54,7 @@
 	now := t.now()
 	for name, s := range t.all() {
 		s.mu.Lock()
-		leaving, resting := s.dispatch.Noticing(now)
+		leaving, resting := s.dispatch.CountNotices(now)
 		s.mu.Unlock()
 		m.gauge(m.service(noticesLeaving, name), int64(leaving))
 		m.gauge(m.service(noticesResting, name), int64(resting))
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -38,7 +38,7 @@
 	}
 	e := f.traffic.explain(q.traffic, owner)
 	attrs = append(attrs, "service", q.service.Name, "upstreams", e.Upstreams, "usable", e.Usable, "waiting", e.Waiting,
-		"mine", e.Mine, "hung", e.Hung, "part", e.Part, "saved", e.Saved, "others", int(e.Others), "others_age_ms", e.ReportAge.Milliseconds(), "slots", e.Slots, "limited", e.Limited, "limit", e.Limit, "wanted", e.Wanted, "work_ms", e.Work.Milliseconds())
+		"mine", e.OwnInflight, "hung", e.HungInflight, "part", e.Part, "saved", e.SavedShare, "others", int(e.OthersInflight), "others_age_ms", e.ReportAge.Milliseconds(), "slots", e.Slots, "limited", e.LimitedUpstreams, "limit", e.Limit, "wanted", e.TotalDemand, "work_ms", e.RunTime.Milliseconds())
 	f.log.Warn("request not answered", attrs...)
 }
 
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -237,7 +237,7 @@
 func (t *traffic) restLeft(s *service, w *dispatch.Want) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.dispatch.RestLeft(t.now(), w)
+	return s.dispatch.RestRemaining(t.now(), w)
 }
 
 // refused returns the answer to a request that was refused for the reason; nil for none.
@@ -319,7 +319,7 @@
 	if said.load != nil {
 		s.dispatch.Told(now, g, *said.load)
 	}
-	change := s.dispatch.Noticed(now, g, said.notice)
+	change := s.dispatch.ApplyNotice(now, g, said.notice)
 	s.dispatch.Done(now, g, o)
 	return change
 }
@@ -374,7 +374,7 @@
 		s.mu.Lock()
 		r.loads = append(r.loads, loadMessages(s.dispatch.Loads(now))...)
 		r.demand[name] = s.dispatch.Demand(now)
-		maps.Copy(r.wanted, s.dispatch.Wanted(now))
+		maps.Copy(r.wanted, s.dispatch.LimitedDemand(now))
 		if len(s.keys) > 0 {
 			r.keys[name] = s.keys
 			s.keys = nil
