--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -1,91 +1,93 @@
-// Package quota decides which part of the requests for an upstream each gateway lets through, so
-// that all gateways together keep to a rate without asking each other: each lets the same part
-// through, the rate over what all are asked for, in even steps.
+// Package quota decides which fraction of the requests for an upstream each gateway admits, so
+// that all gateways together keep to a rate without coordinating each decision. Each admits the same
+// fraction, the rate divided by the total demand, evenly spaced among its requests.
 //
-// The load that this answers: more requests want an upstream than it says it takes, at 3
-// gateways or 300, of which each may see less than one of its requests a second.
+// It is for overload: an upstream is in more demand than it says it can take, at 3 gateways or at
+// 300, of which each may see less than one of its requests a second.
 package quota
 
 import "time"
 
 const (
-	// TargetUtilization is the part of the rate that is let through: what others are asked for is some
-	// reports old, and grows while clients come.
+	// TargetUtilization is the fraction of the rate that is admitted. It is below 1 because the
+	// reported demand of the other gateways is a few reports old and grows while clients arrive.
 	TargetUtilization = 0.92
-	// backlogTime is how much of what came before the rate was known to all is made up for, and makeUp
-	// the time within which: that lies in the upstream's queue, and it names a rate because it
-	// has too much already.
-	backlogTime = 1250 * time.Millisecond
+	// backlogTime is how much of the excess that arrived before all gateways knew the rate is
+	// compensated for, and backlogRecovery the time within which: the excess waits in the
+	// upstream's queue, and an upstream sets a rate because it has too many requests already.
+	backlogTime     = 1250 * time.Millisecond
 	backlogRecovery = 4 * time.Second
-	// minFraction is the part of the rate that is let through in any case, and trials how many requests
-	// a second, by all gateways, to an upstream that takes hardly any: its answers tell when it
-	// takes more again.
-	minFraction  = 0.1
-	probeRate = 0.5
+	// minFraction is the fraction of the rate that is always admitted. probeRate is how many
+	// requests a second all gateways together send to an upstream that takes hardly any: its
+	// responses tell when it takes more again.
+	minFraction = 0.1
+	probeRate   = 0.5
 )
 
 // Rate is a rate that all gateways together keep to.
 type Rate struct {
-	// PerSecond is in requests a second.
+	// PerSecond is the number of requests a second.
 	PerSecond float64
-	// Since is when it first became known that there is one.
+	// Since is when this gateway first learned that there is a rate.
 	Since time.Time
 }
 
-// AdmitFraction returns the part of the requests to be let through, 0 to 1, when all gateways together
-// are asked for so many a second.
-func (r Rate) AdmitFraction(now time.Time, wanted float64) float64 {
-	if wanted <= 0 {
+// AdmitFraction returns the fraction of the requests to admit, 0 to 1, given the total demand on
+// all gateways in requests a second.
+func (r Rate) AdmitFraction(now time.Time, demand float64) float64 {
+	if demand <= 0 {
 		return 1
 	}
 	rate := TargetUtilization * r.PerSecond
 	if now.Sub(r.Since) < backlogRecovery {
-		excess := max(wanted-r.PerSecond, 0) * backlogTime.Seconds()
+		excess := max(demand-r.PerSecond, 0) * backlogTime.Seconds()
 		rate = max(rate-excess/backlogRecovery.Seconds(), minFraction*r.PerSecond)
 	}
-	return min(max(rate, probeRate)/wanted, 1)
+	return min(max(rate, probeRate)/demand, 1)
 }
 
-// Sampler lets a part of one gateway's requests through: of as many as make up one, exactly one, and
-// which of them is random, so that callers who take turns are all let through at times. A coin
-// for each request would stray from the part by the root of their number.
+// Sampler admits a fraction of one gateway's requests by stratified sampling. It divides the
+// requests into steps whose fractions add up to one and admits exactly one request of each step, at
+// a random place, so that callers that come in a fixed order are all admitted at times. Independent
+// draws would deviate from the fraction by the square root of the number of requests.
 type Sampler struct {
-	// credit is what the requests make up since the present step began, threshold where in the step
-	// one is let through. It is below zero while the one of the step before is made up for.
+	// credit is the sum of the fractions of the requests since the current step began, and
+	// threshold the value at which the step's request is admitted. The credit is negative while
+	// the previous step, whose request is already admitted, has not ended.
 	credit, threshold float64
 }
 
-// NewSampler begins at a random place of a step, given two random numbers from 0 to 1, so that the
-// first ones of many gateways do not come together.
-func NewSampler(chance, falls float64) Sampler {
-	t := Sampler{credit: chance, threshold: falls}
-	if t.credit >= t.threshold {
-		// That of this step has been let through before.
-		t.credit--
+// NewSampler returns a sampler that begins at a random place of a step, so that the first requests
+// that many gateways admit do not coincide. Both arguments are random numbers from 0 to 1.
+func NewSampler(phase, threshold float64) Sampler {
+	s := Sampler{credit: phase, threshold: threshold}
+	if s.credit >= s.threshold {
+		// The step's request counts as admitted before the start.
+		s.credit--
 	}
-	return t
+	return s
 }
 
-// Take reports whether the next request is let through, of which a part from 0 to 1 is. chance is
-// a random number from 0 to 1.
-func (t *Sampler) Take(part, chance float64) bool {
-	if part >= 1 {
+// Take reports whether to admit the next request, given the fraction to admit, 0 to 1. next is a
+// random number from 0 to 1, the threshold of the next step.
+func (s *Sampler) Take(fraction, next float64) bool {
+	if fraction >= 1 {
 		return true
 	}
-	t.credit += part
-	if t.credit < t.threshold {
+	s.credit += fraction
+	if s.credit < s.threshold {
 		return false
 	}
-	t.credit--
-	t.threshold = chance
+	s.credit--
+	s.threshold = next
 	return true
 }
 
-// meterWindow is how long requests count in a meter's rate: long beside the interval of reports,
-// as hundreds of gateways see single requests in it.
+// meterWindow is the time over which a meter averages. It is long compared with the interval of
+// reports, as each of hundreds of gateways sees only single requests within that.
 const meterWindow = 500 * time.Millisecond
 
-// Meter measures what one gateway is asked for.
+// Meter measures the demand on one gateway.
 type Meter struct {
 	count int
 	rate  float64
@@ -95,8 +97,8 @@
 // Add counts a request.
 func (m *Meter) Add() { m.count++ }
 
-// Rate returns the rate of the requests in requests a second, as a mean over the last calls. It
-// is to be called for each report.
+// Rate updates and returns the rate, in requests a second, averaged over the last calls. It must be
+// called once per report.
 func (m *Meter) Rate(now time.Time) float64 {
 	if span := now.Sub(m.at); span > 0 && !m.at.IsZero() {
 		weight := min(span.Seconds()/meterWindow.Seconds(), 1)
@@ -106,5 +108,5 @@
 	return m.rate
 }
 
-// Last returns the rate as of the last call of Rate.
+// Last returns the result of the last call of Rate.
 func (m *Meter) Last() float64 { return m.rate }
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -12,9 +12,9 @@
 
 const (
 	ms = time.Millisecond
-	// window and its bounds are those of the aim: once a rate has settled, in any window at most
-	// mostTimes the rate and a few requests, and no less than leastTimes of it while there is
-	// demand.
+	// These state the requirement. No window that ends settledAfter or later after the rate became
+	// known has more requests than maxFactor times the rate plus allowance. While there is demand,
+	// at least minFactor times the rate is used on average.
 	window       = 4 * time.Second
 	settledAfter = 3 * time.Second
 	maxFactor    = 1.5
@@ -22,15 +22,15 @@
 	minFactor    = 0.8
 )
 
-// fleet is many gateways that send to one upstream.
+// fleet simulates many gateways that send requests to one upstream.
 type fleet struct {
 	rng     *rand.Rand
 	rate    Rate
 	limited bool
-	// isolated lets them hear nothing of each other.
+	// isolated gateways get no reports of each other.
 	isolated bool
-	// demand is how many requests a second each is asked for, meters what each measures, told
-	// what each was last told of the others.
+	// demand is the true demand on each gateway in requests a second, meters what each measures,
+	// and othersDemand what each last learned of the others.
 	demand       []float64
 	meters       []Meter
 	othersDemand []float64
@@ -38,37 +38,37 @@
 	sent         []time.Duration
 }
 
-// newFleet spreads a demand unevenly.
-func newFleet(rng *rand.Rand, gateways int, wanted float64) *fleet {
+// newFleet returns gateways that share the demand unevenly.
+func newFleet(rng *rand.Rand, gateways int, demand float64) *fleet {
 	f := &fleet{rng: rng, demand: make([]float64, gateways), meters: make([]Meter, gateways), othersDemand: make([]float64, gateways), samplers: make([]Sampler, gateways)}
 	sum := 0.0
 	for i := range f.demand {
 		f.demand[i] = rng.ExpFloat64()
 		sum += f.demand[i]
 	}
-	// Of its own, so that the requests of a seed are the same whatever is decided.
+	// A separate source keeps the requests of a seed the same regardless of the decisions.
 	phases := rand.New(rand.NewPCG(uint64(gateways), 2))
 	for i := range f.samplers {
 		f.samplers[i] = NewSampler(phases.Float64(), phases.Float64())
 	}
 	for i := range f.demand {
-		f.demand[i] *= wanted / sum
+		f.demand[i] *= demand / sum
 	}
 	return f
 }
 
-// reportInterval is the time between reports, and what they say is as old again when it is told.
+// reportInterval is the time between reports. A report describes the state one interval earlier.
 const reportInterval = 125 * ms
 
-// run sends what is asked for from one time to another, times the demand, as far as it is let
-// through.
-func (f *fleet) run(from, to time.Duration, times float64) {
+// run simulates the gateways from one time to another, with their demand multiplied by factor.
+// They send the requests that they admit.
+func (f *fleet) run(from, to time.Duration, factor float64) {
 	for now := from; now < to; now += ms {
 		if now/reportInterval != (now-ms)/reportInterval {
 			f.exchangeReports(at(now))
 		}
 		for i, d := range f.demand {
-			if f.rng.Float64() >= times*d*ms.Seconds() {
+			if f.rng.Float64() >= factor*d*ms.Seconds() {
 				continue
 			}
 			f.meters[i].Add()
@@ -79,7 +79,7 @@
 	}
 }
 
-// exchangeReports lets each hear what the others said with their last reports, and report anew.
+// exchangeReports gives each gateway the last reports of the others and then updates its own.
 func (f *fleet) exchangeReports(now time.Time) {
 	sum := 0.0
 	for i := range f.meters {
@@ -93,12 +93,12 @@
 	}
 }
 
-// setRate lets all hear of a rate.
+// setRate makes the rate known to all gateways.
 func (f *fleet) setRate(now time.Duration, perSecond float64) {
 	f.rate, f.limited = Rate{PerSecond: perSecond, Since: at(now)}, true
 }
 
-// sentInWindow returns how many requests came sentInWindow the window that ends at a time.
+// sentInWindow returns how many requests were sent in the window that ends at the given time.
 func (f *fleet) sentInWindow(end time.Duration) int {
 	n := 0
 	for _, at := range f.sent {
@@ -109,7 +109,7 @@
 	return n
 }
 
-// sentSince returns how many requests came sentSince a time.
+// sentSince returns how many requests were sent from the given time on.
 func (f *fleet) sentSince(from time.Duration) int {
 	n := 0
 	for _, at := range f.sent {
@@ -120,16 +120,18 @@
 	return n
 }
 
-// TestTotalKeepsToRate: an upstream that gets three to four times what it names gets no more
-// than it may, by all gateways together, from three seconds after it first said so; what came in
-// the second before counts. And it gets most of it. At few gateways and many, with uneven demand
-// and bursts, and a rate below one request a second for each.
+// TestTotalKeepsToRate checks the total of all gateways when an upstream gets three to four times
+// the rate that it announces. From three seconds after the announcement on, the preceding 4 s
+// window must never exceed the bound; the first such window still includes the last second before
+// the announcement. Most of the rate must be used. It covers few and many gateways, uneven demand,
+// bursts, and rates below one request a second for each gateway.
 func TestTotalKeepsToRate(t *testing.T) { testTotalKeepsToRate(t, 60, 76*time.Second) }
 
-// TestTotalReachesRateSoon: the same, and most of the rate is used within twelve seconds already.
+// TestTotalReachesRateSoon checks the same, and that most of the rate is already used within the
+// first 12 s after the burst.
 func TestTotalReachesRateSoon(t *testing.T) { testTotalKeepsToRate(t, 100, 28*time.Second) }
 
-// testTotalKeepsToRate plays so many seeds to an end.
+// testTotalKeepsToRate runs one simulation for each seed until end.
 func testTotalKeepsToRate(t *testing.T, seeds uint64, end time.Duration) {
 	t.Helper()
 	for seed := range seeds {
@@ -147,61 +149,61 @@
 		for at := named + settledAfter; at <= end; at += 50 * ms {
 			got := f.sentInWindow(at)
 			if most := maxFactor*window.Seconds()*perSecond + allowance; float64(got) > most {
-				t.Fatalf("seed %d: %d gateways, %.1f a second: %d in 4 s, allowed %.0f, %s after it was named",
+				t.Fatalf("seed %d: %d gateways, rate %.1f/s: %d requests in 4 s, allowed %.0f, %s after the announcement",
 					seed, gateways, perSecond, got, most, at-named)
 			}
 		}
 		if got, want := float64(f.sentSince(calm))/(end-calm).Seconds(), minFactor*perSecond; got < want {
-			t.Errorf("seed %d: %d gateways, %.1f a second: got %.1f, %.1f wanted", seed, gateways, perSecond, got, want)
+			t.Errorf("seed %d: %d gateways, rate %.1f/s: used %.1f/s, want %.1f/s", seed, gateways, perSecond, got, want)
 		}
 	}
 }
 
-// TestSamplerAdmitsItsFraction: never more than one request away from the part, also one that changes, and
-// nothing is held back of all.
+// TestSamplerAdmitsItsFraction checks that the number of admitted requests stays within two of the
+// sum of the fractions, even when these vary, and that a fraction of 1 admits everything.
 func TestSamplerAdmitsItsFraction(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
-		turn := NewSampler(rng.Float64(), rng.Float64())
-		due, took := 0.0, 0
+		sampler := NewSampler(rng.Float64(), rng.Float64())
+		expected, admitted := 0.0, 0
 		for range 1000 {
-			part := rng.Float64()
-			due += part
-			if turn.Take(part, rng.Float64()) {
-				took++
+			fraction := rng.Float64()
+			expected += fraction
+			if sampler.Take(fraction, rng.Float64()) {
+				admitted++
 			}
-			if stray := due - float64(took); stray < -2 || stray > 2 {
-				t.Fatalf("%d taken, %.2f due", took, due)
+			if deviation := expected - float64(admitted); deviation < -2 || deviation > 2 {
+				t.Fatalf("%d requests admitted, want %.2f", admitted, expected)
 			}
 		}
 		for range 10 {
-			if !turn.Take(1, rng.Float64()) {
-				t.Fatal("held back of all")
+			if !sampler.Take(1, rng.Float64()) {
+				t.Fatal("rejected a request at a fraction of 1")
 			}
 		}
 	}
 }
 
-// TestSamplerStarvesNoCaller: callers that come in a fixed order, as many as make up one, are each
-// let through about as often as the others.
+// TestSamplerStarvesNoCaller guards against a sampler that always admits the same caller when
+// callers come in a fixed order that matches the length of a step.
 func TestSamplerStarvesNoCaller(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	turn := NewSampler(rng.Float64(), rng.Float64())
-	var took [4]int
+	sampler := NewSampler(rng.Float64(), rng.Float64())
+	var admitted [4]int
 	for i := range 4000 {
-		if turn.Take(1.0/float64(len(took)), rng.Float64()) {
-			took[i%len(took)]++
+		if sampler.Take(1.0/float64(len(admitted)), rng.Float64()) {
+			admitted[i%len(admitted)]++
 		}
 	}
-	for caller, n := range took {
+	for caller, n := range admitted {
 		if n < 200 || n > 300 {
-			t.Errorf("caller %d: let through %d of 1000 times", caller, n)
+			t.Errorf("caller %d: admitted %d of 1000 times, want 200 to 300", caller, n)
 		}
 	}
 }
 
-// TestIsolatedGatewaysExceedRate: gateways that each keep to the rate, and do not know of the others,
-// do not keep to it together.
+// TestIsolatedGatewaysExceedRate shows that the bound of TestTotalKeepsToRate detects a fault:
+// gateways that know only their own demand exceed the rate together.
 func TestIsolatedGatewaysExceedRate(t *testing.T) {
 	const perSecond = 10.0
 	f := newFleet(rand.New(rand.NewPCG(1, 1)), 11, 4*perSecond)
@@ -209,32 +211,32 @@
 	f.setRate(0, perSecond)
 	f.run(0, 12*time.Second, 1)
 	if got, most := f.sentInWindow(12*time.Second), maxFactor*window.Seconds()*perSecond+allowance; float64(got) <= most {
-		t.Errorf("%d in 4 s, allowed %.0f: the test does not show the fault", got, most)
+		t.Errorf("%d requests in 4 s, allowed %.0f: the bound does not detect the fault", got, most)
 	}
 }
 
-// TestAdmitFraction: nothing is held back where there is room, only trials are let through where none is
-// taken, and soon after a rate was named less than later.
+// TestAdmitFraction checks that everything is admitted below the rate, that only probes are
+// admitted at a rate of zero, and that less is admitted right after the rate became known.
 func TestAdmitFraction(t *testing.T) {
 	r := Rate{PerSecond: 10, Since: start}
 	later := at(time.Hour)
-	for wanted, part := range map[float64]float64{0: 1, 5: 1, 9: 1, 92: 0.1} {
-		if got := r.AdmitFraction(later, wanted); got < part-1e-9 || got > part+1e-9 {
-			t.Errorf("%g of %g a second", got, wanted)
+	for demand, fraction := range map[float64]float64{0: 1, 5: 1, 9: 1, 92: 0.1} {
+		if got := r.AdmitFraction(later, demand); got < fraction-1e-9 || got > fraction+1e-9 {
+			t.Errorf("fraction %g at a demand of %g/s", got, demand)
 		}
 	}
 	if got := (Rate{Since: start}).AdmitFraction(later, 10); got*10 != probeRate {
-		t.Errorf("%g a second where none is taken: only trials tell when it takes some again", got*10)
+		t.Errorf("%g/s at a rate of 0, want the probe rate", got*10)
 	}
 	if soon := r.AdmitFraction(start, 30); soon <= 0 || soon >= r.AdmitFraction(later, 30) {
-		t.Errorf("%g at once, %g later", soon, r.AdmitFraction(later, 30))
+		t.Errorf("fraction %g at first, %g later", soon, r.AdmitFraction(later, 30))
 	}
 	if most := r.AdmitFraction(start, 1000); most*1000 < minFraction*r.PerSecond-1e-9 {
-		t.Errorf("%g a second: its answers do not tell any more", most*1000)
+		t.Errorf("%g/s at a high demand, want at least the minimum fraction of the rate", most*1000)
 	}
 }
 
-// TestMeter follows a rate within a second and forgets it as soon.
+// TestMeter checks that the meter follows a change of the rate within two seconds.
 func TestMeter(t *testing.T) {
 	var m Meter
 	rate := 0.0
@@ -245,12 +247,12 @@
 		rate = m.Rate(at(time.Duration(i) * 100 * ms))
 	}
 	if rate < 110 || rate > 130 {
-		t.Errorf("%.0f a second, 120 came", rate)
+		t.Errorf("rate %.0f/s, want about 120", rate)
 	}
 	for i := range 20 {
 		rate = m.Rate(at(time.Duration(20+i) * 100 * ms))
 	}
 	if rate > 5 || rate != m.Last() {
-		t.Errorf("%.0f a second, none came", rate)
+		t.Errorf("rate %.0f/s, want about 0", rate)
 	}
 }
