--- a/coordination/worktime/worktime_test.go
+++ b/coordination/worktime/worktime_test.go
@@ -14,77 +14,81 @@
 	}
 }
 
-// TestFewRunsHardlyMoveEstimate: one long run hardly moves the estimate of an upstream, many do.
+// TestFewRunsHardlyMoveEstimate checks that one long run hardly changes the estimate of an
+// upstream and that many long runs do.
 func TestFewRunsHardlyMoveEstimate(t *testing.T) {
-	b := NewEstimator()
+	e := NewEstimator()
 	for range 200 {
-		b.Add("usual", Sum{Total: 100 * ms, Runs: 1})
+		e.Add("usual", Sum{Total: 100 * ms, Runs: 1})
 	}
-	b.Add("once", Sum{Total: 300 * ms, Runs: 1})
-	checkNear(t, "after one run of three times the mean", b.Mean("once"), 140*ms)
+	e.Add("once", Sum{Total: 300 * ms, Runs: 1})
+	checkNear(t, "after one run of three times the mean", e.Mean("once"), 140*ms)
 	for range 200 {
-		b.Add("slow", Sum{Total: 300 * ms, Runs: 1})
+		e.Add("slow", Sum{Total: 300 * ms, Runs: 1})
 	}
-	checkNear(t, "after many", b.Mean("slow"), 290*ms)
-	checkNear(t, "never seen", b.Mean("new"), b.ServiceMean())
+	checkNear(t, "after many long runs", e.Mean("slow"), 290*ms)
+	checkNear(t, "without runs", e.Mean("new"), e.ServiceMean())
 }
 
-// TestSlowdownShowsWithinTwentyRuns: an upstream that turns slow seems so after some twenty runs.
+// TestSlowdownShowsWithinTwentyRuns checks that the estimate of an upstream that becomes slow has
+// followed after 20 runs, and that Remove resets it.
 func TestSlowdownShowsWithinTwentyRuns(t *testing.T) {
-	b := NewEstimator()
+	e := NewEstimator()
 	for range 1000 {
-		b.Add("a", Sum{Total: 100 * ms, Runs: 1})
-		b.Add("b", Sum{Total: 100 * ms, Runs: 1})
+		e.Add("a", Sum{Total: 100 * ms, Runs: 1})
+		e.Add("b", Sum{Total: 100 * ms, Runs: 1})
 	}
 	for range 20 {
-		b.Add("a", Sum{Total: 400 * ms, Runs: 1})
+		e.Add("a", Sum{Total: 400 * ms, Runs: 1})
 	}
-	if got := b.Mean("a"); got < 200*ms {
-		t.Errorf("%s after twenty runs of 400 ms", got)
+	if got := e.Mean("a"); got < 200*ms {
+		t.Errorf("estimate %s after 20 runs of 400 ms", got)
 	}
-	b.Remove("a")
-	checkNear(t, "after it has started again", b.Mean("a"), b.ServiceMean())
+	e.Remove("a")
+	checkNear(t, "after removal", e.Mean("a"), e.ServiceMean())
 }
 
-// TestRetainDropsRemovedUpstreams, so that a book does not grow with upstreams that are replaced.
+// TestRetainDropsRemovedUpstreams guards against an estimator that grows as upstreams are
+// replaced.
 func TestRetainDropsRemovedUpstreams(t *testing.T) {
-	b := NewEstimator()
-	b.Add("a", Sum{Total: 400 * ms, Runs: 4})
-	b.Add("b", Sum{Total: 100 * ms, Runs: 1})
-	b.Retain(func(id string) bool { return id == "b" })
-	if len(b.sums) != 1 || b.Mean("b") == 0 {
-		t.Errorf("kept %v", b.sums)
+	e := NewEstimator()
+	e.Add("a", Sum{Total: 400 * ms, Runs: 4})
+	e.Add("b", Sum{Total: 100 * ms, Runs: 1})
+	e.Retain(func(id string) bool { return id == "b" })
+	if len(e.sums) != 1 || e.Mean("b") == 0 {
+		t.Errorf("remaining sums %v", e.sums)
 	}
 }
 
-// TestNoEstimateWithoutRuns: without runs there is no estimate, and what is no run is not taken.
+// TestNoEstimateWithoutRuns checks that there is no estimate without runs and that invalid sums
+// are ignored.
 func TestNoEstimateWithoutRuns(t *testing.T) {
-	b := NewEstimator()
-	b.Add("a", Sum{Total: 100 * ms})
-	b.Add("a", Sum{Total: -ms, Runs: 1})
-	if b.Mean("a") != 0 || b.ServiceMean() != 0 {
-		t.Errorf("%s, %s", b.Mean("a"), b.ServiceMean())
+	e := NewEstimator()
+	e.Add("a", Sum{Total: 100 * ms})
+	e.Add("a", Sum{Total: -ms, Runs: 1})
+	if e.Mean("a") != 0 || e.ServiceMean() != 0 {
+		t.Errorf("upstream mean %s, service mean %s, want none", e.Mean("a"), e.ServiceMean())
 	}
 }
 
-// TestSlownessIsAveragedOverMoreRuns than the time of a run: an upstream that says how slow it
-// is at the moment is taken for as fast as it is in the mean.
+// TestSlownessIsAveragedOverMoreRuns guards against an estimate that follows the momentary
+// slowness: the slowness is averaged over more runs than the run time.
 func TestSlownessIsAveragedOverMoreRuns(t *testing.T) {
-	b := NewEstimator()
+	e := NewEstimator()
 	for i := range 300 {
 		slowness := 1.0
 		if i%50 >= 40 {
 			slowness = 3
 		}
-		b.Add("a", Sum{Total: 100 * ms, Runs: 1, Slowness: slowness})
-		b.Add("fast", Sum{Total: 100 * ms, Runs: 1, Slowness: 0.7})
+		e.Add("a", Sum{Total: 100 * ms, Runs: 1, Slowness: slowness})
+		e.Add("fast", Sum{Total: 100 * ms, Runs: 1, Slowness: 0.7})
 	}
-	// The last ten runs were in a slow moment.
-	checkNear(t, "mean", b.Mean("a"), 140*ms)
-	checkNear(t, "mean of a fast one", b.Mean("fast"), 71*ms)
-	if got := b.Estimate("a").Slowness; got < 1.3 || got > 1.5 {
-		t.Errorf("mean slowness %g", got)
+	// The last ten runs had a slowness of 3.
+	checkNear(t, "mean", e.Mean("a"), 140*ms)
+	checkNear(t, "mean of a fast upstream", e.Mean("fast"), 71*ms)
+	if got := e.Estimate("a").Slowness; got < 1.3 || got > 1.5 {
+		t.Errorf("mean slowness %g, want 1.3 to 1.5", got)
 	}
-	b.Remove("a")
-	checkNear(t, "after it has started again", b.Mean("a"), b.ServiceMean())
+	e.Remove("a")
+	checkNear(t, "after removal", e.Mean("a"), e.ServiceMean())
 }
