--- a/coordination/notice/notice.go
+++ b/coordination/notice/notice.go
@@ -1,41 +1,41 @@
-// Package notice keeps what an upstream says of itself, with its answers, to the gateway that it
-// answers: that it leaves, and for how long it wants nothing more.
+// Package notice tracks the notices that an upstream sends to this gateway with its responses: that
+// it is shutting down, or that it wants no requests for some time (a rest).
 package notice
 
 import "time"
 
-// MaxRest bounds how long an upstream is left alone by one word of it: beyond that it is asked
-// whether it still wants to rest.
+// MaxRest bounds the rest that one notice can start. After that the gateway sends a request again
+// to find out whether the upstream still wants to rest.
 const MaxRest = 5 * time.Minute
 
-// Notice is what one answer says.
+// Notice is what one response announces.
 type Notice struct {
-	// Leaving says that the upstream is about to end.
+	// Leaving says that the upstream is about to shut down.
 	Leaving bool
-	// Rest is for how long it wants nothing more from this gateway; zero when it does not ask
-	// for rest.
+	// Rest is how long the upstream wants no more requests from this gateway; zero when it does
+	// not ask for a rest.
 	Rest time.Duration
 }
 
-// State is what stands of all that one start of an upstream has said to this gateway. The zero
-// value is that of one that has said nothing. It is not safe for concurrent use.
+// State is the combined effect of all notices that one incarnation of an upstream has sent to this
+// gateway. The zero value means that there were none. It is not safe for concurrent use.
 type State struct {
-	// LeavingSince is when it first said that it leaves; zero when it has not.
+	// LeavingSince is when the upstream first announced its shutdown; zero when it has not.
 	LeavingSince time.Time
-	// RestUntil is until when it wants nothing more.
+	// RestUntil is the end of the rest that the upstream asked for.
 	RestUntil time.Time
 }
 
-// Change is what a notice changes.
+// Change says what a notice changed in the state.
 type Change struct {
-	// StartedLeaving says that the upstream has not said before that it leaves.
+	// StartedLeaving says that this is the first notice of the shutdown.
 	StartedLeaving bool
-	// StartedResting says that it did not rest before.
+	// StartedResting says that a rest began and the upstream was not resting before.
 	StartedResting bool
 }
 
-// Apply takes over what an answer says. No answer takes back what another one has said: answers
-// overtake each other, and a rest is asked for until its end.
+// Apply merges a notice into the state. A notice never revokes or shortens an earlier one: responses
+// can overtake each other, and a rest always lasts until its announced end.
 func (s *State) Apply(now time.Time, n Notice) Change {
 	var c Change
 	if n.Leaving && s.LeavingSince.IsZero() {
@@ -49,11 +49,11 @@
 	return c
 }
 
-// Leaving reports whether the upstream has said that it leaves.
+// Leaving reports whether the upstream has announced its shutdown.
 func (s *State) Leaving() bool { return !s.LeavingSince.IsZero() }
 
-// RestRemaining returns for how long the upstream wants nothing yet.
+// RestRemaining returns the time left until the rest ends; zero when the upstream is not resting.
 func (s *State) RestRemaining(now time.Time) time.Duration { return max(s.RestUntil.Sub(now), 0) }
 
-// Resting reports whether the upstream wants nothing at the moment.
+// Resting reports whether the upstream is resting now.
 func (s *State) Resting(now time.Time) bool { return now.Before(s.RestUntil) }
--- a/coordination/notice/store.go
+++ b/coordination/notice/store.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// maxEntries bounds the starts whose words are kept while they are not listed.
+	// maxEntries bounds the number of unlisted upstream instances whose state is kept.
 	maxEntries = 1024
-	// retention is how long a leaving is kept: entries that lapse while an upstream lives come
-	// back within seconds, and what has ended does not come back as the same start.
+	// retention is how long the state of an unlisted instance is kept. The registry entry of a
+	// live upstream that expired comes back within seconds, and a process that has ended never
+	// comes back with the same incarnation.
 	retention = 10 * time.Minute
 )
 
-// Store keeps what starts of upstreams have said that are not listed for a while: lists may be old,
-// and what was said stands for the same start. The zero value is empty. It is not safe for
-// concurrent use.
+// Store keeps the notice state of upstream instances that are temporarily missing from the list of
+// upstreams. The list may be stale, and notices stay valid for the same incarnation. The zero value
+// is empty. It is not safe for concurrent use.
 type Store struct{ entries map[instanceKey]entry }
 
-// instanceKey is one instanceKey of an upstream.
+// instanceKey identifies one incarnation of an upstream.
 type instanceKey struct {
 	upstream    string
 	incarnation instances.Incarnation
@@ -27,42 +28,43 @@
 
 type entry struct {
 	state State
-	since    time.Time
+	since time.Time
 }
 
-// Save takes what stands of a start that is not listed any more.
-func (b *Store) Save(now time.Time, upstream string, incarnation instances.Incarnation, s State) {
-	b.expire(now)
-	if s == (State{}) || len(b.entries) >= maxEntries {
+// Save stores the state of an instance that is no longer listed. It drops the state when the store
+// is full.
+func (s *Store) Save(now time.Time, upstream string, incarnation instances.Incarnation, state State) {
+	s.expire(now)
+	if state == (State{}) || len(s.entries) >= maxEntries {
 		return
 	}
-	if b.entries == nil {
-		b.entries = make(map[instanceKey]entry)
+	if s.entries == nil {
+		s.entries = make(map[instanceKey]entry)
 	}
-	b.entries[instanceKey{upstream, incarnation}] = entry{state: s, since: now}
+	s.entries[instanceKey{upstream, incarnation}] = entry{state: state, since: now}
 }
 
-// Apply takes over what an answer says of a start that is not listed, after what is kept of it.
-func (b *Store) Apply(now time.Time, upstream string, incarnation instances.Incarnation, n Notice) Change {
-	s := b.Take(upstream, incarnation)
-	c := s.Apply(now, n)
-	b.Save(now, upstream, incarnation, s)
+// Apply merges a notice from an unlisted instance into its stored state.
+func (s *Store) Apply(now time.Time, upstream string, incarnation instances.Incarnation, n Notice) Change {
+	state := s.Take(upstream, incarnation)
+	c := state.Apply(now, n)
+	s.Save(now, upstream, incarnation, state)
 	return c
 }
 
-// Take returns what stands of a start that is listed again, and forgets it.
-func (b *Store) Take(upstream string, incarnation instances.Incarnation) State {
+// Take removes and returns the state of an instance that is listed again.
+func (s *Store) Take(upstream string, incarnation instances.Incarnation) State {
 	id := instanceKey{upstream, incarnation}
-	k := b.entries[id]
-	delete(b.entries, id)
-	return k.state
+	e := s.entries[id]
+	delete(s.entries, id)
+	return e.state
 }
 
-// expire drops what is too old to matter.
-func (b *Store) expire(now time.Time) {
-	for id, k := range b.entries {
-		if now.Sub(k.since) > retention && !k.state.Resting(now) {
-			delete(b.entries, id)
+// expire removes entries that are older than the retention and whose rest period is over.
+func (s *Store) expire(now time.Time) {
+	for id, e := range s.entries {
+		if now.Sub(e.since) > retention && !e.state.Resting(now) {
+			delete(s.entries, id)
 		}
 	}
 }
