--- a/coordination/dispatch/choice.go
+++ b/coordination/dispatch/choice.go
@@ -8,32 +8,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// This file chooses an upstream for requests that any may run.
+// This file chooses an upstream for requests that any upstream can serve.
 
 const (
-	// candidates is how many good upstreams of the own failure domain, and how many of the
-	// others, are candidates for a request. They are the same few for one gateway and others
-	// for each: so an upstream is filled by few gateways, each of which knows a good part of
-	// what it has, and connections are used again. The best of many is what all gateways
-	// send to between two reports.
+	// candidates is how many good upstreams of the own failure domain, and how many of the other
+	// domains, are compared for a request. Each gateway compares the same few every time, and
+	// different gateways different ones. So an upstream's requests come from few gateways, each
+	// of which knows a good part of the upstream's load, and connections are reused. If each
+	// gateway compared all upstreams, all of them would send to the same one between two reports.
 	candidates = 2
-	// maxExamined bounds the upstreams with room that are looked at for good ones.
+	// maxExamined bounds how many upstreams with room are examined to find good ones.
 	maxExamined = 8
-	// badFailureRate is the share of failures from which an upstream is not good: the next in
-	// the order is compared as well.
+	// badFailureRate is the failure rate from which an upstream does not count as good, so that
+	// the next one in the order is compared as well.
 	badFailureRate = 0.25
 )
 
 // ranking orders the upstreams of a service for one gateway.
 type ranking struct {
-	// salt makes the order another one at each gateway.
+	// salt makes the order differ between gateways.
 	salt uint64
-	// local are those of the local failure domain.
+	// local are the upstreams of the own failure domain, remote all others.
 	local, remote []*Upstream
 }
 
-// update takes over which upstreams there are. Those that stay keep their order among each
-// other (rendezvous hashing).
+// update replaces the list of upstreams. Those that remain keep their relative order (rendezvous
+// hashing).
 func (r *ranking) update(list []*Upstream, domain string) {
 	r.local, r.remote = r.local[:0], r.remote[:0]
 	for _, u := range list {
@@ -44,31 +44,32 @@
 			r.remote = append(r.remote, u)
 		}
 	}
-	for _, part := range [][]*Upstream{r.local, r.remote} {
-		sort.Slice(part, func(i, j int) bool { return part[i].rank < part[j].rank })
+	for _, group := range [][]*Upstream{r.local, r.remote} {
+		sort.Slice(group, func(i, j int) bool { return group[i].rank < group[j].rank })
 	}
 }
 
-// rank is the place of an upstream in the order, as a number.
+// rank returns the sort key of an upstream.
 func (r *ranking) rank(id string) uint64 {
 	return rand.NewPCG(xxhash.Sum64String(id), r.salt).Uint64()
 }
 
-// choice is the best upstream so far.
+// choice is the best upstream found so far.
 type choice struct {
 	best  *Upstream
 	score float64
 }
 
-// consider takes the upstream if its score is lower.
+// consider makes the upstream the best one if its score is lower.
 func (c *choice) consider(u *Upstream, score float64) {
 	if c.best == nil || score < c.score {
 		c.best, c.score = u, score
 	}
 }
 
-// chooseUpstream returns the upstream with the lowest score among a few with room, within the limit that
-// it may name.
+// chooseUpstream returns the upstream with the lowest score among a few with room. If the limit of
+// that upstream rejects the request, it returns the best one without a limit. It returns nil if
+// there is none.
 func (s *Service) chooseUpstream(now time.Time, w *Want) *Upstream {
 	best := s.lowestScore(now, w)
 	if best == nil {
@@ -84,8 +85,8 @@
 	return best
 }
 
-// lowestScore returns the upstream with the lowestScore score among a few with room. For a request that
-// a limit has held back it is one that names none.
+// lowestScore returns the upstream with the lowest score among a few with room, or nil. For a
+// request that a limit has rejected, it considers only upstreams without a limit.
 func (s *Service) lowestScore(now time.Time, w *Want) *Upstream {
 	var c choice
 	s.considerList(now, w, s.ranked.local, &c)
@@ -94,9 +95,10 @@
 	return c.best
 }
 
-// considerList looks at the first upstreams of a list that have room, until enough are good.
+// considerList considers the upstreams of a list that have room, in order, until it has found enough
+// good ones.
 func (s *Service) considerList(now time.Time, w *Want, list []*Upstream, c *choice) {
-	good, seen := 0, 0
+	good, examined := 0, 0
 	for _, u := range list {
 		if u.limit != nil && w.heldBack || excluded(w, u.ID) || !s.usable(now, u) || !u.room(now, s.typical, w.Objective, false) {
 			continue
@@ -105,7 +107,7 @@
 		if u.failures < badFailureRate {
 			good++
 		}
-		if seen++; good == candidates || seen == maxExamined {
+		if examined++; good == candidates || examined == maxExamined {
 			return
 		}
 	}
--- a/coordination/dispatch/eligibility.go
+++ b/coordination/dispatch/eligibility.go
@@ -2,11 +2,13 @@
 
 import "time"
 
-// This file decides whether an upstream may get requests at the moment, by what it and operators
-// have said of it. Each send asks it when the upstream is chosen and again right before its bytes
-// go out: a request may have waited or a connection been opened meanwhile.
+// This file decides whether an upstream may get requests at the moment, given its notices, its
+// registry entry and the operators' settings. Each send checks this twice, when the upstream is
+// chosen and right before the bytes go out: in between, the request may have waited or a connection
+// may have been opened.
 
-// blockedReason returns why the upstream gets no request that any other may run as well, or zero.
+// blockedReason returns why the upstream gets none of the requests that other upstreams can serve as
+// well, or zero if it may get them.
 func (s *Service) blockedReason(now time.Time, u *Upstream) Refusal {
 	switch {
 	case u.isEvacuated():
@@ -19,8 +21,9 @@
 	return 0
 }
 
-// ownerBlockedReason is the same for an owner: nobody stands in for it before its keys have moved, so it
-// gets requests for a moment more when it is to end.
+// ownerBlockedReason is like blockedReason, but for requests for keys that the upstream owns. No
+// other upstream can serve these before the keys have moved, so a leaving or evacuated owner still
+// gets them for a grace period.
 func (s *Service) ownerBlockedReason(now time.Time, u *Upstream) Refusal {
 	switch {
 	case u.isEvacuated() && now.Sub(u.evacuatedSince) > evacuationGrace:
@@ -33,8 +36,8 @@
 	return 0
 }
 
-// requestBlockedReason returns why there is no upstream to which the request may go, or zero when there is
-// one. Those that rest come back by themselves.
+// requestBlockedReason returns why no upstream may get the request, or zero if there is one. It
+// returns Resting if any of them is resting, because those become available again by themselves.
 func (s *Service) requestBlockedReason(now time.Time, w *Want) Refusal {
 	if w.Owner != "" {
 		u := s.upstreams[w.Owner]
@@ -58,14 +61,15 @@
 	return reason
 }
 
-// MaySend reports whether a request that was granted may go to its upstream now. Of one that is not
-// listed any more it is not known what stands.
+// MaySend reports whether a request with a grant may go to its upstream now. It returns false for an
+// upstream that is no longer listed, because that one's state is unknown.
 func (s *Service) MaySend(now time.Time, g Grant) bool {
 	u := s.grantedUpstream(g)
 	return u != nil && s.ownerBlockedReason(now, u) == 0
 }
 
-// RestRemaining returns how long it takes until an upstream to which the request may go has rested.
+// RestRemaining returns the time until the first resting upstream that can serve the request ends
+// its rest, or zero if none is resting.
 func (s *Service) RestRemaining(now time.Time, w *Want) time.Duration {
 	least := time.Duration(0)
 	for _, u := range s.order {
--- a/coordination/dispatch/evacuated.go
+++ b/coordination/dispatch/evacuated.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// This file keeps requests from upstreams in failure domains that are evacuated.
+// This file keeps requests away from upstreams in evacuated failure domains.
 
-// evacuationGrace is how long an owner in an evacuated failure domain still gets requests
-// for keys that have not moved yet: most moves end within it, and the operator allows some
-// seconds, of which the news may have taken one and a half.
+// evacuationGrace is how long an owner in an evacuated failure domain still gets requests for keys
+// that have not moved yet. Most moves end within it. The operator allows a few seconds in total, of
+// which the news of the evacuation may already have taken one and a half.
 const evacuationGrace = time.Second
 
-// SetEvacuated takes over which failure domains are evacuated. Upstreams there get nothing
-// more, but owners for a moment the requests for keys that have not moved yet.
+// SetEvacuated sets which failure domains are evacuated. Upstreams there get no more requests,
+// except that owners get those for keys that have not moved yet during evacuationGrace.
 func (s *Service) SetEvacuated(now time.Time, evacuated func(domain string) bool) {
 	s.evacuated = evacuated
 	for _, u := range s.order {
@@ -20,6 +20,8 @@
 	s.grantWaiting(now)
 }
 
+// updateEvacuated records when the upstream's failure domain was first seen as evacuated, or that
+// its evacuation has ended.
 func (s *Service) updateEvacuated(now time.Time, u *Upstream) {
 	switch evacuated := s.evacuated(u.Domain); {
 	case evacuated && !u.isEvacuated():
@@ -30,5 +32,5 @@
 	}
 }
 
-// isEvacuated reports whether the upstream's failure domain is isEvacuated.
+// isEvacuated reports whether the upstream's failure domain is evacuated.
 func (u *Upstream) isEvacuated() bool { return !u.evacuatedSince.IsZero() }
--- a/coordination/dispatch/limits.go
+++ b/coordination/dispatch/limits.go
@@ -6,59 +6,60 @@
 	"github.com/rockcroft/rockcroft/coordination/quota"
 )
 
-// This file keeps all gateways together within the limit that an upstream in need names. Each
-// request is judged once: one that the limit holds back goes to another upstream, or, if it is for
-// the upstream's keys, is refused at once. Judged again and again while it waits it would get
-// through in the end.
+// This file keeps all gateways together within the rate limit that an overloaded upstream
+// announces. The limit is applied once to each request. A rejected request goes to another upstream
+// or, if only this one owns its key, is refused at once. If the limit were applied again and again
+// to a waiting request, the request would pass in the end.
 
-// Limit is what is known of an upstream's limit.
+// Limit is what is known about the rate limit of an upstream.
 type Limit struct {
-	// PerSecond is how many requests a second it takes from all gateways together.
+	// PerSecond is how many requests a second the upstream takes from all gateways together.
 	PerSecond float64
-	// OthersDemand is how many requests a second the other gateways are asked for that it would get.
-	// It is negative when that is not known.
+	// OthersDemand is how many requests a second the other gateways receive that would go to
+	// the upstream. It is negative when unknown.
 	OthersDemand float64
 }
 
-// limitPropagation is how long after a gateway has heard of a limit what the others are asked for is
-// not known whole yet: they have to hear of it as well, and to report twice.
+// limitPropagation is how long after a gateway has learned of a limit the demand of the others may
+// be incomplete: they have to learn of the limit as well, and then report twice.
 const limitPropagation = 600 * time.Millisecond
 
-// upstreamLimit is an upstream's upstreamLimit here.
+// upstreamLimit is the limit of an upstream as this gateway applies it.
 type upstreamLimit struct {
 	quota.Rate
-	// othersDemand is what the other gateways are asked for; negative when that is not known.
+	// othersDemand is the demand on the other gateways; negative when unknown.
 	othersDemand float64
-	// sampler says which of the requests here are let through.
+	// sampler selects the requests to admit.
 	sampler quota.Sampler
 }
 
-// newUpstreamLimit returns a limit that is heard of first now.
-func (s *Service) newUpstreamLimit(now time.Time, one Limit) *upstreamLimit {
+// newUpstreamLimit returns a limit that this gateway learns of now.
+func (s *Service) newUpstreamLimit(now time.Time, limit Limit) *upstreamLimit {
 	return &upstreamLimit{
-		Rate:         quota.Rate{PerSecond: one.PerSecond, Since: now},
-		othersDemand: one.OthersDemand,
+		Rate:         quota.Rate{PerSecond: limit.PerSecond, Since: now},
+		othersDemand: limit.OthersDemand,
 		sampler:      quota.NewSampler(s.rng.Float64(), s.rng.Float64()),
 	}
 }
 
-// SetLimits takes over the limits that upstreams name, by ID. Those not listed name none.
+// SetLimits sets the limits of the upstreams, by ID. Upstreams that are not listed have none.
 func (s *Service) SetLimits(now time.Time, limits map[string]Limit) {
 	for _, u := range s.order {
-		one, ok := limits[u.ID]
+		limit, ok := limits[u.ID]
 		switch {
 		case !ok:
 			u.limit = nil
 		case u.limit == nil:
-			u.limit = s.newUpstreamLimit(now, one)
+			u.limit = s.newUpstreamLimit(now, limit)
 		default:
-			u.limit.PerSecond, u.limit.othersDemand = one.PerSecond, one.OthersDemand
+			u.limit.PerSecond, u.limit.othersDemand = limit.PerSecond, limit.OthersDemand
 		}
 	}
 }
 
-// LimitedDemand measures how many requests a second this gateway is asked for that each upstream would
-// get, and returns it of those that name a limit, by ID. It is to be called for each report.
+// LimitedDemand measures, for each upstream, how many requests a second this gateway receives that
+// would go there. It returns the results of the upstreams with a limit, by ID. It must be called
+// once per report.
 func (s *Service) LimitedDemand(now time.Time) map[string]float64 {
 	var out map[string]float64
 	for _, u := range s.order {
@@ -74,21 +75,22 @@
 	return out
 }
 
-// totalDemand is how many requests a second all gateways are asked for that the upstream would
-// get. Before it is known the others are taken to be asked for as many as this one each.
+// totalDemand returns how many requests a second all gateways receive that would go to the
+// upstream. While the demand of the others is unknown, each is assumed to have the same demand as
+// this gateway.
 func (u *Upstream) totalDemand(now time.Time) float64 {
-	mine := u.wanted.Last()
-	alike := mine * float64(u.gateways)
+	own := u.wanted.Last()
+	equal := own * float64(u.gateways)
 	switch {
 	case u.limit.othersDemand < 0:
-		return alike
+		return equal
 	case now.Sub(u.limit.Since) < limitPropagation:
-		return max(mine+u.limit.othersDemand, alike)
+		return max(own+u.limit.othersDemand, equal)
 	}
-	return mine + u.limit.othersDemand
+	return own + u.limit.othersDemand
 }
 
-// cappedRate is how much of a rate the upstream cappedRate.
+// cappedRate returns the given rate, or the upstream's limit if that is lower.
 func (u *Upstream) cappedRate(rate float64) float64 {
 	if u.limit == nil {
 		return rate
@@ -96,7 +98,8 @@
 	return min(rate, u.limit.PerSecond)
 }
 
-// withinLimit reports whether the request may go to the upstream as far as that names a limit.
+// withinLimit reports whether the upstream's limit, if any, admits the request. An admission stays
+// valid for this upstream. After a rejection the request may only go to upstreams without a limit.
 func (s *Service) withinLimit(now time.Time, w *Want, u *Upstream) bool {
 	if u.limit == nil || s.Off.NoNamedLimits || w.admitted == u {
 		return true
@@ -112,8 +115,8 @@
 	return false
 }
 
-// blockedByLimits reports whether a request that waits is held back by limits, and there is no
-// upstream without one that could run it.
+// blockedByLimits reports whether a limit has rejected the waiting request and no upstream without
+// a limit can serve it.
 func (s *Service) blockedByLimits(now time.Time, w *Want) bool {
 	if w.Owner != "" {
 		u := s.upstreams[w.Owner]
@@ -122,7 +125,7 @@
 	return w.heldBack && !s.hasUnlimited(now, w)
 }
 
-// hasUnlimited reports whether there is an upstream for the request that names no limit.
+// hasUnlimited reports whether there is an upstream for the request that has no limit.
 func (s *Service) hasUnlimited(now time.Time, w *Want) bool {
 	for _, u := range s.order {
 		if u.limit == nil && s.blockedReason(now, u) == 0 && !excluded(w, u.ID) {
--- a/coordination/dispatch/mechanisms.go
+++ b/coordination/dispatch/mechanisms.go
@@ -1,19 +1,18 @@
 package dispatch
 
-// Mechanisms names parts of the decisions that can be switched off, to measure what each
-// is worth. Gateways run with all of them on.
+// Mechanisms disables parts of the decisions, so that experiments can measure the effect of each.
+// In production all of them are enabled.
 type Mechanisms struct {
-	// NoShares lets each gateway use whatever room the last report shows.
+	// NoShares lets each gateway use all the room that the last report shows.
 	NoShares bool `json:"no_shares"`
-	// NoLikelihood lets requests wait though an answer on time is not likely.
+	// NoLikelihood lets requests wait even if a timely response is unlikely.
 	NoLikelihood bool `json:"no_likelihood"`
-	// NoHung counts requests that an upstream has forgotten as in flight until their
-	// timeout.
+	// NoHung counts requests that an upstream has lost as in flight until they time out.
 	NoHung bool `json:"no_hung"`
 	// NoCold treats requests for cold keys like all others.
 	NoCold bool `json:"no_cold"`
-	// NoLimits lets all requests for hot keys through.
+	// NoLimits admits all requests for hot keys.
 	NoLimits bool `json:"no_limits"`
-	// NoNamedLimits lets all requests through to upstreams that name a limit.
+	// NoNamedLimits ignores the rate limits that upstreams announce.
 	NoNamedLimits bool `json:"no_named_limits"`
 }
--- a/coordination/dispatch/notices.go
+++ b/coordination/dispatch/notices.go
@@ -6,10 +6,10 @@
 	"github.com/rockcroft/rockcroft/coordination/notice"
 )
 
-// This file takes over what upstreams say of themselves to this gateway.
+// This file applies the notices that upstreams send to this gateway.
 
-// ApplyNotice takes over what the answer to a request says of its upstream, before the end of the
-// request is noted.
+// ApplyNotice applies the notice in the response to a request. It must be called before Done for
+// that request.
 func (s *Service) ApplyNotice(now time.Time, g Grant, n notice.Notice) notice.Change {
 	u := s.grantedUpstream(g)
 	if u == nil {
@@ -23,7 +23,7 @@
 	return c
 }
 
-// grantedUpstream returns the upstream of a grant, or nil when it is not there any more.
+// grantedUpstream returns the upstream of a grant, or nil if it is no longer listed or has restarted.
 func (s *Service) grantedUpstream(g Grant) *Upstream {
 	u := s.upstreams[g.Instance.ID]
 	if u == nil || u.Incarnation().Other(g.Instance.Incarnation()) {
@@ -32,24 +32,25 @@
 	return u
 }
 
-// updateLeaving notes since when it is known, by whomever, that the upstream leaves. An entry and an
-// operator may take that back, what its answers have said stands.
+// updateLeaving records since when the upstream is known to be leaving, from any source. Its
+// registry entry and operators can revoke that; its own notices cannot be revoked.
 func (s *Service) updateLeaving(now time.Time, u *Upstream) {
 	switch {
 	case !u.isLeaving():
 		u.leavingSince = time.Time{}
 	case u.leavingSince.IsZero() && u.said.Leaving():
-		// It may have said so before it was not listed for a while.
+		// The notice may date from before the upstream was missing from the list for a while.
 		u.leavingSince = u.said.LeavingSince
 	case u.leavingSince.IsZero():
 		u.leavingSince = now
 	}
 }
 
-// isLeaving reports whether the upstream is about to end, as its entry or its answers say.
+// isLeaving reports whether the upstream is about to shut down, according to its registry entry or
+// its notices.
 func (u *Upstream) isLeaving() bool { return u.Leaving || u.said.Leaving() }
 
-// CountNotices counts the upstreams that have said that they leave, and those that rest.
+// CountNotices returns how many upstreams have announced their shutdown and how many are resting.
 func (s *Service) CountNotices(now time.Time) (leaving, resting int) {
 	for _, u := range s.order {
 		if u.said.Leaving() {
@@ -62,7 +63,8 @@
 	return leaving, resting
 }
 
-// NoticeState returns what the upstream of a grant has said of itself.
+// NoticeState returns the notice state of a grant's upstream. It is the zero value if the upstream
+// is no longer listed or has restarted.
 func (s *Service) NoticeState(g Grant) notice.State {
 	if u := s.grantedUpstream(g); u != nil {
 		return u.said
--- a/coordination/dispatch/queue.go
+++ b/coordination/dispatch/queue.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// queue holds requests that wait for the same upstreams: by importance, then by age.
-// Few priorities are in use at a time.
+// queue holds the requests that wait for the same upstreams, by priority and then by age. It is
+// built for a small number of priorities in use at a time.
 type queue struct {
 	levels []level
 	size   int
 }
 
-// level is the part of a queue of one priority, the oldest first.
+// level holds the requests of one priority, oldest first.
 type level struct {
 	priority int
 	wants    []*Want
 }
 
-// add appends a request to its level.
+// add appends a request to the level of its priority.
 func (q *queue) add(w *Want) {
 	q.size++
 	i := 0
@@ -32,7 +32,7 @@
 	q.levels[i].wants = append(q.levels[i].wants, w)
 }
 
-// remove takes a request out.
+// remove removes a request if it is in the queue.
 func (q *queue) remove(w *Want) {
 	for i := range q.levels {
 		if q.levels[i].priority != w.Priority {
@@ -48,7 +48,7 @@
 	}
 }
 
-// ahead counts the requests that go before one of the priority that comes now.
+// ahead returns how many requests would be served before a new one of the given priority.
 func (q *queue) ahead(priority int) int {
 	n := 0
 	for i := range q.levels {
@@ -59,25 +59,24 @@
 	return n
 }
 
-// forEach calls visit with all requests, the most important and then the oldest first,
-// and takes out those for which it says so. It ends when visit says that the rest
-// stays.
-func (q *queue) forEach(visit func(*Want) (taken, rest bool)) {
+// forEach calls visit for each request, the most important first and then the oldest. It removes
+// the request if visit returns remove, and ends if visit returns stop.
+func (q *queue) forEach(visit func(*Want) (remove, stop bool)) {
 	for i := range q.levels {
 		wants := q.levels[i].wants
 		kept := wants[:0]
 		for j, w := range wants {
-			taken, rest := visit(w)
-			if taken {
+			remove, stop := visit(w)
+			if remove {
 				q.size--
 			} else {
 				kept = append(kept, w)
 			}
-			if rest && len(kept) == j+1 {
-				// None was taken: the rest is in its place.
+			if stop && len(kept) == j+1 {
+				// Nothing was removed, so the remaining requests are already in place.
 				return
 			}
-			if rest {
+			if stop {
 				kept = append(kept, wants[j+1:]...)
 				clear(wants[len(kept):])
 				q.levels[i].wants = kept
@@ -89,12 +88,12 @@
 	}
 }
 
-// expire takes out the requests whose time to wait is over.
+// expire removes the requests whose waiting time has ended and calls refuse for each.
 func (q *queue) expire(now time.Time, refuse func(*Want)) {
 	if q.size == 0 {
 		return
 	}
-	q.forEach(func(w *Want) (taken, rest bool) {
+	q.forEach(func(w *Want) (remove, stop bool) {
 		if now.Before(w.Until) {
 			return false, false
 		}
--- a/coordination/dispatch/report.go
+++ b/coordination/dispatch/report.go
@@ -7,25 +7,27 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// Load is the state of one upstream as reported to the other gateways.
+// Load is the state of one upstream as this gateway reports it to the others.
 type Load struct {
 	Instance string
-	// Incarnation tells which start of the upstream this is about.
+	// Incarnation says to which start of the upstream process the report applies.
 	Incarnation instances.Incarnation
-	// Inflight is the mean number of requests from here since the last call.
+	// Inflight is the mean number of requests from this gateway since the last call of Loads.
 	Inflight float64
-	// Runs are those seen from here since the last call.
-	Runs    worktime.Sum
+	// Runs are the runs that this gateway has observed since the last call.
+	Runs worktime.Sum
+	// Silent is the time since the last response if the upstream is unreachable or silent, else
+	// zero. Refused says that it refused connections.
 	Silent  time.Duration
 	Refused bool
-	// Leaving says that it has told this gateway that it leaves, Rest for how long it wants
-	// nothing more from here.
+	// Leaving says that the upstream has announced its shutdown to this gateway. Rest is how
+	// long it still wants no requests from this gateway.
 	Leaving bool
 	Rest    time.Duration
 }
 
-// Loads returns what is worth a report: upstreams with requests from here or
-// with troubles.
+// Loads returns the upstreams that are worth reporting: those with requests from this gateway, with
+// problems or with notices. It starts a new reporting period.
 func (s *Service) Loads(now time.Time) []Load {
 	var out []Load
 	for _, u := range s.order {
@@ -49,37 +51,36 @@
 	return out
 }
 
-// Explanation is what a decision was made from.
+// Explanation holds the inputs of a decision, summed over the upstreams in question.
 type Explanation struct {
-	// Upstreams is the number known, Usable that of those that may get
-	// requests at all.
+	// Upstreams is the number of known upstreams, Usable how many of them may get requests.
 	Upstreams int
 	Usable    int
-	// Waiting is the number of requests that wait here.
+	// Waiting is the number of requests that wait at this gateway.
 	Waiting int
-	// OwnInflight are the requests from here at the owner, or at all upstreams, Hung those of
-	// them that seem forgotten there; Others those that other gateways reported,
-	// ReportAge ago.
+	// OwnInflight is the number of this gateway's requests in flight, and HungInflight how many
+	// of those the upstreams seem to have lost. OthersInflight is the number that the other
+	// gateways reported, and ReportAge the age of that report.
 	OwnInflight    int
 	HungInflight   int
 	OthersInflight float64
 	ReportAge      time.Duration
-	// Slots is how many run at once there, Work how long one takes.
+	// Slots is how many requests can run at once, RunTime the estimated time of one run.
 	Slots   int
 	RunTime time.Duration
-	// Part is this gateway's part of the room, Saved how much of it is left at the
-	// owner.
+	// Part is this gateway's fraction of the demand. SavedShare is how many requests it may
+	// still send out of its share of the owner's room.
 	Part       float64
 	SavedShare float64
-	// LimitedUpstreams is the number of them that name a limit, Limit the owner's, in requests a second,
-	// and Wanted what all gateways are asked for of the owner.
+	// LimitedUpstreams is the number of upstreams with a rate limit. Limit is the owner's limit,
+	// and TotalDemand the demand for the owner on all gateways, both in requests a second.
 	LimitedUpstreams int
 	Limit            float64
 	TotalDemand      float64
 }
 
-// Explain returns what a decision for the owner, or for any upstream, would be
-// made from.
+// Explain returns the inputs of a decision for a request to the owner, or to any upstream if owner
+// is empty.
 func (s *Service) Explain(now time.Time, owner string) Explanation {
 	e := Explanation{Waiting: s.waiting, RunTime: s.typical, Part: s.part}
 	for _, u := range s.order {
--- a/coordination/dispatch/waiting.go
+++ b/coordination/dispatch/waiting.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// waitRefusal reports why it makes no sense to wait behind so many, or zero.
+// waitRefusal returns why the request should be refused instead of waiting behind the given number
+// of others, or zero if it should wait. u is the owner's upstream, or nil if any can serve it.
 func (s *Service) waitRefusal(now time.Time, w *Want, u *Upstream, ahead int) Refusal {
 	if r := s.requestBlockedReason(now, w); r != 0 {
 		return r
@@ -29,9 +30,9 @@
 	return 0
 }
 
-// likelyRunTime is within what time an upstream likely answers a request that has waited:
-// the expected time and one mean run more, as work times have tails: by the expected time
-// alone, half of those who waited longest are late.
+// likelyRunTime returns the time within which an upstream will probably respond to a request that
+// has waited. It is the expected time plus one mean run, because run times have long tails: with the
+// expected time alone, half of the requests that waited longest would be late.
 func (s *Service) likelyRunTime(now time.Time, u *Upstream) time.Duration {
 	if u == nil {
 		return 2 * s.typical
@@ -40,8 +41,8 @@
 	return expected + u.workTime(now, s.typical)
 }
 
-// expectedWait estimates how long the request would wait behind those that go
-// first: for this gateway's part of what its upstreams end.
+// expectedWait estimates how long the request would wait behind the given number of others, from
+// this gateway's fraction of the rate at which the upstreams finish requests.
 func (s *Service) expectedWait(now time.Time, w *Want, u *Upstream, ahead int) time.Duration {
 	if u == nil {
 		return time.Duration(float64(ahead) / max(s.part*s.rate, leastRate) * float64(time.Second))
@@ -51,8 +52,7 @@
 	return u.share.wait(float64(ahead+1), rate)
 }
 
-// Withdraw takes a waiting request out. It reports false when the verdict was
-// given already.
+// Withdraw removes a waiting request. It returns false if the request already got its verdict.
 func (s *Service) Withdraw(w *Want) bool {
 	if w.gone {
 		return false
@@ -67,52 +67,52 @@
 	return true
 }
 
-// Tick refuses requests that have waited too long and lets others through
-// whose upstreams have room again.
+// Tick grants waiting requests whose upstreams have room again, and refuses those that have waited
+// too long or can no longer be served.
 func (s *Service) Tick(now time.Time) {
 	s.updateRate(now)
 	if s.waiting == 0 {
 		return
 	}
 	s.grantWaiting(now)
-	late := func(w *Want) { s.refuse(w, s.expiryReason(now, w)) }
+	expired := func(w *Want) { s.refuse(w, s.expiryReason(now, w)) }
 	for _, u := range s.order {
 		if r := s.ownerBlockedReason(now, u); r != 0 {
 			s.refuseAll(u, r)
 		}
-		u.queue.expire(now, late)
+		u.queue.expire(now, expired)
 	}
 	s.refuseUnservable(now)
-	s.queue.expire(now, late)
+	s.queue.expire(now, expired)
 }
 
-// refuseUnservable refuses requests that wait for any upstream when there is none to which they may
-// go.
+// refuseUnservable refuses the requests that wait for any upstream if no upstream may get requests.
 func (s *Service) refuseUnservable(now time.Time) {
 	if s.queue.size == 0 || s.requestBlockedReason(now, &Want{}) == 0 {
 		return
 	}
-	s.queue.forEach(func(w *Want) (taken, rest bool) {
+	s.queue.forEach(func(w *Want) (remove, stop bool) {
 		s.refuse(w, s.requestBlockedReason(now, w))
 		return true, false
 	})
 }
 
-// refuse gives a waiting request its verdict.
+// refuse gives a waiting request a refusal as its verdict.
 func (s *Service) refuse(w *Want, r Refusal) {
 	w.gone = true
 	s.waiting--
 	w.Verdict(Grant{}, r)
 }
 
-// refuseAll refuses what waits for one upstream.
+// refuseAll refuses all requests that wait for one upstream.
 func (s *Service) refuseAll(u *Upstream, r Refusal) {
-	u.queue.forEach(func(w *Want) (taken, rest bool) {
+	u.queue.forEach(func(w *Want) (remove, stop bool) {
 		s.refuse(w, r)
 		return true, false
 	})
 }
 
+// expiryReason returns the refusal for a request that has waited too long.
 func (s *Service) expiryReason(now time.Time, w *Want) Refusal {
 	if r := s.requestBlockedReason(now, w); r != 0 {
 		return r
@@ -120,7 +120,7 @@
 	return NoRoom
 }
 
-// grantWaiting lets through whatever waits and has room.
+// grantWaiting grants all waiting requests for which there is room.
 func (s *Service) grantWaiting(now time.Time) {
 	if s.waiting == 0 {
 		return
@@ -131,13 +131,14 @@
 	s.grantFromQueue(now, &s.queue)
 }
 
-// grantFromQueue lets waiting requests of one queue through, the most important and then the
-// oldest first. One that finds no room, though it may go anywhere, ends it.
+// grantFromQueue grants the requests of one queue for which there is room, the most important first
+// and then the oldest. It stops at the first request without room, unless that request excludes
+// upstreams: the next one may find room there.
 func (s *Service) grantFromQueue(now time.Time, q *queue) {
 	if q.size == 0 {
 		return
 	}
-	q.forEach(func(w *Want) (taken, rest bool) {
+	q.forEach(func(w *Want) (remove, stop bool) {
 		if s.blockedByLimits(now, w) {
 			s.refuse(w, Limited)
 			return true, false
@@ -153,5 +154,5 @@
 	})
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (s *Service) Waiting() int { return s.waiting }
