--- a/coordination/dispatch/bench_test.go
+++ b/coordination/dispatch/bench_test.go
@@ -10,11 +10,11 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// BenchmarkDecision is one Offer with its Done, for any upstream and for an owner, while
-// others wait for another owner that is full. A single thread's time before the queues
-// were kept by owner and the choice compared some upstreams only: 1.6 us at 10 upstreams,
-// 9.6 us at 89, 40 us at 313, 132 us at 313 with 500 waiting. The aim is 2 us and no
-// allocation at 313 with 500 waiting.
+// BenchmarkDecision measures one Offer with its Done, for any upstream and for an owner, while
+// other requests wait for another owner that is full. The target is 2 us and no allocation at 313
+// upstreams with 500 requests waiting. With a single queue and a comparison of all upstreams, a
+// decision took 1.6 us at 10 upstreams, 9.6 us at 89, 40 us at 313, and 132 us at 313 with 500
+// waiting.
 func BenchmarkDecision(b *testing.B) {
 	for _, c := range []struct{ upstreams, waiting int }{{10, 0}, {89, 0}, {313, 0}, {313, 500}} {
 		for _, owner := range []string{"", "u1"} {
@@ -32,7 +32,7 @@
 					now = now.Add(100 * time.Microsecond)
 					g, r, decided := s.Offer(now, w)
 					if !decided || r != 0 {
-						b.Fatalf("not let through: %v, decided %v", r, decided)
+						b.Fatalf("not granted: refusal %v, decided %v", r, decided)
 					}
 					s.Done(now, g, Answered)
 				}
@@ -41,8 +41,8 @@
 	}
 }
 
-// BenchmarkMaySend is the last question before the bytes of a request go out. The aim is 100 ns and
-// no allocation.
+// BenchmarkMaySend measures the check right before a request's bytes go out. The target is 100 ns
+// and no allocation.
 func BenchmarkMaySend(b *testing.B) {
 	s := busyService(b, 313, 0)
 	g := Grant{Instance: s.upstreams["u1"].Instance}
@@ -50,12 +50,12 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if s.MaySend(start.Add(time.Millisecond), g) {
-			b.Fatal("sent to one that rests")
+			b.Fatal("request may go to a resting upstream")
 		}
 	}
 }
 
-// busyService returns a service of so many upstreams, with so many requests that wait for
+// busyService returns a service with the given number of upstreams and of requests that wait for
 // the first one.
 func busyService(tb testing.TB, upstreams, waiting int) *Service {
 	tb.Helper()
@@ -75,7 +75,7 @@
 	return s
 }
 
-// TestDecisionAllocatesNothing: the path of a request that finds room makes no garbage.
+// TestDecisionAllocatesNothing guards against garbage on the path of a request that finds room.
 func TestDecisionAllocatesNothing(t *testing.T) {
 	for _, owner := range []string{"", "u1"} {
 		s := busyService(t, 313, 500)
@@ -87,7 +87,7 @@
 			s.Done(now, g, Answered)
 		})
 		if allocs > 0 {
-			t.Errorf("owner %q: %v allocations a decision", owner, allocs)
+			t.Errorf("owner %q: %v allocations per decision, want none", owner, allocs)
 		}
 	}
 }
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -18,8 +18,8 @@
 
 const ms = time.Millisecond
 
-// newService returns a service with upstreams named by their domain and a
-// number, such as "a1", of two slots each.
+// newService returns a service with upstreams of two slots each. Their IDs consist of the failure
+// domain and a number, such as "a1".
 func newService(ids ...string) *Service {
 	s := NewService("a", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 	s.SetUpstreams(start, instanceList(ids...))
@@ -43,12 +43,12 @@
 	t.Helper()
 	g, r, decided := s.Offer(now, w)
 	if !decided || r != 0 {
-		t.Fatalf("not let through: %v, decided %v", r, decided)
+		t.Fatalf("not granted: refusal %v, decided %v", r, decided)
 	}
 	return g
 }
 
-// serviceWithWorkTime returns a service of one upstream whose work time is serviceWithWorkTime.
+// serviceWithWorkTime returns a service with one upstream, a1, whose work time is known.
 func serviceWithWorkTime(work time.Duration) *Service {
 	s := newService("a1")
 	s.typical = work
@@ -56,7 +56,7 @@
 	return s
 }
 
-// learnWorkTime lets an upstream answer one request in the given time.
+// learnWorkTime makes the service see a response of the upstream after the given time.
 func learnWorkTime(s *Service, id string, took time.Duration) {
 	s.Done(at(took), Grant{Instance: instances.Instance{ID: id}, Began: start}, Answered)
 	s.upstreams[id].mine = 0
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestFullUpstreamQueuesByPriority: beyond the bound requests wait, and the first
-// end lets the most important through.
+// TestFullUpstreamQueuesByPriority checks that requests wait when the upstream has no room and
+// that the most important one is granted when a request ends.
 func TestFullUpstreamQueuesByPriority(t *testing.T) {
 	s := serviceWithWorkTime(10 * ms)
 	var last Grant
@@ -94,16 +94,16 @@
 		w.Priority = priority
 		w.Verdict = func(_ Grant, r Refusal) { verdicts[priority] = r == 0 }
 		if _, r, decided := s.Offer(start, w); decided {
-			t.Fatalf("priority %d decided at once: %v", priority, r)
+			t.Fatalf("priority %d decided at once: refusal %v", priority, r)
 		}
 	}
 	s.Done(at(10*ms), last, Answered)
 	if len(verdicts) != 1 || !verdicts[0] {
-		t.Errorf("verdicts %v", verdicts)
+		t.Errorf("verdicts %v, want only priority 0 granted", verdicts)
 	}
 	s.Tick(at(61 * ms))
 	if len(verdicts) != 3 || verdicts[1] || verdicts[2] || s.Waiting() != 0 {
-		t.Errorf("verdicts %v, %d wait", verdicts, s.Waiting())
+		t.Errorf("verdicts %v, %d waiting", verdicts, s.Waiting())
 	}
 }
 
@@ -111,11 +111,11 @@
 	s := newService("a1", "b1")
 	s.ReportAll(start, News{InFlight: map[string]float64{"a1": 6}, Gateways: 3})
 	if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "b1" {
-		t.Errorf("sent to the full one")
+		t.Errorf("sent to the full upstream")
 	}
 	s.ReportAll(start, News{Gateways: 3})
 	if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "a1" {
-		t.Errorf("an old report still counts")
+		t.Errorf("the previous report still counts")
 	}
 }
 
@@ -126,7 +126,7 @@
 	s.SetUpstreams(start, leaving)
 	for range 2 {
 		if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "b1" {
-			t.Fatal("sent to the leaving one")
+			t.Fatal("sent to the leaving upstream")
 		}
 	}
 	s.SetUpstreams(start, nil)
@@ -135,30 +135,30 @@
 	}
 }
 
-// TestUnreachableUpstreamIsProbed: after a failure the upstream gets nothing for a
-// while, then one request at a time until one is answered.
+// TestUnreachableUpstreamIsProbed checks that an upstream gets no requests for a while after a
+// connection failure, and then one at a time until one is answered.
 func TestUnreachableUpstreamIsProbed(t *testing.T) {
 	s := newService("a1")
 	s.Done(at(10*ms), mustGrant(t, s, start, newWant()), Unreachable)
 	w := newWant()
 	w.Until = at(10 * ms)
 	if _, r, _ := s.Offer(at(10*ms), w); r != NoRoom {
-		t.Errorf("offered at once: %v", r)
+		t.Errorf("refusal %v right after the failure, want no room", r)
 	}
 	now := at(10*ms + firstPause)
 	w.Until, w.Deadline = now.Add(time.Minute), now.Add(time.Minute)
-	trial := mustGrant(t, s, now, w)
+	probe := mustGrant(t, s, now, w)
 	if _, _, decided := s.Offer(now, w); decided {
-		t.Error("a second trial beside the first")
+		t.Error("a second probe before the first has ended")
 	}
-	s.Done(now.Add(20*ms), trial, Answered)
+	s.Done(now.Add(20*ms), probe, Answered)
 	if s.Waiting() != 0 {
-		t.Error("the answer lets nothing through")
+		t.Error("the waiting request is not granted after a response")
 	}
 }
 
-// TestOneLongRunIsNotSilence: a single request that runs long does not close the
-// upstream; several that are overdue together do.
+// TestOneLongRunIsNotSilence checks that a single slow request does not mark the upstream as
+// silent, and that several overdue requests together do.
 func TestOneLongRunIsNotSilence(t *testing.T) {
 	s := newService("a1")
 	learnWorkTime(s, "a1", 100*ms)
@@ -166,7 +166,7 @@
 	w := &Want{Objective: time.Second, Deadline: at(time.Minute), Until: at(time.Minute)}
 	mustGrant(t, s, now, w)
 	if s.upstreams["a1"].silent(now.Add(450*ms), s.typical) {
-		t.Error("one long run counts as silence")
+		t.Error("one slow request counts as silence")
 	}
 	mustGrant(t, s, now, w)
 	mustGrant(t, s, now, w)
@@ -175,15 +175,16 @@
 	}
 }
 
-// TestWorkTimeExcludesQueueing: the work time is learned without what waited ahead.
+// TestWorkTimeExcludesQueueing checks that the time spent waiting behind other requests does not
+// count as work time.
 func TestWorkTimeExcludesQueueing(t *testing.T) {
 	u := newUpstream(instances.Instance{ID: "a1", Slots: 2}, start)
 	u.observe(start, 300*ms, 5)
 	if u.work != 100*ms {
-		t.Errorf("work %s, want a third: three rounds of two", u.work)
+		t.Errorf("work time %s, want 100ms: a third of 300ms, for three rounds of two requests", u.work)
 	}
 	if d := u.delay(start, 0); d != 100*ms {
-		t.Errorf("delay of an idle one %s", d)
+		t.Errorf("delay of an idle upstream %s, want 100ms", d)
 	}
 }
 
@@ -201,7 +202,7 @@
 	}
 }
 
-// TestOwnerOnly: a request for an owner goes nowhere else.
+// TestOwnerOnly checks that a request for an owner goes to no other upstream.
 func TestOwnerOnly(t *testing.T) {
 	s := newService("a1", "b1")
 	w := newWant()
@@ -215,9 +216,9 @@
 	}
 }
 
-// TestRestartedUpstreamStartsFresh: nothing that was learned of an upstream before it started
-// again is held against it, ends of requests to its former start are not its own, and what
-// waits for it waits on.
+// TestRestartedUpstreamStartsFresh checks that a restarted upstream inherits neither learned state
+// nor requests in flight, that the ends of earlier requests do not count for it, and that requests
+// waiting for it are kept.
 func TestRestartedUpstreamStartsFresh(t *testing.T) {
 	s := newService("a1")
 	s.upstreams["a1"].BornMs = 1
@@ -232,7 +233,7 @@
 		before = append(before, g)
 	}
 	if s.waiting != 1 || len(before) == 0 {
-		t.Fatalf("%d wait, %d sent", s.waiting, len(before))
+		t.Fatalf("%d waiting, %d sent", s.waiting, len(before))
 	}
 	s.Done(start, before[0], Unreachable)
 	again := instanceList("a1")
@@ -240,23 +241,23 @@
 	s.SetUpstreams(at(ms), again)
 	u := s.upstreams["a1"]
 	if u.pause != 0 || u.mine != 1 || s.waiting != 0 {
-		t.Errorf("pause %s, %d in flight, %d wait", u.pause, u.mine, s.waiting)
+		t.Errorf("pause %s, %d in flight, %d waiting", u.pause, u.mine, s.waiting)
 	}
 	for _, g := range before[1:] {
 		s.Done(at(2*ms), g, Broken)
 	}
 	if u.mine != 1 || u.failures != 0 {
-		t.Errorf("%d in flight, failures %v after ends of former requests", u.mine, u.failures)
+		t.Errorf("%d in flight, failure rate %v after requests to the previous incarnation ended", u.mine, u.failures)
 	}
 }
 
-// TestHotKeysAreSampled: of the requests for a hot key about the told part is let through, of
-// others all, and without news no limit holds for long.
+// TestHotKeysAreSampled checks that about the reported fraction of the requests for a hot key is
+// admitted, that other keys are not limited, and that a limit expires when no news arrives.
 func TestHotKeysAreSampled(t *testing.T) {
 	s := newService("a1")
 	s.ReportAll(start, News{Gateways: limitsFrom, Admit: map[uint16]float64{7: 0.25}})
 	s.upstreams["a1"].share.part = 1
-	through := func(now time.Time, key uint16) int {
+	admitted := func(now time.Time, key uint16) int {
 		n := 0
 		for range 1000 {
 			w := newWant()
@@ -272,19 +273,19 @@
 		}
 		return n
 	}
-	if n := through(start, 7); n < 200 || n > 300 {
-		t.Errorf("%d of 1000 for a key of which a quarter can be run", n)
+	if n := admitted(start, 7); n < 200 || n > 300 {
+		t.Errorf("%d of 1000 admitted for a hot key, want about a quarter", n)
 	}
-	if n := through(start, 8); n != 1000 {
-		t.Errorf("%d of 1000 for another key", n)
+	if n := admitted(start, 8); n != 1000 {
+		t.Errorf("%d of 1000 admitted for another key", n)
 	}
-	if n := through(start.Add(limitTime+1), 7); n != 1000 {
-		t.Errorf("%d of 1000 though nobody tells of a limit any more", n)
+	if n := admitted(start.Add(limitTime+1), 7); n != 1000 {
+		t.Errorf("%d of 1000 admitted after the limit expired", n)
 	}
 }
 
-// TestAdmittedRequestIsNotSampledAgain: a request for a hot key that was let through is not drawn for again when
-// its owner turned out to be another; a second try beside it is.
+// TestAdmittedRequestIsNotSampledAgain checks that a request for a hot key that was already
+// admitted is not sampled again, for example when its owner has changed. A new request is.
 func TestAdmittedRequestIsNotSampledAgain(t *testing.T) {
 	s := newService("a1")
 	s.ReportAll(start, News{Gateways: limitsFrom, Admit: map[uint16]float64{7: 0}})
@@ -299,8 +300,8 @@
 	mustGrant(t, s, start, w)
 }
 
-// TestWarmUpRaisesReportedWorkTime: of an upstream that has just started all are told the mean
-// of the service, and it is slower.
+// TestWarmUpRaisesReportedWorkTime guards against an underestimate right after a start: the
+// reported work time is then the mean of the service, and a warming upstream is slower.
 func TestWarmUpRaisesReportedWorkTime(t *testing.T) {
 	s := newService()
 	one := instanceList("a1")
@@ -310,15 +311,15 @@
 	s.ReportAll(start, News{Gateways: 1, Work: map[string]worktime.Estimate{"a1": {Work: 100 * ms, Slowness: 1}}})
 	u := s.upstreams["a1"]
 	if got := u.workTime(start, s.typical); got != 200*ms {
-		t.Errorf("%s while it warms up", got)
+		t.Errorf("work time %s during warm-up", got)
 	}
 	if got := u.workTime(at(2*time.Second), s.typical); got != 100*ms {
-		t.Errorf("%s later", got)
+		t.Errorf("work time %s after warm-up", got)
 	}
 }
 
-// TestFewUpstreamsAreCompared: a gateway sends to the same few upstreams while they are sound, others
-// to others, and beyond them where they fail.
+// TestFewUpstreamsAreCompared checks that a gateway uses the same few upstreams while they are
+// healthy, that other gateways use others, and that more are tried when these fail.
 func TestFewUpstreamsAreCompared(t *testing.T) {
 	var ids []string
 	for i := range 40 {
@@ -343,18 +344,18 @@
 	}
 	one, other := used(1, false), used(7, false)
 	if len(one) > 2*candidates || len(other) > 2*candidates {
-		t.Errorf("%d and %d upstreams are used", len(one), len(other))
+		t.Errorf("%d and %d upstreams used", len(one), len(other))
 	}
 	if cmp.Equal(one, other) {
 		t.Error("two gateways use the same upstreams")
 	}
 	if n := len(used(1, true)); n <= 2*candidates {
-		t.Errorf("only %d are tried though all fail", n)
+		t.Errorf("only %d upstreams tried although all fail", n)
 	}
 }
 
-// TestEachRequestGetsOneVerdict: whatever comes and goes, each request gets one verdict and
-// no slot stays taken.
+// TestEachRequestGetsOneVerdict checks with random events that each request gets exactly one
+// verdict and that no slot stays taken.
 func TestEachRequestGetsOneVerdict(t *testing.T) {
 	s := newService("a1", "b1", "c1")
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -407,7 +408,7 @@
 		s.Done(now, g, Answered)
 	}
 	if verdicts+withdrawn != offered || s.Waiting() != 0 {
-		t.Errorf("%d offered, %d verdicts, %d withdrawn, %d wait", offered, verdicts, withdrawn, s.Waiting())
+		t.Errorf("%d offered, %d verdicts, %d withdrawn, %d waiting", offered, verdicts, withdrawn, s.Waiting())
 	}
 	for _, u := range s.order {
 		if u.mine != 0 || len(u.unanswered) != 0 {
@@ -416,8 +417,8 @@
 	}
 }
 
-// TestLeavingOwner: it gets requests for its keys until they have moved, but not
-// for longer than allowed.
+// TestLeavingOwner checks that a leaving owner gets requests for its keys until they have moved,
+// but no longer than allowed.
 func TestLeavingOwner(t *testing.T) {
 	s := newService("a1")
 	leaving := instanceList("a1")
@@ -427,12 +428,13 @@
 	w.Owner, w.Until, w.Deadline = "a1", at(time.Minute), at(time.Minute)
 	mustGrant(t, s, at(time.Second), w)
 	if _, r, decided := s.Offer(at(2*time.Second), w); decided && r == 0 {
-		t.Error("a request two seconds after it was seen to be leaving")
+		t.Error("granted two seconds after the owner was first seen leaving")
 	}
 }
 
-// TestInflightEstimateWithoutReports: before a report, and as it ages, the other gateways are
-// taken to send as much as this one, so that all together fill an upstream once.
+// TestInflightEstimateWithoutReports checks that the other gateways are assumed to send as much as
+// this one before the first report and as a report ages. Otherwise each gateway would fill an
+// upstream on its own.
 func TestInflightEstimateWithoutReports(t *testing.T) {
 	fresh := NewService("a", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
 	fresh.SetUpstreams(start, instanceList("a1"))
@@ -446,14 +448,14 @@
 		t.Errorf("%v in flight right after a report", n)
 	}
 	if n := u.inflight(at(time.Minute)); n < 7.9 || n > 8 {
-		t.Errorf("%v in flight after an old report, want four times 2", n)
+		t.Errorf("%v in flight after an old report, want about 8", n)
 	}
 }
 
-// TestConnectionBrokenByFullUpstream: one that breaks connections with all its slots taken is
-// full and is left alone for a moment; with slots free it only failed. (Second tries
-// reached the same full upstream 2 ms after the first: 446 answers of unknown outcome on
-// abyconnect-sim-grown quiet-1.)
+// TestConnectionBrokenByFullUpstream checks that an upstream that breaks a connection with all its
+// slots taken counts as full and gets no requests for a moment, while with free slots this is an
+// ordinary failure. Without the pause, second tries reached the same full upstream 2 ms after the
+// first: in one simulation this gave 446 answers of unknown outcome.
 func TestConnectionBrokenByFullUpstream(t *testing.T) {
 	for name, c := range map[string]struct {
 		running int
@@ -471,7 +473,7 @@
 		again.Objective = time.Minute
 		again.Verdict = func(Grant, Refusal) {}
 		if _, _, decided := s.Offer(at(ms), again); decided != c.want {
-			t.Errorf("%s: tried again at once: %t", name, decided)
+			t.Errorf("%s: decided at once: %t", name, decided)
 		}
 	}
 }
--- a/coordination/dispatch/evacuated_test.go
+++ b/coordination/dispatch/evacuated_test.go
@@ -9,8 +9,8 @@
 	return func(domain string) bool { return domain == evacuated }
 }
 
-// TestEvacuatedUpstreamGetsNothing: neither first tries nor second ones nor what waits, and
-// as soon as the evacuation has ended it serves again.
+// TestEvacuatedUpstreamGetsNothing checks that an upstream in an evacuated failure domain gets
+// neither first nor second tries, and that it gets requests again once the evacuation has ended.
 func TestEvacuatedUpstreamGetsNothing(t *testing.T) {
 	s := newService("a1", "b1")
 	s.SetEvacuated(start, onlyDomain("a"))
@@ -22,12 +22,12 @@
 	again := newWant()
 	again.Again, again.Exclude = true, []string{"b1"}
 	if _, r, decided := s.Offer(start, again); !decided || r != NoUpstream {
-		t.Errorf("a second try: refusal %v, decided %v", r, decided)
+		t.Errorf("second try: refusal %v, decided %v", r, decided)
 	}
 	s.SetUpstreams(start, instanceList("a1", "a2", "b1"))
 	s.SetEvacuated(start, func(string) bool { return true })
 	if _, r, decided := s.Offer(start, newWant()); !decided || r != NoUpstream {
-		t.Errorf("with all evacuated: refusal %v, decided %v", r, decided)
+		t.Errorf("with all domains evacuated: refusal %v, decided %v", r, decided)
 	}
 	s.SetEvacuated(start, onlyDomain("b"))
 	if g := mustGrant(t, s, start, newWant()); g.Instance.Domain != "a" {
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestWaitingRequestIsNotSentToEvacuatedDomain: a request that waits while its upstream's domain
-// is evacuated does not go there when there is room again.
+// TestWaitingRequestIsNotSentToEvacuatedDomain checks that a request that was already waiting when
+// its upstream's failure domain was evacuated is not sent there when room becomes free.
 func TestWaitingRequestIsNotSentToEvacuatedDomain(t *testing.T) {
 	s := newService("a1")
 	var sent []Grant
@@ -48,7 +48,7 @@
 	w, refused := newWant(), Refusal(0)
 	w.Verdict = func(_ Grant, r Refusal) { refused = r }
 	if _, _, decided := s.Offer(start, w); decided {
-		t.Fatal("it does not wait")
+		t.Fatal("the request does not wait")
 	}
 	s.SetEvacuated(at(ms), onlyDomain("a"))
 	for _, g := range sent {
@@ -60,7 +60,8 @@
 	}
 }
 
-// TestEvacuatedOwnerDrains gets requests for a moment, until its keys have moved, and then none.
+// TestEvacuatedOwnerDrains checks that an evacuated owner gets requests for its keys during
+// evacuationGrace and none after that.
 func TestEvacuatedOwnerDrains(t *testing.T) {
 	s := newService("a1")
 	s.SetEvacuated(start, onlyDomain("a"))
@@ -74,8 +75,8 @@
 	}
 }
 
-// TestEvacuatedOwnerListedAgainHasNoSecondDrain: an owner in an evacuated failure domain that is not listed for a
-// while has no second time in which it gets requests.
+// TestEvacuatedOwnerListedAgainHasNoSecondDrain checks that an evacuated owner that was missing
+// from the list does not get a second grace period.
 func TestEvacuatedOwnerListedAgainHasNoSecondDrain(t *testing.T) {
 	s := newService("a1")
 	s.SetEvacuated(start, onlyDomain("a"))
--- a/coordination/dispatch/limits_test.go
+++ b/coordination/dispatch/limits_test.go
@@ -9,19 +9,20 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// limitedService returns a service of one gateway of several, whose upstreams of the IDs name a limit
-// while so many requests a second are wanted of each, and so many are asked for here.
-func limitedService(limits map[string]float64, wanted, here float64, ids ...string) *Service {
+// limitedService returns the service of one of three gateways, with an upstream for each ID and
+// these limits. demand is the total demand for each upstream, and own this gateway's part of it,
+// in requests a second.
+func limitedService(limits map[string]float64, demand, own float64, ids ...string) *Service {
 	s := newService(ids...)
 	s.typical = 10 * ms
 	news := News{Gateways: 3, Limits: make(map[string]Limit)}
 	for id, perSecond := range limits {
-		news.Limits[id] = Limit{PerSecond: perSecond, OthersDemand: wanted - here}
+		news.Limits[id] = Limit{PerSecond: perSecond, OthersDemand: demand - own}
 	}
 	s.ReportAll(start, news)
 	s.LimitedDemand(start.Add(-time.Second))
 	for _, u := range s.order {
-		for range int(here) {
+		for range int(own) {
 			u.wanted.Add()
 		}
 	}
@@ -29,10 +30,10 @@
 	return s
 }
 
-// offerMany offers requests one after the other, each when the former has been answered, and
-// counts where they went and why they were refused.
-func offerMany(s *Service, n int, owner string) (went map[string]int, refused map[Refusal]int) {
-	went, refused = make(map[string]int), make(map[Refusal]int)
+// offerMany offers n requests in sequence, each after the response to the previous one. It counts
+// them by upstream and by refusal.
+func offerMany(s *Service, n int, owner string) (sent map[string]int, refused map[Refusal]int) {
+	sent, refused = make(map[string]int), make(map[Refusal]int)
 	for i := range n {
 		now := at(time.Minute + time.Duration(i)*20*ms)
 		w := &Want{Owner: owner, Objective: 300 * ms, Deadline: now.Add(time.Second), Until: now.Add(60 * ms), Verdict: func(Grant, Refusal) {}}
@@ -44,74 +45,76 @@
 		case r != 0:
 			refused[r]++
 		default:
-			went[g.Instance.ID]++
+			sent[g.Instance.ID]++
 			s.Done(now.Add(10*ms), g, Answered)
 		}
 	}
-	return went, refused
+	return sent, refused
 }
 
-// TestLimitedOwnerRefusesAtOnce: requests for the keys of an owner that takes a quarter of what
-// is asked for are let through by that part, and the rest is refused without a wait.
+// TestLimitedOwnerRefusesAtOnce checks an owner whose limit is a quarter of the demand: that
+// fraction is granted, and the rest is refused without waiting.
 func TestLimitedOwnerRefusesAtOnce(t *testing.T) {
 	s := limitedService(map[string]float64{"a1": 10}, 40, 10, "a1", "a2")
-	went, refused := offerMany(s, 2000, "a1")
-	if n := went["a1"]; n < 380 || n > 520 {
-		t.Errorf("%d of 2000 let through, the limit is a quarter", n)
+	sent, refused := offerMany(s, 2000, "a1")
+	if n := sent["a1"]; n < 380 || n > 520 {
+		t.Errorf("%d of 2000 granted, want about a quarter", n)
 	}
-	if refused[Limited]+went["a1"] != 2000 {
+	if refused[Limited]+sent["a1"] != 2000 {
 		t.Errorf("refused: %v", refused)
 	}
-	if went, _ := offerMany(s, 100, "a2"); went["a2"] != 100 {
-		t.Errorf("%d of 100 let through to an owner that names no limit", went["a2"])
+	if sent, _ := offerMany(s, 100, "a2"); sent["a2"] != 100 {
+		t.Errorf("%d of 100 granted for an owner without a limit", sent["a2"])
 	}
 }
 
-// TestLimitedOwnerGetsItsLimit: of few requests too, callers get as many through as the owner
-// takes, and not by luck fewer or more.
+// TestLimitedOwnerGetsItsLimit checks that an owner gets its limit even out of few requests, and
+// that the number granted does not vary by chance.
 func TestLimitedOwnerGetsItsLimit(t *testing.T) {
-	const perSecond, wanted, batch = 10.0, 40.0, 20
-	s := limitedService(map[string]float64{"a1": perSecond}, wanted, 10, "a1")
-	let := 0
+	const perSecond, demand, batch = 10.0, 40.0, 20
+	s := limitedService(map[string]float64{"a1": perSecond}, demand, 10, "a1")
+	granted := 0
 	for i := range 50 {
-		went, refused := offerMany(s, batch, "a1")
-		let += went["a1"]
-		if refused[Limited]+went["a1"] != batch {
+		sent, refused := offerMany(s, batch, "a1")
+		granted += sent["a1"]
+		if refused[Limited]+sent["a1"] != batch {
 			t.Fatalf("refused: %v", refused)
 		}
-		due := quota.TargetUtilization * perSecond / wanted * batch * float64(i+1)
-		if stray := due - float64(let); stray < -2 || stray > 2 {
-			t.Errorf("%d of %d let through, %.1f due", let, batch*(i+1), due)
+		due := quota.TargetUtilization * perSecond / demand * batch * float64(i+1)
+		if deviation := due - float64(granted); deviation < -2 || deviation > 2 {
+			t.Errorf("%d of %d granted, want %.1f", granted, batch*(i+1), due)
 		}
 	}
 }
 
-// TestExcessGoesToUnlimitedUpstreams: what any may run goes to the others, and nothing is refused.
+// TestExcessGoesToUnlimitedUpstreams checks that requests that any upstream can serve go to others
+// when one is limited, and that none is refused.
 func TestExcessGoesToUnlimitedUpstreams(t *testing.T) {
 	s := limitedService(map[string]float64{"a1": 10}, 100, 40, "a1", "a2")
-	went, refused := offerMany(s, 2000, "")
-	if len(refused) > 0 || went["a1"] == 0 || went["a1"] > 300 {
-		t.Errorf("went %v, refused %v", went, refused)
+	sent, refused := offerMany(s, 2000, "")
+	if len(refused) > 0 || sent["a1"] == 0 || sent["a1"] > 300 {
+		t.Errorf("sent %v, refused %v", sent, refused)
 	}
 }
 
-// TestExcessIsRefusedWhenAllAreLimited: where all name a limit the rest is refused at once.
+// TestExcessIsRefusedWhenAllAreLimited checks that the excess is refused at once when all
+// upstreams are limited.
 func TestExcessIsRefusedWhenAllAreLimited(t *testing.T) {
 	s := limitedService(map[string]float64{"a1": 10, "a2": 10}, 100, 40, "a1", "a2")
-	went, refused := offerMany(s, 2000, "")
-	if n := went["a1"] + went["a2"]; n < 100 || n > 700 || refused[Limited] != 2000-n {
-		t.Errorf("went %v, refused %v", went, refused)
+	sent, refused := offerMany(s, 2000, "")
+	if n := sent["a1"] + sent["a2"]; n < 100 || n > 700 || refused[Limited] != 2000-n {
+		t.Errorf("sent %v, refused %v", sent, refused)
 	}
 }
 
-// TestWaitingRequestsAreSampledOnce: by a limit that is named while they wait. Judged at each look
-// they would all get through.
+// TestWaitingRequestsAreSampledOnce checks that a limit that begins while requests wait is applied
+// once to each. If it were applied at every tick, all of them would pass in the end.
 func TestWaitingRequestsAreSampledOnce(t *testing.T) {
 	s := limitedService(nil, 0, 40, "a1")
-	passed, refused := 0, 0
+	granted, refused := 0, 0
 	verdict := func(_ Grant, r Refusal) {
 		if r == 0 {
-			passed++
+			granted++
 		} else if r == Limited {
 			refused++
 		}
@@ -125,7 +128,7 @@
 	}
 	waiting := s.Waiting()
 	if waiting < 10 {
-		t.Fatalf("%d wait", waiting)
+		t.Fatalf("%d waiting, want at least 10", waiting)
 	}
 	s.SetLimits(start, map[string]Limit{"a1": {PerSecond: 1, OthersDemand: 60}})
 	for i := range 50 {
@@ -135,31 +138,32 @@
 		s.Done(at(time.Second), g, Answered)
 	}
 	if refused < waiting*8/10 || s.Waiting() > waiting/5 {
-		t.Errorf("%d of %d refused, %d passed, %d wait", refused, waiting, passed, s.Waiting())
+		t.Errorf("%d of %d refused, %d granted, %d waiting", refused, waiting, granted, s.Waiting())
 	}
 }
 
-// TestWithdrawnLimitLetsAllThrough: when an upstream names none any more it gets all again.
+// TestWithdrawnLimitLetsAllThrough checks that an upstream whose limit has ended gets all requests
+// again.
 func TestWithdrawnLimitLetsAllThrough(t *testing.T) {
 	s := limitedService(map[string]float64{"a1": 1}, 100, 40, "a1")
 	s.ReportAll(at(time.Second), News{Gateways: 3})
-	if went, _ := offerMany(s, 100, "a1"); went["a1"] != 100 {
-		t.Errorf("%d of 100 let through", went["a1"])
+	if sent, _ := offerMany(s, 100, "a1"); sent["a1"] != 100 {
+		t.Errorf("%d of 100 granted", sent["a1"])
 	}
 }
 
-// TestUnknownDemandIsAssumedEqual: before a gateway has heard what the others are asked for, it takes
-// its part of the limit and not the whole.
+// TestUnknownDemandIsAssumedEqual checks that a gateway that does not know the demand of the
+// others uses its part of the limit and not all of it.
 func TestUnknownDemandIsAssumedEqual(t *testing.T) {
 	s := limitedService(nil, 0, 40, "a1")
 	s.SetLimits(start, map[string]Limit{"a1": {PerSecond: 30, OthersDemand: -1}})
 	if n := s.upstreams["a1"].totalDemand(at(time.Hour)); n < 100 || n > 140 {
-		t.Errorf("%.0f wanted by three gateways, 40 by this one", n)
+		t.Errorf("total demand %.0f of three gateways, want about three times this one's 40", n)
 	}
 }
 
-// TestGatewaysKeepLimitTogether: several gateways that hear of each other by reports keep within
-// the limit of one owner together, and let through most of it.
+// TestGatewaysKeepLimitTogether checks that several gateways that exchange reports keep to an
+// owner's limit together and use most of it.
 func TestGatewaysKeepLimitTogether(t *testing.T) {
 	const (
 		gateways, perSecond = 11, 10.0
@@ -202,10 +206,10 @@
 			first++
 		}
 		if got := last - first + 1; now > 3*time.Second && float64(got) > 1.5*4*perSecond+5 {
-			t.Fatalf("%d in 4 s until %s", got, now)
+			t.Fatalf("%d requests in the 4 s before %s", got, now)
 		}
 	}
 	if rate := float64(len(arrivals)) / length.Seconds(); rate < 0.8*perSecond {
-		t.Errorf("%.1f a second let through, the limit is %.0f", rate, perSecond)
+		t.Errorf("%.1f/s granted, the limit is %.0f/s", rate, perSecond)
 	}
 }
--- a/coordination/dispatch/notices_test.go
+++ b/coordination/dispatch/notices_test.go
@@ -7,21 +7,21 @@
 	"github.com/rockcroft/rockcroft/coordination/notice"
 )
 
-// wantOwner wants the owner of a key.
+// wantOwner returns a request for a key of the owner.
 func wantOwner(owner string) *Want {
 	w := newWant()
 	w.Owner = owner
 	return w
 }
 
-// answerWithNotice lets an upstream answer a request that was granted, and say something of itself.
+// answerWithNotice ends a granted request with a response that carries a notice.
 func answerWithNotice(s *Service, now time.Time, g Grant, n notice.Notice) {
 	s.ApplyNotice(now, g, n)
 	s.Done(now, g, Answered)
 }
 
-// TestLeavingNoticeStopsRequests: others are sent to from the word on, also once a request
-// for them waits, and no later answer without it takes it back.
+// TestLeavingNoticeStopsRequests checks that an upstream gets no requests from its leaving notice
+// on, and that a later response without the notice does not revoke it.
 func TestLeavingNoticeStopsRequests(t *testing.T) {
 	s := newService("a1", "b1")
 	answerWithNotice(s, start, mustGrant(t, s, start, newWant()), notice.Notice{Leaving: true})
@@ -33,12 +33,13 @@
 	}
 	s.ApplyNotice(at(10*ms), Grant{Instance: s.upstreams["a1"].Instance}, notice.Notice{})
 	if r := s.blockedReason(at(time.Hour), s.upstreams["a1"]); r != Leaving {
-		t.Errorf("after an answer without the word: %v", r)
+		t.Errorf("after a response without a notice: refusal %v", r)
 	}
 }
 
-// TestLeavingNoticeOfOwner gets requests for a moment, until its keys have moved, and then none:
-// what waits is refused, and what was granted before is not sent.
+// TestLeavingNoticeOfOwner checks that an owner that announced its shutdown gets requests for its
+// keys for a limited time. After that, waiting requests are refused and those already granted are
+// not sent.
 func TestLeavingNoticeOfOwner(t *testing.T) {
 	s := newService("a1")
 	g := mustGrant(t, s, start, wantOwner("a1"))
@@ -53,31 +54,31 @@
 	w.Objective = time.Hour
 	w.Verdict = func(_ Grant, r Refusal) { refused = r }
 	if _, r, decided := s.Offer(at(s.drain), w); decided {
-		t.Fatalf("decided at once: %v", r)
+		t.Fatalf("decided at once: refusal %v", r)
 	}
 	if !s.MaySend(at(s.drain), granted) {
-		t.Error("not sent within the time")
+		t.Error("granted request may not be sent within the grace period")
 	}
 	after := at(s.drain + ms)
 	s.Tick(after)
 	if refused != Leaving {
-		t.Errorf("what waits: %v", refused)
+		t.Errorf("waiting request: refusal %v", refused)
 	}
 	if s.MaySend(after, granted) {
-		t.Error("sent too late")
+		t.Error("granted request may be sent after the grace period")
 	}
 	if _, r, decided := s.Offer(after, wantOwner("a1")); !decided || r != Leaving {
-		t.Errorf("too late: %v, decided %v", r, decided)
+		t.Errorf("after the grace period: refusal %v, decided %v", r, decided)
 	}
 	cold := wantOwner("a1")
 	cold.Cold = true
 	if _, r, decided := s.Offer(after, cold); !decided || r != Leaving {
-		t.Errorf("cold and too late: %v, decided %v", r, decided)
+		t.Errorf("cold key after the grace period: refusal %v, decided %v", r, decided)
 	}
 }
 
-// TestNoticesOutlastMissingEntries: a list without an upstream, and one with it again, do not take back what
-// it has said; another start of it has said nothing.
+// TestNoticesOutlastMissingEntries checks that an upstream's notices stay valid when it is missing
+// from the list and then listed again, and that they do not apply to its next incarnation.
 func TestNoticesOutlastMissingEntries(t *testing.T) {
 	s := newService("a1", "b1")
 	born := instanceList("a1", "b1")
@@ -87,22 +88,23 @@
 	s.SetUpstreams(at(ms), instanceList("b1"))
 	s.SetUpstreams(at(time.Minute), born)
 	if s.ownerBlockedReason(at(time.Minute+s.drain+ms), s.upstreams["a1"]) != Leaving {
-		t.Error("forgotten")
+		t.Error("the leaving notice is lost")
 	}
 	again := instanceList("a1", "b1")
 	again[0].BornMs = 2000
 	s.SetUpstreams(at(2*time.Minute), again)
 	if r := s.blockedReason(at(time.Hour), s.upstreams["a1"]); r != 0 {
-		t.Errorf("another start: %v", r)
+		t.Errorf("next incarnation: refusal %v", r)
 	}
 	s.ApplyNotice(at(2*time.Minute), Grant{Instance: *born[0]}, notice.Notice{Leaving: true})
 	if r := s.blockedReason(at(time.Hour), s.upstreams["a1"]); r != 0 {
-		t.Errorf("another start, after an answer of the former: %v", r)
+		t.Errorf("next incarnation, after a response of the previous one: refusal %v", r)
 	}
 }
 
-// TestEntryRevokesLeaving: an upstream that was only shown as leaving serves again when it is
-// not any more, and has its time anew when it is once more.
+// TestEntryRevokesLeaving checks that an upstream that only its registry entry marked as leaving
+// gets requests again when the mark is removed, and has a new grace period when it is marked
+// again.
 func TestEntryRevokesLeaving(t *testing.T) {
 	s := newService("a1")
 	leaving := instanceList("a1")
@@ -113,12 +115,13 @@
 	s.Done(at(time.Minute), g, Answered)
 	s.SetUpstreams(at(2*time.Minute), leaving)
 	if r := s.ownerBlockedReason(at(2*time.Minute+s.drain), s.upstreams["a1"]); r != 0 {
-		t.Errorf("within its time: %v", r)
+		t.Errorf("within the second grace period: refusal %v", r)
 	}
 }
 
-// TestRestingUpstreamGetsNothing, neither as an owner nor else, for as long as it has asked for, whatever it
-// answers meanwhile; then one request at a time goes there until one is answered.
+// TestRestingUpstreamGetsNothing checks that a resting upstream gets no requests, as an owner or
+// otherwise, until the announced end of its rest, whatever its later responses say. Then it gets
+// one request at a time until one is answered.
 func TestRestingUpstreamGetsNothing(t *testing.T) {
 	s := newService("a1", "b1")
 	asked := mustGrant(t, s, start, newWant())
@@ -126,7 +129,7 @@
 	s.ApplyNotice(start, asked, notice.Notice{Rest: 3 * time.Second})
 	s.Done(start, asked, Full)
 	if s.MaySend(start, early) {
-		t.Error("what was granted before is sent")
+		t.Error("request granted before the rest may be sent")
 	}
 	s.ApplyNotice(at(ms), early, notice.Notice{})
 	s.ApplyNotice(at(2*ms), early, notice.Notice{Rest: time.Second})
@@ -135,7 +138,7 @@
 		later := wantOwner("a1")
 		later.Until, later.Deadline = at(time.Minute), at(time.Minute)
 		if _, r, decided := s.Offer(at(d), later); !decided || r != Resting {
-			t.Errorf("its keys after %s: %v, decided %v", d, r, decided)
+			t.Errorf("owner after %s: refusal %v, decided %v", d, r, decided)
 		}
 		if g := mustGrant(t, s, at(d), newWant()); g.Instance.ID != "b1" {
 			t.Errorf("sent to %s after %s", g.Instance.ID, d)
@@ -143,20 +146,21 @@
 			s.Done(at(d), g, Answered)
 		}
 		if left := s.RestRemaining(at(d), later); left != 3*time.Second-d {
-			t.Errorf("%s left after %s", left, d)
+			t.Errorf("rest of %s remaining after %s", left, d)
 		}
 	}
-	trial := mustGrant(t, s, at(3*time.Second), wantOwner("a1"))
+	probe := mustGrant(t, s, at(3*time.Second), wantOwner("a1"))
 	if _, r, decided := s.Offer(at(3*time.Second), wantOwner("a1")); decided && r == 0 {
-		t.Error("two at once after the rest")
+		t.Error("two requests at once after the rest")
 	}
-	s.Done(at(3*time.Second+ms), trial, Answered)
+	s.Done(at(3*time.Second+ms), probe, Answered)
 	for range 2 {
 		mustGrant(t, s, at(3*time.Second+2*ms), wantOwner("a1"))
 	}
 }
 
-// TestRequestsWaitingForRestingUpstreamAreRefused at once, with the time to come back, also where any could run it.
+// TestRequestsWaitingForRestingUpstreamAreRefused checks that requests waiting for a resting
+// upstream are refused at once with Resting, also those that any upstream can serve.
 func TestRequestsWaitingForRestingUpstreamAreRefused(t *testing.T) {
 	s := serviceWithWorkTime(10 * ms)
 	var last Grant
@@ -169,33 +173,34 @@
 	for name, w := range map[string]*Want{"owner": wantOwner("a1"), "any": newWant()} {
 		w.Verdict = func(_ Grant, r Refusal) { refused[name] = r }
 		if _, r, decided := s.Offer(start, w); decided {
-			t.Fatalf("%s decided at once: %v", name, r)
+			t.Fatalf("%s decided at once: refusal %v", name, r)
 		}
 	}
 	s.ApplyNotice(at(ms), last, notice.Notice{Rest: time.Second})
 	s.Done(at(ms), last, Full)
 	s.Tick(at(2 * ms))
 	if refused["owner"] != Resting || refused["any"] != Resting || s.Waiting() != 0 {
-		t.Errorf("refused %v, %d wait", refused, s.Waiting())
+		t.Errorf("refused %v, %d waiting", refused, s.Waiting())
 	}
 	if _, r, decided := s.Offer(at(3*ms), newWant()); !decided || r != Resting {
-		t.Errorf("the next: %v, decided %v", r, decided)
+		t.Errorf("next request: refusal %v, decided %v", r, decided)
 	}
 }
 
-// TestRestIsBounded: an upstream that asks for a day is asked again after some minutes.
+// TestRestIsBounded checks that a rest of a day is cut to notice.MaxRest.
 func TestRestIsBounded(t *testing.T) {
 	s := newService("a1")
 	g := mustGrant(t, s, start, newWant())
 	s.ApplyNotice(start, g, notice.Notice{Rest: 24 * time.Hour})
 	s.Done(start, g, Full)
 	if left := s.RestRemaining(start, newWant()); left != 5*time.Minute {
-		t.Errorf("rests for %s", left)
+		t.Errorf("rest of %s, want 5m", left)
 	}
 }
 
-// TestNoticesOfUnlistedUpstream count when it is listed again, from when they came, and not for another
-// start whose answers come meanwhile; what was granted before is not sent.
+// TestNoticesOfUnlistedUpstream checks that notices of an upstream that is missing from the list
+// apply from their arrival once it is listed again, and that those of another incarnation do not.
+// Requests already granted are not sent while it is missing.
 func TestNoticesOfUnlistedUpstream(t *testing.T) {
 	s := newService("a1")
 	born := instanceList("a1")
@@ -204,7 +209,7 @@
 	now, later := mustGrant(t, s, start, newWant()), mustGrant(t, s, start, wantOwner("a1"))
 	s.SetUpstreams(at(ms), nil)
 	if s.MaySend(at(2*ms), later) {
-		t.Error("sent to one that is not listed")
+		t.Error("granted request may be sent to an unlisted upstream")
 	}
 	answerWithNotice(s, at(2*ms), now, notice.Notice{Leaving: true, Rest: 3 * time.Second})
 	former := now
@@ -212,9 +217,9 @@
 	answerWithNotice(s, at(3*ms), former, notice.Notice{Rest: time.Minute})
 	s.SetUpstreams(at(time.Second), born)
 	if left := s.RestRemaining(at(time.Second), newWant()); left != 2*time.Second+2*ms {
-		t.Errorf("%s left to rest", left)
+		t.Errorf("rest of %s remaining", left)
 	}
 	if r := s.ownerBlockedReason(at(3*time.Second+3*ms), s.upstreams["a1"]); r != Leaving {
-		t.Errorf("a new time for its keys: %v", r)
+		t.Errorf("second grace period for an owner listed again: refusal %v", r)
 	}
 }
