--- a/coordination/dispatch/closed.go
+++ b/coordination/dispatch/closed.go
@@ -2,16 +2,18 @@
 
 import "time"
 
-// This file decides whether an upstream may get requests at the moment, by what it and operators
-// have said of it. Each send asks it when the upstream is chosen and again right before its bytes
-// go out: a request may have waited or a connection been opened meanwhile.
+// This file decides whether an upstream may get requests at the moment, given its notices, its
+// registry entry and the operators' settings. Each send checks this twice, when the upstream is
+// chosen and right before the bytes go out: in between, the request may have waited or a connection
+// may have been opened.
 
-// closed returns why the upstream gets no request that any other may run as well, or zero.
-func (s *Service) closed(now time.Time, u *Upstream) Refusal {
+// blockedReason returns why the upstream gets none of the requests that other upstreams can serve as
+// well, or zero if it may get them.
+func (s *Service) blockedReason(now time.Time, u *Upstream) Refusal {
 	switch {
-	case u.evacuated():
+	case u.isEvacuated():
 		return Evacuated
-	case u.leaves():
+	case u.isLeaving():
 		return Leaving
 	case u.notices.Resting(now):
 		return Resting
@@ -19,13 +21,14 @@
 	return 0
 }
 
-// closedOwner is the same for an owner: nobody stands in for it before its keys have moved, so it
-// gets requests for a moment more when it is to end.
-func (s *Service) closedOwner(now time.Time, u *Upstream) Refusal {
+// ownerBlockedReason is like blockedReason, but for requests for keys that the upstream owns. No
+// other upstream can serve these before the keys have moved, so a leaving or evacuated owner still
+// gets them for a grace period.
+func (s *Service) ownerBlockedReason(now time.Time, u *Upstream) Refusal {
 	switch {
-	case u.evacuated() && now.Sub(u.evacuatedSince) > evacuationDrain:
+	case u.isEvacuated() && now.Sub(u.evacuatedSince) > evacuationGrace:
 		return Evacuated
-	case u.leaves() && now.Sub(u.leavingSince) > s.drainTime:
+	case u.isLeaving() && now.Sub(u.leavingSince) > s.drainTime:
 		return Leaving
 	case u.notices.Resting(now):
 		return Resting
@@ -33,22 +36,22 @@
 	return 0
 }
 
-// closedAll returns why there is no upstream to which the request may go, or zero when there is
-// one. Those that rest come back by themselves.
-func (s *Service) closedAll(now time.Time, w *Request) Refusal {
+// requestBlockedReason returns why no upstream may get the request, or zero if there is one. It
+// returns Resting if any of them is resting, because those become available again by themselves.
+func (s *Service) requestBlockedReason(now time.Time, w *Request) Refusal {
 	if w.Owner != "" {
 		u := s.upstreams[w.Owner]
 		if u == nil {
 			return NoUpstream
 		}
-		return s.closedOwner(now, u)
+		return s.ownerBlockedReason(now, u)
 	}
 	reason := NoUpstream
 	for _, u := range s.ordered {
 		if isExcluded(w, u.ID) {
 			continue
 		}
-		switch s.closed(now, u) {
+		switch s.blockedReason(now, u) {
 		case 0:
 			return 0
 		case Resting:
@@ -58,21 +61,22 @@
 	return reason
 }
 
-// MaySend reports whether a request that was granted may go to its upstream now. Of one that is not
-// listed any more it is not known what stands.
+// MaySend reports whether a request with a grant may go to its upstream now. It returns false for an
+// upstream that is no longer listed, because that one's state is unknown.
 func (s *Service) MaySend(now time.Time, g Grant) bool {
-	u := s.granted(g)
-	return u != nil && s.closedOwner(now, u) == 0
+	u := s.grantedUpstream(g)
+	return u != nil && s.ownerBlockedReason(now, u) == 0
 }
 
-// RestLeft returns how long it takes until an upstream to which the request may go has rested.
-func (s *Service) RestLeft(now time.Time, w *Request) time.Duration {
+// RestRemaining returns the time until the first resting upstream that can serve the request ends
+// its rest, or zero if none is resting.
+func (s *Service) RestRemaining(now time.Time, w *Request) time.Duration {
 	least := time.Duration(0)
 	for _, u := range s.ordered {
 		if w.Owner != "" && u.ID != w.Owner || isExcluded(w, u.ID) || !u.notices.Resting(now) {
 			continue
 		}
-		if left := u.notices.RestLeft(now); least == 0 || left < least {
+		if left := u.notices.RestRemaining(now); least == 0 || left < least {
 			least = left
 		}
 	}
--- a/coordination/dispatch/demand.go
+++ b/coordination/dispatch/demand.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// partOf is this gateway's part of the demand.
-func (s *Service) partOf(news ClusterReport) float64 {
+// demandFraction returns this gateway's fraction of the total demand. Until the demands of the
+// gateways are comparable, each is assumed to have the same.
+func (s *Service) demandFraction(news ClusterReport) float64 {
 	if s.gateways == 1 {
 		return 1
 	}
 	if s.demandSpan <= minDemandSpan {
 		return 1 / float64(s.gateways)
 	}
-	mine, others := s.demand+demandFloor, news.Demand+demandFloor*float64(s.gateways-1)
-	return max(mine/(mine+others), minRelativeFraction/float64(s.gateways))
+	own, others := s.demand+demandFloor, news.Demand+demandFloor*float64(s.gateways-1)
+	return max(own/(own+others), minRelativeFraction/float64(s.gateways))
 }
 
-// Demand is how many requests a second this gateway is asked for, as a mean over the
-// last few calls. It is to be called for each report.
+// Demand updates and returns the number of requests a second that this gateway receives, averaged
+// over the last few calls. It must be called once per report.
 func (s *Service) Demand(now time.Time) float64 {
 	if span := now.Sub(s.demandMeasuredAt); span > 0 && !s.demandMeasuredAt.IsZero() {
 		s.demandSpan += span
-		// A process that has just started has a mean at once.
+		// Dividing by the shorter span gives a process that has just started its mean at once.
 		weight := span.Seconds() / min(s.demandSpan, demandWindow).Seconds()
 		s.demand += min(weight, 1) * (float64(s.offered)/span.Seconds() - s.demand)
 	}
@@ -27,12 +28,12 @@
 	return s.demand
 }
 
-// measure sums up what the usable upstreams can run.
-func (s *Service) measure(now time.Time) {
+// updateRate sums up the rates that the usable upstreams can serve.
+func (s *Service) updateRate(now time.Time) {
 	s.totalThroughput = 0
 	for _, u := range s.ordered {
 		if s.usable(now, u) {
-			s.totalThroughput += u.takes(u.throughput(now, s.typicalWorkTime))
+			s.totalThroughput += u.cappedRate(u.throughput(now, s.typicalWorkTime))
 		}
 	}
 }
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -18,16 +18,16 @@
 
 const ms = time.Millisecond
 
-// newService returns a service with upstreams named by their domain and a
-// number, such as "a1", of two slots each.
+// newService returns a service with upstreams of two slots each. Their IDs consist of the failure
+// domain and a number, such as "a1".
 func newService(ids ...string) *Service {
 	s := NewService("a", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
-	s.SetUpstreams(start, list(ids...))
+	s.SetUpstreams(start, instanceList(ids...))
 	s.ApplyReport(start, ClusterReport{Gateways: 1})
 	return s
 }
 
-func list(ids ...string) []*instances.Instance {
+func instanceList(ids ...string) []*instances.Instance {
 	var out []*instances.Instance
 	for _, id := range ids {
 		out = append(out, &instances.Instance{ID: id, Domain: id[:1], Slots: 2})
@@ -35,7 +35,7 @@
 	return out
 }
 
-func want() *Request {
+func newWant() *Request {
 	return &Request{Objective: 300 * ms, Deadline: at(time.Second), QueueUntil: at(60 * ms), OnDecision: func(Grant, Refusal) {}}
 }
 
@@ -43,130 +43,130 @@
 	t.Helper()
 	g, r, decided := s.Offer(now, w)
 	if !decided || r != 0 {
-		t.Fatalf("not let through: %v, decided %v", r, decided)
+		t.Fatalf("not granted: refusal %v, decided %v", r, decided)
 	}
 	return g
 }
 
-// known returns a service of one upstream whose work time is known.
-func known(work time.Duration) *Service {
+// serviceWithWorkTime returns a service with one upstream, a1, whose work time is known.
+func serviceWithWorkTime(work time.Duration) *Service {
 	s := newService("a1")
 	s.typicalWorkTime = work
-	learn(s, "a1", work)
+	learnWorkTime(s, "a1", work)
 	return s
 }
 
-// learn lets an upstream answer one request in the given time.
-func learn(s *Service, id string, took time.Duration) {
+// learnWorkTime makes the service see a response of the upstream after the given time.
+func learnWorkTime(s *Service, id string, took time.Duration) {
 	s.Done(at(took), Grant{Instance: instances.Instance{ID: id}, GrantedAt: start}, Answered)
 	s.upstreams[id].ownInFlight = 0
 }
 
-func TestOwnDomainFirst(t *testing.T) {
+func TestOwnDomainIsPreferred(t *testing.T) {
 	s := newService("a1", "b1", "c1")
-	if g := mustGrant(t, s, start, want()); g.Instance.ID != "a1" {
+	if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "a1" {
 		t.Errorf("sent to %s", g.Instance.ID)
 	}
 }
 
-func TestFasterOneOfAnotherDomain(t *testing.T) {
+func TestFasterUpstreamOfAnotherDomain(t *testing.T) {
 	s := newService("a1", "b1")
-	learn(s, "a1", 300*ms)
-	learn(s, "b1", 50*ms)
+	learnWorkTime(s, "a1", 300*ms)
+	learnWorkTime(s, "b1", 50*ms)
 	if g := mustGrant(t, s, at(400*ms), &Request{Objective: 2 * time.Second, Deadline: at(time.Minute), QueueUntil: at(time.Minute)}); g.Instance.ID != "b1" {
 		t.Errorf("sent to %s", g.Instance.ID)
 	}
 }
 
-// TestFullUpstreamsAreLeftAlone: beyond the bound requests wait, and the first
-// end lets the most important through.
-func TestFullUpstreamsAreLeftAlone(t *testing.T) {
-	s := known(10 * ms)
+// TestFullUpstreamQueuesByPriority checks that requests wait when the upstream has no room and
+// that the most important one is granted when a request ends.
+func TestFullUpstreamQueuesByPriority(t *testing.T) {
+	s := serviceWithWorkTime(10 * ms)
 	var last Grant
 	for range int(2 * maxInFlightPerSlot) {
-		w := want()
+		w := newWant()
 		w.Objective = time.Minute
 		last = mustGrant(t, s, start, w)
 	}
 	verdicts := make(map[int]bool)
 	for _, priority := range []int{2, 0, 1} {
-		w := want()
+		w := newWant()
 		w.Priority = priority
 		w.OnDecision = func(_ Grant, r Refusal) { verdicts[priority] = r == 0 }
 		if _, r, decided := s.Offer(start, w); decided {
-			t.Fatalf("priority %d decided at once: %v", priority, r)
+			t.Fatalf("priority %d decided at once: refusal %v", priority, r)
 		}
 	}
 	s.Done(at(10*ms), last, Answered)
 	if len(verdicts) != 1 || !verdicts[0] {
-		t.Errorf("verdicts %v", verdicts)
+		t.Errorf("verdicts %v, want only priority 0 granted", verdicts)
 	}
 	s.Tick(at(61 * ms))
 	if len(verdicts) != 3 || verdicts[1] || verdicts[2] || s.Waiting() != 0 {
-		t.Errorf("verdicts %v, %d wait", verdicts, s.Waiting())
+		t.Errorf("verdicts %v, %d waiting", verdicts, s.Waiting())
 	}
 }
 
-func TestOthersRequestsCount(t *testing.T) {
+func TestReportedRequestsCount(t *testing.T) {
 	s := newService("a1", "b1")
 	s.ApplyReport(start, ClusterReport{InFlight: map[string]float64{"a1": 6}, Gateways: 3})
-	if g := mustGrant(t, s, start, want()); g.Instance.ID != "b1" {
-		t.Errorf("sent to the full one")
+	if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "b1" {
+		t.Errorf("sent to the full upstream")
 	}
 	s.ApplyReport(start, ClusterReport{Gateways: 3})
-	if g := mustGrant(t, s, start, want()); g.Instance.ID != "a1" {
-		t.Errorf("an old report still counts")
+	if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "a1" {
+		t.Errorf("the previous report still counts")
 	}
 }
 
 func TestLeavingUpstreamGetsNothing(t *testing.T) {
 	s := newService("a1", "b1")
-	leaving := list("a1", "b1")
+	leaving := instanceList("a1", "b1")
 	leaving[0].Leaving = true
 	s.SetUpstreams(start, leaving)
 	for range 2 {
-		if g := mustGrant(t, s, start, want()); g.Instance.ID != "b1" {
-			t.Fatal("sent to the leaving one")
+		if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "b1" {
+			t.Fatal("sent to the leaving upstream")
 		}
 	}
 	s.SetUpstreams(start, nil)
-	if _, r, decided := s.Offer(start, want()); !decided || r != NoUpstream {
+	if _, r, decided := s.Offer(start, newWant()); !decided || r != NoUpstream {
 		t.Errorf("refusal %v", r)
 	}
 }
 
-// TestUnreachableIsTriedAgain: after a failure the upstream gets nothing for a
-// while, then one request at a time until one is answered.
-func TestUnreachableIsTriedAgain(t *testing.T) {
+// TestUnreachableUpstreamIsProbed checks that an upstream gets no requests for a while after a
+// connection failure, and then one at a time until one is answered.
+func TestUnreachableUpstreamIsProbed(t *testing.T) {
 	s := newService("a1")
-	s.Done(at(10*ms), mustGrant(t, s, start, want()), Unreachable)
-	w := want()
+	s.Done(at(10*ms), mustGrant(t, s, start, newWant()), Unreachable)
+	w := newWant()
 	w.QueueUntil = at(10 * ms)
 	if _, r, _ := s.Offer(at(10*ms), w); r != NoCapacity {
-		t.Errorf("offered at once: %v", r)
+		t.Errorf("refusal %v right after the failure, want no room", r)
 	}
 	now := at(10*ms + minBackoff)
 	w.QueueUntil, w.Deadline = now.Add(time.Minute), now.Add(time.Minute)
-	trial := mustGrant(t, s, now, w)
+	probe := mustGrant(t, s, now, w)
 	if _, _, decided := s.Offer(now, w); decided {
-		t.Error("a second trial beside the first")
+		t.Error("a second probe before the first has ended")
 	}
-	s.Done(now.Add(20*ms), trial, Answered)
+	s.Done(now.Add(20*ms), probe, Answered)
 	if s.Waiting() != 0 {
-		t.Error("the answer lets nothing through")
+		t.Error("the waiting request is not granted after a response")
 	}
 }
 
-// TestOneLongRunIsNoSilence: a single request that runs long does not close the
-// upstream; several that are overdue together do.
-func TestOneLongRunIsNoSilence(t *testing.T) {
+// TestOneLongRunIsNotSilence checks that a single slow request does not mark the upstream as
+// silent, and that several overdue requests together do.
+func TestOneLongRunIsNotSilence(t *testing.T) {
 	s := newService("a1")
-	learn(s, "a1", 100*ms)
+	learnWorkTime(s, "a1", 100*ms)
 	now := at(200 * ms)
 	w := &Request{Objective: time.Second, Deadline: at(time.Minute), QueueUntil: at(time.Minute)}
 	mustGrant(t, s, now, w)
 	if s.upstreams["a1"].silent(now.Add(450*ms), s.typicalWorkTime) {
-		t.Error("one long run counts as silence")
+		t.Error("one slow request counts as silence")
 	}
 	mustGrant(t, s, now, w)
 	mustGrant(t, s, now, w)
@@ -175,36 +175,37 @@
 	}
 }
 
-// TestSlownessIsLearned: the work time is learned without what waited ahead.
-func TestSlownessIsLearned(t *testing.T) {
+// TestWorkTimeExcludesQueueing checks that the time spent waiting behind other requests does not
+// count as work time.
+func TestWorkTimeExcludesQueueing(t *testing.T) {
 	u := newUpstream(instances.Instance{ID: "a1", Slots: 2}, start)
 	u.observeWorkTime(start, 300*ms, 5)
 	if u.ownWorkTime != 100*ms {
-		t.Errorf("work %s, want a third: three rounds of two", u.ownWorkTime)
+		t.Errorf("work time %s, want 100ms: a third of 300ms, for three rounds of two requests", u.ownWorkTime)
 	}
 	if d := u.expectedDelay(start, 0); d != 100*ms {
-		t.Errorf("delay of an idle one %s", d)
+		t.Errorf("delay of an idle upstream %s, want 100ms", d)
 	}
 }
 
 func TestTooLateIsRefusedAtOnce(t *testing.T) {
-	s := known(50 * ms)
+	s := serviceWithWorkTime(50 * ms)
 	for range int(2 * maxInFlightPerSlot) {
-		w := want()
+		w := newWant()
 		w.Objective = time.Minute
 		mustGrant(t, s, start, w)
 	}
-	w := want()
+	w := newWant()
 	w.Deadline = at(10 * ms)
 	if _, r, decided := s.Offer(start, w); !decided || r != TooLate {
 		t.Errorf("refusal %v, decided %v", r, decided)
 	}
 }
 
-// TestOwnerOnly: a request for an owner goes nowhere else.
+// TestOwnerOnly checks that a request for an owner goes to no other upstream.
 func TestOwnerOnly(t *testing.T) {
 	s := newService("a1", "b1")
-	w := want()
+	w := newWant()
 	w.Owner = "b1"
 	if g := mustGrant(t, s, start, w); g.Instance.ID != "b1" {
 		t.Errorf("sent to %s", g.Instance.ID)
@@ -215,15 +216,15 @@
 	}
 }
 
-// TestRestartedUpstreamIsAnother: nothing that was learned of an upstream before it started
-// again is held against it, ends of requests to its former start are not its own, and what
-// waits for it waits on.
-func TestRestartedUpstreamIsAnother(t *testing.T) {
+// TestRestartedUpstreamStartsFresh checks that a restarted upstream inherits neither learned state
+// nor requests in flight, that the ends of earlier requests do not count for it, and that requests
+// waiting for it are kept.
+func TestRestartedUpstreamStartsFresh(t *testing.T) {
 	s := newService("a1")
 	s.upstreams["a1"].BornMs = 1
 	var before []Grant
 	for {
-		w := want()
+		w := newWant()
 		w.Owner = "a1"
 		g, _, decided := s.Offer(start, w)
 		if !decided {
@@ -232,34 +233,34 @@
 		before = append(before, g)
 	}
 	if s.waiting != 1 || len(before) == 0 {
-		t.Fatalf("%d wait, %d sent", s.waiting, len(before))
+		t.Fatalf("%d waiting, %d sent", s.waiting, len(before))
 	}
 	s.Done(start, before[0], Unreachable)
-	again := list("a1")
+	again := instanceList("a1")
 	again[0].BornMs = 2
 	s.SetUpstreams(at(ms), again)
 	u := s.upstreams["a1"]
 	if u.backoff != 0 || u.ownInFlight != 1 || s.waiting != 0 {
-		t.Errorf("pause %s, %d in flight, %d wait", u.backoff, u.ownInFlight, s.waiting)
+		t.Errorf("pause %s, %d in flight, %d waiting", u.backoff, u.ownInFlight, s.waiting)
 	}
 	for _, g := range before[1:] {
 		s.Done(at(2*ms), g, ConnectionBroken)
 	}
 	if u.ownInFlight != 1 || u.failureRate != 0 {
-		t.Errorf("%d in flight, failures %v after ends of former requests", u.ownInFlight, u.failureRate)
+		t.Errorf("%d in flight, failure rate %v after requests to the previous incarnation ended", u.ownInFlight, u.failureRate)
 	}
 }
 
-// TestHotKeysAreThinned: of the requests for a hot key about the told part is let through, of
-// others all, and without news no limit holds for long.
-func TestHotKeysAreThinned(t *testing.T) {
+// TestHotKeysAreSampled checks that about the reported fraction of the requests for a hot key is
+// admitted, that other keys are not limited, and that a limit expires when no news arrives.
+func TestHotKeysAreSampled(t *testing.T) {
 	s := newService("a1")
 	s.ApplyReport(start, ClusterReport{Gateways: hotKeyLimitMinGateways, HotKeyAdmission: map[uint16]float64{7: 0.25}})
 	s.upstreams["a1"].share.fraction = 1
-	through := func(now time.Time, key uint16) int {
+	admitted := func(now time.Time, key uint16) int {
 		n := 0
 		for range 1000 {
-			w := want()
+			w := newWant()
 			w.Owner, w.Key = "a1", key
 			g, r, decided := s.Offer(now, w)
 			if !decided || r != 0 && r != HotKey {
@@ -272,66 +273,66 @@
 		}
 		return n
 	}
-	if n := through(start, 7); n < 200 || n > 300 {
-		t.Errorf("%d of 1000 for a key of which a quarter can be run", n)
+	if n := admitted(start, 7); n < 200 || n > 300 {
+		t.Errorf("%d of 1000 admitted for a hot key, want about a quarter", n)
 	}
-	if n := through(start, 8); n != 1000 {
-		t.Errorf("%d of 1000 for another key", n)
+	if n := admitted(start, 8); n != 1000 {
+		t.Errorf("%d of 1000 admitted for another key", n)
 	}
-	if n := through(start.Add(hotKeyLimitTTL+1), 7); n != 1000 {
-		t.Errorf("%d of 1000 though nobody tells of a limit any more", n)
+	if n := admitted(start.Add(hotKeyLimitTTL+1), 7); n != 1000 {
+		t.Errorf("%d of 1000 admitted after the limit expired", n)
 	}
 }
 
-// TestLetThroughOnce: a request for a hot key that was let through is not drawn for again when
-// its owner turned out to be another; a second try beside it is.
-func TestLetThroughOnce(t *testing.T) {
+// TestAdmittedRequestIsNotSampledAgain checks that a request for a hot key that was already
+// admitted is not sampled again, for example when its owner has changed. A new request is.
+func TestAdmittedRequestIsNotSampledAgain(t *testing.T) {
 	s := newService("a1")
 	s.ApplyReport(start, ClusterReport{Gateways: hotKeyLimitMinGateways, HotKeyAdmission: map[uint16]float64{7: 0}})
 	s.upstreams["a1"].share.fraction = 1
-	w := want()
+	w := newWant()
 	w.Owner, w.Key = "a1", 7
 	if _, r, _ := s.Offer(start, w); r != HotKey {
 		t.Errorf("refusal %v", r)
 	}
-	w = want()
+	w = newWant()
 	w.Owner, w.Key, w.Retry = "a1", 7, true
 	mustGrant(t, s, start, w)
 }
 
-// TestWarmUpCountsBesideWhatIsTold: of an upstream that has just started all are told the mean
-// of the service, and it is slower.
-func TestWarmUpCountsBesideWhatIsTold(t *testing.T) {
+// TestWarmUpRaisesReportedWorkTime guards against an underestimate right after a start: the
+// reported work time is then the mean of the service, and a warming upstream is slower.
+func TestWarmUpRaisesReportedWorkTime(t *testing.T) {
 	s := newService()
-	one := list("a1")
+	one := instanceList("a1")
 	one[0].WarmUp = time.Second
 	s.typicalWorkTime = 100 * ms
 	s.SetUpstreams(start, one)
 	s.ApplyReport(start, ClusterReport{Gateways: 1, WorkTimes: map[string]worktime.Estimate{"a1": {Work: 100 * ms, Slowness: 1}}})
 	u := s.upstreams["a1"]
 	if got := u.currentWorkTime(start, s.typicalWorkTime); got != 200*ms {
-		t.Errorf("%s while it warms up", got)
+		t.Errorf("work time %s during warm-up", got)
 	}
 	if got := u.currentWorkTime(at(2*time.Second), s.typicalWorkTime); got != 100*ms {
-		t.Errorf("%s later", got)
+		t.Errorf("work time %s after warm-up", got)
 	}
 }
 
-// TestFewAreCompared: a gateway sends to the same few upstreams while they are sound, others
-// to others, and beyond them where they fail.
-func TestFewAreCompared(t *testing.T) {
+// TestFewUpstreamsAreCompared checks that a gateway uses the same few upstreams while they are
+// healthy, that other gateways use others, and that more are tried when these fail.
+func TestFewUpstreamsAreCompared(t *testing.T) {
 	var ids []string
 	for i := range 40 {
 		ids = append(ids, fmt.Sprintf("a%d", i), fmt.Sprintf("b%d", i))
 	}
 	used := func(seed uint64, fail bool) map[string]bool {
 		s := NewService("a", 2*time.Second, rand.New(rand.NewPCG(seed, 2)))
-		s.SetUpstreams(start, list(ids...))
+		s.SetUpstreams(start, instanceList(ids...))
 		s.ApplyReport(start, ClusterReport{Gateways: 300})
 		out := make(map[string]bool)
 		for i := range 100 {
 			now := at(time.Duration(i) * 100 * ms)
-			g := mustGrant(t, s, now, want())
+			g := mustGrant(t, s, now, newWant())
 			out[g.Instance.ID] = true
 			end := Answered
 			if fail {
@@ -342,20 +343,20 @@
 		return out
 	}
 	one, other := used(1, false), used(7, false)
-	if len(one) > 2*compared || len(other) > 2*compared {
-		t.Errorf("%d and %d upstreams are used", len(one), len(other))
+	if len(one) > 2*candidates || len(other) > 2*candidates {
+		t.Errorf("%d and %d upstreams used", len(one), len(other))
 	}
 	if cmp.Equal(one, other) {
 		t.Error("two gateways use the same upstreams")
 	}
-	if n := len(used(1, true)); n <= 2*compared {
-		t.Errorf("only %d are tried though all fail", n)
+	if n := len(used(1, true)); n <= 2*candidates {
+		t.Errorf("only %d upstreams tried although all fail", n)
 	}
 }
 
-// TestNothingIsLost: whatever comes and goes, each request gets one verdict and
-// no slot stays taken.
-func TestNothingIsLost(t *testing.T) {
+// TestEachRequestGetsOneVerdict checks with random events that each request gets exactly one
+// verdict and that no slot stays taken.
+func TestEachRequestGetsOneVerdict(t *testing.T) {
 	s := newService("a1", "b1", "c1")
 	rng := rand.New(rand.NewPCG(3, 4))
 	var running []Grant
@@ -407,7 +408,7 @@
 		s.Done(now, g, Answered)
 	}
 	if verdicts+withdrawn != offered || s.Waiting() != 0 {
-		t.Errorf("%d offered, %d verdicts, %d withdrawn, %d wait", offered, verdicts, withdrawn, s.Waiting())
+		t.Errorf("%d offered, %d verdicts, %d withdrawn, %d waiting", offered, verdicts, withdrawn, s.Waiting())
 	}
 	for _, u := range s.ordered {
 		if u.ownInFlight != 0 || len(u.unanswered) != 0 {
@@ -416,26 +417,27 @@
 	}
 }
 
-// TestLeavingOwner: it gets requests for its keys until they have moved, but not
-// for longer than allowed.
+// TestLeavingOwner checks that a leaving owner gets requests for its keys until they have moved,
+// but no longer than allowed.
 func TestLeavingOwner(t *testing.T) {
 	s := newService("a1")
-	leaving := list("a1")
+	leaving := instanceList("a1")
 	leaving[0].Leaving = true
 	s.SetUpstreams(start, leaving)
-	w := want()
+	w := newWant()
 	w.Owner, w.QueueUntil, w.Deadline = "a1", at(time.Minute), at(time.Minute)
 	mustGrant(t, s, at(time.Second), w)
 	if _, r, decided := s.Offer(at(2*time.Second), w); decided && r == 0 {
-		t.Error("a request two seconds after it was seen to be leaving")
+		t.Error("granted two seconds after the owner was first seen leaving")
 	}
 }
 
-// TestBlindGatewaysShare: before a report, and as it ages, the other gateways are
-// taken to send as much as this one, so that all together fill an upstream once.
-func TestBlindGatewaysShare(t *testing.T) {
+// TestInflightEstimateWithoutReports checks that the other gateways are assumed to send as much as
+// this one before the first report and as a report ages. Otherwise each gateway would fill an
+// upstream on its own.
+func TestInflightEstimateWithoutReports(t *testing.T) {
 	fresh := NewService("a", 2*time.Second, rand.New(rand.NewPCG(1, 2)))
-	fresh.SetUpstreams(start, list("a1"))
+	fresh.SetUpstreams(start, instanceList("a1"))
 	u := fresh.upstreams["a1"]
 	u.ownInFlight = 2
 	if n := u.totalInFlight(start); n != 2*assumedGateways {
@@ -446,32 +448,32 @@
 		t.Errorf("%v in flight right after a report", n)
 	}
 	if n := u.totalInFlight(at(time.Minute)); n < 7.9 || n > 8 {
-		t.Errorf("%v in flight after an old report, want four times 2", n)
+		t.Errorf("%v in flight after an old report, want about 8", n)
 	}
 }
 
-// TestBrokenByAFullUpstream: one that breaks connections with all its slots taken is
-// full and is left alone for a moment; with slots free it only failed. (Second tries
-// reached the same full upstream 2 ms after the first: 446 answers of unknown outcome on
-// abyconnect-sim-grown quiet-1.)
-func TestBrokenByAFullUpstream(t *testing.T) {
+// TestConnectionBrokenByFullUpstream checks that an upstream that breaks a connection with all its
+// slots taken counts as full and gets no requests for a moment, while with free slots this is an
+// ordinary failure. Without the pause, second tries reached the same full upstream 2 ms after the
+// first: in one simulation this gave 446 answers of unknown outcome.
+func TestConnectionBrokenByFullUpstream(t *testing.T) {
 	for name, c := range map[string]struct {
 		running int
 		want    bool
 	}{"full": {5, false}, "slots free": {1, true}} {
-		s := known(10 * ms)
-		w := want()
+		s := serviceWithWorkTime(10 * ms)
+		w := newWant()
 		w.Objective = time.Minute
 		var last Grant
 		for range c.running {
 			last = mustGrant(t, s, start, w)
 		}
 		s.Done(at(ms), last, ConnectionBroken)
-		again := want()
+		again := newWant()
 		again.Objective = time.Minute
 		again.OnDecision = func(Grant, Refusal) {}
 		if _, _, decided := s.Offer(at(ms), again); decided != c.want {
-			t.Errorf("%s: tried again at once: %t", name, decided)
+			t.Errorf("%s: decided at once: %t", name, decided)
 		}
 	}
 }
--- a/coordination/dispatch/evacuated.go
+++ b/coordination/dispatch/evacuated.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// This file keeps requests from upstreams in failure domains that are evacuated.
+// This file keeps requests away from upstreams in evacuated failure domains.
 
-// evacuationDrain is how long an owner in an evacuated failure domain still gets requests
-// for keys that have not moved yet: most moves end within it, and the operator allows some
-// seconds, of which the news may have taken one and a half.
-const evacuationDrain = time.Second
+// evacuationGrace is how long an owner in an evacuated failure domain still gets requests for keys
+// that have not moved yet. Most moves end within it. The operator allows a few seconds in total, of
+// which the news of the evacuation may already have taken one and a half.
+const evacuationGrace = time.Second
 
-// SetEvacuated takes over which failure domains are evacuated. Upstreams there get nothing
-// more, but owners for a moment the requests for keys that have not moved yet.
+// SetEvacuated sets which failure domains are evacuated. Upstreams there get no more requests,
+// except that owners get those for keys that have not moved yet during evacuationGrace.
 func (s *Service) SetEvacuated(now time.Time, evacuated func(domain string) bool) {
 	s.isEvacuated = evacuated
 	for _, u := range s.ordered {
-		s.noteEvacuated(now, u)
+		s.updateEvacuated(now, u)
 	}
-	s.measure(now)
-	s.pumpAll(now)
+	s.updateRate(now)
+	s.grantWaiting(now)
 }
 
-func (s *Service) noteEvacuated(now time.Time, u *Upstream) {
+// updateEvacuated records when the upstream's failure domain was first seen as evacuated, or that
+// its evacuation has ended.
+func (s *Service) updateEvacuated(now time.Time, u *Upstream) {
 	switch evacuated := s.isEvacuated(u.Domain); {
-	case evacuated && !u.evacuated():
+	case evacuated && !u.isEvacuated():
 		u.evacuatedSince = now
-	case !evacuated && u.evacuated():
+	case !evacuated && u.isEvacuated():
 		u.evacuatedSince = time.Time{}
 		s.assumeWarmUp(now, u)
 	}
 }
 
-// evacuated reports whether the upstream's failure domain is evacuated.
-func (u *Upstream) evacuated() bool { return !u.evacuatedSince.IsZero() }
+// isEvacuated reports whether the upstream's failure domain is evacuated.
+func (u *Upstream) isEvacuated() bool { return !u.evacuatedSince.IsZero() }
--- a/coordination/dispatch/limited.go
+++ b/coordination/dispatch/limited.go
@@ -6,60 +6,61 @@
 	"github.com/rockcroft/rockcroft/coordination/quota"
 )
 
-// This file keeps all gateways together within the limit that an upstream in need names. Each
-// request is judged once: one that the limit holds back goes to another upstream, or, if it is for
-// the upstream's keys, is refused at once. Judged again and again while it waits it would get
-// through in the end.
+// This file keeps all gateways together within the rate limit that an overloaded upstream
+// announces. The limit is applied once to each request. A rejected request goes to another upstream
+// or, if only this one owns its key, is refused at once. If the limit were applied again and again
+// to a waiting request, the request would pass in the end.
 
-// Limit is what is known of an upstream's limit.
+// Limit is what is known about the rate limit of an upstream.
 type Limit struct {
-	// PerSecond is how many requests a second it takes from all gateways together.
+	// PerSecond is how many requests a second the upstream takes from all gateways together.
 	PerSecond float64
-	// Wanted is how many requests a second the other gateways are asked for that it would get.
-	// It is negative when that is not known.
-	Wanted float64
+	// OthersDemand is how many requests a second the other gateways receive that would go to
+	// the upstream. It is negative when unknown.
+	OthersDemand float64
 }
 
-// heardByAll is how long after a gateway has heard of a limit what the others are asked for is
-// not known whole yet: they have to hear of it as well, and to report twice.
-const heardByAll = 600 * time.Millisecond
+// limitPropagation is how long after a gateway has learned of a limit the demand of the others may
+// be incomplete: they have to learn of the limit as well, and then report twice.
+const limitPropagation = 600 * time.Millisecond
 
-// limit is an upstream's limit here.
-type limit struct {
+// upstreamLimit is the limit of an upstream as this gateway applies it.
+type upstreamLimit struct {
 	quota.Rate
-	// others is what the other gateways are asked for; negative when that is not known.
-	others float64
-	// turn says which of the requests here are let through.
-	turn quota.Turn
+	// othersDemand is the demand on the other gateways; negative when unknown.
+	othersDemand float64
+	// sampler selects the requests to admit.
+	sampler quota.Sampler
 }
 
-// newLimit returns a limit that is heard of first now.
-func (s *Service) newLimit(now time.Time, one Limit) *limit {
-	return &limit{
-		Rate:   quota.Rate{PerSecond: one.PerSecond, Since: now},
-		others: one.Wanted,
-		turn:   quota.NewTurn(s.rng.Float64(), s.rng.Float64()),
+// newUpstreamLimit returns a limit that this gateway learns of now.
+func (s *Service) newUpstreamLimit(now time.Time, limit Limit) *upstreamLimit {
+	return &upstreamLimit{
+		Rate:         quota.Rate{PerSecond: limit.PerSecond, Since: now},
+		othersDemand: limit.OthersDemand,
+		sampler:      quota.NewSampler(s.rng.Float64(), s.rng.Float64()),
 	}
 }
 
-// SetLimits takes over the limits that upstreams name, by ID. Those not listed name none.
+// SetLimits sets the limits of the upstreams, by ID. Upstreams that are not listed have none.
 func (s *Service) SetLimits(now time.Time, limits map[string]Limit) {
 	for _, u := range s.ordered {
-		one, ok := limits[u.ID]
+		limit, ok := limits[u.ID]
 		switch {
 		case !ok:
 			u.limit = nil
 		case u.limit == nil:
-			u.limit = s.newLimit(now, one)
+			u.limit = s.newUpstreamLimit(now, limit)
 		default:
-			u.limit.PerSecond, u.limit.others = one.PerSecond, one.Wanted
+			u.limit.PerSecond, u.limit.othersDemand = limit.PerSecond, limit.OthersDemand
 		}
 	}
 }
 
-// Wanted measures how many requests a second this gateway is asked for that each upstream would
-// get, and returns it of those that name a limit, by ID. It is to be called for each report.
-func (s *Service) Wanted(now time.Time) map[string]float64 {
+// LimitedDemand measures, for each upstream, how many requests a second this gateway receives that
+// would go there. It returns the results of the upstreams with a limit, by ID. It must be called
+// once per report.
+func (s *Service) LimitedDemand(now time.Time) map[string]float64 {
 	var out map[string]float64
 	for _, u := range s.ordered {
 		rate := u.wanted.Rate(now)
@@ -74,37 +75,39 @@
 	return out
 }
 
-// wantedByAll is how many requests a second all gateways are asked for that the upstream would
-// get. Before it is known the others are taken to be asked for as many as this one each.
-func (u *Upstream) wantedByAll(now time.Time) float64 {
-	mine := u.wanted.Last()
-	alike := mine * float64(u.gateways)
+// totalDemand returns how many requests a second all gateways receive that would go to the
+// upstream. While the demand of the others is unknown, each is assumed to have the same demand as
+// this gateway.
+func (u *Upstream) totalDemand(now time.Time) float64 {
+	own := u.wanted.Last()
+	equal := own * float64(u.gateways)
 	switch {
-	case u.limit.others < 0:
-		return alike
-	case now.Sub(u.limit.Since) < heardByAll:
-		return max(mine+u.limit.others, alike)
+	case u.limit.othersDemand < 0:
+		return equal
+	case now.Sub(u.limit.Since) < limitPropagation:
+		return max(own+u.limit.othersDemand, equal)
 	}
-	return mine + u.limit.others
+	return own + u.limit.othersDemand
 }
 
-// takes is how much of a rate the upstream takes.
-func (u *Upstream) takes(rate float64) float64 {
+// cappedRate returns the given rate, or the upstream's limit if that is lower.
+func (u *Upstream) cappedRate(rate float64) float64 {
 	if u.limit == nil {
 		return rate
 	}
 	return min(rate, u.limit.PerSecond)
 }
 
-// admits reports whether the request may go to the upstream as far as that names a limit.
-func (s *Service) admits(now time.Time, w *Request, u *Upstream) bool {
+// withinLimit reports whether the upstream's limit, if any, admits the request. An admission stays
+// valid for this upstream. After a rejection the request may only go to upstreams without a limit.
+func (s *Service) withinLimit(now time.Time, w *Request, u *Upstream) bool {
 	if u.limit == nil || s.Disabled.NoNamedLimits || w.admittedTo == u {
 		return true
 	}
 	if w.heldByLimit {
 		return false
 	}
-	if u.limit.turn.Take(u.limit.Admit(now, u.wantedByAll(now)), s.rng.Float64()) {
+	if u.limit.sampler.Take(u.limit.AdmitFraction(now, u.totalDemand(now)), s.rng.Float64()) {
 		w.admittedTo = u
 		return true
 	}
@@ -112,20 +115,20 @@
 	return false
 }
 
-// limitedOut reports whether a request that waits is held back by limits, and there is no
-// upstream without one that could run it.
-func (s *Service) limitedOut(now time.Time, w *Request) bool {
+// blockedByLimits reports whether a limit has rejected the waiting request and no upstream without
+// a limit can serve it.
+func (s *Service) blockedByLimits(now time.Time, w *Request) bool {
 	if w.Owner != "" {
 		u := s.upstreams[w.Owner]
-		return u != nil && !s.admits(now, w, u)
+		return u != nil && !s.withinLimit(now, w, u)
 	}
-	return w.heldByLimit && !s.unlimited(now, w)
+	return w.heldByLimit && !s.hasUnlimited(now, w)
 }
 
-// unlimited reports whether there is an upstream for the request that names no limit.
-func (s *Service) unlimited(now time.Time, w *Request) bool {
+// hasUnlimited reports whether there is an upstream for the request that has no limit.
+func (s *Service) hasUnlimited(now time.Time, w *Request) bool {
 	for _, u := range s.ordered {
-		if u.limit == nil && s.closed(now, u) == 0 && !isExcluded(w, u.ID) {
+		if u.limit == nil && s.blockedReason(now, u) == 0 && !isExcluded(w, u.ID) {
 			return true
 		}
 	}
--- a/coordination/dispatch/notices.go
+++ b/coordination/dispatch/notices.go
@@ -6,25 +6,25 @@
 	"github.com/rockcroft/rockcroft/coordination/notice"
 )
 
-// This file takes over what upstreams say of themselves to this gateway.
+// This file applies the notices that upstreams send to this gateway.
 
-// Noticed takes over what the answer to a request says of its upstream, before the end of the
-// request is noted.
-func (s *Service) Noticed(now time.Time, g Grant, n notice.Notice) notice.Change {
-	u := s.granted(g)
+// ApplyNotice applies the notice in the response to a request. It must be called before Done for
+// that request.
+func (s *Service) ApplyNotice(now time.Time, g Grant, n notice.Notice) notice.Change {
+	u := s.grantedUpstream(g)
 	if u == nil {
-		return s.unlisted.Note(now, g.Instance.ID, g.Instance.Incarnation(), n)
+		return s.unlisted.Apply(now, g.Instance.ID, g.Instance.Incarnation(), n)
 	}
-	c := u.notices.Note(now, n)
-	if c.Leaves {
-		s.noteLeaving(now, u)
+	c := u.notices.Apply(now, n)
+	if c.StartedLeaving {
+		s.updateLeaving(now, u)
 	}
 	u.probing = u.probing || n.Rest > 0
 	return c
 }
 
-// granted returns the upstream of a grant, or nil when it is not there any more.
-func (s *Service) granted(g Grant) *Upstream {
+// grantedUpstream returns the upstream of a grant, or nil if it is no longer listed or has restarted.
+func (s *Service) grantedUpstream(g Grant) *Upstream {
 	u := s.upstreams[g.Instance.ID]
 	if u == nil || u.Incarnation().Other(g.Instance.Incarnation()) {
 		return nil
@@ -32,25 +32,26 @@
 	return u
 }
 
-// noteLeaving notes since when it is known, by whomever, that the upstream leaves. An entry and an
-// operator may take that back, what its answers have said stands.
-func (s *Service) noteLeaving(now time.Time, u *Upstream) {
+// updateLeaving records since when the upstream is known to be leaving, from any source. Its
+// registry entry and operators can revoke that; its own notices cannot be revoked.
+func (s *Service) updateLeaving(now time.Time, u *Upstream) {
 	switch {
-	case !u.leaves():
+	case !u.isLeaving():
 		u.leavingSince = time.Time{}
 	case u.leavingSince.IsZero() && u.notices.Leaving():
-		// It may have said so before it was not listed for a while.
+		// The notice may date from before the upstream was missing from the list for a while.
 		u.leavingSince = u.notices.LeavingSince
 	case u.leavingSince.IsZero():
 		u.leavingSince = now
 	}
 }
 
-// leaves reports whether the upstream is about to end, as its entry or its answers say.
-func (u *Upstream) leaves() bool { return u.Leaving || u.notices.Leaving() }
+// isLeaving reports whether the upstream is about to shut down, according to its registry entry or
+// its notices.
+func (u *Upstream) isLeaving() bool { return u.Leaving || u.notices.Leaving() }
 
-// Noticing counts the upstreams that have said that they leave, and those that rest.
-func (s *Service) Noticing(now time.Time) (leaving, resting int) {
+// CountNotices returns how many upstreams have announced their shutdown and how many are resting.
+func (s *Service) CountNotices(now time.Time) (leaving, resting int) {
 	for _, u := range s.ordered {
 		if u.notices.Leaving() {
 			leaving++
@@ -62,10 +63,11 @@
 	return leaving, resting
 }
 
-// Said returns what the upstream of a grant has said of itself.
-func (s *Service) Said(g Grant) notice.Standing {
-	if u := s.granted(g); u != nil {
+// NoticeState returns the notice state of a grant's upstream. It is the zero value if the upstream
+// is no longer listed or has restarted.
+func (s *Service) NoticeState(g Grant) notice.State {
+	if u := s.grantedUpstream(g); u != nil {
 		return u.notices
 	}
-	return notice.Standing{}
+	return notice.State{}
 }
--- a/coordination/dispatch/queue.go
+++ b/coordination/dispatch/queue.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// queue holds requests that wait for the same upstreams: by importance, then by age.
-// Few priorities are in use at a time.
+// queue holds the requests that wait for the same upstreams, by priority and then by age. It is
+// built for a small number of priorities in use at a time.
 type queue struct {
 	levels []level
 	size   int
 }
 
-// level is the part of a queue of one priority, the oldest first.
+// level holds the requests of one priority, oldest first.
 type level struct {
 	priority int
 	wants    []*Request
 }
 
-// add appends a request to its level.
+// add appends a request to the level of its priority.
 func (q *queue) add(w *Request) {
 	q.size++
 	i := 0
@@ -32,7 +32,7 @@
 	q.levels[i].wants = append(q.levels[i].wants, w)
 }
 
-// remove takes a request out.
+// remove removes a request if it is in the queue.
 func (q *queue) remove(w *Request) {
 	for i := range q.levels {
 		if q.levels[i].priority != w.Priority {
@@ -48,7 +48,7 @@
 	}
 }
 
-// ahead counts the requests that go before one of the priority that comes now.
+// ahead returns how many requests would be served before a new one of the given priority.
 func (q *queue) ahead(priority int) int {
 	n := 0
 	for i := range q.levels {
@@ -59,25 +59,24 @@
 	return n
 }
 
-// each calls visit with all requests, the most important and then the oldest first,
-// and takes out those for which it says so. It ends when visit says that the rest
-// stays.
-func (q *queue) each(visit func(*Request) (taken, rest bool)) {
+// forEach calls visit for each request, the most important first and then the oldest. It removes
+// the request if visit returns remove, and ends if visit returns stop.
+func (q *queue) forEach(visit func(*Request) (remove, stop bool)) {
 	for i := range q.levels {
 		wants := q.levels[i].wants
 		kept := wants[:0]
 		for j, w := range wants {
-			taken, rest := visit(w)
-			if taken {
+			remove, stop := visit(w)
+			if remove {
 				q.size--
 			} else {
 				kept = append(kept, w)
 			}
-			if rest && len(kept) == j+1 {
-				// None was taken: the rest is in its place.
+			if stop && len(kept) == j+1 {
+				// Nothing was removed, so the remaining requests are already in place.
 				return
 			}
-			if rest {
+			if stop {
 				kept = append(kept, wants[j+1:]...)
 				clear(wants[len(kept):])
 				q.levels[i].wants = kept
@@ -89,12 +88,12 @@
 	}
 }
 
-// late takes out the requests whose time to wait is over.
-func (q *queue) late(now time.Time, refuse func(*Request)) {
+// expire removes the requests whose waiting time has ended and calls refuse for each.
+func (q *queue) expire(now time.Time, refuse func(*Request)) {
 	if q.size == 0 {
 		return
 	}
-	q.each(func(w *Request) (taken, rest bool) {
+	q.forEach(func(w *Request) (remove, stop bool) {
 		if now.Before(w.QueueUntil) {
 			return false, false
 		}
--- a/coordination/dispatch/service.go
+++ b/coordination/dispatch/service.go
@@ -56,7 +56,7 @@
 	upstreams map[string]*Upstream
 	ordered   []*Upstream
 	// unlisted keeps the notices of upstreams that are no longer listed.
-	unlisted notice.Book
+	unlisted notice.Store
 	// ranked holds the upstreams in this gateway's order of preference.
 	ranked ranking
 	// queue holds the requests that may go to any upstream. Requests for an owner wait in that
@@ -113,21 +113,21 @@
 		}
 		s.updateEntry(now, u, *instance)
 		u.disabled = s.Disabled
-		s.noteLeaving(now, u)
-		s.noteEvacuated(now, u)
+		s.updateLeaving(now, u)
+		s.updateEvacuated(now, u)
 		known[instance.ID] = u
 		s.ordered = append(s.ordered, u)
 		delete(s.upstreams, instance.ID)
 	}
 	for _, removed := range s.upstreams {
 		s.refuseAll(removed, NoUpstream)
-		s.unlisted.Keep(now, removed.ID, removed.Incarnation(), removed.notices)
+		s.unlisted.Save(now, removed.ID, removed.Incarnation(), removed.notices)
 	}
 	s.upstreams = known
 	s.warmingWithRight = slices.DeleteFunc(s.warmingWithRight, func(u *Upstream) bool { return known[u.ID] != u })
-	s.ranked.set(s.ordered, s.domain)
-	s.measure(now)
-	s.pumpAll(now)
+	s.ranked.update(s.ordered, s.domain)
+	s.updateRate(now)
+	s.grantWaiting(now)
 }
 
 // newUpstreamState returns the state of a new upstream. former is the previous upstream with the
@@ -146,7 +146,7 @@
 	if s.isEvacuated(instance.Domain) {
 		// It is unknown how long the domain of a newly listed upstream has been evacuated. Assume
 		// that the drain is over.
-		u.evacuatedSince = now.Add(-2 * evacuationDrain)
+		u.evacuatedSince = now.Add(-2 * evacuationGrace)
 	}
 	s.scheduleFirstSend(now, u)
 	return u
@@ -155,7 +155,7 @@
 // ApplyReport applies what the other gateways reported.
 func (s *Service) ApplyReport(now time.Time, report ClusterReport) {
 	s.gateways = max(report.Gateways, 1)
-	s.demandFraction = s.partOf(report)
+	s.demandFraction = s.demandFraction(report)
 	s.hotKeyAdmission, s.hotKeyAdmissionAt = report.HotKeyAdmission, now
 	s.applyRights(report.Rights)
 	s.SetLimits(now, report.Limits)
@@ -168,8 +168,8 @@
 		u.othersInFlightAt = now
 		u.share.applyReport(now, u.throughput(now, s.typicalWorkTime), s.demandFraction, u.totalInFlight(now), u.Slots)
 	}
-	s.measure(now)
-	s.pumpAll(now)
+	s.updateRate(now)
+	s.grantWaiting(now)
 }
 
 // Offer asks for an upstream. The last result is true if the request was granted or refused at
@@ -191,7 +191,7 @@
 			return Grant{}, NoUpstream, true
 		}
 		u.wanted.Add()
-		if !s.admits(now, req, u) {
+		if !s.withinLimit(now, req, u) {
 			return Grant{}, Limited, true
 		}
 		q = &u.queue
@@ -201,7 +201,7 @@
 			return g, 0, true
 		}
 	}
-	if r := s.hopeless(now, req, u, q.ahead(req.Priority)); r != 0 {
+	if r := s.waitRefusal(now, req, u, q.ahead(req.Priority)); r != 0 {
 		return Grant{}, r, true
 	}
 	q.add(req)
@@ -229,8 +229,8 @@
 	switch {
 	case u == nil:
 		return Grant{}, NoUpstream, true
-	case s.closedOwner(now, u) != 0:
-		return Grant{}, s.closedOwner(now, u), true
+	case s.ownerBlockedReason(now, u) != 0:
+		return Grant{}, s.ownerBlockedReason(now, u), true
 	case !s.ownerResponsive(now, u):
 		return Grant{}, OwnerUnresponsive, true
 	case !s.warmUpAllows(now, u):
@@ -239,7 +239,7 @@
 		return Grant{}, ColdKey, true
 	}
 	u.wanted.Add()
-	if !s.admits(now, req, u) {
+	if !s.withinLimit(now, req, u) {
 		return Grant{}, Limited, true
 	}
 	g := s.issueGrant(now, u)
@@ -254,7 +254,7 @@
 	if req.Owner != "" {
 		best = s.availableOwner(now, req)
 	} else {
-		best = s.best(now, req)
+		best = s.chooseUpstream(now, req)
 	}
 	if best == nil {
 		return Grant{}, false
@@ -285,12 +285,12 @@
 // ownerResponsive reports whether an owner takes requests: nothing excludes it, it was reached
 // lately, and it is not silent.
 func (s *Service) ownerResponsive(now time.Time, u *Upstream) bool {
-	return s.closedOwner(now, u) == 0 && u.responsive(now, s.typicalWorkTime)
+	return s.ownerBlockedReason(now, u) == 0 && u.responsive(now, s.typicalWorkTime)
 }
 
 // usable reports whether the upstream may get a request that any upstream may run.
 func (s *Service) usable(now time.Time, u *Upstream) bool {
-	return s.closed(now, u) == 0 && u.usable(now, s.typicalWorkTime) && s.warmUpAllows(now, u)
+	return s.blockedReason(now, u) == 0 && u.usable(now, s.typicalWorkTime) && s.warmUpAllows(now, u)
 }
 
 func isExcluded(req *Request, id string) bool {
@@ -304,7 +304,7 @@
 
 // Done ends a try and admits waiting requests.
 func (s *Service) Done(now time.Time, g Grant, o Outcome) {
-	u := s.granted(g)
+	u := s.grantedUpstream(g)
 	if u == nil {
 		return
 	}
@@ -315,8 +315,8 @@
 	if o == Answered && u.ownWorkTime > 0 && !g.Cold && !g.Warming {
 		s.typicalWorkTime += time.Duration(workTimeWeight / 4 * (u.meanSlowness()*float64(u.ownWorkTime) - float64(s.typicalWorkTime)))
 	}
-	s.pump(now, &u.queue)
-	s.pump(now, &s.queue)
+	s.grantFromQueue(now, &u.queue)
+	s.grantFromQueue(now, &s.queue)
 }
 
 // updateColdFactor updates how many times as long as usual requests for cold keys run.
--- a/coordination/dispatch/share_test.go
+++ b/coordination/dispatch/share_test.go
@@ -142,12 +142,12 @@
 // TestHungRequestsAreNotCountedInFlight: a request that the upstream never answers, while it
 // answers later ones, must not count as in flight until its timeout.
 func TestHungRequestsAreNotCountedInFlight(t *testing.T) {
-	s := known(20 * ms)
+	s := serviceWithWorkTime(20 * ms)
 	u := s.upstreams["a1"]
-	hung := mustGrant(t, s, start, want())
+	hung := mustGrant(t, s, start, newWant())
 	for i := range hungAfterOvertaken + 1 {
 		now := at(time.Duration(i+1) * 100 * ms)
-		req := want()
+		req := newWant()
 		req.Deadline, req.QueueUntil = now.Add(time.Second), now
 		s.Done(now.Add(20*ms), mustGrant(t, s, now, req), Answered)
 	}
@@ -163,11 +163,11 @@
 // TestLongRunIsNotHung: a request that runs long is overtaken by some, but is not hung before
 // it is overdue, at twice its expected delay.
 func TestLongRunIsNotHung(t *testing.T) {
-	s := known(100 * ms)
-	mustGrant(t, s, start, want())
+	s := serviceWithWorkTime(100 * ms)
+	mustGrant(t, s, start, newWant())
 	for i := range 2 * hungAfterOvertaken {
 		now := at(time.Duration(i) * 10 * ms)
-		req := want()
+		req := newWant()
 		req.Deadline, req.QueueUntil = now.Add(time.Second), now
 		s.Done(now.Add(10*ms), mustGrant(t, s, now, req), Answered)
 	}
@@ -180,8 +180,8 @@
 // run several times as long. They are admitted while the owner is half idle, never wait, and do
 // not affect the measured work time.
 func TestColdKeysAreAdmittedOnlyByIdleOwners(t *testing.T) {
-	s := known(10 * ms)
-	req := want()
+	s := serviceWithWorkTime(10 * ms)
+	req := newWant()
 	req.Owner, req.Cold = "a1", true
 	g := mustGrant(t, s, start, req)
 	if !g.Cold || g.ExpectedLatency <= 10*ms {
@@ -190,7 +190,7 @@
 	if _, r, decided := s.Offer(start, req); !decided || r != ColdKey {
 		t.Errorf("second cold request at an owner with two slots: %v, decided %v", r, decided)
 	}
-	warm := want()
+	warm := newWant()
 	warm.Owner = "a1"
 	mustGrant(t, s, start, warm)
 	s.Done(at(400*ms), g, Answered)
--- a/coordination/dispatch/told.go
+++ b/coordination/dispatch/told.go
@@ -27,7 +27,7 @@
 // ApplyLoad applies the load that an upstream reported with the answer to a request. It must be
 // called before Done for that request.
 func (s *Service) ApplyLoad(now time.Time, g Grant, load instances.Load) {
-	u := s.granted(g)
+	u := s.grantedUpstream(g)
 	if u == nil {
 		return
 	}
--- a/coordination/dispatch/upstream.go
+++ b/coordination/dispatch/upstream.go
@@ -116,7 +116,7 @@
 	selfReportedOthers float64
 	selfReportedAt     time.Time
 	// notices is what the upstream told this gateway about leaving and resting.
-	notices notice.Standing
+	notices notice.State
 	// probing is set when the upstream asked for rest and has not processed a request since. Only
 	// one request at a time is sent to it.
 	probing bool
@@ -137,7 +137,7 @@
 	// wanted measures this gateway's demand for the upstream. limit is the rate limit that the
 	// upstream requested, or nil.
 	wanted quota.Meter
-	limit  *limit
+	limit  *upstreamLimit
 	// queue holds the requests that wait for this upstream only.
 	queue queue
 }
--- a/coordination/dispatch/waiting.go
+++ b/coordination/dispatch/waiting.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// hopeless reports why it makes no sense to wait behind so many, or zero.
-func (s *Service) hopeless(now time.Time, w *Request, u *Upstream, ahead int) Refusal {
-	if r := s.closedAll(now, w); r != 0 {
+// waitRefusal returns why the request should be refused instead of waiting behind the given number
+// of others, or zero if it should wait. u is the owner's upstream, or nil if any can serve it.
+func (s *Service) waitRefusal(now time.Time, w *Request, u *Upstream, ahead int) Refusal {
+	if r := s.requestBlockedReason(now, w); r != 0 {
 		return r
 	}
 	if !now.Before(w.QueueUntil) {
 		return NoCapacity
 	}
-	if s.limitedOut(now, w) {
+	if s.blockedByLimits(now, w) {
 		return Limited
 	}
 	if u != nil && !s.warmUpAllows(now, u) && u.nextSendAt.After(w.QueueUntil) {
@@ -23,16 +24,16 @@
 	if wait > w.QueueUntil.Sub(now) {
 		return NoCapacity
 	}
-	if !w.LateAt.IsZero() && !s.Disabled.NoLikelihood && now.Add(wait+s.likelyRun(now, u)).After(w.LateAt) {
+	if !w.LateAt.IsZero() && !s.Disabled.NoLikelihood && now.Add(wait+s.likelyRunTime(now, u)).After(w.LateAt) {
 		return NoCapacity
 	}
 	return 0
 }
 
-// likelyRun is within what time an upstream likely answers a request that has waited:
-// the expected time and one mean run more, as work times have tails: by the expected time
-// alone, half of those who waited longest are late.
-func (s *Service) likelyRun(now time.Time, u *Upstream) time.Duration {
+// likelyRunTime returns the time within which an upstream will probably respond to a request that
+// has waited. It is the expected time plus one mean run, because run times have long tails: with the
+// expected time alone, half of the requests that waited longest would be late.
+func (s *Service) likelyRunTime(now time.Time, u *Upstream) time.Duration {
 	if u == nil {
 		return 2 * s.typicalWorkTime
 	}
@@ -40,8 +41,8 @@
 	return expected + u.currentWorkTime(now, s.typicalWorkTime)
 }
 
-// expectedWait estimates how long the request would wait behind those that go
-// first: for this gateway's part of what its upstreams end.
+// expectedWait estimates how long the request would wait behind the given number of others, from
+// this gateway's fraction of the rate at which the upstreams finish requests.
 func (s *Service) expectedWait(now time.Time, w *Request, u *Upstream, ahead int) time.Duration {
 	if u == nil {
 		return time.Duration(float64(ahead) / max(s.demandFraction*s.totalThroughput, minRate) * float64(time.Second))
@@ -51,8 +52,7 @@
 	return u.share.waitTime(float64(ahead+1), rate)
 }
 
-// Withdraw takes a waiting request out. It reports false when the verdict was
-// given already.
+// Withdraw removes a waiting request. It returns false if the request already got its verdict.
 func (s *Service) Withdraw(w *Request) bool {
 	if w.dequeued {
 		return false
@@ -67,78 +67,79 @@
 	return true
 }
 
-// Tick refuses requests that have waited too long and lets others through
-// whose upstreams have room again.
+// Tick grants waiting requests whose upstreams have room again, and refuses those that have waited
+// too long or can no longer be served.
 func (s *Service) Tick(now time.Time) {
-	s.measure(now)
+	s.updateRate(now)
 	if s.waiting == 0 {
 		return
 	}
-	s.pumpAll(now)
-	late := func(w *Request) { s.refuse(w, s.lateReason(now, w)) }
+	s.grantWaiting(now)
+	expired := func(w *Request) { s.refuse(w, s.expiryReason(now, w)) }
 	for _, u := range s.ordered {
-		if r := s.closedOwner(now, u); r != 0 {
+		if r := s.ownerBlockedReason(now, u); r != 0 {
 			s.refuseAll(u, r)
 		}
-		u.queue.late(now, late)
+		u.queue.expire(now, expired)
 	}
-	s.refuseHopeless(now)
-	s.queue.late(now, late)
+	s.refuseUnservable(now)
+	s.queue.expire(now, expired)
 }
 
-// refuseHopeless refuses requests that wait for any upstream when there is none to which they may
-// go.
-func (s *Service) refuseHopeless(now time.Time) {
-	if s.queue.size == 0 || s.closedAll(now, &Request{}) == 0 {
+// refuseUnservable refuses the requests that wait for any upstream if no upstream may get requests.
+func (s *Service) refuseUnservable(now time.Time) {
+	if s.queue.size == 0 || s.requestBlockedReason(now, &Request{}) == 0 {
 		return
 	}
-	s.queue.each(func(w *Request) (taken, rest bool) {
-		s.refuse(w, s.closedAll(now, w))
+	s.queue.forEach(func(w *Request) (remove, stop bool) {
+		s.refuse(w, s.requestBlockedReason(now, w))
 		return true, false
 	})
 }
 
-// refuse gives a waiting request its verdict.
+// refuse gives a waiting request a refusal as its verdict.
 func (s *Service) refuse(w *Request, r Refusal) {
 	w.dequeued = true
 	s.waiting--
 	w.OnDecision(Grant{}, r)
 }
 
-// refuseAll refuses what waits for one upstream.
+// refuseAll refuses all requests that wait for one upstream.
 func (s *Service) refuseAll(u *Upstream, r Refusal) {
-	u.queue.each(func(w *Request) (taken, rest bool) {
+	u.queue.forEach(func(w *Request) (remove, stop bool) {
 		s.refuse(w, r)
 		return true, false
 	})
 }
 
-func (s *Service) lateReason(now time.Time, w *Request) Refusal {
-	if r := s.closedAll(now, w); r != 0 {
+// expiryReason returns the refusal for a request that has waited too long.
+func (s *Service) expiryReason(now time.Time, w *Request) Refusal {
+	if r := s.requestBlockedReason(now, w); r != 0 {
 		return r
 	}
 	return NoCapacity
 }
 
-// pumpAll lets through whatever waits and has room.
-func (s *Service) pumpAll(now time.Time) {
+// grantWaiting grants all waiting requests for which there is room.
+func (s *Service) grantWaiting(now time.Time) {
 	if s.waiting == 0 {
 		return
 	}
 	for _, u := range s.ordered {
-		s.pump(now, &u.queue)
+		s.grantFromQueue(now, &u.queue)
 	}
-	s.pump(now, &s.queue)
+	s.grantFromQueue(now, &s.queue)
 }
 
-// pump lets waiting requests of one queue through, the most important and then the
-// oldest first. One that finds no room, though it may go anywhere, ends it.
-func (s *Service) pump(now time.Time, q *queue) {
+// grantFromQueue grants the requests of one queue for which there is room, the most important first
+// and then the oldest. It stops at the first request without room, unless that request excludes
+// upstreams: the next one may find room there.
+func (s *Service) grantFromQueue(now time.Time, q *queue) {
 	if q.size == 0 {
 		return
 	}
-	q.each(func(w *Request) (taken, rest bool) {
-		if s.limitedOut(now, w) {
+	q.forEach(func(w *Request) (remove, stop bool) {
+		if s.blockedByLimits(now, w) {
 			s.refuse(w, Limited)
 			return true, false
 		}
@@ -153,5 +154,5 @@
 	})
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (s *Service) Waiting() int { return s.waiting }
--- a/coordination/dispatch/warming.go
+++ b/coordination/dispatch/warming.go
@@ -54,7 +54,7 @@
 	for _, u := range s.ordered {
 		s.scheduleFirstSend(now, u)
 	}
-	s.measure(now)
+	s.updateRate(now)
 }
 
 // warmUpLimited reports whether the upstream is warming up and its requests are limited.
@@ -133,7 +133,7 @@
 			continue
 		}
 		if u.expectedDelay(now, s.typicalWorkTime) <= req.Objective {
-			c.offer(u, u.score(now, s.typicalWorkTime, req.Objective, s.domain, s.rng))
+			c.consider(u, u.score(now, s.typicalWorkTime, req.Objective, s.domain, s.rng))
 		}
 	}
 }
--- a/coordination/dispatch/warming_test.go
+++ b/coordination/dispatch/warming_test.go
@@ -15,7 +15,7 @@
 // warmingInstances returns entries of upstreams with the given remaining warm-up. A changed entry
 // needs a new revision.
 func warmingInstances(revision uint64, remaining time.Duration, ids ...string) []*instances.Instance {
-	out := list(ids...)
+	out := instanceList(ids...)
 	for _, one := range out {
 		one.Revision, one.WarmUp = revision, remaining
 	}
@@ -112,7 +112,7 @@
 	if n, all := f.maxArrivals("a1", 0, 3*time.Second), len(f.arrivals["a1"]); float64(n) > maxWarmUpRate || all < 6 {
 		t.Errorf("%d requests within a second, %d in total", n, all)
 	}
-	req := want()
+	req := newWant()
 	req.Owner, req.QueueUntil, req.Deadline = "a1", at(time.Second+60*ms), at(2*time.Second)
 	refused := 0
 	for _, s := range f.services {
@@ -130,8 +130,8 @@
 func TestWarmUpIsAssumedAfterEvacuationEnds(t *testing.T) {
 	f := newGatewayGroup(20, WarmUp{MaxPerSecond: maxWarmUpRate}, "a1")
 	for _, s := range f.services {
-		s.SetEvacuated(start, inDomain("a"))
-		s.SetEvacuated(at(time.Second), inDomain(""))
+		s.SetEvacuated(start, onlyDomain("a"))
+		s.SetEvacuated(at(time.Second), onlyDomain(""))
 		s.SetUpstreams(at(1100*ms), warmingInstances(2, 0, "a1"))
 	}
 	f.offerLoad(1100*ms, time.Second+maxEntryAge, "")
@@ -149,11 +149,11 @@
 func TestWorkTimeIsNotLearnedDuringWarmUp(t *testing.T) {
 	s := newService("a1")
 	s.SetWarmUp(start, WarmUp{MaxPerSecond: maxWarmUpRate})
-	learn(s, "a1", 100*ms)
+	learnWorkTime(s, "a1", 100*ms)
 	s.SetUpstreams(at(100*ms), warmingInstances(2, 3*time.Second, "a1"))
 	s.ApplyReport(at(100*ms), ClusterReport{Gateways: 1, Rights: map[string]time.Time{"a1": at(4 * time.Second)}})
 	before := s.upstreams["a1"].ownWorkTime
-	g := mustGrant(t, s, at(100*ms), want())
+	g := mustGrant(t, s, at(100*ms), newWant())
 	s.Done(at(900*ms), g, Answered)
 	if u := s.upstreams["a1"]; u.ownWorkTime != before || u.unreportedRuns.Runs > 1 {
 		t.Errorf("work time changed from %[2]s to %[1]s, or the run was counted", u.ownWorkTime, before)
@@ -164,5 +164,5 @@
 func TestWarmUpWithoutRateLimit(t *testing.T) {
 	s := newService("a1")
 	s.SetUpstreams(start, warmingInstances(2, 3*time.Second, "a1"))
-	mustGrant(t, s, start, want())
+	mustGrant(t, s, start, newWant())
 }
--- a/coordination/dispatch/words_test.go
+++ b/coordination/dispatch/words_test.go
@@ -146,7 +146,7 @@
 	if until := m.now.Add(min(n.Rest, maxRest)); n.Rest > 0 && until.After(upstream.restUntil) {
 		upstream.restUntil = until
 	}
-	m.service.Noticed(m.now, g, n)
+	m.service.ApplyNotice(m.now, g, n)
 	m.service.Done(m.now, g, outcome)
 }
 
--- a/coordination/notice/book.go
+++ b/coordination/notice/book.go
@@ -7,62 +7,64 @@
 )
 
 const (
-	// mostKept bounds the starts whose words are kept while they are not listed.
-	mostKept = 1024
-	// keptFor is how long a leaving is kept: entries that lapse while an upstream lives come
-	// back within seconds, and what has ended does not come back as the same start.
-	keptFor = 10 * time.Minute
+	// maxEntries bounds the number of unlisted upstream instances whose state is kept.
+	maxEntries = 1024
+	// retention is how long the state of an unlisted instance is kept. The registry entry of a
+	// live upstream that expired comes back within seconds, and a process that has ended never
+	// comes back with the same incarnation.
+	retention = 10 * time.Minute
 )
 
-// Book keeps what starts of upstreams have said that are not listed for a while: lists may be old,
-// and what was said stands for the same start. The zero value is empty. It is not safe for
-// concurrent use.
-type Book struct{ kept map[start]kept }
+// Store keeps the notice state of upstream instances that are temporarily missing from the list of
+// upstreams. The list may be stale, and notices stay valid for the same incarnation. The zero value
+// is empty. It is not safe for concurrent use.
+type Store struct{ entries map[instanceKey]entry }
 
-// start is one start of an upstream.
-type start struct {
+// instanceKey identifies one incarnation of an upstream.
+type instanceKey struct {
 	upstream    string
 	incarnation instances.Incarnation
 }
 
-type kept struct {
-	standing Standing
-	since    time.Time
+type entry struct {
+	state State
+	since time.Time
 }
 
-// Keep takes what stands of a start that is not listed any more.
-func (b *Book) Keep(now time.Time, upstream string, incarnation instances.Incarnation, s Standing) {
-	b.forget(now)
-	if s == (Standing{}) || len(b.kept) >= mostKept {
+// Save stores the state of an instance that is no longer listed. It drops the state when the store
+// is full.
+func (s *Store) Save(now time.Time, upstream string, incarnation instances.Incarnation, state State) {
+	s.expire(now)
+	if state == (State{}) || len(s.entries) >= maxEntries {
 		return
 	}
-	if b.kept == nil {
-		b.kept = make(map[start]kept)
+	if s.entries == nil {
+		s.entries = make(map[instanceKey]entry)
 	}
-	b.kept[start{upstream, incarnation}] = kept{standing: s, since: now}
+	s.entries[instanceKey{upstream, incarnation}] = entry{state: state, since: now}
 }
 
-// Note takes over what an answer says of a start that is not listed, after what is kept of it.
-func (b *Book) Note(now time.Time, upstream string, incarnation instances.Incarnation, n Notice) Change {
-	s := b.Take(upstream, incarnation)
-	c := s.Note(now, n)
-	b.Keep(now, upstream, incarnation, s)
+// Apply merges a notice from an unlisted instance into its stored state.
+func (s *Store) Apply(now time.Time, upstream string, incarnation instances.Incarnation, n Notice) Change {
+	state := s.Take(upstream, incarnation)
+	c := state.Apply(now, n)
+	s.Save(now, upstream, incarnation, state)
 	return c
 }
 
-// Take returns what stands of a start that is listed again, and forgets it.
-func (b *Book) Take(upstream string, incarnation instances.Incarnation) Standing {
-	id := start{upstream, incarnation}
-	k := b.kept[id]
-	delete(b.kept, id)
-	return k.standing
+// Take removes and returns the state of an instance that is listed again.
+func (s *Store) Take(upstream string, incarnation instances.Incarnation) State {
+	id := instanceKey{upstream, incarnation}
+	e := s.entries[id]
+	delete(s.entries, id)
+	return e.state
 }
 
-// forget drops what is too old to matter.
-func (b *Book) forget(now time.Time) {
-	for id, k := range b.kept {
-		if now.Sub(k.since) > keptFor && !k.standing.Resting(now) {
-			delete(b.kept, id)
+// expire removes entries that are older than the retention and whose rest period is over.
+func (s *Store) expire(now time.Time) {
+	for id, e := range s.entries {
+		if now.Sub(e.since) > retention && !e.state.Resting(now) {
+			delete(s.entries, id)
 		}
 	}
 }
