--- a/coordination/dispatch/demand.go
+++ b/coordination/dispatch/demand.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// demandFraction returns this gateway's fraction of the total demand. Until the demands of the
+// computeDemandFraction returns this gateway's fraction of the total demand. Until the demands of the
 // gateways are comparable, each is assumed to have the same.
-func (s *Service) demandFraction(news ClusterReport) float64 {
+func (s *Service) computeDemandFraction(news ClusterReport) float64 {
 	if s.gateways == 1 {
 		return 1
 	}
--- a/coordination/dispatch/service.go
+++ b/coordination/dispatch/service.go
@@ -155,7 +155,7 @@
 // ApplyReport applies what the other gateways reported.
 func (s *Service) ApplyReport(now time.Time, report ClusterReport) {
 	s.gateways = max(report.Gateways, 1)
-	s.demandFraction = s.demandFraction(report)
+	s.demandFraction = s.computeDemandFraction(report)
 	s.hotKeyAdmission, s.hotKeyAdmissionAt = report.HotKeyAdmission, now
 	s.applyRights(report.Rights)
 	s.SetLimits(now, report.Limits)
