--- a/gateway/front.go
+++ b/gateway/front.go
@@ -262,7 +262,7 @@
 			want.QueueUntil = f.now().Add(q.until.Sub(q.began))
 		}
 		if q.service.Keyed {
-			owner, err := f.owner(ctx, q)
+			owner, err := f.awaitOwner(ctx, q)
 			if err != nil {
 				return dispatch.Grant{}, err
 			}
@@ -279,7 +279,7 @@
 			f.traffic.done(q.traffic, grant, dispatch.Canceled)
 			return dispatch.Grant{}, err
 		}
-		if !q.service.Keyed || f.ownerNow(q) == grant.Instance.ID {
+		if !q.service.Keyed || f.currentOwner(q) == grant.Instance.ID {
 			return grant, nil
 		}
 		// The key has moved while the request waited.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -212,7 +212,7 @@
 	g.conns = pool.New(upstreamLimits, g.now)
 	g.steward = &steward{
 		view: g.view, cluster: g.cluster, traffic: g.traffic, store: store, calls: g.calls,
-		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newTurns(mostGrantCalls), longest: conf.LongestHold.D(),
+		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newCallSlots(maxGrantCalls), longest: conf.LongestHold.D(),
 		now: g.now, log: log, meters: g.meters, workTimes: newWorkTimes(g.view, g.now), limits: g.limits,
 		rights: &rights{view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now},
 	}
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -22,7 +22,7 @@
 	g.limits.gauges()
 	g.traffic.noticeGauges(g.meters)
 	g.suspects.gauges()
-	g.steward.ownerGauges()
+	g.steward.updateOwnerGauges()
 	stats := g.conns.Stats()
 	m.gauge(connOpened, int64(stats.Opened))
 	m.gauge(connReused, int64(stats.Reused))
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -38,7 +38,7 @@
 	token, free := "", true
 	if s.Next != s.Owner {
 		// Else the owner has started again: nobody holds the keys.
-		token, free = k.takeBack(ctx, s)
+		token, free = k.releaseFromOwner(ctx, s)
 	}
 	if !free || !k.leading.mayAct() {
 		return
@@ -46,37 +46,37 @@
 	taken := k.now()
 	next := k.instance(s.Next)
 	if next == nil || next.Leaving || k.view.evacuated(next.Domain) {
-		k.settle(s, k.perhaps(s), 0, false)
+		k.finishMove(s, k.possibleOwner(s), 0, false)
 		return
 	}
 	cold := token == "" && s.Fence > 0
-	verdict, err := k.give(ctx, s, next, token)
+	verdict, err := k.grantWithRetries(ctx, s, next, token)
 	switch {
 	case err == nil && verdict == platform.Granted:
 		k.works(s.Next)
-		k.settle(s, s.Next, next.Incarnation(), cold)
+		k.finishMove(s, s.Next, next.Incarnation(), cold)
 		k.log.Info("keys granted", "first", s.First, "last", s.Last, "upstream", s.Next, "fence", s.NextFence,
 			"from", s.Owner, "warm", token != "", "release_ms", taken.Sub(began).Milliseconds(), "took_ms", k.now().Sub(began).Milliseconds())
 	case err == nil && verdict == platform.Fenced:
 		k.log.Warn("keys refused, a higher fence was seen", "first", s.First, "upstream", s.Next, "fence", s.NextFence)
-		k.raise(fenceLeap)
-		k.settle(s, "", 0, false)
-	case errors.Is(err, errNoRight):
+		k.raiseFence(fenceLeap)
+		k.finishMove(s, "", 0, false)
+	case errors.Is(err, errLeadershipExpired):
 		k.log.Info("move left to the next leader", "first", s.First, "upstream", s.Next, "fence", s.NextFence)
 	case err == nil, errors.Is(err, pool.ErrNotSent):
 		k.log.Warn("keys not granted", "first", s.First, "upstream", s.Next, "error", err)
-		k.settle(s, k.perhaps(s), 0, false)
+		k.finishMove(s, k.possibleOwner(s), 0, false)
 	default:
 		// The grant may arrive yet: the upstream counts as the owner until
 		// its hold would have ended.
 		k.log.Warn("grant without an answer", "first", s.First, "upstream", s.Next, "error", err)
-		k.settle(s, s.Next, next.Incarnation(), cold)
+		k.finishMove(s, s.Next, next.Incarnation(), cold)
 	}
 }
 
 // perhaps returns the next owner of a move whose grant was not sent here, if it
 // may have been sent by the leader before: it then counts as the owner.
-func (k *keeper) perhaps(s spans.Span) string {
+func (k *keeper) possibleOwner(s spans.Span) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.inherited[s.NextFence] {
@@ -87,13 +87,13 @@
 
 // takeBack releases keys from their owner, or waits until its hold has ended.
 // It reports whether nobody holds them any more.
-func (k *keeper) takeBack(ctx context.Context, s spans.Span) (token string, free bool) {
+func (k *keeper) releaseFromOwner(ctx context.Context, s spans.Span) (token string, free bool) {
 	if s.Owner == "" {
 		return "", true
 	}
 	for ctx.Err() == nil {
 		owner := k.instance(s.Owner)
-		if limit := k.releaseLimit(s); owner != nil && limit > 0 {
+		if limit := k.releaseCallTimeout(s); owner != nil && limit > 0 {
 			call, cancel := context.WithTimeout(ctx, limit)
 			verdict, token, err := k.owners.Release(call, owner.ID, owner.Address, s.Keys, s.NextFence)
 			cancel()
@@ -108,7 +108,7 @@
 				return "", true
 			}
 		}
-		if k.holdEnded(s) {
+		if k.holdExpired(s) {
 			k.log.Info("hold of a lost owner has ended", "upstream", s.Owner, "first", s.First, "last", s.Last)
 			return "", true
 		}
@@ -121,22 +121,22 @@
 }
 
 // releaseLimit bounds one call for a release.
-func (k *keeper) releaseLimit(s spans.Span) time.Duration {
-	ends, known := k.holdEnds(s)
+func (k *keeper) releaseCallTimeout(s spans.Span) time.Duration {
+	ends, known := k.holdExpiry(s)
 	if !known {
 		return releaseTimeout
 	}
 	return ownership.ReleaseTimeout(releaseTimeout, ends.Sub(k.now()), k.failingFor(s.Owner) > 0)
 }
 
-func (k *keeper) holdEnded(s spans.Span) bool {
-	ends, known := k.holdEnds(s)
+func (k *keeper) holdExpired(s spans.Span) bool {
+	ends, known := k.holdExpiry(s)
 	return known && k.now().After(ends)
 }
 
 // holdEnds returns until when the owner of the span may hold its keys, by grants of this
 // leader or of former ones. known is false while a former leader's are not known.
-func (k *keeper) holdEnds(s spans.Span) (ends time.Time, known bool) {
+func (k *keeper) holdExpiry(s spans.Span) (ends time.Time, known bool) {
 	k.mu.Lock()
 	own, sole := k.holds[owned(s)], k.sole
 	k.mu.Unlock()
@@ -150,21 +150,21 @@
 // give grants the keys of a move to their next owner. The same call may be made
 // again: it renews what an earlier one granted. It is given up when calls to the
 // upstream have failed for so long that an owner would be given up.
-func (k *keeper) give(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.Verdict, error) {
+func (k *keeper) grantWithRetries(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.Verdict, error) {
 	arrived := false
 	for {
 		verdict, err := k.grant(ctx, s.Keys, next, s.NextFence, token)
 		if err == nil {
 			return verdict, nil
 		}
-		if errors.Is(err, errNoRight) {
+		if errors.Is(err, errLeadershipExpired) {
 			return 0, err
 		}
 		arrived = arrived || !errors.Is(err, pool.ErrNotSent)
 		k.fails(next.ID)
 		if ctx.Err() != nil || !k.leading.mayAct() || k.failingFor(next.ID) >= ownership.SilentOwnerTimeout {
 			if arrived {
-				err = errPerhapsGranted
+				err = errPossiblyGranted
 			}
 			return 0, err
 		}
@@ -173,17 +173,17 @@
 }
 
 // errPerhapsGranted: no try was answered, and one may have arrived.
-var errPerhapsGranted = errors.New("no try was answered, and one may have arrived")
+var errPossiblyGranted = errors.New("no try was answered, and one may have arrived")
 
 // grant makes one call and notes until when its keys may be held. The right to
 // lead is checked last, right before the call is sent.
 func (k *keeper) grant(ctx context.Context, keys spans.Keys, to *instances.Instance, fence uint64, token string) (platform.Verdict, error) {
-	giveBack, ok := k.turns.take(ctx)
+	giveBack, ok := k.turns.acquire(ctx)
 	if !ok {
-		return 0, errNoTurn
+		return 0, errNoCallSlot
 	}
 	defer giveBack()
-	hold := k.hold()
+	hold := k.grantDuration()
 	call, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	// Asked again after the connection was opened: that may have taken longer than the right.
@@ -202,13 +202,13 @@
 }
 
 var (
-	errNoRight = errors.New("the right to lead has run out")
-	errNoTurn  = fmt.Errorf("%w: the lead has ended", pool.ErrNotSent)
+	errLeadershipExpired = errors.New("the right to lead has run out")
+	errNoCallSlot        = fmt.Errorf("%w: the lead has ended", pool.ErrNotSent)
 )
 
 // hold is how long grants last: longer while this leader acts by promises, so
 // that owners serve on if it is lost before the store returns.
-func (k *keeper) hold() time.Duration {
+func (k *keeper) grantDuration() time.Duration {
 	if k.leading.byPromises() {
 		return k.longest
 	}
@@ -225,7 +225,7 @@
 
 // settle ends a move: the keys have the owner, the start of it that is named, or none.
 // cold says that they came to it without a handover.
-func (k *keeper) settle(s spans.Span, owner string, granted instances.Incarnation, cold bool) {
+func (k *keeper) finishMove(s spans.Span, owner string, granted instances.Incarnation, cold bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for i := range k.table.Spans {
@@ -243,17 +243,17 @@
 
 // coldTime is how long keys that came without a handover are taken to be slow at
 // their new owner.
-const coldTime = 5 * time.Second
+const coldDuration = 5 * time.Second
 
 // warmUp takes the mark off keys that have been at their owner for long enough. Those
 // marked by a leader before count from the beginning of this lead.
-func (k *keeper) warmUp() {
+func (k *keeper) clearColdMarks() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	changed := false
 	for i := range k.table.Spans {
 		s := &k.table.Spans[i]
-		if s.Cold && k.now().Sub(later(k.began, k.coldAt[s.First])) >= coldTime {
+		if s.Cold && k.now().Sub(later(k.began, k.coldAt[s.First])) >= coldDuration {
 			s.Cold, changed = false, true
 		}
 	}
@@ -264,7 +264,7 @@
 }
 
 // raise lifts the fence counter.
-func (k *keeper) raise(by uint64) {
+func (k *keeper) raiseFence(by uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.table.LastFence += by
@@ -293,7 +293,7 @@
 	for id, list := range due {
 		k.renewing[id] = true
 		k.moves.Go(func() {
-			k.renew(ctx, id, list)
+			k.renewGrants(ctx, id, list)
 			k.mu.Lock()
 			delete(k.renewing, id)
 			k.mu.Unlock()
@@ -306,7 +306,7 @@
 // calls that change nothing until one is answered. An owner that answers requests meanwhile
 // is not lost: its grants are renewed all at once, as each call that gets no answer takes a
 // quarter of a second of the four for which they hold.
-func (k *keeper) renew(ctx context.Context, id string, list []spans.Span) {
+func (k *keeper) renewGrants(ctx context.Context, id string, list []spans.Span) {
 	owner := k.instance(id)
 	if owner == nil {
 		k.fails(id)
@@ -314,7 +314,7 @@
 	}
 	if !k.control(id).Failing() {
 		for _, s := range list {
-			if !k.renewOne(ctx, owner, s) {
+			if !k.renewGrant(ctx, owner, s) {
 				return
 			}
 		}
@@ -322,20 +322,20 @@
 	}
 	var calls sync.WaitGroup
 	for _, s := range list {
-		calls.Go(func() { k.renewOne(ctx, owner, s) })
+		calls.Go(func() { k.renewGrant(ctx, owner, s) })
 	}
 	calls.Wait()
 }
 
 // renewOne renews one grant and reports whether the owner's others may be renewed after it.
-func (k *keeper) renewOne(ctx context.Context, owner *instances.Instance, s spans.Span) bool {
-	if !k.stillOwns(s) || owner.Incarnation().Other(s.Incarnation) {
+func (k *keeper) renewGrant(ctx context.Context, owner *instances.Instance, s spans.Span) bool {
+	if !k.spanUnchanged(s) || owner.Incarnation().Other(s.Incarnation) {
 		// It has other keys by now, or has started again and holds none.
 		return true
 	}
 	verdict, err := k.grant(ctx, s.Keys, owner, s.Fence, "")
 	switch {
-	case errors.Is(err, errNoRight) || ctx.Err() != nil:
+	case errors.Is(err, errLeadershipExpired) || ctx.Err() != nil:
 		return false
 	case err != nil:
 		k.fails(owner.ID)
@@ -345,7 +345,7 @@
 		return false
 	case verdict == platform.Fenced:
 		k.log.Warn("renewal refused, a higher fence was seen", "first", s.First, "upstream", owner.ID, "fence", s.Fence)
-		k.lose(s)
+		k.markUnowned(s)
 	default:
 		k.works(owner.ID)
 	}
@@ -355,7 +355,7 @@
 // startTrials calls upstreams to which calls fail with what changes nothing: a grant
 // without an answer would count as one that holds, and keep the keys of a lost owner
 // away from others for longer.
-func (k *keeper) startTrials(ctx context.Context) {
+func (k *keeper) startProbes(ctx context.Context) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.failing) == 0 {
@@ -377,9 +377,9 @@
 			continue
 		}
 		k.renewing[id] = true
-		keys := k.foreignKey(id)
+		keys := k.unrelatedKey(id)
 		k.moves.Go(func() {
-			k.trial(ctx, one, keys)
+			k.probe(ctx, one, keys)
 			k.mu.Lock()
 			delete(k.renewing, id)
 			k.mu.Unlock()
@@ -388,7 +388,7 @@
 }
 
 // foreignKey returns a key that the upstream neither has nor gets. The lock is held.
-func (k *keeper) foreignKey(id string) spans.Keys {
+func (k *keeper) unrelatedKey(id string) spans.Keys {
 	for _, s := range k.table.Spans {
 		if s.Owner != id && s.Next != id {
 			return spans.Keys{First: s.First, Last: s.First}
@@ -399,13 +399,13 @@
 
 // trialFence makes a release of a key that the upstream does not hold concern nothing:
 // all fences in use are higher.
-const trialFence = 1
+const probeFence = 1
 
 // trial makes a call that changes nothing.
-func (k *keeper) trial(ctx context.Context, to *instances.Instance, keys spans.Keys) {
+func (k *keeper) probe(ctx context.Context, to *instances.Instance, keys spans.Keys) {
 	call, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
-	if _, _, err := k.owners.Release(call, to.ID, to.Address, keys, trialFence); err != nil {
+	if _, _, err := k.owners.Release(call, to.ID, to.Address, keys, probeFence); err != nil {
 		k.fails(to.ID)
 		return
 	}
@@ -413,14 +413,14 @@
 }
 
 // stillOwns reports whether the span is as it was and does not move.
-func (k *keeper) stillOwns(s spans.Span) bool {
+func (k *keeper) spanUnchanged(s spans.Span) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Find(s.First) == s
 }
 
 // lose notes that the owner does not hold the keys of the span any more.
-func (k *keeper) lose(s spans.Span) {
+func (k *keeper) markUnowned(s spans.Span) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	i := k.table.At(s.First)
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -168,11 +168,11 @@
 			if k.now().Sub(planned) >= planInterval {
 				planned = k.now()
 				k.plan(ctx)
-				k.warmUp()
+				k.clearColdMarks()
 			}
 			k.startMoves(ctx)
 			k.startRenewals(ctx)
-			k.startTrials(ctx)
+			k.startProbes(ctx)
 			k.saveDone(ctx)
 		}
 		k.publishPending()
@@ -353,7 +353,7 @@
 		o := ownership.Owner{ID: one.ID, Incarnation: one.Incarnation(), Capacity: k.capacity(one)}
 		k.noteStart(one)
 		control := k.control(one.ID)
-		o.MayKeep = !one.Leaving && !k.view.evacuated(one.Domain) && !k.isDead(one) && !k.rests(one.ID) && control.MayKeep(k.now(), k.hold())
+		o.MayKeep = !one.Leaving && !k.view.evacuated(one.Domain) && !k.isDead(one) && !k.rests(one.ID) && control.MayKeep(k.now(), k.grantDuration())
 		o.Usable = o.MayKeep && !control.Failing()
 		o.Warming = warming[one.ID]
 		out = append(out, o)
--- a/gateway/keyowner.go
+++ b/gateway/keyowner.go
@@ -10,7 +10,7 @@
 )
 
 // ownerNow returns the upstream that holds the key of the request, or "".
-func (f *front) ownerNow(q *request) string {
+func (f *front) currentOwner(q *request) string {
 	span := f.span(q)
 	if span.Moving() {
 		return ""
@@ -29,7 +29,7 @@
 
 // awaitOther waits for another owner than the one that said it does not hold the
 // key, for a short time: that one may also be about to be granted it again.
-func (f *front) awaitOther(ctx context.Context, q *request) {
+func (f *front) awaitOwnerChange(ctx context.Context, q *request) {
 	timer := time.NewTimer(refusedWait)
 	defer timer.Stop()
 	for {
@@ -50,15 +50,15 @@
 // owner returns the upstream that holds the key, and waits for it while the
 // key moves. A move takes about as long as a run; a key that has been without an owner
 // for longer than the objective belonged to a lost one, and is refused at once.
-func (f *front) owner(ctx context.Context, q *request) (string, error) {
+func (f *front) awaitOwner(ctx context.Context, q *request) (string, error) {
 	var timer *time.Timer
 	if q.refusedFence > 0 {
-		f.awaitOther(ctx, q)
+		f.awaitOwnerChange(ctx, q)
 		q.refusedFence = 0
 	}
 	for {
 		changed := f.view.wait()
-		if owner := f.ownerNow(q); owner != "" {
+		if owner := f.currentOwner(q); owner != "" {
 			return owner, nil
 		}
 		if lost := f.gaps.without(q.service.Name, q.key); lost > q.route.Objective {
--- a/gateway/keyowner_test.go
+++ b/gateway/keyowner_test.go
@@ -28,7 +28,7 @@
 		}
 		ctx, leave := context.WithCancel(context.Background())
 		leave()
-		_, err := f.owner(ctx, q)
+		_, err := f.awaitOwner(ctx, q)
 		return err
 	}
 	now = now.Add(100 * time.Millisecond)
--- a/gateway/lead.go
+++ b/gateway/lead.go
@@ -85,7 +85,7 @@
 // stillMayAct returns an error when this process may not act any more.
 func (l *leading) stillMayAct() error {
 	if !l.mayAct() {
-		return errNoRight
+		return errLeadershipExpired
 	}
 	return nil
 }
--- a/gateway/loss_test.go
+++ b/gateway/loss_test.go
@@ -58,7 +58,7 @@
 		return s, k.holds[owned(s)]
 	}
 	s, before := granted()
-	ends, known := k.holdEnds(s)
+	ends, known := k.holdExpiry(s)
 	if _, after := granted(); !known || ends.Before(before) || ends.After(after) {
 		t.Errorf("held until %s longer than granted, known %t", ends.Sub(after), known)
 	}
--- a/gateway/ownerstate.go
+++ b/gateway/ownerstate.go
@@ -16,7 +16,7 @@
 
 const (
 	// stuckInterval is the least time between two lines about keys that stay on a busy owner.
-	stuckInterval = 5 * time.Second
+	stuckLogInterval = 5 * time.Second
 	// percent is the unit of utilization in lines, gauges and answers to operators.
 	percent = 100
 )
@@ -26,7 +26,7 @@
 	k.mu.Lock()
 	u, uneven := ownership.Busiest(k.table, owners, load)
 	moving, failing := len(k.moving), len(k.failing)
-	due := uneven && k.now().Sub(k.toldStuck) >= stuckInterval
+	due := uneven && k.now().Sub(k.toldStuck) >= stuckLogInterval
 	if due {
 		k.toldStuck = k.now()
 	}
@@ -45,7 +45,7 @@
 }
 
 // gauges tells, in the leader, how even the owners are and what is pending.
-func (k *keeper) gauges() {
+func (k *keeper) updateGauges() {
 	owners, load := k.candidates(), k.rates()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -69,9 +69,9 @@
 }
 
 // ownerGauges tells the gauges of all services that this process keeps.
-func (s *steward) ownerGauges() {
+func (s *steward) updateOwnerGauges() {
 	for _, k := range s.allKeepers() {
-		k.gauges()
+		k.updateGauges()
 	}
 }
 
--- a/gateway/publish_test.go
+++ b/gateway/publish_test.go
@@ -28,7 +28,7 @@
 	k.table = ownership.InitialTable("s", owners)
 	moves := k.table.Clone().Spans
 	for _, s := range moves {
-		k.settle(s, s.Next, 0, false)
+		k.finishMove(s, s.Next, 0, false)
 		if versions == 0 {
 			t.Fatal("the first end is not told at once")
 		}
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -30,7 +30,7 @@
 	}
 	owner := ""
 	if q.service.Keyed {
-		owner = f.ownerNow(q)
+		owner = f.currentOwner(q)
 		attrs = append(attrs, "key", q.key, "upstream", owner)
 		if t := f.view.spansOf(q.service.Name); t != nil {
 			attrs = append(attrs, "owners_version", t.Version)
--- a/gateway/steward.go
+++ b/gateway/steward.go
@@ -26,7 +26,7 @@
 	calls   *storeCaller
 	owners  *platform.Owners
 	// turns bounds the grants under way.
-	turns   turns
+	turns   callSlots
 	leading *leading
 	longest time.Duration
 	now     func() time.Time
--- a/gateway/turns_test.go
+++ b/gateway/turns_test.go
@@ -35,7 +35,7 @@
 	lead.right.Extend(time.Now().Add(time.Hour - leadership.LeaseDuration))
 	s := &steward{
 		view: newView(), cluster: c, now: time.Now, log: slog.New(slog.DiscardHandler), leading: lead,
-		owners: platform.NewOwners(pool.New(upstreamLimits, time.Now)), turns: newTurns(mostGrantCalls),
+		owners: platform.NewOwners(pool.New(upstreamLimits, time.Now)), turns: newCallSlots(maxGrantCalls),
 	}
 	k := newKeeper(s, "s", 1)
 	to := &instances.Instance{ID: "i-1", Address: l.Addr().String()}
@@ -58,8 +58,8 @@
 	}
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	full := newTurns(0)
-	if _, ok := full.take(ended); ok {
+	full := newCallSlots(0)
+	if _, ok := full.acquire(ended); ok {
 		t.Error("a turn is given after the end")
 	}
 }
@@ -67,12 +67,12 @@
 // TestSilentUpstreamsKeepNoTurn: calls that wait for an answer do not keep others from
 // beginning.
 func TestSilentUpstreamsKeepNoTurn(t *testing.T) {
-	one := newTurns(1)
-	waits, ok := one.take(context.Background())
+	one := newCallSlots(1)
+	waits, ok := one.acquire(context.Background())
 	if !ok {
 		t.Fatal("no turn")
 	}
-	next, ok := one.take(context.Background())
+	next, ok := one.acquire(context.Background())
 	if !ok {
 		t.Fatal("the silent one kept the turn")
 	}
