--- a/gateway/cluster.go
+++ b/gateway/cluster.go
@@ -124,7 +124,7 @@
 	if !fresh || r.Member.Node == c.self.Node {
 		return
 	}
-	next := &child{Member: r.Member, seen: c.now(), loads: r.Loads, demands: r.Demands, followers: r.Followers, wanted: wantedOf(r.Limits)}
+	next := &child{Member: r.Member, seen: c.now(), loads: r.Loads, demands: r.Demands, followers: r.Followers, wanted: decodeWanted(r.Limits)}
 	former := c.children[r.Member.Node]
 	if former != nil {
 		next.told, next.toldWorks = former.told, former.toldWorks
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -6,7 +6,7 @@
 
 // demandElsewhere returns how many requests a second all gateways but the given one and
 // those behind it are asked for, by service. own is what this process is asked for.
-func (c *cluster) demandElsewhere(except string, own map[string]float64) map[string]float64 {
+func (c *cluster) demandExcept(except string, own map[string]float64) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := make(map[string]float64)
@@ -27,7 +27,7 @@
 }
 
 // demandBelow returns what this gateway and those that report to it are asked for.
-func (c *cluster) demandBelow(own map[string]float64) map[string]float64 {
+func (c *cluster) subtreeDemand(own map[string]float64) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := make(map[string]float64)
@@ -48,7 +48,7 @@
 	}
 }
 
-func demandMessages(demand map[string]float64) []*syncpb.Demand {
+func encodeDemands(demand map[string]float64) []*syncpb.Demand {
 	out := make([]*syncpb.Demand, 0, len(demand))
 	for name, rate := range demand {
 		out = append(out, &syncpb.Demand{Service: name, Requests: float32(rate)})
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -153,12 +153,12 @@
 	}
 	f.takeFleet(resp.Fleet)
 	f.cluster.setDemandsAbove(resp.Demands)
-	f.cluster.setHotKeys(resp.HotKeys)
-	resp.Limits = f.sieve.soundLimits(unsoundNews, resp.Limits)
-	f.cluster.setWantedAbove(resp.Limits)
-	f.limits.told(resp.Limits)
+	f.cluster.setParentHotKeys(resp.HotKeys)
+	resp.Limits = f.sieve.validLimits(unsoundNews, resp.Limits)
+	f.cluster.setParentWanted(resp.Limits)
+	f.limits.recordFromGateway(resp.Limits)
 	f.suspects.told(resp.Suspects)
-	f.cluster.setRights(toldRights(resp.Rights), f.now().Add(-time.Duration(resp.RightsMs)*time.Millisecond))
+	f.cluster.setParentRights(decodeRights(resp.Rights), f.now().Add(-time.Duration(resp.RightsMs)*time.Millisecond))
 	f.shareLoads(int(resp.Gateways))
 	if f.now().Sub(began) < newsAtOnce {
 		// The next report can wait a little.
@@ -188,11 +188,11 @@
 // flight: those above, and those that report to this one.
 func (f *follower) shareLoads(gateways int) {
 	self := f.cluster.self.Node
-	rights, named := f.cluster.rightsAbove()
+	rights, named := f.cluster.parentRights()
 	f.traffic.reported(dispatch.ClusterReport{
-		InFlight: f.cluster.inFlightElsewhere(), WorkTimes: f.cluster.worksAbove(), Gateways: gateways,
-		Rights: held(f.view.inst.Load(), rights, named, self), Limits: f.limits.news(f.cluster.wantedByOthers),
-	}, f.cluster.demandElsewhere(self, nil), admitted(f.cluster.hotKeysAbove()))
+		InFlight: f.cluster.inFlightElsewhere(), WorkTimes: f.cluster.parentWorkTimes(), Gateways: gateways,
+		Rights: heldRights(f.view.inst.Load(), rights, named, self), Limits: f.limits.inForce(f.cluster.wantedByOthers),
+	}, f.cluster.demandExcept(self, nil), decodeHotKeys(f.cluster.parentHotKeys()))
 }
 
 // request builds a report.
@@ -218,12 +218,12 @@
 	}
 	own := f.traffic.report()
 	f.setOwn(own)
-	r.Demands = demandMessages(f.cluster.demandBelow(own.demand))
-	r.Limits = f.limits.messages(func(upstream string) float64 { return f.cluster.wantedBelow(own.wanted, upstream) })
+	r.Demands = encodeDemands(f.cluster.subtreeDemand(own.demand))
+	r.Limits = f.limits.encode(func(upstream string) float64 { return f.cluster.subtreeWanted(own.wanted, upstream) })
 	r.Suspects = f.suspects.messages()
 	r.Followers = f.cluster.followers()
-	f.cluster.keepRuns(own.loads)
-	r.Loads = withRuns(f.cluster.below(own.loads), f.cluster.takeRuns())
+	f.cluster.addRuns(own.loads)
+	r.Loads = mergeRuns(f.cluster.below(own.loads), f.cluster.takeRuns())
 	for name, list := range own.keys {
 		k := &syncpb.KeyCounts{Service: name}
 		for _, key := range list {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -214,7 +214,7 @@
 		view: g.view, cluster: g.cluster, traffic: g.traffic, store: store, calls: g.calls,
 		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newCallSlots(maxGrantCalls), longest: conf.LongestHold.D(),
 		now: g.now, log: log, meters: g.meters, workTimes: newWorkTimes(g.view, g.now), limits: g.limits,
-		rights: &rights{view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now},
+		rights: &warmUpRights{view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now},
 	}
 	g.leading = &leading{
 		store: store, calls: g.calls, cluster: g.cluster, follower: g.follower, watcher: g.watcher,
@@ -240,7 +240,7 @@
 // limitsChanged lets a limit that an upstream names, or its end, take effect here at once, and
 // tells it to those that report to this gateway.
 func (g *Gateway) limitsChanged() {
-	g.traffic.setLimits(g.limits.news(g.cluster.wantedByOthers))
+	g.traffic.setLimits(g.limits.inForce(g.cluster.wantedByOthers))
 	g.view.notify()
 }
 
--- a/gateway/hotkeys.go
+++ b/gateway/hotkeys.go
@@ -11,37 +11,37 @@
 // This file brings the limits of hot keys from the leader to all gateways.
 
 // admits is the part of the requests that can be run, of hot keys, by service.
-type admits = map[string]map[uint16]float64
+type admittedShares = map[string]map[uint16]float64
 
 // hotKeys are the limits that the leader has decided, for concurrent use.
-type hotKeys struct {
-	mu sync.Mutex
-	by map[string][]ownership.Limit
+type hotKeyLimits struct {
+	mu        sync.Mutex
+	byService map[string][]ownership.Limit
 }
 
 // set takes over the limits of a service.
-func (h *hotKeys) set(service string, limits []ownership.Limit) {
+func (h *hotKeyLimits) set(service string, limits []ownership.Limit) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.by == nil {
-		h.by = make(map[string][]ownership.Limit)
+	if h.byService == nil {
+		h.byService = make(map[string][]ownership.Limit)
 	}
-	h.by[service] = limits
+	h.byService[service] = limits
 }
 
 // clear drops all limits: this gateway does not lead any more.
-func (h *hotKeys) clear() {
+func (h *hotKeyLimits) clear() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.by = nil
+	h.byService = nil
 }
 
 // messages returns the limits as they are told.
-func (h *hotKeys) messages() []*syncpb.HotKeys {
+func (h *hotKeyLimits) encode() []*syncpb.HotKeys {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []*syncpb.HotKeys
-	for service, limits := range h.by {
+	for service, limits := range h.byService {
 		if len(limits) == 0 {
 			continue
 		}
@@ -56,8 +56,8 @@
 }
 
 // admitted returns what messages tell. What cannot be is left out.
-func admitted(list []*syncpb.HotKeys) admits {
-	out := make(admits, len(list))
+func decodeHotKeys(list []*syncpb.HotKeys) admittedShares {
+	out := make(admittedShares, len(list))
 	for _, m := range list {
 		keys := make(map[uint16]float64, len(m.Keys))
 		for i, key := range m.Keys {
@@ -71,14 +71,14 @@
 }
 
 // setHotKeys takes over what the parent told of hot keys.
-func (c *cluster) setHotKeys(list []*syncpb.HotKeys) {
+func (c *cluster) setParentHotKeys(list []*syncpb.HotKeys) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hotKeys = list
 }
 
 // hotKeysAbove returns what the parent told of hot keys.
-func (c *cluster) hotKeysAbove() []*syncpb.HotKeys {
+func (c *cluster) parentHotKeys() []*syncpb.HotKeys {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hotKeys
--- a/gateway/hotkeys_test.go
+++ b/gateway/hotkeys_test.go
@@ -28,7 +28,7 @@
 	}
 	// Plans of this leader see no hot key; they are written over.
 	told := func() bool {
-		_, hot := admitted(other.cluster.hotKeysAbove())["status"][77]
+		_, hot := decodeHotKeys(other.cluster.parentHotKeys())["status"][77]
 		return hot
 	}
 	b.eventually("the limit is told", func() bool {
@@ -44,10 +44,10 @@
 
 // TestAdmittedTakesWhatCanBe of what another gateway tells.
 func TestAdmittedTakesWhatCanBe(t *testing.T) {
-	got := admitted([]*syncpb.HotKeys{
+	got := decodeHotKeys([]*syncpb.HotKeys{
 		{Service: "a", Keys: []uint32{1, 2, 3, 1 << 20, 5}, Admit: []float32{0.5, -1, float32(math.NaN()), 0.5}},
 	})
-	if diff := cmp.Diff(admits{"a": {1: 0.5}}, got); diff != "" {
+	if diff := cmp.Diff(admittedShares{"a": {1: 0.5}}, got); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -365,7 +365,7 @@
 // capacity is how many requests a second the upstream can run, by what was seen of its runs and
 // by the limit that it may name: else its keys stay where most of their requests are refused.
 func (k *keeper) capacity(one *instances.Instance) float64 {
-	work := k.workTimes.of(k.service, one.ID)
+	work := k.workTimes.mean(k.service, one.ID)
 	if work <= 0 {
 		work = time.Second / defaultRate
 	}
--- a/gateway/keeperupstreams.go
+++ b/gateway/keeperupstreams.go
@@ -82,7 +82,7 @@
 func (k *keeper) controlLocked(id string) ownership.ControlHealth {
 	f := k.failing[id]
 	return ownership.ControlHealth{
-		FailingSince: f.since, LastFailed: f.last, ProbeAnswered: f.reached, LastGranted: k.granted[id], LastAnswered: k.workTimes.answeredAt(id),
+		FailingSince: f.since, LastFailed: f.last, ProbeAnswered: f.reached, LastGranted: k.granted[id], LastAnswered: k.workTimes.lastAnsweredAt(id),
 	}
 }
 
--- a/gateway/limitnews.go
+++ b/gateway/limitnews.go
@@ -14,10 +14,10 @@
 // every few seconds only.
 
 // mostLimits bounds the limits that are taken over from one message.
-const mostLimits = 4096
+const maxLimits = 4096
 
 // messages tells the limits that are known, and with each how many requests a second are wanted.
-func (n *namedLimits) messages(wanted func(upstream string) float64) []*syncpb.NamedLimit {
+func (n *namedLimits) encode(wanted func(upstream string) float64) []*syncpb.NamedLimit {
 	list := n.list()
 	out := make([]*syncpb.NamedLimit, 0, len(list))
 	for _, l := range list {
@@ -30,13 +30,13 @@
 }
 
 // told takes over what another gateway tells.
-func (n *namedLimits) told(list []*syncpb.NamedLimit) {
+func (n *namedLimits) recordFromGateway(list []*syncpb.NamedLimit) {
 	if len(list) > 0 {
-		n.note(limitFromGateway, n.fromMessages(list)...)
+		n.note(limitFromGateway, n.decode(list)...)
 	}
 }
 
-func (n *namedLimits) fromMessages(list []*syncpb.NamedLimit) []limits.Limit {
+func (n *namedLimits) decode(list []*syncpb.NamedLimit) []limits.Limit {
 	now := n.now()
 	out := make([]limits.Limit, 0, len(list))
 	for _, m := range list {
@@ -50,13 +50,13 @@
 
 // lackedBy reports whether the limits that are known differ from those that another gateway
 // knows.
-func (n *namedLimits) lackedBy(list []*syncpb.NamedLimit) bool {
+func (n *namedLimits) hasNewerThan(list []*syncpb.NamedLimit) bool {
 	known := n.list()
 	if len(known) == 0 {
 		return false
 	}
 	theirs := limits.NewBook()
-	for _, l := range n.fromMessages(list) {
+	for _, l := range n.decode(list) {
 		theirs.Note(l)
 	}
 	for _, l := range known {
@@ -68,7 +68,7 @@
 }
 
 // news returns the limits in force, with what the other gateways are asked for as it is told.
-func (n *namedLimits) news(elsewhere func(upstream string) (wanted float64, known bool)) map[string]dispatch.Limit {
+func (n *namedLimits) inForce(elsewhere func(upstream string) (wanted float64, known bool)) map[string]dispatch.Limit {
 	v := n.view.inst.Load()
 	if v == nil {
 		return nil
@@ -89,10 +89,10 @@
 }
 
 // soundLimits drops what cannot be from what another gateway tells of limits.
-func (s *sieve) soundLimits(source string, list []*syncpb.NamedLimit) []*syncpb.NamedLimit {
-	out := make([]*syncpb.NamedLimit, 0, min(len(list), mostLimits))
-	for _, m := range list[:min(len(list), mostLimits)] {
-		if m.Upstream == "" || !isRate(m.PerSecond) || !isRate(m.Wanted) {
+func (s *sieve) validLimits(source string, list []*syncpb.NamedLimit) []*syncpb.NamedLimit {
+	out := make([]*syncpb.NamedLimit, 0, min(len(list), maxLimits))
+	for _, m := range list[:min(len(list), maxLimits)] {
+		if m.Upstream == "" || !validRate(m.PerSecond) || !validRate(m.Wanted) {
 			s.note(source, m.Upstream, errNoNumber)
 			continue
 		}
@@ -102,14 +102,14 @@
 }
 
 // mostRate bounds the rates that are believed, in requests a second.
-const mostRate = 1 << 20
+const maxRate = 1 << 20
 
-func isRate(n float32) bool { return n >= 0 && n <= mostRate }
+func validRate(n float32) bool { return n >= 0 && n <= maxRate }
 
 // wantedElsewhere returns how many requests a second all gateways but the given one and those
 // behind it are asked for that the upstream would get; known is false when the parent has not told
 // yet. own is what this process is asked for.
-func (c *cluster) wantedElsewhere(except string, own map[string]float64, upstream string) (wanted float64, known bool) {
+func (c *cluster) wantedExcept(except string, own map[string]float64, upstream string) (wanted float64, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if except != c.self.Node {
@@ -129,12 +129,12 @@
 
 // wantedByOthers is wantedElsewhere for this gateway.
 func (c *cluster) wantedByOthers(upstream string) (wanted float64, known bool) {
-	return c.wantedElsewhere(c.self.Node, nil, upstream)
+	return c.wantedExcept(c.self.Node, nil, upstream)
 }
 
 // wantedBelow returns how many requests a second this gateway and those that report to it are
 // asked for that the upstream would get.
-func (c *cluster) wantedBelow(own map[string]float64, upstream string) float64 {
+func (c *cluster) subtreeWanted(own map[string]float64, upstream string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	wanted := own[upstream]
@@ -148,13 +148,13 @@
 
 // setWantedAbove takes over what the parent told that the others are asked for. What it told
 // last stands while none does: a gateway that is cut off goes on with its former part.
-func (c *cluster) setWantedAbove(list []*syncpb.NamedLimit) {
+func (c *cluster) setParentWanted(list []*syncpb.NamedLimit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.aboveWanted = wantedOf(list)
+	c.aboveWanted = decodeWanted(list)
 }
 
-func wantedOf(list []*syncpb.NamedLimit) map[string]float64 {
+func decodeWanted(list []*syncpb.NamedLimit) map[string]float64 {
 	if len(list) == 0 {
 		return nil
 	}
--- a/gateway/limitnews_test.go
+++ b/gateway/limitnews_test.go
@@ -54,24 +54,24 @@
 	}
 	report("x", 20)
 	report("y", 300)
-	if _, known := c.wantedElsewhere("x", own, "u"); known {
+	if _, known := c.wantedExcept("x", own, "u"); known {
 		t.Error("what the parent's other gateways are asked for is not known")
 	}
-	c.setWantedAbove([]*syncpb.NamedLimit{{Upstream: "u", Wanted: 4000}})
+	c.setParentWanted([]*syncpb.NamedLimit{{Upstream: "u", Wanted: 4000}})
 	for node, want := range map[string]float64{"x": 4301, "y": 4021, "head": 4320} {
-		if got, known := c.wantedElsewhere(node, own, "u"); got != want || !known {
+		if got, known := c.wantedExcept(node, own, "u"); got != want || !known {
 			t.Errorf("all but %s want %g, known %v; %g expected", node, got, known, want)
 		}
 	}
-	if got := c.wantedBelow(own, "u"); got != 321 {
+	if got := c.subtreeWanted(own, "u"); got != 321 {
 		t.Errorf("%g wanted by this one and those behind it", got)
 	}
 	now = now.Add(reportExpiry)
-	if got := c.wantedBelow(own, "u"); got != 1 {
+	if got := c.subtreeWanted(own, "u"); got != 1 {
 		t.Errorf("%g wanted when the others report no more", got)
 	}
 	c.setLeading(true)
-	if got, known := c.wantedElsewhere("head", own, "u"); got != 0 || !known {
+	if got, known := c.wantedExcept("head", own, "u"); got != 0 || !known {
 		t.Errorf("the leader's others want %g, known %v", got, known)
 	}
 }
@@ -81,9 +81,9 @@
 	m := newMeters()
 	s := newSieve(newView(), time.Now, slog.New(slog.DiscardHandler), m)
 	nan := float32(math.NaN())
-	got := s.soundLimits(unsoundNews, []*syncpb.NamedLimit{
+	got := s.validLimits(unsoundNews, []*syncpb.NamedLimit{
 		{PerSecond: 1}, {Upstream: "a", PerSecond: -1}, {Upstream: "b", PerSecond: nan},
-		{Upstream: "c", Wanted: nan}, {Upstream: "d", PerSecond: 2 * mostRate}, {Upstream: "e", PerSecond: 1},
+		{Upstream: "c", Wanted: nan}, {Upstream: "d", PerSecond: 2 * maxRate}, {Upstream: "e", PerSecond: 1},
 	})
 	if len(got) != 1 || got[0].Upstream != "e" {
 		t.Errorf("taken over: %v", got)
@@ -97,17 +97,17 @@
 // has heard of it later.
 func TestLimitIsLacked(t *testing.T) {
 	n := noLimits()
-	if n.lackedBy(nil) {
+	if n.hasNewerThan(nil) {
 		t.Error("nothing is known")
 	}
 	n.note(limitFromAnswer, limits.Limit{Upstream: "u", PerSecond: 10, At: n.now()})
 	say := func(perSecond float32, age time.Duration) []*syncpb.NamedLimit {
 		return []*syncpb.NamedLimit{{Upstream: "u", PerSecond: perSecond, AgeMs: milliseconds(age)}}
 	}
-	if !n.lackedBy(nil) || !n.lackedBy(say(20, time.Second)) {
+	if !n.hasNewerThan(nil) || !n.hasNewerThan(say(20, time.Second)) {
 		t.Error("a gateway is not told what it lacks")
 	}
-	if n.lackedBy(say(10, time.Second)) || n.lackedBy(say(20, 0)) {
+	if n.hasNewerThan(say(10, time.Second)) || n.hasNewerThan(say(20, 0)) {
 		t.Error("a gateway is told what it has")
 	}
 }
--- a/gateway/loss_test.go
+++ b/gateway/loss_test.go
@@ -159,13 +159,13 @@
 	head.reported(&syncpb.SyncRequest{Member: node("b", 2, 100), Demands: demand(2)}, true)
 	head.setDemandsAbove(demand(10))
 	own := map[string]float64{"a": 4}
-	if got := head.demandBelow(own)["a"]; got != 7 {
+	if got := head.subtreeDemand(own)["a"]; got != 7 {
 		t.Errorf("told the leader %v, want 1+2+4", got)
 	}
-	if got := head.demandElsewhere("b1", own)["a"]; got != 16 {
+	if got := head.demandExcept("b1", own)["a"]; got != 16 {
 		t.Errorf("told a child %v, want 2+4+10", got)
 	}
-	if got := head.demandElsewhere("b0", nil)["a"]; got != 13 {
+	if got := head.demandExcept("b0", nil)["a"]; got != 13 {
 		t.Errorf("others of the head are asked for %v, want 1+2+10", got)
 	}
 }
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -48,16 +48,16 @@
 	p.evac.told(r.Evacuations)
 	if r.WaitMs > 0 {
 		r.Loads = p.sieve.loads(r.Loads)
-		r.Limits = p.sieve.soundLimits(unsoundReport, r.Limits)
-		p.limits.told(r.Limits)
+		r.Limits = p.sieve.validLimits(unsoundReport, r.Limits)
+		p.limits.recordFromGateway(r.Limits)
 		p.suspects.told(r.Suspects)
 		p.cluster.reported(r, p.heardAgo() < orphanAfter)
 		if p.cluster.isLeading() {
 			p.steward.asked(r.Keys)
-			p.steward.workTimes.note(r.Loads)
+			p.steward.workTimes.record(r.Loads)
 		} else {
 			p.passOn(r.Keys)
-			p.cluster.keepRuns(r.Loads)
+			p.cluster.addRuns(r.Loads)
 		}
 	}
 	p.waitForNews(ctx, r)
@@ -117,7 +117,7 @@
 // fetching.
 func (p *peerServer) knowsMore(r *syncpb.SyncRequest) bool {
 	fetching := fetchingSet(r)
-	if p.lacksEvacuations(r) || p.limits.lackedBy(r.Limits) {
+	if p.lacksEvacuations(r) || p.limits.hasNewerThan(r.Limits) {
 		return true
 	}
 	if !fetching[partConfiguration] && p.view.configuration().revision > r.ConfigRevision {
@@ -165,7 +165,7 @@
 		return resp
 	}
 	resp.Fleet = p.fleet(r)
-	resp.Demands = demandMessages(p.cluster.demandElsewhere(r.Member.Node, p.steward.lastOwn().demand))
+	resp.Demands = encodeDemands(p.cluster.demandExcept(r.Member.Node, p.steward.lastOwn().demand))
 	resp.Gateways = uint32(p.cluster.gateways())
 	resp.HotKeys = p.hotKeys()
 	resp.Limits = p.namedLimits(r.Member.Node)
@@ -195,17 +195,17 @@
 // works returns the mean times of a run as all gateways have seen them.
 func (p *peerServer) works() map[string]worktime.Estimate {
 	if p.cluster.isLeading() {
-		return p.steward.workTimes.all()
+		return p.steward.workTimes.estimates()
 	}
-	return p.cluster.worksAbove()
+	return p.cluster.parentWorkTimes()
 }
 
 // namedLimits tells the limits that upstreams name, and what all gateways but the node and those
 // behind it are asked for.
 func (p *peerServer) namedLimits(node string) []*syncpb.NamedLimit {
 	own := p.steward.lastOwn().wanted
-	return p.limits.messages(func(upstream string) float64 {
-		wanted, _ := p.cluster.wantedElsewhere(node, own, upstream)
+	return p.limits.encode(func(upstream string) float64 {
+		wanted, _ := p.cluster.wantedExcept(node, own, upstream)
 		return wanted
 	})
 }
@@ -213,9 +213,9 @@
 // hotKeys returns the limits of hot keys, as this leader decides or as it was told them.
 func (p *peerServer) hotKeys() []*syncpb.HotKeys {
 	if p.cluster.isLeading() {
-		return p.steward.hotKeys.messages()
+		return p.steward.hotKeys.encode()
 	}
-	return p.cluster.hotKeysAbove()
+	return p.cluster.parentHotKeys()
 }
 
 // rights returns the rights of the sender and of those that report through it, and how long
@@ -225,11 +225,11 @@
 	for _, m := range r.Followers {
 		nodes[m.Node] = true
 	}
-	all, named := p.cluster.rightsAbove()
+	all, named := p.cluster.parentRights()
 	if p.cluster.isLeading() {
-		all, named = p.steward.rights.all()
+		all, named = p.steward.rights.current()
 	}
-	return rightMessages(all, nodes), milliseconds(p.follower.now().Sub(named))
+	return encodeRights(all, nodes), milliseconds(p.follower.now().Sub(named))
 }
 
 // Relay implements syncpb.Peer. The answer is sent when the whole has come from the store.
@@ -255,7 +255,7 @@
 		if l.Rest > 0 {
 			m.Resting, m.RestMs = 1, milliseconds(l.Rest)
 		}
-		setRuns(m, l.Runs)
+		encodeRuns(m, l.Runs)
 		out = append(out, m)
 	}
 	return out
--- a/gateway/rights.go
+++ b/gateway/rights.go
@@ -15,51 +15,51 @@
 const (
 	// nameInterval is the least time between two times that the leader names the rights
 	// anew where no upstream has changed: some reports ask for them at the same moment.
-	nameInterval = 50 * time.Millisecond
+	assignInterval = 50 * time.Millisecond
 	// mostRights bounds the rights that are taken over from one answer: a gateway and those
 	// that report through it, with the upstreams of a failure domain that returns.
-	mostRights = 4096
+	maxRights = 4096
 )
 
 // rights names, in the leader, the gateways that may send to upstreams that warm up. It is
 // safe for concurrent use.
-type rights struct {
+type warmUpRights struct {
 	view    *view
 	cluster *cluster
 	traffic *traffic
 	now     func() time.Time
 
-	mu   sync.Mutex
-	book *warmup.Assignments
+	mu          sync.Mutex
+	assignments *warmup.Assignments
 	// named are the rights as of at, for the version of the view of upstreams.
-	named   []warmup.Right
-	at      time.Time
-	version uint64
+	assigned   []warmup.Right
+	assignedAt time.Time
+	version    uint64
 }
 
 // begin forgets all: this gateway leads from now on.
-func (r *rights) begin() {
+func (r *warmUpRights) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.book, r.named, r.at = warmup.NewAssignments(r.now()), nil, time.Time{}
+	r.assignments, r.assigned, r.assignedAt = warmup.NewAssignments(r.now()), nil, time.Time{}
 }
 
 // all returns the rights that hold now, and when they were named.
-func (r *rights) all() ([]warmup.Right, time.Time) {
+func (r *warmUpRights) current() ([]warmup.Right, time.Time) {
 	_, version := r.view.upstreamsKnown()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.book == nil {
+	if r.assignments == nil {
 		return nil, r.now()
 	}
-	if r.version != version || r.now().Sub(r.at) >= nameInterval {
-		r.at, r.version = r.now(), version
-		r.named = r.book.Assign(r.at, r.traffic.needRights(), r.gateways())
+	if r.version != version || r.now().Sub(r.assignedAt) >= assignInterval {
+		r.assignedAt, r.version = r.now(), version
+		r.assigned = r.assignments.Assign(r.assignedAt, r.traffic.needRights(), r.gateways())
 	}
-	return r.named, r.at
+	return r.assigned, r.assignedAt
 }
 
-func (r *rights) gateways() []warmup.Gateway {
+func (r *warmUpRights) gateways() []warmup.Gateway {
 	members, _ := r.cluster.list()
 	out := make([]warmup.Gateway, 0, len(members))
 	for _, m := range members {
@@ -69,7 +69,7 @@
 }
 
 // rightMessages tells the rights of the gateways of the names.
-func rightMessages(list []warmup.Right, nodes map[string]bool) []*syncpb.Right {
+func encodeRights(list []warmup.Right, nodes map[string]bool) []*syncpb.Right {
 	var out []*syncpb.Right
 	for _, one := range list {
 		if nodes[one.Gateway] {
@@ -80,9 +80,9 @@
 }
 
 // toldRights returns what messages tell. What cannot be is left out.
-func toldRights(list []*syncpb.Right) []warmup.Right {
-	out := make([]warmup.Right, 0, min(len(list), mostRights))
-	for _, m := range list[:min(len(list), mostRights)] {
+func decodeRights(list []*syncpb.Right) []warmup.Right {
+	out := make([]warmup.Right, 0, min(len(list), maxRights))
+	for _, m := range list[:min(len(list), maxRights)] {
 		if m.Upstream != "" && m.Node != "" {
 			out = append(out, warmup.Right{Upstream: m.Upstream, Incarnation: instances.Incarnation(m.Incarnation), Gateway: m.Node})
 		}
@@ -92,7 +92,7 @@
 
 // held returns until when the gateway of the name may send to upstreams, by their present
 // starts.
-func held(v *instances.View, list []warmup.Right, named time.Time, node string) map[string]time.Time {
+func heldRights(v *instances.View, list []warmup.Right, named time.Time, node string) map[string]time.Time {
 	if v == nil {
 		return nil
 	}
@@ -107,14 +107,14 @@
 }
 
 // setRights takes over what the parent told of rights that were named at a time.
-func (c *cluster) setRights(list []warmup.Right, named time.Time) {
+func (c *cluster) setParentRights(list []warmup.Right, named time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rights, c.rightsNamed = list, named
 }
 
 // rightsAbove returns what the parent told of rights, and when they were named.
-func (c *cluster) rightsAbove() ([]warmup.Right, time.Time) {
+func (c *cluster) parentRights() ([]warmup.Right, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rights, c.rightsNamed
--- a/gateway/rights_test.go
+++ b/gateway/rights_test.go
@@ -80,7 +80,7 @@
 func TestRightsHeld(t *testing.T) {
 	v := instances.NewView(1, []instances.Instance{{ID: "u1", BornMs: 7}, {ID: "u2", BornMs: 7}, {ID: "u3"}})
 	now := v.Get("u1").Incarnation()
-	list := toldRights([]*syncpb.Right{
+	list := decodeRights([]*syncpb.Right{
 		{Upstream: "u1", Incarnation: uint32(now), Node: "g"}, {Upstream: "u2", Incarnation: uint32(now) + 1, Node: "g"},
 		{Upstream: "u3", Node: "other"}, {Upstream: "u4", Node: "g"}, {Node: "g"}, {Upstream: "u3"},
 	})
@@ -89,7 +89,7 @@
 	}
 	named := time.Now()
 	want := map[string]time.Time{"u1": named.Add(warmup.RightDuration)}
-	if d := cmp.Diff(want, held(v, list, named, "g")); d != "" {
+	if d := cmp.Diff(want, heldRights(v, list, named, "g")); d != "" {
 		t.Error(d)
 	}
 }
--- a/gateway/steward.go
+++ b/gateway/steward.go
@@ -42,9 +42,9 @@
 	// own is this process's last report.
 	own *ownReport
 	// hotKeys are those of the services that this process keeps.
-	hotKeys hotKeys
+	hotKeys hotKeyLimits
 	// rights are those to send to upstreams that warm up.
-	rights *rights
+	rights *warmUpRights
 	// workTimes are the times of runs as all gateways see them.
 	workTimes *workTimes
 	// limits are those that upstreams name.
@@ -59,8 +59,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	s.keepers = make(map[string]*keeper)
-	s.workTimes.begin(s.cluster.worksAbove())
-	s.rights.begin()
+	s.workTimes.reset(s.cluster.parentWorkTimes())
+	s.rights.reset()
 	s.running.Go(func() { s.run(ctx, term) })
 	s.running.Go(func() { inquire(ctx) })
 	s.running.Go(func() { s.placements.load(ctx) })
@@ -139,7 +139,7 @@
 func (s *steward) noteOwn() {
 	own := s.traffic.report()
 	s.setOwn(own)
-	s.workTimes.note(own.loads)
+	s.workTimes.record(own.loads)
 	s.workTimes.refresh()
 	s.mu.Lock()
 	for name, list := range own.keys {
@@ -150,12 +150,12 @@
 		}
 	}
 	s.mu.Unlock()
-	elsewhere := s.cluster.demandElsewhere(s.cluster.self.Node, nil)
-	rights, named := s.rights.all()
+	elsewhere := s.cluster.demandExcept(s.cluster.self.Node, nil)
+	rights, named := s.rights.current()
 	s.traffic.reported(dispatch.ClusterReport{
-		InFlight: s.cluster.inFlightElsewhere(), WorkTimes: s.workTimes.all(), Gateways: s.cluster.gateways(),
-		Rights: held(s.view.inst.Load(), rights, named, s.cluster.self.Node), Limits: s.limits.news(s.cluster.wantedByOthers),
-	}, elsewhere, admitted(s.hotKeys.messages()))
+		InFlight: s.cluster.inFlightElsewhere(), WorkTimes: s.workTimes.estimates(), Gateways: s.cluster.gateways(),
+		Rights: heldRights(s.view.inst.Load(), rights, named, s.cluster.self.Node), Limits: s.limits.inForce(s.cluster.wantedByOthers),
+	}, elsewhere, decodeHotKeys(s.hotKeys.encode()))
 }
 
 // setOwn keeps this process's last report.
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -396,7 +396,7 @@
 
 // reported takes over what the other gateways reported, what they are asked for by
 // service, and the limits of hot keys.
-func (t *traffic) reported(news dispatch.ClusterReport, demand map[string]float64, limits admits) {
+func (t *traffic) reported(news dispatch.ClusterReport, demand map[string]float64, limits admittedShares) {
 	t.setGateways(news.Gateways)
 	now := t.now()
 	for name, s := range t.all() {
--- a/gateway/worktimes.go
+++ b/gateway/worktimes.go
@@ -14,17 +14,17 @@
 
 // toldRuns is how many runs the estimate of a former leader counts for in the book of the
 // next one.
-const toldRuns = 10
+const inheritedRuns = 10
 
 // leastSlowness keeps estimates finite.
-const leastSlowness = 0.01
+const minSlowness = 0.01
 
 // keepRuns keeps the runs that a report tells of for the own next report.
-func (c *cluster) keepRuns(loads []*syncpb.Load) {
+func (c *cluster) addRuns(loads []*syncpb.Load) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, l := range loads {
-		if runs := runsOf(l); runs.Runs > 0 {
+		if runs := decodeRuns(l); runs.Runs > 0 {
 			c.runs[l.Instance] = c.runs[l.Instance].Add(runs)
 		}
 	}
@@ -41,21 +41,21 @@
 
 // worksAbove returns the mean times of a run as the parent told them, by upstream. The map
 // is not changed any more.
-func (c *cluster) worksAbove() map[string]worktime.Estimate {
+func (c *cluster) parentWorkTimes() map[string]worktime.Estimate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.worksTold
 }
 
 // withRuns returns the loads with the runs told in them.
-func withRuns(loads map[string]*syncpb.Load, runs map[string]worktime.Sum) []*syncpb.Load {
+func mergeRuns(loads map[string]*syncpb.Load, runs map[string]worktime.Sum) []*syncpb.Load {
 	for id, sum := range runs {
 		l := loads[id]
 		if l == nil {
 			l = &syncpb.Load{Instance: id}
 			loads[id] = l
 		}
-		setRuns(l, sum)
+		encodeRuns(l, sum)
 	}
 	out := make([]*syncpb.Load, 0, len(loads))
 	for _, l := range loads {
@@ -65,7 +65,7 @@
 }
 
 // setRuns lets a load tell of runs.
-func setRuns(l *syncpb.Load, sum worktime.Sum) {
+func encodeRuns(l *syncpb.Load, sum worktime.Sum) {
 	l.Runs, l.WorkUs = float32(sum.Runs), uint32(sum.Mean().Microseconds())
 	if slowness := sum.MeanSlowness(); slowness != 1 {
 		l.Slowness = float32(slowness)
@@ -73,7 +73,7 @@
 }
 
 // runsOf returns what a load tells of runs.
-func runsOf(l *syncpb.Load) worktime.Sum {
+func decodeRuns(l *syncpb.Load) worktime.Sum {
 	work := time.Duration(l.WorkUs) * time.Microsecond
 	runs, slowness := float64(l.Runs), float64(l.Slowness)
 	if slowness == 0 {
@@ -89,49 +89,49 @@
 	mu    sync.Mutex
 	books map[string]*worktime.Book
 	// told are the estimates as they are told; never changed in place.
-	told map[string]worktime.Estimate
+	published map[string]worktime.Estimate
 	// answered is when a gateway last told that an upstream had answered requests.
-	answered map[string]time.Time
-	now      func() time.Time
+	lastAnswer map[string]time.Time
+	now        func() time.Time
 }
 
 func newWorkTimes(v *view, now func() time.Time) *workTimes {
-	return &workTimes{view: v, books: make(map[string]*worktime.Book), answered: make(map[string]time.Time), now: now}
+	return &workTimes{view: v, books: make(map[string]*worktime.Book), lastAnswer: make(map[string]time.Time), now: now}
 }
 
 // begin forgets everything but what the former leader told.
-func (w *workTimes) begin(told map[string]worktime.Estimate) {
+func (w *workTimes) reset(told map[string]worktime.Estimate) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.books, w.answered = make(map[string]*worktime.Book), make(map[string]time.Time)
-	w.told = told
+	w.books, w.lastAnswer = make(map[string]*worktime.Book), make(map[string]time.Time)
+	w.published = told
 	for id, one := range told {
-		slowness := max(one.Slowness, leastSlowness)
+		slowness := max(one.Slowness, minSlowness)
 		w.addLocked(id, worktime.Sum{
-			Total: time.Duration(toldRuns * float64(one.Work) / slowness), Runs: toldRuns, Slowness: toldRuns * one.Slowness,
+			Total: time.Duration(inheritedRuns * float64(one.Work) / slowness), Runs: inheritedRuns, Slowness: inheritedRuns * one.Slowness,
 		})
 	}
 }
 
 // note notes the runs that a report tells of.
-func (w *workTimes) note(loads []*syncpb.Load) {
+func (w *workTimes) record(loads []*syncpb.Load) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, l := range loads {
-		runs := runsOf(l)
+		runs := decodeRuns(l)
 		w.addLocked(l.Instance, runs)
 		if runs.Runs > 0 {
-			w.answered[l.Instance] = w.now()
+			w.lastAnswer[l.Instance] = w.now()
 		}
 	}
 }
 
 // answeredAt returns when it was last told that the upstream had answered requests; zero when
 // it never was.
-func (w *workTimes) answeredAt(id string) time.Time {
+func (w *workTimes) lastAnsweredAt(id string) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.answered[id]
+	return w.lastAnswer[id]
 }
 
 func (w *workTimes) addLocked(id string, runs worktime.Sum) {
@@ -155,7 +155,7 @@
 }
 
 // of returns the estimate for an upstream of the service; zero while none was seen.
-func (w *workTimes) of(service, id string) time.Duration {
+func (w *workTimes) mean(service, id string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.book(service).Mean(id)
@@ -166,15 +166,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.book(service).Forget(id)
-	delete(w.answered, id)
+	delete(w.lastAnswer, id)
 }
 
 // all returns the estimates for all upstreams as of the last refresh. The map is not
 // changed any more.
-func (w *workTimes) all() map[string]worktime.Estimate {
+func (w *workTimes) estimates() map[string]worktime.Estimate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.told
+	return w.published
 }
 
 // refresh makes the estimates that are told from now on. It is called once a report interval:
@@ -196,6 +196,6 @@
 			}
 		}
 	}
-	w.told = out
-	maps.DeleteFunc(w.answered, func(id string, _ time.Time) bool { return known.Get(id) == nil })
+	w.published = out
+	maps.DeleteFunc(w.lastAnswer, func(id string, _ time.Time) bool { return known.Get(id) == nil })
 }
