--- a/gateway/arrivals.go
+++ b/gateway/arrivals.go
@@ -8,44 +8,44 @@
 
 // arrivedKey is the key of the function in a request's context that is called when bytes
 // of the answer's body have arrived.
-type arrivedKey struct{}
+type progressKey struct{}
 
 // withArrived returns a context for a request that goes by an arrivals transport: arrived
 // is called whenever bytes of the answer's body have been read.
-func withArrived(ctx context.Context, arrived func()) context.Context {
-	return context.WithValue(ctx, arrivedKey{}, arrived)
+func withProgress(ctx context.Context, arrived func()) context.Context {
+	return context.WithValue(ctx, progressKey{}, arrived)
 }
 
 // arrivals is a transport that tells of answers as they arrive, to the function that
 // withArrived has put into the request's context, if any.
-type arrivals struct{ base *http.Transport }
+type progressTransport struct{ base *http.Transport }
 
 // RoundTrip implements http.RoundTripper. Its errors are those of the base.
-func (a *arrivals) RoundTrip(r *http.Request) (*http.Response, error) {
+func (a *progressTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := a.base.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	if arrived, ok := r.Context().Value(arrivedKey{}).(func()); ok {
-		resp.Body = &arrivingBody{ReadCloser: resp.Body, arrived: arrived}
+	if arrived, ok := r.Context().Value(progressKey{}).(func()); ok {
+		resp.Body = &progressBody{ReadCloser: resp.Body, onRead: arrived}
 	}
 	return resp, nil
 }
 
 // CloseIdleConnections closes the base's, which http.Client asks for by this method.
-func (a *arrivals) CloseIdleConnections() { a.base.CloseIdleConnections() }
+func (a *progressTransport) CloseIdleConnections() { a.base.CloseIdleConnections() }
 
 // arrivingBody is the body of an answer that tells when bytes of it have been read.
-type arrivingBody struct {
+type progressBody struct {
 	io.ReadCloser
-	arrived func()
+	onRead func()
 }
 
 // Read implements io.Reader.
-func (b *arrivingBody) Read(p []byte) (int, error) {
+func (b *progressBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if n > 0 {
-		b.arrived()
+		b.onRead()
 	}
 	return n, err
 }
--- a/gateway/arrivals_test.go
+++ b/gateway/arrivals_test.go
@@ -28,7 +28,7 @@
 		_, _ = io.WriteString(w, "two")
 	}))
 	t.Cleanup(server.Close)
-	client := &http.Client{Transport: &arrivals{&http.Transport{}}}
+	client := &http.Client{Transport: &progressTransport{&http.Transport{}}}
 	t.Cleanup(client.CloseIdleConnections)
 	told := make(chan struct{}, 100)
 	get := func(ctx context.Context) {
@@ -50,7 +50,7 @@
 		<-told
 		close(goOn)
 	}()
-	get(withArrived(t.Context(), func() { told <- struct{}{} }))
+	get(withProgress(t.Context(), func() { told <- struct{}{} }))
 	if len(told) == 0 {
 		t.Error("the second piece is not told")
 	}
@@ -66,7 +66,7 @@
 // TestIdlePeersAreClosed through the transport that tells of arrivals.
 func TestIdlePeersAreClosed(t *testing.T) {
 	t.Parallel()
-	var client any = (&http.Client{Transport: &arrivals{&http.Transport{}}}).Transport
+	var client any = (&http.Client{Transport: &progressTransport{&http.Transport{}}}).Transport
 	if _, ok := client.(interface{ CloseIdleConnections() }); !ok {
 		t.Error("idle connections stay open")
 	}
@@ -82,7 +82,7 @@
 
 // Relay implements syncpb.Peer.
 func (s slowRelay) Relay(ctx context.Context, _ *syncpb.RelayRequest) (*syncpb.RelayResponse, error) {
-	arrived, _ := ctx.Value(arrivedKey{}).(func())
+	arrived, _ := ctx.Value(progressKey{}).(func())
 	pause := s.first
 	for range s.pieces {
 		select {
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -204,7 +204,7 @@
 	}
 	if b.keepIdle {
 		// Else idle connections to other gateways end by themselves after a while.
-		g.cluster.http.Transport.(*arrivals).base.IdleConnTimeout = 0
+		g.cluster.http.Transport.(*progressTransport).base.IdleConnTimeout = 0
 	}
 	go func() {
 		defer close(g.done)
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -292,7 +292,7 @@
 	suspected := f.suspects.began(q, grant)
 	resp, outcome, said, err := f.send(ctx, q, grant)
 	f.suspects.ended(q, grant, suspected, outcome)
-	f.noticed(grant, said.notice, f.traffic.doneTelling(q.traffic, grant, outcome, said))
+	f.logNotice(grant, said.notice, f.traffic.doneTelling(q.traffic, grant, outcome, said))
 	f.meters.inc(f.meters.service(tryOutcome, q.service.Name, f.class(grant), outcome.String()))
 	results <- result{grant: grant, resp: resp, err: err}
 }
@@ -314,7 +314,7 @@
 	h := platform.ForwardHeader(q.Header)
 	telemetry.Inject(ctx, h)
 	platform.SetTarget(h, grant.Instance.ID)
-	f.limits.sent(grant)
+	f.limits.countSent(grant)
 	resp, err := f.conns.Do(ctx, grant.Instance.Address, &pool.Request{
 		Method: q.Method, Target: q.target, Host: q.Host, Header: h, Body: q.body,
 		EchoHeader: platform.RequestID, Echo: q.id, Once: !q.route.Idempotent,
@@ -323,8 +323,8 @@
 	if err != nil {
 		return nil, errorOutcome(err), told{}, err
 	}
-	said := told{load: f.load(resp), notice: f.notice(resp.Status, resp.Header)}
-	f.limits.answered(grant, resp.Header)
+	said := told{load: f.load(resp), notice: f.decodeNotice(resp.Status, resp.Header)}
+	f.limits.recordAnswer(grant, resp.Header)
 	f.unread.note(grant, resp.Header)
 	answer, outcome, err := classify(resp)
 	return answer, outcome, said, err
@@ -339,7 +339,7 @@
 	if err := f.refreshLeft(h, q); err != nil {
 		return err
 	}
-	f.countNoticed(grant, said)
+	f.countSentDespiteNotice(grant, said)
 	return nil
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -180,7 +180,7 @@
 		Node: conf.Node, Address: open.Peers.Addr().String(), Domain: conf.Domain, Incarnation: incarnation(),
 		Strength: uint32(thousand * conf.Strength),
 	}
-	client := &http.Client{Transport: &arrivals{base: &http.Transport{
+	client := &http.Client{Transport: &progressTransport{base: &http.Transport{
 		DialContext:         countReads((&net.Dialer{Timeout: reportTimeout}).DialContext, g.meters.counter(newsIn)),
 		MaxIdleConnsPerHost: 4, IdleConnTimeout: defaultIdle,
 	}}}
@@ -226,14 +226,14 @@
 		store: store, steward: g.steward, leading: g.leading, cluster: g.cluster, evac: evac, suspects: g.suspects, unread: unread,
 		watches: g.watcher.ages, now: g.now, log: log,
 	}
-	g.watcher.draining, g.watcher.toldLeaving = g.steward.placements.draining, g.steward.toldLeaving
+	g.watcher.draining, g.watcher.toldLeaving = g.steward.placements.draining, g.steward.reportedLeaving
 	g.follower.setOwn = g.steward.setOwn
 	g.front = &front{
 		view: g.view, traffic: g.traffic, splitter: routing.NewSplitter(), conns: g.conns, now: g.now,
 		log: log, meters: g.meters, domain: conf.Domain, gaps: g.gaps, limits: g.limits, suspects: g.suspects, unread: unread, open: newOpenRequests(),
 		maxHeld: int64(conf.Memory) * megabyte / mostBodyShare, configurationAge: g.configurationAge,
 	}
-	g.clock.OnSuspended(g.woken)
+	g.clock.OnSuspended(g.handleWakeUp)
 	return g
 }
 
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -353,7 +353,7 @@
 		o := ownership.Owner{ID: one.ID, Incarnation: one.Incarnation(), Capacity: k.capacity(one)}
 		k.noteStart(one)
 		control := k.control(one.ID)
-		o.MayKeep = !one.Leaving && !k.view.evacuated(one.Domain) && !k.isDead(one) && !k.rests(one.ID) && control.MayKeep(k.now(), k.grantDuration())
+		o.MayKeep = !one.Leaving && !k.view.evacuated(one.Domain) && !k.isDead(one) && !k.isResting(one.ID) && control.MayKeep(k.now(), k.grantDuration())
 		o.Usable = o.MayKeep && !control.Failing()
 		o.Warming = warming[one.ID]
 		out = append(out, o)
@@ -370,7 +370,7 @@
 		work = time.Second / defaultRate
 	}
 	capacity := float64(one.Slots) / work.Seconds()
-	if limit, ok := k.limits.of(one); ok {
+	if limit, ok := k.limits.limitOf(one); ok {
 		return min(capacity, quota.Used*limit)
 	}
 	return capacity
--- a/gateway/limitnews.go
+++ b/gateway/limitnews.go
@@ -32,7 +32,7 @@
 // told takes over what another gateway tells.
 func (n *namedLimits) recordFromGateway(list []*syncpb.NamedLimit) {
 	if len(list) > 0 {
-		n.note(limitFromGateway, n.decode(list)...)
+		n.record(limitFromGateway, n.decode(list)...)
 	}
 }
 
--- a/gateway/limitnews_test.go
+++ b/gateway/limitnews_test.go
@@ -100,7 +100,7 @@
 	if n.hasNewerThan(nil) {
 		t.Error("nothing is known")
 	}
-	n.note(limitFromAnswer, limits.Limit{Upstream: "u", PerSecond: 10, At: n.now()})
+	n.record(limitFromAnswer, limits.Limit{Upstream: "u", PerSecond: 10, At: n.now()})
 	say := func(perSecond float32, age time.Duration) []*syncpb.NamedLimit {
 		return []*syncpb.NamedLimit{{Upstream: "u", PerSecond: perSecond, AgeMs: milliseconds(age)}}
 	}
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -39,14 +39,14 @@
 }
 
 // sent counts a request that is sent to an upstream which names a limit.
-func (n *namedLimits) sent(g dispatch.Grant) {
-	if _, ok := n.of(&g.Instance); ok {
+func (n *namedLimits) countSent(g dispatch.Grant) {
+	if _, ok := n.limitOf(&g.Instance); ok {
 		n.meters.inc(n.meters.service(limitSent, g.Instance.Service))
 	}
 }
 
 // of returns the limit of an upstream in requests a second; ok is false when it names none.
-func (n *namedLimits) of(one *instances.Instance) (perSecond float64, ok bool) {
+func (n *namedLimits) limitOf(one *instances.Instance) (perSecond float64, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.book.Empty() {
@@ -57,32 +57,32 @@
 
 // answered takes over what an upstream's answer to a try says of its limit. What cannot be is
 // counted and dropped.
-func (n *namedLimits) answered(g dispatch.Grant, h http.Header) {
+func (n *namedLimits) recordAnswer(g dispatch.Grant, h http.Header) {
 	perSecond, named, err := platform.DecodeLimit(h)
 	switch {
 	case err != nil:
 		n.meters.inc(limitsUnsound)
 	case named:
-		n.note(limitFromAnswer, limits.Limit{
+		n.record(limitFromAnswer, limits.Limit{
 			Upstream: g.Instance.ID, Incarnation: g.Instance.Incarnation(), PerSecond: perSecond, At: n.now(),
 		})
 	case platform.Genuine(h):
 		// Only an upstream's own answer ends its limit: at a former address another may refuse.
-		n.unnamed(g)
+		n.recordNoLimit(g)
 	}
 }
 
-func (n *namedLimits) unnamed(g dispatch.Grant) {
+func (n *namedLimits) recordNoLimit(g dispatch.Grant) {
 	n.mu.Lock()
 	ended := !n.book.Empty() && n.book.Unnamed(g.Instance.ID, g.Instance.Incarnation(), g.GrantedAt, n.now())
 	n.mu.Unlock()
 	if ended {
-		n.changed(limitFromAnswer, limits.Limit{Upstream: g.Instance.ID, Ended: true})
+		n.notifyChanged(limitFromAnswer, limits.Limit{Upstream: g.Instance.ID, Ended: true})
 	}
 }
 
 // note takes over limits that are newer than what is known. from tells in the log who said them.
-func (n *namedLimits) note(from string, list ...limits.Limit) {
+func (n *namedLimits) record(from string, list ...limits.Limit) {
 	var changed []limits.Limit
 	n.mu.Lock()
 	for _, l := range list {
@@ -92,12 +92,12 @@
 	}
 	n.mu.Unlock()
 	if len(changed) > 0 {
-		n.changed(from, changed...)
+		n.notifyChanged(from, changed...)
 	}
 }
 
 // changed logs what has changed, and lets it take effect.
-func (n *namedLimits) changed(from string, list ...limits.Limit) {
+func (n *namedLimits) notifyChanged(from string, list ...limits.Limit) {
 	n.onChange()
 	for _, l := range list {
 		log := n.log.With("upstream", l.Upstream, "service", n.serviceOf(l.Upstream), "from", from)
@@ -130,7 +130,7 @@
 }
 
 // gauges tells how many upstreams of each service name a limit.
-func (n *namedLimits) gauges() {
+func (n *namedLimits) updateGauges() {
 	v := n.view.inst.Load()
 	if v == nil {
 		return
--- a/gateway/noticenews.go
+++ b/gateway/noticenews.go
@@ -12,20 +12,20 @@
 const (
 	// leastRest is the shortest rest for which keys are handed over: the news and a move take
 	// some tenths of a second.
-	leastRest = 500 * time.Millisecond
+	minRest = 500 * time.Millisecond
 	// restingShare is the share of the gateways that an owner must have asked for rest: asked by
 	// a few it serves what the others are asked for.
-	restingShare = 0.5
+	minRestingShare = 0.5
 )
 
 // told returns what this gateway and those that report to it have at the upstream, and what it has
 // told them; nil for nothing.
-func (s *steward) told(upstream string) *syncpb.Load {
+func (s *steward) reportedLoad(upstream string) *syncpb.Load {
 	return s.cluster.sum(s.lastOwn().loads).loads[upstream]
 }
 
 // toldLeaving returns the upstreams that have told a gateway that they leave.
-func (s *steward) toldLeaving() map[string]bool {
+func (s *steward) reportedLeaving() map[string]bool {
 	var out map[string]bool
 	for id, l := range s.cluster.sum(s.lastOwn().loads).loads {
 		if !l.Leaving {
@@ -41,10 +41,10 @@
 
 // rests reports whether the upstream has asked so many gateways for so long a rest that its keys
 // are better off elsewhere.
-func (s *steward) rests(upstream string) bool {
-	l := s.told(upstream)
-	if l == nil || time.Duration(l.RestMs)*time.Millisecond < leastRest {
+func (s *steward) isResting(upstream string) bool {
+	l := s.reportedLoad(upstream)
+	if l == nil || time.Duration(l.RestMs)*time.Millisecond < minRest {
 		return false
 	}
-	return float64(l.Resting) >= restingShare*float64(s.cluster.gateways())
+	return float64(l.Resting) >= minRestingShare*float64(s.cluster.gateways())
 }
--- a/gateway/storecall.go
+++ b/gateway/storecall.go
@@ -149,7 +149,7 @@
 func (s *storeCaller) relay(ctx context.Context, peer syncpb.Peer, c platform.Call, arrived func()) (int, []byte, error) {
 	ctx, heard, end := untilSilent(ctx, relayTimeout, c.Wait)
 	defer end()
-	ctx = withArrived(ctx, func() { heard(); arrived() })
+	ctx = withProgress(ctx, func() { heard(); arrived() })
 	s.meters.inc(storeRelayed)
 	resp, err := peer.Relay(ctx, &syncpb.RelayRequest{
 		Method: c.Method, Target: c.Target, Body: c.Body, WaitMs: uint32(c.Wait.Milliseconds()),
--- a/gateway/wake_test.go
+++ b/gateway/wake_test.go
@@ -107,11 +107,11 @@
 	}{{true, answer.TimedOut}, {false, answer.Unreachable}} {
 		q := &request{route: &routing.Route{}, deadline: start.Add(time.Minute), mayHaveRun: one.mayHaveRun}
 		ctx, end := open.add(context.Background(), q)
-		open.endOverdue(start.Add(time.Second))
+		open.cancelOverdue(start.Add(time.Second))
 		if ctx.Err() != nil {
 			t.Error("ended before its deadline")
 		}
-		open.endOverdue(start.Add(2 * time.Minute))
+		open.cancelOverdue(start.Add(2 * time.Minute))
 		if !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 			t.Errorf("ended by %v", context.Cause(ctx))
 		}
@@ -120,7 +120,7 @@
 		}
 		end()
 	}
-	if len(open.ends) > 0 {
-		t.Errorf("%d requests remembered", len(open.ends))
+	if len(open.cancels) > 0 {
+		t.Errorf("%d requests remembered", len(open.cancels))
 	}
 }
