--- a/gateway/arrivals_test.go
+++ b/gateway/arrivals_test.go
@@ -15,7 +15,7 @@
 
 // TestArrivals: what arrives is told to the request's own function, before the whole is
 // there; requests without one go as ever.
-func TestArrivals(t *testing.T) {
+func TestBodyProgressIsReported(t *testing.T) {
 	t.Parallel()
 	goOn := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -64,7 +64,7 @@
 }
 
 // TestIdlePeersAreClosed through the transport that tells of arrivals.
-func TestIdlePeersAreClosed(t *testing.T) {
+func TestProgressTransportClosesIdleConnections(t *testing.T) {
 	t.Parallel()
 	var client any = (&http.Client{Transport: &progressTransport{&http.Transport{}}}).Transport
 	if _, ok := client.(interface{ CloseIdleConnections() }); !ok {
--- a/gateway/hotkeys_test.go
+++ b/gateway/hotkeys_test.go
@@ -16,7 +16,7 @@
 
 // TestHotKeysAreToldToAll: gateways that do not lead hear of the leader's limits, and when
 // there is none any more; what is refused by them may come back later than for want of room.
-func TestHotKeysAreToldToAll(t *testing.T) {
+func TestHotKeyLimitsReachAllGateways(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	l := b.leader()
@@ -43,7 +43,7 @@
 }
 
 // TestAdmittedTakesWhatCanBe of what another gateway tells.
-func TestAdmittedTakesWhatCanBe(t *testing.T) {
+func TestDecodeHotKeysDropsInvalidEntries(t *testing.T) {
 	got := decodeHotKeys([]*syncpb.HotKeys{
 		{Service: "a", Keys: []uint32{1, 2, 3, 1 << 20, 5}, Admit: []float32{0.5, -1, float32(math.NaN()), 0.5}},
 	})
--- a/gateway/keyowner_test.go
+++ b/gateway/keyowner_test.go
@@ -14,7 +14,7 @@
 // TestLostKeysAreRefusedAtOnce: while a key moves requests wait for it; one that has been
 // without an owner for longer than their objective belonged to a lost upstream, and they
 // are not held for it.
-func TestLostKeysAreRefusedAtOnce(t *testing.T) {
+func TestRequestsForLostKeysAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	clock := func() time.Time { return now }
--- a/gateway/latecalls_test.go
+++ b/gateway/latecalls_test.go
@@ -13,18 +13,18 @@
 )
 
 // settlesIn is the time after the end of a fault within which keys are to be even again.
-const settlesIn = 13 * time.Second
+const recoveryTime = 13 * time.Second
 
 // asking asks for keys all over the key space at all gateways, until it is stopped, and counts.
-type asking struct {
+type keyClients struct {
 	answered, refused atomic.Int64
 	stop              chan struct{}
 	clients           sync.WaitGroup
 }
 
 // askForKeys begins to ask, about a hundred times a second, the gateways that pick returns.
-func (b *bed) askForKeys(pick func(i int) *testGateway) *asking {
-	a := &asking{stop: make(chan struct{})}
+func (b *bed) startKeyClients(pick func(i int) *testGateway) *keyClients {
+	a := &keyClients{stop: make(chan struct{})}
 	const clients = 4
 	for n := range clients {
 		a.clients.Go(func() {
@@ -32,7 +32,7 @@
 				select {
 				case <-a.stop:
 					return
-				case <-time.After(every):
+				case <-time.After(requestInterval):
 				}
 				g := pick(i)
 				if g == nil {
@@ -50,18 +50,20 @@
 }
 
 // counted returns what was answered and refused since the last call.
-func (a *asking) counted() (answered, refused int64) { return a.answered.Swap(0), a.refused.Swap(0) }
+func (a *keyClients) takeCounts() (answered, refused int64) {
+	return a.answered.Swap(0), a.refused.Swap(0)
+}
 
 // inTurn returns one gateway after the other, of those that do not change.
-func (b *bed) inTurn(i int) *testGateway { return b.gateways[i%len(b.gateways)] }
+func (b *bed) roundRobin(i int) *testGateway { return b.gateways[i%len(b.gateways)] }
 
-func (a *asking) end() {
+func (a *keyClients) end() {
 	close(a.stop)
 	a.clients.Wait()
 }
 
 // owned is how many keys each upstream owns, as the leader knows.
-func (b *bed) owned() map[string]int {
+func (b *bed) keysOwned() map[string]int {
 	out := make(map[string]int)
 	for _, g := range b.gateways {
 		if !g.cluster.isLeading() {
@@ -85,10 +87,10 @@
 // well, and was tried no more. Once it had no keys nothing was granted to it, so it was never given
 // any again.
 // Evidence: eight of nine upstreams failing since the fault, each reached by a trial, without keys.
-func TestUpstreamWithoutKeysGetsSome(t *testing.T) {
+func TestUpstreamWithoutKeysIsGivenKeysAgain(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	asking := b.askForKeys(b.inTurn)
+	asking := b.startKeyClients(b.roundRobin)
 	defer asking.end()
 	const id = "i-s0"
 	k := b.leader().steward.keeper("status")
@@ -97,19 +99,19 @@
 	// No renewal clears it while its keys move.
 	k.renewing[id] = true
 	k.mu.Unlock()
-	b.eventually("its keys have gone to others", func() bool { return b.owned()[id] == 0 })
+	b.eventually("its keys have gone to others", func() bool { return b.keysOwned()[id] == 0 })
 	k.mu.Lock()
 	delete(k.renewing, id)
 	k.mu.Unlock()
-	b.eventually("it is given keys again", func() bool { return b.owned()[id] > 0 })
+	b.eventually("it is given keys again", func() bool { return b.keysOwned()[id] > 0 })
 }
 
 // TestKeysAreEvenAfterLateCalls: soon after a fault that left every second control call unanswered
 // and carried it out later, keys are even, and requests for them are answered.
-func TestKeysAreEvenAfterLateCalls(t *testing.T) {
+func TestKeysAreBalancedAfterLateCalls(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	asking := b.askForKeys(b.inTurn)
+	asking := b.startKeyClients(b.roundRobin)
 	for _, u := range b.ups {
 		u.Set(instance.LateCalls)
 	}
@@ -117,17 +119,17 @@
 	for _, u := range b.ups {
 		u.Set(instance.Serves)
 	}
-	time.Sleep(settlesIn)
-	asking.counted()
+	time.Sleep(recoveryTime)
+	asking.takeCounts()
 	time.Sleep(2 * time.Second)
-	answered, refused := asking.counted()
+	answered, refused := asking.takeCounts()
 	asking.end()
 	if refused > answered/50 {
-		t.Errorf("%d answered, %d refused %s after the fault", answered, refused, settlesIn)
+		t.Errorf("%d answered, %d refused %s after the fault", answered, refused, recoveryTime)
 	}
 	for _, id := range []string{"i-s0", "i-s1", "i-s2"} {
-		if n := b.owned()[id]; n < (spans.MaxKey+1)/10 {
-			t.Errorf("%s owns %d keys, %v", id, n, b.owned())
+		if n := b.keysOwned()[id]; n < (spans.MaxKey+1)/10 {
+			t.Errorf("%s owns %d keys, %v", id, n, b.keysOwned())
 		}
 	}
 }
@@ -137,14 +139,14 @@
 func TestAnsweringOwnersKeepTheirKeys(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	asking := b.askForKeys(b.inTurn)
+	asking := b.startKeyClients(b.roundRobin)
 	time.Sleep(time.Second)
 	for _, u := range b.ups {
 		u.Set(instance.LateCalls)
 	}
-	asking.counted()
+	asking.takeCounts()
 	time.Sleep(8 * time.Second)
-	answered, refused := asking.counted()
+	answered, refused := asking.takeCounts()
 	asking.end()
 	if refused > answered/20 {
 		t.Errorf("%d answered, %d refused while every second control call is late", answered, refused)
--- a/gateway/limitnews_test.go
+++ b/gateway/limitnews_test.go
@@ -16,7 +16,7 @@
 
 // TestLimitsAreToldToAll: gateways hear of a limit, and of its end, that only one of them has seen
 // in answers.
-func TestLimitsAreToldToAll(t *testing.T) {
+func TestLimitsReachAllGateways(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	for _, u := range []string{"i-p0", "i-p1"} {
@@ -43,7 +43,7 @@
 
 // TestWantedIsAddedUp: each hears of all others, not of itself, and one that its parent has told
 // nothing does not take the others for idle.
-func TestWantedIsAddedUp(t *testing.T) {
+func TestWantedRatesAreSummed(t *testing.T) {
 	now := time.Now()
 	c := newCluster(&syncpb.Member{Node: "head", Address: "1"}, nil, func() time.Time { return now }, nil)
 	own := map[string]float64{"u": 1}
@@ -77,7 +77,7 @@
 }
 
 // TestUnsoundLimitsAreDropped: and counted.
-func TestUnsoundLimitsAreDropped(t *testing.T) {
+func TestInvalidLimitsAreDropped(t *testing.T) {
 	m := newMeters()
 	s := newSieve(newView(), time.Now, slog.New(slog.DiscardHandler), m)
 	nan := float32(math.NaN())
@@ -95,7 +95,7 @@
 
 // TestLimitIsLacked: by one that knows nothing of it, or what it was before, and not by one that
 // has heard of it later.
-func TestLimitIsLacked(t *testing.T) {
+func TestHasNewerLimits(t *testing.T) {
 	n := noLimits()
 	if n.hasNewerThan(nil) {
 		t.Error("nothing is known")
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -11,27 +11,27 @@
 // What an upstream may get that names a limit: from settledAfter after it first named it, in any
 // limitWindow no more than limitSlack times what the limit allows in it and limitExtra requests.
 const (
-	settledAfter = 3 * time.Second
-	limitWindow  = 4 * time.Second
-	limitSlack   = 1.5
-	limitExtra   = 5
+	limitGrace  = 3 * time.Second
+	limitWindow = 4 * time.Second
+	limitSlack  = 1.5
+	limitExtra  = 5
 )
 
 // mostAllowed is how many requests may come in one window.
-func mostAllowed(perSecond float64) int {
+func maxAllowed(perSecond float64) int {
 	return int(limitSlack*perSecond*limitWindow.Seconds()) + limitExtra
 }
 
 // mostIn returns the most requests that came in any window which ends after the limit has
 // settled. The window may begin before the limit was named: what came then is in the
 // upstream's queue.
-func mostIn(arrivals []time.Time, named time.Time) int {
+func maxInWindow(arrivals []time.Time, named time.Time) int {
 	most, first := 0, 0
 	for last, at := range arrivals {
 		for at.Sub(arrivals[first]) >= limitWindow {
 			first++
 		}
-		if at.Sub(named) >= settledAfter {
+		if at.Sub(named) >= limitGrace {
 			most = max(most, last-first+1)
 		}
 	}
@@ -49,7 +49,7 @@
 // Evidence: with the lines and metrics of limits in place all gateways noticed the limit within the
 // first answers, and what they sent stayed what it was. Gateways that each keep to the limit send
 // 160 requests in 4 s of 40 allowed (quota.TestEachByItselfDoesNot).
-func TestNamedLimitsAreKept(t *testing.T) {
+func TestNamedLimitsAreRespected(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	const (
@@ -63,7 +63,7 @@
 			select {
 			case <-stop:
 				return
-			case <-time.After(every):
+			case <-time.After(requestInterval):
 			}
 			g := b.gateways[i%len(b.gateways)]
 			if n%2 == 0 {
@@ -89,8 +89,8 @@
 	close(stop)
 	asking.Wait()
 	for _, u := range []*upstream{owner, other} {
-		if got := mostIn(u.Arrivals(), named); got > mostAllowed(perSecond) {
-			t.Errorf("%s named %d a second and got %d requests in 4 s, allowed %d", u.ID, perSecond, got, mostAllowed(perSecond))
+		if got := maxInWindow(u.Arrivals(), named); got > maxAllowed(perSecond) {
+			t.Errorf("%s named %d a second and got %d requests in 4 s, allowed %d", u.ID, perSecond, got, maxAllowed(perSecond))
 		}
 	}
 	if paid.Load() == 0 || refused.Load() > paid.Load()/100 {
@@ -118,7 +118,7 @@
 				select {
 				case <-stop:
 					return
-				case <-time.After(every):
+				case <-time.After(requestInterval):
 				}
 				if a := b.ask(b.gateways[i%len(b.gateways)], http.MethodGet, "/status/x", (i*7919)%65536); a.status == http.StatusOK {
 					answered.Add(1)
@@ -143,7 +143,7 @@
 
 // TestLimitOfNoneEnds: an upstream that takes no requests for a while is asked now and then, and
 // serves again when it takes some.
-func TestLimitOfNoneEnds(t *testing.T) {
+func TestZeroLimitEnds(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
 	b.upstream("i-s0", "status")
@@ -156,15 +156,15 @@
 		return g.named("pay") == "1"
 	})
 	for range 40 {
-		time.Sleep(every)
+		time.Sleep(requestInterval)
 		b.ask(g, http.MethodPost, "/pay/x", -1)
 	}
 	only.NameNone()
 	b.eventually("it serves again", func() bool {
-		time.Sleep(every)
+		time.Sleep(requestInterval)
 		return b.ask(g, http.MethodPost, "/pay/x", -1).status == http.StatusOK && g.named("pay") == "0"
 	})
 }
 
 // every is the time between two requests of a client.
-const every = 25 * time.Millisecond
+const requestInterval = 25 * time.Millisecond
--- a/gateway/limitsight_test.go
+++ b/gateway/limitsight_test.go
@@ -8,7 +8,7 @@
 
 // TestNamedLimitIsSeen: from lines and metrics of a gateway one sees which upstream names a limit,
 // how high it is, what is sent there meanwhile, and when it ends.
-func TestNamedLimitIsSeen(t *testing.T) {
+func TestNamedLimitIsLoggedAndCounted(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
 	b.upstream("i-s0", "status")
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -15,11 +15,11 @@
 const (
 	// drainAllowed is how long after an answer that tells that its upstream leaves a gateway may
 	// still be asked for what it sends there.
-	drainAllowed = 2 * time.Second
+	leavingGrace = 2 * time.Second
 	// restAfter is how long after it was asked for rest a gateway may go on, restMost how many
 	// requests it may send from then to the end of the rest.
-	restAfter = 500 * time.Millisecond
-	restMost  = 2
+	restGrace         = 500 * time.Millisecond
+	maxRequestsInRest = 2
 )
 
 // exchange is one request of a client and its answer.
@@ -32,14 +32,14 @@
 }
 
 // record keeps what clients have asked, by request id. It is safe for concurrent use.
-type record struct {
-	mu   sync.Mutex
-	asks map[string]exchange
+type requestRecord struct {
+	mu       sync.Mutex
+	requests map[string]exchange
 }
 
 // askOn lets clients ask for keys and pay, each in turn at all gateways, until stop is closed.
-func (b *bed) askOn(clients int, stop <-chan struct{}) (*record, *sync.WaitGroup) {
-	r := &record{asks: make(map[string]exchange)}
+func (b *bed) startClients(clients int, stop <-chan struct{}) (*requestRecord, *sync.WaitGroup) {
+	r := &requestRecord{requests: make(map[string]exchange)}
 	var asking sync.WaitGroup
 	ask := func(n, i int) {
 		g := b.gateways[i%len(b.gateways)]
@@ -51,7 +51,7 @@
 		a := b.ask(g, method, path, key)
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.asks[a.id] = exchange{
+		r.requests[a.id] = exchange{
 			gateway: g.conf.Node, path: path, sent: sent, answered: time.Now(), status: a.status,
 			leaving: a.header.Get(platform.LeavingHeader) != "",
 		}
@@ -62,7 +62,7 @@
 				select {
 				case <-stop:
 					return
-				case <-time.After(every):
+				case <-time.After(requestInterval):
 					ask(n, i)
 				}
 			}
@@ -73,19 +73,19 @@
 
 // tooLate returns how many requests of each gateway reached the upstream although clients sent
 // them too long after an answer of it had told that it leaves.
-func (r *record) tooLate(u *upstream) map[string]int {
+func (r *requestRecord) sentTooLate(u *upstream) map[string]int {
 	arrived := u.Arrived()
 	told := make(map[string]time.Time)
 	for _, a := range arrived {
-		e, ok := r.asks[a.Request]
+		e, ok := r.requests[a.Request]
 		if first, known := told[e.gateway]; ok && e.leaving && (!known || e.answered.Before(first)) {
 			told[e.gateway] = e.answered
 		}
 	}
 	late := make(map[string]int)
 	for _, a := range arrived {
-		e := r.asks[a.Request]
-		if first, known := told[e.gateway]; known && e.sent.Sub(first) > drainAllowed {
+		e := r.requests[a.Request]
+		if first, known := told[e.gateway]; known && e.sent.Sub(first) > leavingGrace {
 			late[e.gateway]++
 		}
 	}
@@ -94,10 +94,10 @@
 
 // mostInRests returns the most requests that each gateway sent in a rest that it had been asked
 // for, from restAfter on.
-func (r *record) mostInRests(u *upstream) map[string]int {
+func (r *requestRecord) maxInRests(u *upstream) map[string]int {
 	byGateway := make(map[string][]instance.Arrival)
 	for _, a := range u.Arrived() {
-		if e, ok := r.asks[a.Request]; ok {
+		if e, ok := r.requests[a.Request]; ok {
 			byGateway[e.gateway] = append(byGateway[e.gateway], a)
 		}
 	}
@@ -106,7 +106,7 @@
 		for _, asked := range arrivals {
 			count := 0
 			for _, a := range arrivals {
-				if since := a.At.Sub(asked.At); since > restAfter && since < asked.Rest {
+				if since := a.At.Sub(asked.At); since > restGrace && since < asked.Rest {
 					count++
 				}
 			}
@@ -118,8 +118,8 @@
 
 // served counts the answers to requests for a path that clients sent after a moment, and those
 // among them that are no success.
-func (r *record) served(path string, after time.Time) (all, not int) {
-	for _, e := range r.asks {
+func (r *requestRecord) served(path string, after time.Time) (all, not int) {
+	for _, e := range r.requests {
 		if e.path != path || !e.sent.After(after) {
 			continue
 		}
@@ -140,7 +140,7 @@
 // Cause: only the entry was read; the word in the answers was handed on with all other headers.
 // Evidence: with the lines and metrics of notices in place each gateway noticed the word within its
 // first answer, and what it sent there stayed what it was.
-func TestLeavingUpstreamsGetNoMore(t *testing.T) {
+func TestLeavingUpstreamsGetNoMoreRequests(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
@@ -153,7 +153,7 @@
 			t.Parallel()
 			b := standard(t)
 			stop := make(chan struct{})
-			asked, asking := b.askOn(8, stop)
+			asked, asking := b.startClients(8, stop)
 			if c.away {
 				b.store.SetAll(metastore.Silent)
 			}
@@ -162,12 +162,12 @@
 			said := time.Now()
 			owner.Leave()
 			other.Leave()
-			time.Sleep(2 * drainAllowed)
+			time.Sleep(2 * leavingGrace)
 			close(stop)
 			asking.Wait()
 			for _, u := range []*upstream{owner, other} {
-				for gateway, n := range asked.tooLate(u) {
-					t.Errorf("%s got %d requests of %s that clients sent more than %s after its word", u.ID, n, gateway, drainAllowed)
+				for gateway, n := range asked.sentTooLate(u) {
+					t.Errorf("%s got %d requests of %s that clients sent more than %s after its word", u.ID, n, gateway, leavingGrace)
 				}
 			}
 			if all, not := asked.served("/pay/x", said); all == 0 || not > 0 {
@@ -187,11 +187,11 @@
 // Cause: the time was not read; a refusal for want of room paused the upstream for 60 ms at most.
 // Evidence: with the lines and metrics of notices in place each gateway noticed the rest with the
 // first refusal, and sent on.
-func TestRestsAreKept(t *testing.T) {
+func TestRestsAreRespected(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	stop := make(chan struct{})
-	asked, asking := b.askOn(8, stop)
+	asked, asking := b.startClients(8, stop)
 	time.Sleep(time.Second)
 	owner, other := b.ups["i-s0"], b.ups["i-p0"]
 	owner.Rest("1.5")
@@ -200,9 +200,9 @@
 	close(stop)
 	asking.Wait()
 	for _, u := range []*upstream{owner, other} {
-		for gateway, n := range asked.mostInRests(u) {
-			if n > restMost {
-				t.Errorf("%s asked %s for 1.5 s of rest and got %d requests from half a second on, allowed %d", u.ID, gateway, n, restMost)
+		for gateway, n := range asked.maxInRests(u) {
+			if n > maxRequestsInRest {
+				t.Errorf("%s asked %s for 1.5 s of rest and got %d requests from half a second on, allowed %d", u.ID, gateway, n, maxRequestsInRest)
 			}
 		}
 	}
@@ -225,7 +225,7 @@
 			t.Parallel()
 			b := standard(t)
 			stop := make(chan struct{})
-			asked, asking := b.askOn(8, stop)
+			asked, asking := b.startClients(8, stop)
 			time.Sleep(time.Second)
 			said := time.Now()
 			c.say(b.ups["i-s0"])
--- a/gateway/noticesight_test.go
+++ b/gateway/noticesight_test.go
@@ -8,7 +8,7 @@
 
 // TestNoticesAreSeen: from lines and metrics of a gateway one sees which upstream has said that it
 // leaves or has asked for rest, and what is sent there all the same.
-func TestNoticesAreSeen(t *testing.T) {
+func TestNoticesAreLoggedAndCounted(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
 	b.upstream("i-s0", "status")
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -18,7 +18,7 @@
 // upstreams and cannot be.
 
 // bornUpstreams returns a bed whose keyed upstreams say when they started.
-func bornUpstreams(t *testing.T) *bed {
+func newBedWithStartTimes(t *testing.T) *bed {
 	t.Helper()
 	b := newBed(t)
 	for _, id := range []string{"i-s0", "i-s1", "i-s2"} {
@@ -35,7 +35,7 @@
 // fences, and none goes elsewhere.
 func TestRestartedUpstreamKeepsItsKeys(t *testing.T) {
 	t.Parallel()
-	b := bornUpstreams(t)
+	b := newBedWithStartTimes(t)
 	before := b.gateways[0].view.spansOf("status")
 	now := b.restart(b.ups["i-s0"])
 	granted := instances.Instance{ID: now.ID, BornMs: now.born}
@@ -62,9 +62,9 @@
 
 // TestNextLeaderHearsOfARestart: an upstream started again while nobody led. The stored
 // assignment says which start had the keys.
-func TestNextLeaderHearsOfARestart(t *testing.T) {
+func TestNextLeaderDetectsRestart(t *testing.T) {
 	t.Parallel()
-	b := bornUpstreams(t)
+	b := newBedWithStartTimes(t)
 	b.eventually("the assignment is saved", func() bool {
 		var stored spans.Table
 		err := platform.Decode(platform.Object{Spec: b.store.Spec(spansKind, "status")}, &stored)
@@ -93,7 +93,7 @@
 
 // TestEntryOfAnotherWriter: an entry that is not sound names no upstream, one line and
 // one count each, and the others hold; it names one again when it is sound.
-func TestEntryOfAnotherWriter(t *testing.T) {
+func TestMalformedEntryNamesNoUpstream(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	l := b.leader()
@@ -141,7 +141,7 @@
 	}
 	news := &syncpb.Instances{List: []*syncpb.Instance{
 		{Id: "a", Service: "s", Address: "10.0.0.1:1", BornMs: uint64(now.UnixMilli())},
-		{Id: "b", Service: "s", Address: "10.0.0.1:2", BornMs: uint64(now.Add(2 * clockToleranceSeen).UnixMilli())},
+		{Id: "b", Service: "s", Address: "10.0.0.1:2", BornMs: uint64(now.Add(2 * maxStartAhead).UnixMilli())},
 		{Id: "c", Service: "s"},
 	}}
 	s.instances(news)
@@ -157,4 +157,4 @@
 }
 
 // clockToleranceSeen is how far ahead a start may seem at most.
-const clockToleranceSeen = 24 * time.Hour
+const maxStartAhead = 24 * time.Hour
--- a/gateway/rights_test.go
+++ b/gateway/rights_test.go
@@ -27,7 +27,7 @@
 }
 
 // warmUp registers an upstream as one that warms up for the time in seconds.
-func (b *bed) warmUp(u *upstream, left platform.Seconds) {
+func (b *bed) registerWarming(u *upstream, left platform.Seconds) {
 	var body platform.InstanceBody
 	body.Address, body.Born = u.address, u.born
 	body.Info.Service, body.Info.Zone, body.Info.Slots = u.service, u.domain, 4
@@ -48,7 +48,7 @@
 	}
 	b.ready()
 	const warm = platform.Seconds(60)
-	b.warmUp(only, warm)
+	b.registerWarming(only, warm)
 	holders := func() (n int) {
 		for _, g := range b.gateways {
 			s := g.traffic.get("pay")
@@ -71,13 +71,13 @@
 		}
 		return served.Load() > 3
 	})
-	b.warmUp(only, 0)
+	b.registerWarming(only, 0)
 	b.eventually("all send again", func() bool { return holders() == 3 })
 }
 
 // TestRightsHeld: a gateway takes the rights that name it, for the present start of an
 // upstream, as long as they last since the leader named them.
-func TestRightsHeld(t *testing.T) {
+func TestHeldRights(t *testing.T) {
 	v := instances.NewView(1, []instances.Instance{{ID: "u1", BornMs: 7}, {ID: "u2", BornMs: 7}, {ID: "u3"}})
 	now := v.Get("u1").Incarnation()
 	list := decodeRights([]*syncpb.Right{
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -33,7 +33,7 @@
 		instance.LateCalls, instance.LateCalls, instance.LateGrants, instance.Silent, instance.Sheds, instance.Loses, instance.Serves,
 	}
 	p := newTroubles(t, rng.Uint64())
-	clients := p.askForKeys(p.some)
+	clients := p.startKeyClients(p.some)
 	keyed := []string{"i-s0", "i-s1", "i-s2", "i-s3"}
 	for range steps {
 		if rng.IntN(steps) == 0 {
--- a/gateway/turns_test.go
+++ b/gateway/turns_test.go
@@ -66,7 +66,7 @@
 
 // TestSilentUpstreamsKeepNoTurn: calls that wait for an answer do not keep others from
 // beginning.
-func TestSilentUpstreamsKeepNoTurn(t *testing.T) {
+func TestSilentUpstreamsReleaseCallSlots(t *testing.T) {
 	one := newCallSlots(1)
 	waits, ok := one.acquire(context.Background())
 	if !ok {
--- a/gateway/wake_test.go
+++ b/gateway/wake_test.go
@@ -15,7 +15,7 @@
 
 // TestSuspendedLeaderHasNoRight: a leader that was suspended for longer than its lease does not
 // act by it when it wakes up; afterwards some gateway leads, and keys are served.
-func TestSuspendedLeaderHasNoRight(t *testing.T) {
+func TestSuspendedLeaderMayNotAct(t *testing.T) {
 	t.Parallel()
 	for _, length := range []time.Duration{leadership.LeaseDuration, 10 * time.Second} {
 		t.Run(length.String(), func(t *testing.T) {
@@ -40,7 +40,7 @@
 }
 
 // TestShortSuspension: one shorter than what is left of the lease changes nothing.
-func TestShortSuspension(t *testing.T) {
+func TestShortSuspensionKeepsLeadership(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	leader := b.leader()
@@ -52,12 +52,12 @@
 // TestTwoLeadersAroundASuspension: a holder is suspended at any point of its lease's term, for any
 // time, and another takes the lease by what it sees. By the steady clock, which stands still in a
 // suspension, both act at once; by one that counts it they never do.
-func TestTwoLeadersAroundASuspension(t *testing.T) {
+func TestNoTwoLeadersAroundSuspension(t *testing.T) {
 	const step = 50 * time.Millisecond
 	both := func(counts bool) (n int) {
 		for at := time.Duration(0); at < leadership.LeaseDuration; at += step {
 			for length := step; length < 5*time.Second; length += 4 * step {
-				if overlap(at, length, counts) {
+				if leadersOverlap(at, length, counts) {
 					n++
 				}
 			}
@@ -74,7 +74,7 @@
 
 // overlap plays one suspension of a holder that renewed its lease at zero, and reports whether it
 // acts once another has taken the lease.
-func overlap(at, length time.Duration, counts bool) bool {
+func leadersOverlap(at, length time.Duration, counts bool) bool {
 	start := time.Unix(1000, 0)
 	var awake, asleep time.Duration
 	clock := bootclock.From(bootclock.Sources{
@@ -97,7 +97,7 @@
 
 // TestOverdueAfterWaking: a request whose deadline has passed in a suspension is answered at once,
 // and truly.
-func TestOverdueAfterWaking(t *testing.T) {
+func TestOverdueRequestsEndAfterWakeUp(t *testing.T) {
 	start := time.Now()
 	open := newOpenRequests()
 	f := &front{now: time.Now}
--- a/gateway/worktimes_test.go
+++ b/gateway/worktimes_test.go
@@ -30,7 +30,7 @@
 
 // TestEstimatesOfTheFormerLeader: a new one begins with what it was told, and all are told what it
 // learns from the next refresh on.
-func TestEstimatesOfTheFormerLeader(t *testing.T) {
+func TestNewLeaderStartsFromFormerEstimates(t *testing.T) {
 	v := newView()
 	v.setInstances(1, instances.NewView(1, []instances.Instance{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}}))
 	w := newWorkTimes(v, time.Now)
