--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -14,7 +14,7 @@
 	"github.com/rockcroft/rockcroft/transport/pool"
 )
 
-// startMoves begins the moves of the table that are not under way.
+// startMoves starts every move in the table that is not already in progress.
 func (k *keeper) startMoves(ctx context.Context) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -32,12 +32,12 @@
 	}
 }
 
-// move takes keys from their owner and gives them to the next one.
+// move releases the keys of a span from their owner and grants them to the next one.
 func (k *keeper) move(ctx context.Context, s spans.Span) {
 	began := k.now()
 	token, free := "", true
 	if s.Next != s.Owner {
-		// Else the owner has started again: nobody holds the keys.
+		// If they are the same, the owner has restarted and no upstream holds the keys.
 		token, free = k.releaseFromOwner(ctx, s)
 	}
 	if !free || !k.leading.mayAct() {
@@ -58,7 +58,7 @@
 		k.log.Info("keys granted", "first", s.First, "last", s.Last, "upstream", s.Next, "fence", s.NextFence,
 			"from", s.Owner, "warm", token != "", "release_ms", taken.Sub(began).Milliseconds(), "took_ms", k.now().Sub(began).Milliseconds())
 	case err == nil && verdict == platform.Fenced:
-		k.log.Warn("keys refused, a higher fence was seen", "first", s.First, "upstream", s.Next, "fence", s.NextFence)
+		k.log.Warn("grant refused: the upstream has seen a higher fence", "first", s.First, "upstream", s.Next, "fence", s.NextFence)
 		k.raiseFence(fenceLeap)
 		k.finishMove(s, "", 0, false)
 	case errors.Is(err, errLeadershipExpired):
@@ -67,15 +67,16 @@
 		k.log.Warn("keys not granted", "first", s.First, "upstream", s.Next, "error", err)
 		k.finishMove(s, k.possibleOwner(s), 0, false)
 	default:
-		// The grant may arrive yet: the upstream counts as the owner until
-		// its hold would have ended.
-		k.log.Warn("grant without an answer", "first", s.First, "upstream", s.Next, "error", err)
+		// The grant may still arrive, so the upstream counts as the owner until the hold that the
+		// grant would have started has expired.
+		k.log.Warn("grant not answered", "first", s.First, "upstream", s.Next, "error", err)
 		k.finishMove(s, s.Next, next.Incarnation(), cold)
 	}
 }
 
-// perhaps returns the next owner of a move whose grant was not sent here, if it
-// may have been sent by the leader before: it then counts as the owner.
+// possibleOwner returns the next owner of a move whose grant this leader has not sent, if a
+// former leader may have sent it: that upstream then counts as the owner. Otherwise it returns
+// "".
 func (k *keeper) possibleOwner(s spans.Span) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -85,8 +86,8 @@
 	return ""
 }
 
-// takeBack releases keys from their owner, or waits until its hold has ended.
-// It reports whether nobody holds them any more.
+// releaseFromOwner releases keys from their owner, or waits until the owner's hold has expired.
+// free reports whether no upstream holds the keys any more.
 func (k *keeper) releaseFromOwner(ctx context.Context, s spans.Span) (token string, free bool) {
 	if s.Owner == "" {
 		return "", true
@@ -109,7 +110,7 @@
 			}
 		}
 		if k.holdExpired(s) {
-			k.log.Info("hold of a lost owner has ended", "upstream", s.Owner, "first", s.First, "last", s.Last)
+			k.log.Info("hold of a lost owner has expired", "upstream", s.Owner, "first", s.First, "last", s.Last)
 			return "", true
 		}
 		if !k.leading.mayAct() {
@@ -120,7 +121,7 @@
 	return "", false
 }
 
-// releaseLimit bounds one call for a release.
+// releaseCallTimeout returns the timeout of one release call.
 func (k *keeper) releaseCallTimeout(s spans.Span) time.Duration {
 	ends, known := k.holdExpiry(s)
 	if !known {
@@ -134,8 +135,8 @@
 	return known && k.now().After(ends)
 }
 
-// holdEnds returns until when the owner of the span may hold its keys, by grants of this
-// leader or of former ones. known is false while a former leader's are not known.
+// holdExpiry returns until when the owner of the span may hold its keys by grants of this leader
+// or of former ones. known is false while the grants of former leaders are not known.
 func (k *keeper) holdExpiry(s spans.Span) (ends time.Time, known bool) {
 	k.mu.Lock()
 	own, sole := k.holds[owned(s)], k.sole
@@ -147,9 +148,10 @@
 	return later(own, former), known
 }
 
-// give grants the keys of a move to their next owner. The same call may be made
-// again: it renews what an earlier one granted. It is given up when calls to the
-// upstream have failed for so long that an owner would be given up.
+// grantWithRetries grants the keys of a move to their next owner and repeats the call until it is
+// answered. Repeating is safe: a later call renews what an earlier one granted. It gives up once
+// calls to the upstream have failed for ownership.SilentOwnerTimeout, after which an owner would
+// be given up too.
 func (k *keeper) grantWithRetries(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.Verdict, error) {
 	arrived := false
 	for {
@@ -172,21 +174,22 @@
 	}
 }
 
-// errPerhapsGranted: no try was answered, and one may have arrived.
-var errPossiblyGranted = errors.New("no try was answered, and one may have arrived")
+// errPossiblyGranted reports that no call was answered although one may have arrived.
+var errPossiblyGranted = errors.New("no call was answered, but one may have arrived")
 
-// grant makes one call and notes until when its keys may be held. The right to
+// grant makes one grant call and records until when the upstream may hold the keys. The right to
 // lead is checked last, right before the call is sent.
 func (k *keeper) grant(ctx context.Context, keys spans.Keys, to *instances.Instance, fence uint64, token string) (platform.Verdict, error) {
-	giveBack, ok := k.turns.acquire(ctx)
+	releaseSlot, ok := k.turns.acquire(ctx)
 	if !ok {
 		return 0, errNoCallSlot
 	}
-	defer giveBack()
+	defer releaseSlot()
 	hold := k.grantDuration()
 	call, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
-	// Asked again after the connection was opened: that may have taken longer than the right.
+	// stillMayAct is checked again once the connection is open, as opening it may have outlasted
+	// the right to lead.
 	verdict, err := k.owners.Grant(call, to.ID, to.Address, keys, fence, hold, token, k.leading.stillMayAct)
 	if err == nil && verdict == platform.Granted || err != nil && !errors.Is(err, pool.ErrNotSent) {
 		until := k.now().Add(heldFor(hold))
@@ -202,12 +205,13 @@
 }
 
 var (
-	errLeadershipExpired = errors.New("the right to lead has run out")
-	errNoCallSlot        = fmt.Errorf("%w: the lead has ended", pool.ErrNotSent)
+	errLeadershipExpired = errors.New("the right to lead has expired")
+	errNoCallSlot        = fmt.Errorf("%w: leadership has ended", pool.ErrNotSent)
 )
 
-// hold is how long grants last: longer while this leader acts by promises, so
-// that owners serve on if it is lost before the store returns.
+// grantDuration returns how long a grant lasts. Grants last longer while this leader acts by
+// promises of the voters instead of the store, so that owners continue to serve if the leader is
+// lost before the store returns.
 func (k *keeper) grantDuration() time.Duration {
 	if k.leading.byPromises() {
 		return k.longest
@@ -223,8 +227,8 @@
 	return v.Get(id)
 }
 
-// settle ends a move: the keys have the owner, the start of it that is named, or none.
-// cold says that they came to it without a handover.
+// finishMove ends a move. The keys then belong to owner, in the incarnation they were granted to,
+// or to nobody if owner is "". cold says that they came to the owner without a handover.
 func (k *keeper) finishMove(s spans.Span, owner string, granted instances.Incarnation, cold bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -241,12 +245,12 @@
 	k.publish()
 }
 
-// coldTime is how long keys that came without a handover are taken to be slow at
-// their new owner.
+// coldDuration is how long keys that came without a handover are assumed to be slow at their new
+// owner.
 const coldDuration = 5 * time.Second
 
-// warmUp takes the mark off keys that have been at their owner for long enough. Those
-// marked by a leader before count from the beginning of this lead.
+// clearColdMarks removes the cold mark from keys that have been at their owner for coldDuration.
+// For keys marked by a former leader the time counts from when this leader took over.
 func (k *keeper) clearColdMarks() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -263,15 +267,15 @@
 	}
 }
 
-// raise lifts the fence counter.
+// raiseFence raises the last assigned fence by the given amount.
 func (k *keeper) raiseFence(by uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.table.LastFence += by
 }
 
-// startRenewals renews the grants that are due, one call after the other for
-// each owner.
+// startRenewals starts the renewals that are due. Each owner has at most one run of renewals at a
+// time.
 func (k *keeper) startRenewals(ctx context.Context) {
 	now := k.now()
 	long := k.leading.byPromises()
@@ -284,7 +288,7 @@
 			continue
 		}
 		late := now.Sub(k.renewed[s.First]) >= renewInterval
-		// By promises each grant is made longer at once.
+		// A leader that acts by promises extends every grant at once.
 		stretch := long && k.holds[owned(s)].Sub(now) < k.longest-renewInterval
 		if late || stretch {
 			due[s.Owner] = append(due[s.Owner], s)
@@ -301,11 +305,11 @@
 	}
 }
 
-// renew renews the grants of one owner. It ends with the first call that fails: one
-// without an answer may have arrived and hold its keys longer. What fails is tried with
-// calls that change nothing until one is answered. An owner that answers requests meanwhile
-// is not lost: its grants are renewed all at once, as each call that gets no answer takes a
-// quarter of a second of the four for which they hold.
+// renewGrants renews the grants of one owner. It stops at the first call that fails, because a
+// call without an answer may have arrived and extended the hold on its keys. An owner whose calls
+// fail is probed with calls that change nothing until one of them is answered. If it answers
+// requests meanwhile, it is not lost, and its grants are renewed concurrently: each call without
+// an answer takes 250 ms of the 4 s for which the grants hold.
 func (k *keeper) renewGrants(ctx context.Context, id string, list []spans.Span) {
 	owner := k.instance(id)
 	if owner == nil {
@@ -327,10 +331,11 @@
 	calls.Wait()
 }
 
-// renewOne renews one grant and reports whether the owner's others may be renewed after it.
+// renewGrant renews one grant and reports whether the owner's other grants may be renewed after
+// it.
 func (k *keeper) renewGrant(ctx context.Context, owner *instances.Instance, s spans.Span) bool {
 	if !k.spanUnchanged(s) || owner.Incarnation().Other(s.Incarnation) {
-		// It has other keys by now, or has started again and holds none.
+		// The owner has other keys by now, or has restarted and holds none.
 		return true
 	}
 	verdict, err := k.grant(ctx, s.Keys, owner, s.Fence, "")
@@ -344,7 +349,7 @@
 		k.ended(owner)
 		return false
 	case verdict == platform.Fenced:
-		k.log.Warn("renewal refused, a higher fence was seen", "first", s.First, "upstream", owner.ID, "fence", s.Fence)
+		k.log.Warn("renewal refused: the upstream has seen a higher fence", "first", s.First, "upstream", owner.ID, "fence", s.Fence)
 		k.markUnowned(s)
 	default:
 		k.works(owner.ID)
@@ -352,9 +357,9 @@
 	return true
 }
 
-// startTrials calls upstreams to which calls fail with what changes nothing: a grant
-// without an answer would count as one that holds, and keep the keys of a lost owner
-// away from others for longer.
+// startProbes probes upstreams whose calls fail, by a call that changes nothing. A grant without
+// an answer would have to count as held and would keep the keys of a lost owner from others for
+// longer.
 func (k *keeper) startProbes(ctx context.Context) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -368,8 +373,9 @@
 			continue
 		}
 		if f.reached && !k.owns(id) {
-			// No grant is due that would show that it takes them, so nothing else would end this,
-			// and it would never be given keys again.
+			// Nothing else would end the failure: without keys the upstream has no grant to renew
+			// that would show that it accepts grants, and while it counts as failing it is given no
+			// keys.
 			k.worksLocked(id)
 			continue
 		}
@@ -387,7 +393,8 @@
 	}
 }
 
-// foreignKey returns a key that the upstream neither has nor gets. The lock is held.
+// unrelatedKey returns a key that the upstream neither owns nor is about to be granted. The lock
+// is held.
 func (k *keeper) unrelatedKey(id string) spans.Keys {
 	for _, s := range k.table.Spans {
 		if s.Owner != id && s.Next != id {
@@ -397,11 +404,11 @@
 	return spans.Keys{}
 }
 
-// trialFence makes a release of a key that the upstream does not hold concern nothing:
-// all fences in use are higher.
+// probeFence is the fence of probes. All fences in use are higher, so releasing a key that the
+// upstream does not hold by this fence has no effect.
 const probeFence = 1
 
-// trial makes a call that changes nothing.
+// probe sends a release that changes nothing, to learn whether the upstream answers.
 func (k *keeper) probe(ctx context.Context, to *instances.Instance, keys spans.Keys) {
 	call, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
@@ -412,14 +419,14 @@
 	k.reaches(to.ID)
 }
 
-// stillOwns reports whether the span is as it was and does not move.
+// spanUnchanged reports whether the span is still in the table as given.
 func (k *keeper) spanUnchanged(s spans.Span) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Find(s.First) == s
 }
 
-// lose notes that the owner does not hold the keys of the span any more.
+// markUnowned records that the owner no longer holds the keys of the span.
 func (k *keeper) markUnowned(s spans.Span) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/gateway/keyowner.go
+++ b/gateway/keyowner.go
@@ -9,7 +9,8 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// ownerNow returns the upstream that holds the key of the request, or "".
+// currentOwner returns the upstream that owns the key of the request, or "" if there is none or
+// the key is moving.
 func (f *front) currentOwner(q *request) string {
 	span := f.span(q)
 	if span.Moving() {
@@ -18,7 +19,7 @@
 	return span.Owner
 }
 
-// span returns the span of the request's key; an empty one when it is not known.
+// span returns the span of the request's key, or an empty one if the assignment is not known.
 func (f *front) span(q *request) spans.Span {
 	table := f.view.spansOf(q.service.Name)
 	if table == nil {
@@ -27,8 +28,9 @@
 	return table.Find(q.key)
 }
 
-// awaitOther waits for another owner than the one that said it does not hold the
-// key, for a short time: that one may also be about to be granted it again.
+// awaitOwnerChange waits until the key is moving or has another fence than the one by which an
+// upstream refused the request because it does not hold the key. The wait is bounded by
+// refusedWait, as that upstream may also be about to be granted the key again.
 func (f *front) awaitOwnerChange(ctx context.Context, q *request) {
 	timer := time.NewTimer(refusedWait)
 	defer timer.Stop()
@@ -47,9 +49,9 @@
 	}
 }
 
-// owner returns the upstream that holds the key, and waits for it while the
-// key moves. A move takes about as long as a run; a key that has been without an owner
-// for longer than the objective belonged to a lost one, and is refused at once.
+// awaitOwner returns the upstream that owns the key, and waits for it while the key moves. A move
+// takes about as long as a request runs. A key that has been without an owner for longer than the
+// route's objective belonged to a lost upstream, and its requests are refused at once.
 func (f *front) awaitOwner(ctx context.Context, q *request) (string, error) {
 	var timer *time.Timer
 	if q.refusedFence > 0 {
--- a/gateway/keyowner_test.go
+++ b/gateway/keyowner_test.go
@@ -11,9 +11,9 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// TestLostKeysAreRefusedAtOnce: while a key moves requests wait for it; one that has been
-// without an owner for longer than their objective belonged to a lost upstream, and they
-// are not held for it.
+// TestRequestsForLostKeysAreRefusedAtOnce checks that requests wait for a key that moves, but not
+// for one that has been without an owner for longer than the route's objective: that key belonged
+// to a lost upstream.
 func TestRequestsForLostKeysAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
@@ -33,10 +33,10 @@
 	}
 	now = now.Add(100 * time.Millisecond)
 	if err := ask(); !errors.Is(err, context.Canceled) {
-		t.Errorf("a key that moves is not waited for: %v", err)
+		t.Errorf("the request does not wait for a moving key: %v", err)
 	}
 	now = now.Add(101 * time.Millisecond)
 	if err := ask(); answer.KindOf(err) != answer.NoOwner {
-		t.Errorf("a lost key is waited for: %v", err)
+		t.Errorf("the request waits for a lost key: %v", err)
 	}
 }
--- a/gateway/latecalls_test.go
+++ b/gateway/latecalls_test.go
@@ -12,17 +12,18 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// settlesIn is the time after the end of a fault within which keys are to be even again.
+// recoveryTime is the time after the end of a fault within which keys must be balanced again.
 const recoveryTime = 13 * time.Second
 
-// asking asks for keys all over the key space at all gateways, until it is stopped, and counts.
+// keyClients request keys across the key space until they are stopped, and count the results.
 type keyClients struct {
 	answered, refused atomic.Int64
 	stop              chan struct{}
 	clients           sync.WaitGroup
 }
 
-// askForKeys begins to ask, about a hundred times a second, the gateways that pick returns.
+// startKeyClients starts clients that send about a hundred requests a second to the gateways that
+// pick returns. pick may return nil to skip a request.
 func (b *bed) startKeyClients(pick func(i int) *testGateway) *keyClients {
 	a := &keyClients{stop: make(chan struct{})}
 	const clients = 4
@@ -49,12 +50,12 @@
 	return a
 }
 
-// counted returns what was answered and refused since the last call.
+// takeCounts returns how many requests were answered and refused since the last call.
 func (a *keyClients) takeCounts() (answered, refused int64) {
 	return a.answered.Swap(0), a.refused.Swap(0)
 }
 
-// inTurn returns one gateway after the other, of those that do not change.
+// roundRobin returns the gateways in turn. The set of gateways must not change meanwhile.
 func (b *bed) roundRobin(i int) *testGateway { return b.gateways[i%len(b.gateways)] }
 
 func (a *keyClients) end() {
@@ -62,7 +63,7 @@
 	a.clients.Wait()
 }
 
-// owned is how many keys each upstream owns, as the leader knows.
+// keysOwned returns how many keys each upstream owns in the leader's view.
 func (b *bed) keysOwned() map[string]int {
 	out := make(map[string]int)
 	for _, g := range b.gateways {
@@ -76,42 +77,38 @@
 	return out
 }
 
-// TestUpstreamWithoutKeysGetsSome is a regression test.
-//
-// What users saw: for 14 seconds half of the grants, renewals and releases got no answer and took
-// effect seconds later; all upstreams ran and answered requests. Three in four requests for keys were
-// refused, and it stayed so for the 74 seconds that the day went on after the fault.
-// Order of events: renewals without an answer, keys given to others, until one upstream has all of
-// them; the fault ends; nothing moves any more.
-// Cause: an upstream whose trial call was answered counted as failing until a grant was answered as
-// well, and was tried no more. Once it had no keys nothing was granted to it, so it was never given
-// any again.
-// Evidence: eight of nine upstreams failing since the fault, each reached by a trial, without keys.
+// TestUpstreamWithoutKeysIsGivenKeysAgain guards against an upstream that counts as failing
+// forever. For 14 s half of the grants, renewals and releases got no answer, and keys moved until
+// one upstream owned all of them. The other eight of nine upstreams had answered a probe, but
+// counted as failing until a grant was answered as well, and were not probed again. Without keys
+// no grant was sent to them, so they were never given keys again, and three in four requests for
+// keys were refused for the 74 s until the end of the run.
 func TestUpstreamWithoutKeysIsGivenKeysAgain(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	asking := b.startKeyClients(b.roundRobin)
-	defer asking.end()
+	clients := b.startKeyClients(b.roundRobin)
+	defer clients.end()
 	const id = "i-s0"
 	k := b.leader().steward.keeper("status")
 	k.mu.Lock()
 	k.failing[id] = failure{since: k.now().Add(-ownership.SilentOwnerTimeout), last: k.now(), reached: true}
-	// No renewal clears it while its keys move.
+	// No renewal may clear the failure while the keys move.
 	k.renewing[id] = true
 	k.mu.Unlock()
-	b.eventually("its keys have gone to others", func() bool { return b.keysOwned()[id] == 0 })
+	b.eventually("its keys have moved to other upstreams", func() bool { return b.keysOwned()[id] == 0 })
 	k.mu.Lock()
 	delete(k.renewing, id)
 	k.mu.Unlock()
 	b.eventually("it is given keys again", func() bool { return b.keysOwned()[id] > 0 })
 }
 
-// TestKeysAreEvenAfterLateCalls: soon after a fault that left every second control call unanswered
-// and carried it out later, keys are even, and requests for them are answered.
+// TestKeysAreBalancedAfterLateCalls checks that soon after a fault in which every second control
+// call was left unanswered and carried out late, keys are balanced and requests for them are
+// answered.
 func TestKeysAreBalancedAfterLateCalls(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	asking := b.startKeyClients(b.roundRobin)
+	clients := b.startKeyClients(b.roundRobin)
 	for _, u := range b.ups {
 		u.Set(instance.LateCalls)
 	}
@@ -120,10 +117,10 @@
 		u.Set(instance.Serves)
 	}
 	time.Sleep(recoveryTime)
-	asking.takeCounts()
+	clients.takeCounts()
 	time.Sleep(2 * time.Second)
-	answered, refused := asking.takeCounts()
-	asking.end()
+	answered, refused := clients.takeCounts()
+	clients.end()
 	if refused > answered/50 {
 		t.Errorf("%d answered, %d refused %s after the fault", answered, refused, recoveryTime)
 	}
@@ -134,20 +131,20 @@
 	}
 }
 
-// TestAnsweringOwnersKeepTheirKeys: while half of the control calls get no answer, owners that
-// answer requests are not taken for lost, and callers see little of it.
+// TestAnsweringOwnersKeepTheirKeys checks that owners that answer requests are not given up while
+// half of the control calls get no answer, and that few requests are refused.
 func TestAnsweringOwnersKeepTheirKeys(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	asking := b.startKeyClients(b.roundRobin)
+	clients := b.startKeyClients(b.roundRobin)
 	time.Sleep(time.Second)
 	for _, u := range b.ups {
 		u.Set(instance.LateCalls)
 	}
-	asking.takeCounts()
+	clients.takeCounts()
 	time.Sleep(8 * time.Second)
-	answered, refused := asking.takeCounts()
-	asking.end()
+	answered, refused := clients.takeCounts()
+	clients.end()
 	if refused > answered/20 {
 		t.Errorf("%d answered, %d refused while every second control call is late", answered, refused)
 	}
--- a/gateway/ownerstate.go
+++ b/gateway/ownerstate.go
@@ -11,17 +11,19 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// This file tells operators which upstream owns how much of a service, and why keys stay where
-// they are.
+// This file reports to operators how much of a service each upstream owns, and why keys stay
+// where they are.
 
 const (
-	// stuckInterval is the least time between two lines about keys that stay on a busy owner.
+	// stuckLogInterval is the minimum time between two log lines about keys that stay on a busy
+	// owner.
 	stuckLogInterval = 5 * time.Second
-	// percent is the unit of utilization in lines, gauges and answers to operators.
+	// percent converts a utilization to the unit of log lines, gauges and answers to operators.
 	percent = 100
 )
 
-// logStuck logs, now and then, that an owner has far more than its share and no key moves.
+// logStuck logs that one owner has far more than its share of the load, at most once per
+// stuckLogInterval.
 func (k *keeper) logStuck(owners []ownership.Owner, load map[uint16]float64) {
 	k.mu.Lock()
 	u, uneven := ownership.Busiest(k.table, owners, load)
@@ -44,7 +46,8 @@
 		"mean_percent", int(percent*u.Mean), "moving", moving, "upstreams", len(owners), "usable", usable, "failing", failing)
 }
 
-// gauges tells, in the leader, how even the owners are and what is pending.
+// updateGauges sets, in the leader, the gauges of how evenly owners are loaded and of pending
+// moves and failing upstreams.
 func (k *keeper) updateGauges() {
 	owners, load := k.candidates(), k.rates()
 	k.mu.Lock()
@@ -59,7 +62,8 @@
 	k.meters.gauge(k.meters.service(ownersFailing, k.service), int64(len(k.failing)))
 }
 
-// allKeepers returns the keepers of the services that this process keeps, by their names.
+// allKeepers returns the keepers of all services that this process manages, sorted by service
+// name.
 func (s *steward) allKeepers() []*keeper {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +72,7 @@
 	return out
 }
 
-// ownerGauges tells the gauges of all services that this process keeps.
+// updateOwnerGauges sets the owner gauges of all services that this process manages.
 func (s *steward) updateOwnerGauges() {
 	for _, k := range s.allKeepers() {
 		k.updateGauges()
@@ -87,7 +91,7 @@
 	return out, nil
 }
 
-// state returns which upstream owns how much of the service.
+// state returns the owners of the service with their load, keys and spans.
 func (k *keeper) state() *placementpb.ServiceOwners {
 	owners, load := k.candidates(), k.rates()
 	k.mu.Lock()
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -14,10 +14,10 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// This file tests upstreams that start again under their ID, and what is said of
-// upstreams and cannot be.
+// This file tests upstreams that restart under the same ID, and invalid entries and reports about
+// upstreams.
 
-// bornUpstreams returns a bed whose keyed upstreams say when they started.
+// newBedWithStartTimes returns a bed whose keyed upstreams report when they started.
 func newBedWithStartTimes(t *testing.T) *bed {
 	t.Helper()
 	b := newBed(t)
@@ -31,8 +31,8 @@
 	return b
 }
 
-// TestRestartedUpstreamKeepsItsKeys: they are granted again where they were, by higher
-// fences, and none goes elsewhere.
+// TestRestartedUpstreamKeepsItsKeys checks that the keys of a restarted upstream are granted to
+// it again by higher fences, and that no keys move elsewhere.
 func TestRestartedUpstreamKeepsItsKeys(t *testing.T) {
 	t.Parallel()
 	b := newBedWithStartTimes(t)
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestNextLeaderHearsOfARestart: an upstream started again while nobody led. The stored
-// assignment says which start had the keys.
+// TestNextLeaderDetectsRestart restarts an upstream while there is no leader. The next leader
+// knows from the stored assignment which incarnation held the keys.
 func TestNextLeaderDetectsRestart(t *testing.T) {
 	t.Parallel()
 	b := newBedWithStartTimes(t)
@@ -76,7 +76,7 @@
 	now := b.restart(b.ups["i-s0"])
 	granted := instances.Instance{ID: now.ID, BornMs: now.born}
 	g := b.gateway("g9")
-	b.eventually("granted to the new start", func() bool {
+	b.eventually("granted to the new incarnation", func() bool {
 		table := g.view.spansOf("status")
 		if table == nil {
 			return false
@@ -91,33 +91,35 @@
 	b.ready()
 }
 
-// TestEntryOfAnotherWriter: an entry that is not sound names no upstream, one line and
-// one count each, and the others hold; it names one again when it is sound.
+// TestMalformedEntryNamesNoUpstream checks that a malformed entry in the store names no upstream
+// and is logged and counted once, that other entries stay in effect, and that the upstream
+// returns once its entry is valid.
 func TestMalformedEntryNamesNoUpstream(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	l := b.leader()
 	b.store.Put(platform.InstancesKind, "i-odd", rawJSON(`"\u0000 not an entry"`))
 	b.store.Put(platform.InstancesKind, "i-p0", rawJSON(`{"address":7}`))
-	b.eventually("the unsound one leaves", func() bool {
+	b.eventually("the upstream of the malformed entry leaves", func() bool {
 		one := b.gateways[2].view.inst.Load().Get("i-p0")
 		return one == nil || one.Leaving
 	})
 	if n := l.meters.counter(fill(upstreamsUnsound, unsoundEntry)).Count(); n != 2 {
-		t.Errorf("%d unsound entries counted", n)
+		t.Errorf("%d malformed entries counted", n)
 	}
 	if v := b.gateways[2].view.inst.Load(); v.Get("i-odd") != nil || v.Get("i-p1") == nil {
-		t.Error("an entry that is none names an upstream, or a sound one is lost")
+		t.Error("a malformed entry names an upstream, or a valid one is lost")
 	}
 	b.mustAsk(b.gateways[0], http.MethodGet, "/read/x", -1)
 	b.register(b.ups["i-p0"], "ready")
-	b.eventually("it is back", func() bool {
+	b.eventually("the upstream is back", func() bool {
 		one := b.gateways[2].view.inst.Load().Get("i-p0")
 		return one != nil && !one.Leaving
 	})
 }
 
-// TestSieve drops what cannot be, counted and logged once, and loads of former starts.
+// TestSieve checks that invalid reports are dropped, counted and logged once, and that loads of
+// former incarnations are dropped.
 func TestSieve(t *testing.T) {
 	now := time.Now()
 	v, m := newView(), newMeters()
@@ -137,7 +139,7 @@
 		sum += l.Inflight
 	}
 	if sum != 1+3+4 {
-		t.Errorf("loads of %v are kept", sum)
+		t.Errorf("the sum of the loads kept is %v", sum)
 	}
 	news := &syncpb.Instances{List: []*syncpb.Instance{
 		{Id: "a", Service: "s", Address: "10.0.0.1:1", BornMs: uint64(now.UnixMilli())},
@@ -149,12 +151,12 @@
 		t.Errorf("kept %v", news.List)
 	}
 	if n := m.counter(fill(upstreamsUnsound, unsoundNews)).Count(); n != 2 {
-		t.Errorf("%d counted", n)
+		t.Errorf("%d invalid instances counted", n)
 	}
 	if n := m.counter(fill(upstreamsUnsound, unsoundReport)).Count(); n != 1 {
-		t.Errorf("%d reports counted", n)
+		t.Errorf("%d invalid reports counted", n)
 	}
 }
 
-// clockToleranceSeen is how far ahead a start may seem at most.
+// maxStartAhead is how far in the future the start time of an upstream may be.
 const maxStartAhead = 24 * time.Hour
--- a/gateway/turns.go
+++ b/gateway/turns.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// mostGrantCalls bounds the grants that begin together. A leader renews each span once a
-	// second, and after a start all at once: 1,650 calls that begin together take a machine of
-	// a third of a core longer than the 250 ms that each has, all fail, are tried again
-	// together, and fail again.
+	// maxGrantCalls is the number of call slots for grants. A leader renews each span once a second,
+	// and all spans at once after a start. 1,650 calls started together take longer on a machine
+	// with a third of a core than the 250 ms timeout of each: all fail, are retried together and
+	// fail again.
 	maxGrantCalls = 32
-	// longestTurn is how long a call keeps its turn: one that takes longer waits for an
-	// upstream that does not answer, and keeps no processor busy. Five hundred silent owners
-	// delay the renewals of the others by a third of a second.
+	// maxSlotHold is how long a call keeps its slot. A call that takes longer is waiting for an
+	// upstream that does not answer and uses no CPU. Five hundred silent owners delay the renewals
+	// of the others by a third of a second.
 	maxSlotHold = 20 * time.Millisecond
 )
 
-// turns lets so many calls begin at a time, in no order.
+// callSlots limits how many calls start at a time. Slots are given in no particular order.
 type callSlots chan struct{}
 
-func newCallSlots(most int) callSlots { return make(callSlots, most) }
+func newCallSlots(size int) callSlots { return make(callSlots, size) }
 
-// take waits for a turn and returns what gives it back, which longestTurn does as well. It
-// reports false when ctx has ended before.
+// acquire waits for a slot and returns the function that releases it. The slot is also released
+// after maxSlotHold. acquire reports false if ctx ended first.
 func (t callSlots) acquire(ctx context.Context) (func(), bool) {
 	select {
 	case t <- struct{}{}:
@@ -32,10 +32,10 @@
 		return nil, false
 	}
 	var once sync.Once
-	giveBack := func() { once.Do(func() { <-t }) }
-	timer := time.AfterFunc(maxSlotHold, giveBack)
+	release := func() { once.Do(func() { <-t }) }
+	timer := time.AfterFunc(maxSlotHold, release)
 	return func() {
 		timer.Stop()
-		giveBack()
+		release()
 	}, true
 }
--- a/gateway/turns_test.go
+++ b/gateway/turns_test.go
@@ -18,7 +18,8 @@
 	"github.com/rockcroft/rockcroft/transport/pool"
 )
 
-// TestAllGrantsThatAreDueAtOnceAreMade, a few at a time.
+// TestAllGrantsThatAreDueAtOnceAreMade checks that many grants due at once are all made, a few at
+// a time.
 func TestAllGrantsThatAreDueAtOnceAreMade(t *testing.T) {
 	var all atomic.Int64
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,35 +52,35 @@
 	}
 	running.Wait()
 	if len(s.turns) != 0 {
-		t.Errorf("%d turns not given back", len(s.turns))
+		t.Errorf("%d call slots not released", len(s.turns))
 	}
 	if all.Load() != calls {
-		t.Errorf("%d of %d made", all.Load(), calls)
+		t.Errorf("%d of %d grants made", all.Load(), calls)
 	}
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	full := newCallSlots(0)
 	if _, ok := full.acquire(ended); ok {
-		t.Error("a turn is given after the end")
+		t.Error("a slot was acquired after the context ended")
 	}
 }
 
-// TestSilentUpstreamsKeepNoTurn: calls that wait for an answer do not keep others from
-// beginning.
+// TestSilentUpstreamsReleaseCallSlots checks that calls waiting for an answer do not keep others
+// from starting.
 func TestSilentUpstreamsReleaseCallSlots(t *testing.T) {
 	one := newCallSlots(1)
 	waits, ok := one.acquire(context.Background())
 	if !ok {
-		t.Fatal("no turn")
+		t.Fatal("no slot")
 	}
 	next, ok := one.acquire(context.Background())
 	if !ok {
-		t.Fatal("the silent one kept the turn")
+		t.Fatal("the silent call kept its slot")
 	}
-	// The first gives nothing back that is not its own.
+	// The first call must not release the slot of the second.
 	waits()
 	if len(one) != 1 {
-		t.Error("the second's turn was given back")
+		t.Error("the slot of the second call was released")
 	}
 	next()
 }
