--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -2,10 +2,10 @@
 
 import "github.com/rockcroft/rockcroft/protocol/syncpb"
 
-// This file adds up what gateways are asked for, as they report it.
+// This file sums the request rates that gateways report.
 
-// demandElsewhere returns how many requests a second all gateways but the given one and
-// those behind it are asked for, by service. own is what this process is asked for.
+// demandExcept returns how many requests a second are sent to all gateways except the given one
+// and those that report through it, by service. own is the demand of this process.
 func (c *cluster) demandExcept(except string, own map[string]float64) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -26,7 +26,8 @@
 	return sum
 }
 
-// demandBelow returns what this gateway and those that report to it are asked for.
+// subtreeDemand returns how many requests a second are sent to this gateway and to those that
+// report to it, by service.
 func (c *cluster) subtreeDemand(own map[string]float64) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -426,7 +426,8 @@
 	return k.table.Find(s.First) == s
 }
 
-// markUnowned records that the owner no longer holds the keys of the span.
+// markUnowned records that the owner no longer holds the keys of the span, and raises the last
+// assigned fence beyond the one that the owner has seen.
 func (k *keeper) markUnowned(s spans.Span) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/gateway/hotkeys.go
+++ b/gateway/hotkeys.go
@@ -8,18 +8,19 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// This file brings the limits of hot keys from the leader to all gateways.
+// This file distributes the leader's limits of hot keys to all gateways.
 
-// admits is the part of the requests that can be run, of hot keys, by service.
+// admittedShares is the share of requests to admit for each hot key, by service. Requests beyond
+// it would exceed what the owner can run.
 type admittedShares = map[string]map[uint16]float64
 
-// hotKeys are the limits that the leader has decided, for concurrent use.
+// hotKeyLimits are the limits that the leader has decided. It is safe for concurrent use.
 type hotKeyLimits struct {
 	mu        sync.Mutex
 	byService map[string][]ownership.Limit
 }
 
-// set takes over the limits of a service.
+// set replaces the limits of a service.
 func (h *hotKeyLimits) set(service string, limits []ownership.Limit) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -29,14 +30,14 @@
 	h.byService[service] = limits
 }
 
-// clear drops all limits: this gateway does not lead any more.
+// clear drops all limits, because this gateway no longer leads.
 func (h *hotKeyLimits) clear() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.byService = nil
 }
 
-// messages returns the limits as they are told.
+// encode returns the limits as messages for other gateways.
 func (h *hotKeyLimits) encode() []*syncpb.HotKeys {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -55,7 +56,7 @@
 	return out
 }
 
-// admitted returns what messages tell. What cannot be is left out.
+// decodeHotKeys returns the limits in messages. Invalid ones are left out.
 func decodeHotKeys(list []*syncpb.HotKeys) admittedShares {
 	out := make(admittedShares, len(list))
 	for _, m := range list {
@@ -70,14 +71,14 @@
 	return out
 }
 
-// setHotKeys takes over what the parent told of hot keys.
+// setParentHotKeys stores the limits of hot keys received from the parent.
 func (c *cluster) setParentHotKeys(list []*syncpb.HotKeys) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hotKeys = list
 }
 
-// hotKeysAbove returns what the parent told of hot keys.
+// parentHotKeys returns the limits of hot keys received from the parent.
 func (c *cluster) parentHotKeys() []*syncpb.HotKeys {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/hotkeys_test.go
+++ b/gateway/hotkeys_test.go
@@ -14,8 +14,9 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// TestHotKeysAreToldToAll: gateways that do not lead hear of the leader's limits, and when
-// there is none any more; what is refused by them may come back later than for want of room.
+// TestHotKeyLimitsReachAllGateways checks that gateways other than the leader learn of its limits
+// and of their end, and that requests refused by such a limit are told to retry later than those
+// refused for lack of capacity.
 func TestHotKeyLimitsReachAllGateways(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
@@ -26,23 +27,24 @@
 			other = g
 		}
 	}
-	// Plans of this leader see no hot key; they are written over.
-	told := func() bool {
+	// The leader's own plans find no hot key and overwrite this limit.
+	limited := func() bool {
 		_, hot := decodeHotKeys(other.cluster.parentHotKeys())["status"][77]
 		return hot
 	}
-	b.eventually("the limit is told", func() bool {
+	b.eventually("the limit arrives", func() bool {
 		l.steward.hotKeys.set("status", []ownership.Limit{{Key: 77}})
-		return told()
+		return limited()
 	})
-	b.eventually("no limit any more", func() bool { return !told() })
+	b.eventually("the end of the limit arrives", func() bool { return !limited() })
 	var refusal *answer.Error
 	if !errors.As(refusalError(dispatch.HotKey), &refusal) || refusal.RetryAfter <= patience.RetryAfterNoCapacity() {
 		t.Errorf("refused by %v", refusal)
 	}
 }
 
-// TestAdmittedTakesWhatCanBe of what another gateway tells.
+// TestDecodeHotKeysDropsInvalidEntries checks that only valid limits of another gateway are taken
+// over.
 func TestDecodeHotKeysDropsInvalidEntries(t *testing.T) {
 	got := decodeHotKeys([]*syncpb.HotKeys{
 		{Service: "a", Keys: []uint32{1, 2, 3, 1 << 20, 5}, Admit: []float32{0.5, -1, float32(math.NaN()), 0.5}},
--- a/gateway/limitnews.go
+++ b/gateway/limitnews.go
@@ -9,14 +9,15 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// This file tells other gateways of the limits that upstreams name, and adds up what all are
-// asked for that these upstreams would get. A gateway of hundreds may see an answer of an upstream
-// every few seconds only.
+// This file exchanges between gateways the limits that upstreams name, and sums the demand for
+// these upstreams over all gateways. With hundreds of gateways, one may see an answer of an
+// upstream only every few seconds.
 
-// mostLimits bounds the limits that are taken over from one message.
+// maxLimits bounds the limits accepted from one message.
 const maxLimits = 4096
 
-// messages tells the limits that are known, and with each how many requests a second are wanted.
+// encode returns the known limits as messages. wanted returns how many requests a second would go
+// to an upstream.
 func (n *namedLimits) encode(wanted func(upstream string) float64) []*syncpb.NamedLimit {
 	list := n.list()
 	out := make([]*syncpb.NamedLimit, 0, len(list))
@@ -29,7 +30,7 @@
 	return out
 }
 
-// told takes over what another gateway tells.
+// recordFromGateway records the limits that another gateway reports.
 func (n *namedLimits) recordFromGateway(list []*syncpb.NamedLimit) {
 	if len(list) > 0 {
 		n.record(limitFromGateway, n.decode(list)...)
@@ -48,8 +49,8 @@
 	return out
 }
 
-// lackedBy reports whether the limits that are known differ from those that another gateway
-// knows.
+// hasNewerThan reports whether this gateway knows of limits, or of ends of limits, that are newer
+// than those in list.
 func (n *namedLimits) hasNewerThan(list []*syncpb.NamedLimit) bool {
 	known := n.list()
 	if len(known) == 0 {
@@ -67,7 +68,8 @@
 	return false
 }
 
-// news returns the limits in force, with what the other gateways are asked for as it is told.
+// inForce returns the limits in force, each with the demand at the other gateways. A demand that
+// is not known is -1.
 func (n *namedLimits) inForce(elsewhere func(upstream string) (wanted float64, known bool)) map[string]dispatch.Limit {
 	v := n.view.inst.Load()
 	if v == nil {
@@ -88,7 +90,8 @@
 	return out
 }
 
-// soundLimits drops what cannot be from what another gateway tells of limits.
+// validLimits returns the limits of another gateway's message without the invalid ones, which it
+// counts and logs.
 func (s *sieve) validLimits(source string, list []*syncpb.NamedLimit) []*syncpb.NamedLimit {
 	out := make([]*syncpb.NamedLimit, 0, min(len(list), maxLimits))
 	for _, m := range list[:min(len(list), maxLimits)] {
@@ -101,14 +104,14 @@
 	return out
 }
 
-// mostRate bounds the rates that are believed, in requests a second.
+// maxRate is the highest rate accepted from other gateways, in requests a second.
 const maxRate = 1 << 20
 
 func validRate(n float32) bool { return n >= 0 && n <= maxRate }
 
-// wantedElsewhere returns how many requests a second all gateways but the given one and those
-// behind it are asked for that the upstream would get; known is false when the parent has not told
-// yet. own is what this process is asked for.
+// wantedExcept returns how many requests a second would go to the upstream from all gateways
+// except the given one and those that report through it. own is the demand of this process by
+// upstream. known is false while the parent has not reported its part.
 func (c *cluster) wantedExcept(except string, own map[string]float64, upstream string) (wanted float64, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,13 +130,13 @@
 	return wanted + above, known
 }
 
-// wantedByOthers is wantedElsewhere for this gateway.
+// wantedByOthers returns wantedExcept for this gateway.
 func (c *cluster) wantedByOthers(upstream string) (wanted float64, known bool) {
 	return c.wantedExcept(c.self.Node, nil, upstream)
 }
 
-// wantedBelow returns how many requests a second this gateway and those that report to it are
-// asked for that the upstream would get.
+// subtreeWanted returns how many requests a second would go to the upstream from this gateway and
+// those that report to it.
 func (c *cluster) subtreeWanted(own map[string]float64, upstream string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,8 +149,9 @@
 	return wanted
 }
 
-// setWantedAbove takes over what the parent told that the others are asked for. What it told
-// last stands while none does: a gateway that is cut off goes on with its former part.
+// setParentWanted stores the demand at the other gateways as received from the parent. The last
+// values are kept while none arrive, so that a gateway that is cut off goes on with its former
+// share of a limit.
 func (c *cluster) setParentWanted(list []*syncpb.NamedLimit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/limitnews_test.go
+++ b/gateway/limitnews_test.go
@@ -11,11 +11,12 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// named is how many upstreams of the service a gateway knows to name a limit.
+// named returns, from the metrics, how many upstreams of the service name a limit as far as the
+// gateway knows.
 func (g *testGateway) named(service string) string { return metricsOf(g)["limits."+service+".named"] }
 
-// TestLimitsAreToldToAll: gateways hear of a limit, and of its end, that only one of them has seen
-// in answers.
+// TestLimitsReachAllGateways checks that all gateways learn of a limit, and of its end, when only
+// one of them has seen them in answers.
 func TestLimitsReachAllGateways(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
@@ -41,8 +42,8 @@
 	b.eventually("all know of both ends", all("0"))
 }
 
-// TestWantedIsAddedUp: each hears of all others, not of itself, and one that its parent has told
-// nothing does not take the others for idle.
+// TestWantedRatesAreSummed checks that each gateway learns the demand at all others but not its
+// own, and that the others' demand is unknown rather than zero before the parent has reported it.
 func TestWantedRatesAreSummed(t *testing.T) {
 	now := time.Now()
 	c := newCluster(&syncpb.Member{Node: "head", Address: "1"}, nil, func() time.Time { return now }, nil)
@@ -55,28 +56,28 @@
 	report("x", 20)
 	report("y", 300)
 	if _, known := c.wantedExcept("x", own, "u"); known {
-		t.Error("what the parent's other gateways are asked for is not known")
+		t.Error("known although the parent has not reported the demand at its other gateways")
 	}
 	c.setParentWanted([]*syncpb.NamedLimit{{Upstream: "u", Wanted: 4000}})
 	for node, want := range map[string]float64{"x": 4301, "y": 4021, "head": 4320} {
 		if got, known := c.wantedExcept(node, own, "u"); got != want || !known {
-			t.Errorf("all but %s want %g, known %v; %g expected", node, got, known, want)
+			t.Errorf("demand without %s is %g, known %v; want %g", node, got, known, want)
 		}
 	}
 	if got := c.subtreeWanted(own, "u"); got != 321 {
-		t.Errorf("%g wanted by this one and those behind it", got)
+		t.Errorf("demand at this gateway and those below it is %g", got)
 	}
 	now = now.Add(reportExpiry)
 	if got := c.subtreeWanted(own, "u"); got != 1 {
-		t.Errorf("%g wanted when the others report no more", got)
+		t.Errorf("demand is %g after the others' reports expired", got)
 	}
 	c.setLeading(true)
 	if got, known := c.wantedExcept("head", own, "u"); got != 0 || !known {
-		t.Errorf("the leader's others want %g, known %v", got, known)
+		t.Errorf("demand at the leader's other gateways is %g, known %v", got, known)
 	}
 }
 
-// TestUnsoundLimitsAreDropped: and counted.
+// TestInvalidLimitsAreDropped checks that invalid limits are dropped and counted.
 func TestInvalidLimitsAreDropped(t *testing.T) {
 	m := newMeters()
 	s := newSieve(newView(), time.Now, slog.New(slog.DiscardHandler), m)
@@ -86,28 +87,28 @@
 		{Upstream: "c", Wanted: nan}, {Upstream: "d", PerSecond: 2 * maxRate}, {Upstream: "e", PerSecond: 1},
 	})
 	if len(got) != 1 || got[0].Upstream != "e" {
-		t.Errorf("taken over: %v", got)
+		t.Errorf("accepted limits: %v", got)
 	}
 	if n := m.counter("view.unsound.news").Count(); n != 5 {
-		t.Errorf("%d counted", n)
+		t.Errorf("%d invalid limits counted", n)
 	}
 }
 
-// TestLimitIsLacked: by one that knows nothing of it, or what it was before, and not by one that
-// has heard of it later.
+// TestHasNewerLimits checks that a limit counts as newer than the list of a gateway that has none
+// or an older one, but not than a later one.
 func TestHasNewerLimits(t *testing.T) {
 	n := noLimits()
 	if n.hasNewerThan(nil) {
-		t.Error("nothing is known")
+		t.Error("an empty book has newer limits")
 	}
 	n.record(limitFromAnswer, limits.Limit{Upstream: "u", PerSecond: 10, At: n.now()})
 	say := func(perSecond float32, age time.Duration) []*syncpb.NamedLimit {
 		return []*syncpb.NamedLimit{{Upstream: "u", PerSecond: perSecond, AgeMs: milliseconds(age)}}
 	}
 	if !n.hasNewerThan(nil) || !n.hasNewerThan(say(20, time.Second)) {
-		t.Error("a gateway is not told what it lacks")
+		t.Error("a newer limit is not found")
 	}
 	if n.hasNewerThan(say(10, time.Second)) || n.hasNewerThan(say(20, 0)) {
-		t.Error("a gateway is told what it has")
+		t.Error("a limit that the other gateway has counts as newer")
 	}
 }
--- a/gateway/rights.go
+++ b/gateway/rights.go
@@ -9,20 +9,20 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// This file brings the rights to send to upstreams that warm up from the leader, which names
-// them, to the gateways.
+// This file distributes the rights to send to upstreams that are warming up. The leader assigns
+// them to gateways.
 
 const (
-	// nameInterval is the least time between two times that the leader names the rights
-	// anew where no upstream has changed: some reports ask for them at the same moment.
+	// assignInterval is the minimum time between two assignments while the set of upstreams is
+	// unchanged: several reports may ask for the rights at the same moment.
 	assignInterval = 50 * time.Millisecond
-	// mostRights bounds the rights that are taken over from one answer: a gateway and those
-	// that report through it, with the upstreams of a failure domain that returns.
+	// maxRights bounds the rights accepted from one answer: those of a gateway and of the gateways
+	// that report through it, with the upstreams of a returning failure domain.
 	maxRights = 4096
 )
 
-// rights names, in the leader, the gateways that may send to upstreams that warm up. It is
-// safe for concurrent use.
+// warmUpRights assigns, in the leader, the gateways that may send to upstreams that are warming
+// up. It is safe for concurrent use.
 type warmUpRights struct {
 	view    *view
 	cluster *cluster
@@ -31,20 +31,20 @@
 
 	mu          sync.Mutex
 	assignments *warmup.Assignments
-	// named are the rights as of at, for the version of the view of upstreams.
+	// assigned are the rights as of assignedAt, for this version of the view of upstreams.
 	assigned   []warmup.Right
 	assignedAt time.Time
 	version    uint64
 }
 
-// begin forgets all: this gateway leads from now on.
+// reset forgets all assignments, because this gateway has become the leader.
 func (r *warmUpRights) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.assignments, r.assigned, r.assignedAt = warmup.NewAssignments(r.now()), nil, time.Time{}
 }
 
-// all returns the rights that hold now, and when they were named.
+// current returns the rights in force and when they were assigned.
 func (r *warmUpRights) current() ([]warmup.Right, time.Time) {
 	_, version := r.view.upstreamsKnown()
 	r.mu.Lock()
@@ -68,7 +68,7 @@
 	return out
 }
 
-// rightMessages tells the rights of the gateways of the names.
+// encodeRights returns the messages for those rights that belong to the given gateways.
 func encodeRights(list []warmup.Right, nodes map[string]bool) []*syncpb.Right {
 	var out []*syncpb.Right
 	for _, one := range list {
@@ -79,7 +79,7 @@
 	return out
 }
 
-// toldRights returns what messages tell. What cannot be is left out.
+// decodeRights returns the rights in messages. Invalid ones are left out.
 func decodeRights(list []*syncpb.Right) []warmup.Right {
 	out := make([]warmup.Right, 0, min(len(list), maxRights))
 	for _, m := range list[:min(len(list), maxRights)] {
@@ -90,9 +90,9 @@
 	return out
 }
 
-// held returns until when the gateway of the name may send to upstreams, by their present
-// starts.
-func heldRights(v *instances.View, list []warmup.Right, named time.Time, node string) map[string]time.Time {
+// heldRights returns until when the given gateway may send to each upstream. Rights for another
+// incarnation of an upstream do not count.
+func heldRights(v *instances.View, list []warmup.Right, assigned time.Time, node string) map[string]time.Time {
 	if v == nil {
 		return nil
 	}
@@ -100,20 +100,20 @@
 	for _, one := range list {
 		u := v.Get(one.Upstream)
 		if one.Gateway == node && u != nil && !u.Incarnation().Other(one.Incarnation) {
-			out[one.Upstream] = named.Add(warmup.RightDuration)
+			out[one.Upstream] = assigned.Add(warmup.RightDuration)
 		}
 	}
 	return out
 }
 
-// setRights takes over what the parent told of rights that were named at a time.
-func (c *cluster) setParentRights(list []warmup.Right, named time.Time) {
+// setParentRights stores the rights received from the parent and when they were assigned.
+func (c *cluster) setParentRights(list []warmup.Right, assigned time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rights, c.rightsNamed = list, named
+	c.rights, c.rightsNamed = list, assigned
 }
 
-// rightsAbove returns what the parent told of rights, and when they were named.
+// parentRights returns the rights received from the parent and when they were assigned.
 func (c *cluster) parentRights() ([]warmup.Right, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/rights_test.go
+++ b/gateway/rights_test.go
@@ -14,9 +14,10 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// This file tests the rights to send to upstreams that warm up.
+// This file tests the rights to send to upstreams that are warming up.
 
-// configureWarmUp writes a configuration in which upstreams that warm up bear the rate.
+// configureWarmUp writes a configuration in which upstreams can take the given start rate while
+// they warm up.
 func (b *bed) configureWarmUp(version uint64, rate float64) {
 	c := config(version)
 	for name, s := range c.Services {
@@ -26,7 +27,7 @@
 	b.store.Put(platform.ConfigKind, platform.ConfigName, c)
 }
 
-// warmUp registers an upstream as one that warms up for the time in seconds.
+// registerWarming registers an upstream as warming up for the given number of seconds.
 func (b *bed) registerWarming(u *upstream, left platform.Seconds) {
 	var body platform.InstanceBody
 	body.Address, body.Born = u.address, u.born
@@ -35,8 +36,8 @@
 	b.store.Put(platform.InstancesKind, u.ID, body)
 }
 
-// TestOneGatewaySendsToAWarmingUpstream: the leader names it to all, and it serves by its
-// right while the others refuse at once.
+// TestOneGatewaySendsToAWarmingUpstream checks that the leader assigns the right to send to a
+// warming upstream to one gateway, which serves requests while the others refuse them at once.
 func TestOneGatewaySendsToAWarmingUpstream(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
@@ -59,9 +60,9 @@
 		}
 		return n
 	}
-	b.eventually("one has the right", func() bool { return len(b.gateways[0].traffic.needRights()) == 1 && holders() == 1 })
+	b.eventually("one gateway has the right", func() bool { return len(b.gateways[0].traffic.needRights()) == 1 && holders() == 1 })
 	var served atomic.Int64
-	b.eventually("the one serves", func() bool {
+	b.eventually("the gateway with the right serves", func() bool {
 		for _, g := range b.gateways {
 			if a := b.ask(g, http.MethodPost, "/pay/x", -1); a.status == http.StatusOK {
 				served.Add(1)
@@ -72,11 +73,11 @@
 		return served.Load() > 3
 	})
 	b.registerWarming(only, 0)
-	b.eventually("all send again", func() bool { return holders() == 3 })
+	b.eventually("all gateways send again", func() bool { return holders() == 3 })
 }
 
-// TestRightsHeld: a gateway takes the rights that name it, for the present start of an
-// upstream, as long as they last since the leader named them.
+// TestHeldRights checks that a gateway uses the rights assigned to it, for the current
+// incarnation of an upstream, until they expire after their assignment.
 func TestHeldRights(t *testing.T) {
 	v := instances.NewView(1, []instances.Instance{{ID: "u1", BornMs: 7}, {ID: "u2", BornMs: 7}, {ID: "u3"}})
 	now := v.Get("u1").Incarnation()
@@ -85,11 +86,11 @@
 		{Upstream: "u3", Node: "other"}, {Upstream: "u4", Node: "g"}, {Node: "g"}, {Upstream: "u3"},
 	})
 	if len(list) != 4 {
-		t.Errorf("taken over: %v", list)
+		t.Errorf("decoded rights: %v", list)
 	}
-	named := time.Now()
-	want := map[string]time.Time{"u1": named.Add(warmup.RightDuration)}
-	if d := cmp.Diff(want, heldRights(v, list, named, "g")); d != "" {
+	assigned := time.Now()
+	want := map[string]time.Time{"u1": assigned.Add(warmup.RightDuration)}
+	if d := cmp.Diff(want, heldRights(v, list, assigned, "g")); d != "" {
 		t.Error(d)
 	}
 }
--- a/gateway/worktimes.go
+++ b/gateway/worktimes.go
@@ -9,17 +9,17 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// This file carries what gateways see of runs to the leader, and its estimates of work
-// times back to all.
+// This file reports the run times of requests that gateways observe to the leader, and
+// distributes its estimates of work times to all gateways.
 
-// toldRuns is how many runs the estimate of a former leader counts for in the book of the
-// next one.
+// inheritedRuns is the number of runs for which the estimate of a former leader counts in the
+// book of the next one.
 const inheritedRuns = 10
 
-// leastSlowness keeps estimates finite.
+// minSlowness avoids a division by zero, so that estimates stay finite.
 const minSlowness = 0.01
 
-// keepRuns keeps the runs that a report tells of for the own next report.
+// addRuns adds the runs of a child's report to those for this gateway's next report.
 func (c *cluster) addRuns(loads []*syncpb.Load) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,7 +30,7 @@
 	}
 }
 
-// takeRuns returns the kept runs, and forgets them.
+// takeRuns returns the runs collected for the next report and clears them.
 func (c *cluster) takeRuns() map[string]worktime.Sum {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,15 +39,15 @@
 	return out
 }
 
-// worksAbove returns the mean times of a run as the parent told them, by upstream. The map
-// is not changed any more.
+// parentWorkTimes returns the mean run times received from the parent, by upstream. The map must
+// not be changed.
 func (c *cluster) parentWorkTimes() map[string]worktime.Estimate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.worksTold
 }
 
-// withRuns returns the loads with the runs told in them.
+// mergeRuns returns the loads with the runs added to them.
 func mergeRuns(loads map[string]*syncpb.Load, runs map[string]worktime.Sum) []*syncpb.Load {
 	for id, sum := range runs {
 		l := loads[id]
@@ -64,7 +64,7 @@
 	return out
 }
 
-// setRuns lets a load tell of runs.
+// encodeRuns writes runs to a load message.
 func encodeRuns(l *syncpb.Load, sum worktime.Sum) {
 	l.Runs, l.WorkUs = float32(sum.Runs), uint32(sum.Mean().Microseconds())
 	if slowness := sum.MeanSlowness(); slowness != 1 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// runsOf returns what a load tells of runs.
+// decodeRuns returns the runs in a load message.
 func decodeRuns(l *syncpb.Load) worktime.Sum {
 	work := time.Duration(l.WorkUs) * time.Microsecond
 	runs, slowness := float64(l.Runs), float64(l.Slowness)
@@ -82,15 +82,15 @@
 	return worktime.Sum{Total: time.Duration(runs * float64(work)), Runs: runs, Slowness: runs * slowness}
 }
 
-// workTimes are the leader's estimates for all services, for concurrent use.
+// workTimes holds the leader's estimates for all services. It is safe for concurrent use.
 type workTimes struct {
 	view *view
 
 	mu    sync.Mutex
 	books map[string]*worktime.Book
-	// told are the estimates as they are told; never changed in place.
+	// published are the estimates sent to gateways; the map is replaced, never changed in place.
 	published map[string]worktime.Estimate
-	// answered is when a gateway last told that an upstream had answered requests.
+	// lastAnswer is when a gateway last reported that an upstream had answered requests.
 	lastAnswer map[string]time.Time
 	now        func() time.Time
 }
@@ -99,13 +99,14 @@
 	return &workTimes{view: v, books: make(map[string]*worktime.Book), lastAnswer: make(map[string]time.Time), now: now}
 }
 
-// begin forgets everything but what the former leader told.
-func (w *workTimes) reset(told map[string]worktime.Estimate) {
+// reset starts a new leader's term: it forgets everything except the estimates of the former
+// leader.
+func (w *workTimes) reset(former map[string]worktime.Estimate) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.books, w.lastAnswer = make(map[string]*worktime.Book), make(map[string]time.Time)
-	w.published = told
-	for id, one := range told {
+	w.published = former
+	for id, one := range former {
 		slowness := max(one.Slowness, minSlowness)
 		w.addLocked(id, worktime.Sum{
 			Total: time.Duration(inheritedRuns * float64(one.Work) / slowness), Runs: inheritedRuns, Slowness: inheritedRuns * one.Slowness,
@@ -113,7 +114,7 @@
 	}
 }
 
-// note notes the runs that a report tells of.
+// record adds the runs of a report.
 func (w *workTimes) record(loads []*syncpb.Load) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -126,8 +127,8 @@
 	}
 }
 
-// answeredAt returns when it was last told that the upstream had answered requests; zero when
-// it never was.
+// lastAnsweredAt returns when a gateway last reported that the upstream had answered requests, or
+// the zero time.
 func (w *workTimes) lastAnsweredAt(id string) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -154,14 +155,15 @@
 	return b
 }
 
-// of returns the estimate for an upstream of the service; zero while none was seen.
+// mean returns the estimated work time of an upstream of the service, or zero while no run is
+// known.
 func (w *workTimes) mean(service, id string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.book(service).Mean(id)
 }
 
-// forget drops what was seen of an upstream that has started again.
+// forget drops the runs of an upstream that has restarted.
 func (w *workTimes) forget(service, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -169,16 +171,16 @@
 	delete(w.lastAnswer, id)
 }
 
-// all returns the estimates for all upstreams as of the last refresh. The map is not
-// changed any more.
+// estimates returns the estimates for all upstreams as of the last refresh. The map must not be
+// changed.
 func (w *workTimes) estimates() map[string]worktime.Estimate {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.published
 }
 
-// refresh makes the estimates that are told from now on. It is called once a report interval:
-// a leader answers hundreds of reports in it, each with the estimates of a thousand upstreams.
+// refresh recomputes the published estimates. It is called once per report interval: within one,
+// a leader answers hundreds of reports, each with the estimates of a thousand upstreams.
 func (w *workTimes) refresh() {
 	known := w.view.inst.Load()
 	if known == nil {
