--- a/gateway/arrivals.go
+++ b/gateway/arrivals.go
@@ -6,36 +6,37 @@
 	"net/http"
 )
 
-// arrivedKey is the key of the function in a request's context that is called when bytes
-// of the answer's body have arrived.
+// progressKey is the context key of the function that is called when bytes of a response body
+// have been read.
 type progressKey struct{}
 
-// withArrived returns a context for a request that goes by an arrivals transport: arrived
-// is called whenever bytes of the answer's body have been read.
-func withProgress(ctx context.Context, arrived func()) context.Context {
-	return context.WithValue(ctx, progressKey{}, arrived)
+// withProgress returns a context for a request sent through a progressTransport: onRead is called
+// whenever bytes of the response body have been read.
+func withProgress(ctx context.Context, onRead func()) context.Context {
+	return context.WithValue(ctx, progressKey{}, onRead)
 }
 
-// arrivals is a transport that tells of answers as they arrive, to the function that
-// withArrived has put into the request's context, if any.
+// progressTransport is a transport that reports the progress of response bodies to the function
+// that withProgress has put into the request's context, if any.
 type progressTransport struct{ base *http.Transport }
 
-// RoundTrip implements http.RoundTripper. Its errors are those of the base.
+// RoundTrip implements http.RoundTripper. Errors of the base transport are returned unchanged.
 func (a *progressTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := a.base.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	if arrived, ok := r.Context().Value(progressKey{}).(func()); ok {
-		resp.Body = &progressBody{ReadCloser: resp.Body, onRead: arrived}
+	if onRead, ok := r.Context().Value(progressKey{}).(func()); ok {
+		resp.Body = &progressBody{ReadCloser: resp.Body, onRead: onRead}
 	}
 	return resp, nil
 }
 
-// CloseIdleConnections closes the base's, which http.Client asks for by this method.
+// CloseIdleConnections closes the idle connections of the base transport. http.Client looks for
+// this method.
 func (a *progressTransport) CloseIdleConnections() { a.base.CloseIdleConnections() }
 
-// arrivingBody is the body of an answer that tells when bytes of it have been read.
+// progressBody is a response body that reports when bytes of it have been read.
 type progressBody struct {
 	io.ReadCloser
 	onRead func()
--- a/gateway/arrivals_test.go
+++ b/gateway/arrivals_test.go
@@ -13,8 +13,9 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// TestArrivals: what arrives is told to the request's own function, before the whole is
-// there; requests without one go as ever.
+// TestBodyProgressIsReported checks that progress of a response body is reported to the function
+// of its own request before the body is complete, and that requests without such a function work
+// as usual.
 func TestBodyProgressIsReported(t *testing.T) {
 	t.Parallel()
 	goOn := make(chan struct{})
@@ -30,7 +31,7 @@
 	t.Cleanup(server.Close)
 	client := &http.Client{Transport: &progressTransport{&http.Transport{}}}
 	t.Cleanup(client.CloseIdleConnections)
-	told := make(chan struct{}, 100)
+	progress := make(chan struct{}, 100)
 	get := func(ctx context.Context) {
 		t.Helper()
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, server.URL, nil)
@@ -47,35 +48,36 @@
 		}
 	}
 	go func() {
-		<-told
+		<-progress
 		close(goOn)
 	}()
-	get(withProgress(t.Context(), func() { told <- struct{}{} }))
-	if len(told) == 0 {
-		t.Error("the second piece is not told")
+	get(withProgress(t.Context(), func() { progress <- struct{}{} }))
+	if len(progress) == 0 {
+		t.Error("the second part of the body was not reported")
 	}
-	for len(told) > 0 {
-		<-told
+	for len(progress) > 0 {
+		<-progress
 	}
 	get(t.Context())
-	if len(told) > 0 {
-		t.Error("told of another request")
+	if len(progress) > 0 {
+		t.Error("progress of another request was reported")
 	}
 }
 
-// TestIdlePeersAreClosed through the transport that tells of arrivals.
+// TestProgressTransportClosesIdleConnections checks that http.Client can close idle connections
+// through a progressTransport.
 func TestProgressTransportClosesIdleConnections(t *testing.T) {
 	t.Parallel()
 	var client any = (&http.Client{Transport: &progressTransport{&http.Transport{}}}).Transport
 	if _, ok := client.(interface{ CloseIdleConnections() }); !ok {
-		t.Error("idle connections stay open")
+		t.Error("progressTransport does not offer CloseIdleConnections")
 	}
 }
 
-// slowRelay is a gateway whose answer arrives in pieces.
+// slowRelay is a gateway whose response arrives in pieces.
 type slowRelay struct {
 	syncpb.Peer
-	// first is the time until the first piece.
+	// first is the delay of the first piece.
 	first  time.Duration
 	pieces int
 }
@@ -96,7 +98,8 @@
 	return &syncpb.RelayResponse{Status: http.StatusOK}, nil
 }
 
-// TestRelayedCallIsBoundedBySilence and in the end as a whole.
+// TestRelayedCallIsBoundedBySilence checks that a relayed call ends when no bytes arrive for too
+// long, and that its total time is bounded as well.
 func TestRelayedCallIsBoundedBySilence(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -113,13 +116,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				told := 0
-				status, _, err := quietCaller().relay(t.Context(), c.relay, platform.Call{Wait: c.wait}, func() { told++ })
+				progress := 0
+				status, _, err := quietCaller().relay(t.Context(), c.relay, platform.Call{Wait: c.wait}, func() { progress++ })
 				if err != c.want || (err == nil) != (status == http.StatusOK) {
 					t.Errorf("status %d, %v, want %v", status, err, c.want)
 				}
-				if err == nil && told != c.relay.pieces {
-					t.Errorf("told of %d pieces", told)
+				if err == nil && progress != c.relay.pieces {
+					t.Errorf("progress reported %d times", progress)
 				}
 			})
 		})
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -12,22 +12,23 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// This file takes over the limits that upstreams in need name with their answers, here or at
-// other gateways.
+// This file records the limits that upstreams name: an overloaded upstream states in its answers
+// how many requests a second it can take, and the gateways that see this tell the others.
 
-// Who has told of a limit, in the log.
+// Sources of limits, as logged.
 const (
 	limitFromAnswer  = "answer"
 	limitFromGateway = "gateway"
 )
 
-// namedLimits is what this gateway knows of limits that upstreams name, for concurrent use.
+// namedLimits holds the limits named by upstreams that this gateway knows of. It is safe for
+// concurrent use.
 type namedLimits struct {
 	view   *view
 	now    func() time.Time
 	log    *slog.Logger
 	meters *meters
-	// onChange is called, without a lock, when a limit begins, changes or ends.
+	// onChange is called, without holding the lock, when a limit begins, changes or ends.
 	onChange func()
 
 	mu   sync.Mutex
@@ -38,14 +39,14 @@
 	return &namedLimits{view: v, now: now, log: log, meters: m, onChange: func() {}, book: limits.NewBook()}
 }
 
-// sent counts a request that is sent to an upstream which names a limit.
+// countSent counts a request that is sent to an upstream with a limit.
 func (n *namedLimits) countSent(g dispatch.Grant) {
 	if _, ok := n.limitOf(&g.Instance); ok {
 		n.meters.inc(n.meters.service(limitSent, g.Instance.Service))
 	}
 }
 
-// of returns the limit of an upstream in requests a second; ok is false when it names none.
+// limitOf returns the limit of an upstream in requests a second. ok is false if it names none.
 func (n *namedLimits) limitOf(one *instances.Instance) (perSecond float64, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,8 +56,8 @@
 	return n.book.Of(one.ID, one.Incarnation())
 }
 
-// answered takes over what an upstream's answer to a try says of its limit. What cannot be is
-// counted and dropped.
+// recordAnswer records what an upstream's answer to a try says about its limit. An invalid value
+// is counted and dropped.
 func (n *namedLimits) recordAnswer(g dispatch.Grant, h http.Header) {
 	perSecond, named, err := platform.DecodeLimit(h)
 	switch {
@@ -67,7 +68,8 @@
 			Upstream: g.Instance.ID, Incarnation: g.Instance.Incarnation(), PerSecond: perSecond, At: n.now(),
 		})
 	case platform.Genuine(h):
-		// Only an upstream's own answer ends its limit: at a former address another may refuse.
+		// Only a genuine answer of the upstream ends its limit: another server may refuse requests
+		// at the upstream's former address.
 		n.recordNoLimit(g)
 	}
 }
@@ -81,7 +83,7 @@
 	}
 }
 
-// note takes over limits that are newer than what is known. from tells in the log who said them.
+// record adds limits that are newer than the known ones. from is the source, for the log.
 func (n *namedLimits) record(from string, list ...limits.Limit) {
 	var changed []limits.Limit
 	n.mu.Lock()
@@ -96,16 +98,16 @@
 	}
 }
 
-// changed logs what has changed, and lets it take effect.
+// notifyChanged applies and logs changed limits.
 func (n *namedLimits) notifyChanged(from string, list ...limits.Limit) {
 	n.onChange()
 	for _, l := range list {
 		log := n.log.With("upstream", l.Upstream, "service", n.serviceOf(l.Upstream), "from", from)
 		if l.Ended {
-			log.Info("upstream names no limit any more")
+			log.Info("upstream limit ended")
 			continue
 		}
-		log.Info("upstream names its limit", "per_second", l.PerSecond)
+		log.Info("upstream named a limit", "per_second", l.PerSecond)
 	}
 }
 
@@ -116,7 +118,8 @@
 	return ""
 }
 
-// list returns what is known, ends of limits among it, without what is of no use any more.
+// list returns the known limits, including ended ones, and forgets outdated ones and those of
+// unknown upstreams.
 func (n *namedLimits) list() []limits.Limit {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -129,7 +132,7 @@
 	return n.book.List()
 }
 
-// gauges tells how many upstreams of each service name a limit.
+// updateGauges sets the gauges of how many upstreams of each service name a limit.
 func (n *namedLimits) updateGauges() {
 	v := n.view.inst.Load()
 	if v == nil {
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// What an upstream may get that names a limit: from settledAfter after it first named it, in any
-// limitWindow no more than limitSlack times what the limit allows in it and limitExtra requests.
+// Bounds on the requests that an upstream with a limit may get: from limitGrace after it first
+// named the limit, in any limitWindow at most limitSlack times what the limit allows in that
+// window plus limitExtra requests.
 const (
 	limitGrace  = 3 * time.Second
 	limitWindow = 4 * time.Second
@@ -17,14 +18,14 @@
 	limitExtra  = 5
 )
 
-// mostAllowed is how many requests may come in one window.
+// maxAllowed returns how many requests may arrive in one window.
 func maxAllowed(perSecond float64) int {
 	return int(limitSlack*perSecond*limitWindow.Seconds()) + limitExtra
 }
 
-// mostIn returns the most requests that came in any window which ends after the limit has
-// settled. The window may begin before the limit was named: what came then is in the
-// upstream's queue.
+// maxInWindow returns the most requests that arrived in any window that ends at least limitGrace
+// after the limit was named. The window may begin before the limit was named: requests from then
+// wait in the upstream's queue.
 func maxInWindow(arrivals []time.Time, named time.Time) int {
 	most, first := 0, 0
 	for last, at := range arrivals {
@@ -38,17 +39,12 @@
 	return most
 }
 
-// TestNamedLimitsAreKept is a regression test.
-//
-// What users saw: two upstreams in need named limits of about a third of what they got, and went
-// on getting all of it, three times what they had asked for, from eleven gateways.
-// Order of events: calm load; an upstream names its limit with each answer; three seconds later it
-// has got 180 requests in 4 s where 114 were allowed.
-// Cause: nothing read the limit, a header of the answers that was handed on with all others; and
-// each gateway by itself could not have kept to a sum over all.
-// Evidence: with the lines and metrics of limits in place all gateways noticed the limit within the
-// first answers, and what they sent stayed what it was. Gateways that each keep to the limit send
-// 160 requests in 4 s of 40 allowed (quota.TestEachByItselfDoesNot).
+// TestNamedLimitsAreRespected guards against gateways that ignore the limit in an upstream's
+// answers, or that each keep to it alone. Two upstreams that named a limit of about a third of
+// their load kept getting all of it from eleven gateways, as the limit was passed on to callers
+// like any other header but not read: three seconds after the first answer with a limit an
+// upstream got 180 requests in 4 s where 114 were allowed. Gateways that each keep to the whole
+// limit send 160 requests in 4 s where 40 are allowed (quota.TestEachByItselfDoesNot).
 func TestNamedLimitsAreRespected(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
@@ -76,9 +72,9 @@
 		}
 	}
 	stop := make(chan struct{})
-	var asking sync.WaitGroup
+	var running sync.WaitGroup
 	for n := range 2 * clients {
-		asking.Go(func() { ask(stop, n) })
+		running.Go(func() { ask(stop, n) })
 	}
 	time.Sleep(time.Second)
 	named := time.Now()
@@ -87,19 +83,19 @@
 	other.Name(perSecond)
 	time.Sleep(load)
 	close(stop)
-	asking.Wait()
+	running.Wait()
 	for _, u := range []*upstream{owner, other} {
 		if got := maxInWindow(u.Arrivals(), named); got > maxAllowed(perSecond) {
 			t.Errorf("%s named %d a second and got %d requests in 4 s, allowed %d", u.ID, perSecond, got, maxAllowed(perSecond))
 		}
 	}
 	if paid.Load() == 0 || refused.Load() > paid.Load()/100 {
-		t.Errorf("%d payments answered, %d not, though an upstream without a limit is half idle", paid.Load(), refused.Load())
+		t.Errorf("%d payments answered, %d refused although an upstream without a limit is half idle", paid.Load(), refused.Load())
 	}
 }
 
-// TestKeysMoveOffALimitedOwner: what an owner names as its limit is what it can run, so the keys
-// that it is asked for beyond that go to others, and their requests are answered.
+// TestKeysMoveOffALimitedOwner checks that keys move away from an owner that gets more requests
+// than the limit it names, and that requests for these keys are then answered by others.
 func TestKeysMoveOffALimitedOwner(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
@@ -111,9 +107,9 @@
 	)
 	var answered, refused atomic.Int64
 	stop := make(chan struct{})
-	var asking sync.WaitGroup
+	var running sync.WaitGroup
 	for n := range clients {
-		asking.Go(func() {
+		running.Go(func() {
 			for i := n; ; i += clients {
 				select {
 				case <-stop:
@@ -135,14 +131,14 @@
 	refused.Store(0)
 	time.Sleep(counted)
 	close(stop)
-	asking.Wait()
+	running.Wait()
 	if yes, no := answered.Load(), refused.Load(); no > yes/20 {
 		t.Errorf("%d requests for keys answered, %d not, %s after an owner of a third of them named its limit", yes, no, settled)
 	}
 }
 
-// TestLimitOfNoneEnds: an upstream that takes no requests for a while is asked now and then, and
-// serves again when it takes some.
+// TestZeroLimitEnds checks that an upstream with a limit of zero still gets a request now and
+// then, and serves again once it accepts requests.
 func TestZeroLimitEnds(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
@@ -166,5 +162,5 @@
 	})
 }
 
-// every is the time between two requests of a client.
+// requestInterval is the time between two requests of a client.
 const requestInterval = 25 * time.Millisecond
--- a/gateway/limitsight_test.go
+++ b/gateway/limitsight_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestNamedLimitIsSeen: from lines and metrics of a gateway one sees which upstream names a limit,
-// how high it is, what is sent there meanwhile, and when it ends.
+// TestNamedLimitIsLoggedAndCounted checks that log lines and metrics of a gateway show which
+// upstream names a limit, how high it is, what is sent to it meanwhile, and when the limit ends.
 func TestNamedLimitIsLoggedAndCounted(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
@@ -23,8 +23,8 @@
 	for range 3 {
 		b.mustAsk(g, http.MethodPost, "/pay/x", -1)
 	}
-	b.eventually("a line tells of the limit", func() bool {
-		line := out.lineOf("upstream names its limit", "i-p0")
+	b.eventually("the limit is logged", func() bool {
+		line := out.lineOf("upstream named a limit", "i-p0")
 		return line != nil && line["per_second"] == 1000.0 && line["service"] == "pay"
 	})
 	if served := metricsOf(g); served["limits.pay.named"] != "1" || served["limits.pay.sent"] != "2" || served["limits.status.named"] != "0" {
@@ -32,7 +32,7 @@
 	}
 	only.NameNone()
 	b.mustAsk(g, http.MethodPost, "/pay/x", -1)
-	b.eventually("a line tells of its end", func() bool { return out.lineOf("upstream names no limit any more", "i-p0") != nil })
+	b.eventually("the end of the limit is logged", func() bool { return out.lineOf("upstream limit ended", "i-p0") != nil })
 	if served := metricsOf(g); served["limits.pay.named"] != "0" {
 		t.Errorf("named %s after the end", served["limits.pay.named"])
 	}
--- a/gateway/noticenews.go
+++ b/gateway/noticenews.go
@@ -6,25 +6,25 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// This file uses what upstreams have told all gateways of themselves where owners of keys are
-// decided: keys of one that leaves or rests are handed over as if its entry said so.
+// This file uses the notices reported by all gateways when owners of keys are decided: the keys
+// of an upstream that is leaving or resting are handed over as if its entry in the store said so.
 
 const (
-	// leastRest is the shortest rest for which keys are handed over: the news and a move take
-	// some tenths of a second.
+	// minRest is the shortest rest for which keys are handed over. Reporting the rest and moving
+	// the keys takes some tenths of a second.
 	minRest = 500 * time.Millisecond
-	// restingShare is the share of the gateways that an owner must have asked for rest: asked by
-	// a few it serves what the others are asked for.
+	// minRestingShare is the share of the gateways that an owner must have asked for a rest. If it
+	// has asked only a few, it still serves the requests of the others.
 	minRestingShare = 0.5
 )
 
-// told returns what this gateway and those that report to it have at the upstream, and what it has
-// told them; nil for nothing.
+// reportedLoad returns the load that this gateway and those that report to it have at the
+// upstream, with the notices they received from it, or nil if there is none.
 func (s *steward) reportedLoad(upstream string) *syncpb.Load {
 	return s.cluster.sum(s.lastOwn().loads).loads[upstream]
 }
 
-// toldLeaving returns the upstreams that have told a gateway that they leave.
+// reportedLeaving returns the upstreams that have told any gateway that they are leaving.
 func (s *steward) reportedLeaving() map[string]bool {
 	var out map[string]bool
 	for id, l := range s.cluster.sum(s.lastOwn().loads).loads {
@@ -39,8 +39,8 @@
 	return out
 }
 
-// rests reports whether the upstream has asked so many gateways for so long a rest that its keys
-// are better off elsewhere.
+// isResting reports whether the upstream has asked enough gateways for a long enough rest that
+// its keys should move.
 func (s *steward) isResting(upstream string) bool {
 	l := s.reportedLoad(upstream)
 	if l == nil || time.Duration(l.RestMs)*time.Millisecond < minRest {
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -8,9 +8,11 @@
 	"github.com/rockcroft/rockcroft/platform"
 )
 
-// This file takes over what upstreams say of themselves with their answers to this gateway.
+// This file reads notices: what upstreams say about themselves in their answers to this gateway,
+// which is that they are leaving or need a rest.
 
-// notice returns what an upstream's answer says of it. What cannot be is counted and dropped.
+// decodeNotice returns the notice in an upstream's answer. An invalid rest is counted and
+// dropped.
 func (f *front) decodeNotice(status int, h http.Header) notice.Notice {
 	rest, err := platform.DecodeRest(status, h)
 	if err != nil {
@@ -19,29 +21,30 @@
 	return notice.Notice{Leaving: platform.Leaving(h), Rest: rest}
 }
 
-// noticed logs what a notice has changed.
+// logNotice logs what a notice has changed.
 func (f *front) logNotice(g dispatch.Grant, n notice.Notice, c notice.Change) {
 	log := f.log.With("upstream", g.Instance.ID, "service", g.Instance.Service)
 	if c.Leaves {
-		log.Info("upstream says that it leaves")
+		log.Info("upstream announced that it is leaving")
 	}
 	if c.Rests {
-		log.Info("upstream asks for rest", "rest_ms", n.Rest.Milliseconds())
+		log.Info("upstream asked for a rest", "rest_ms", n.Rest.Milliseconds())
 	}
 }
 
-// countNoticed counts a request that is sent to an upstream which leaves or rests.
-func (f *front) countSentDespiteNotice(g dispatch.Grant, said notice.Standing) {
-	if said.Leaving() {
+// countSentDespiteNotice counts a request that is sent to an upstream which is leaving or
+// resting.
+func (f *front) countSentDespiteNotice(g dispatch.Grant, standing notice.Standing) {
+	if standing.Leaving() {
 		f.meters.inc(f.meters.service(noticesSentLeaving, g.Instance.Service))
 	}
-	if said.Resting(f.now()) {
+	if standing.Resting(f.now()) {
 		f.meters.inc(f.meters.service(noticesSentResting, g.Instance.Service))
 	}
 }
 
-// maySend reports whether a request that was granted may go to its upstream now, and what that has
-// said of itself.
+// maySend reports whether a granted request may be sent to its upstream now, and the upstream's
+// notices so far.
 func (t *traffic) maySend(s *service, g dispatch.Grant) (bool, notice.Standing) {
 	now := t.now()
 	s.mu.Lock()
@@ -49,7 +52,8 @@
 	return s.dispatch.MaySend(now, g), s.dispatch.Said(g)
 }
 
-// noticeGauges tells how many upstreams of each service leave and rest, by what they have said here.
+// updateNoticeGauges sets the gauges of how many upstreams of each service are leaving and
+// resting according to their answers to this gateway.
 func (t *traffic) updateNoticeGauges(m *meters) {
 	now := t.now()
 	for name, s := range t.all() {
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -11,13 +11,13 @@
 	"github.com/rockcroft/rockcroft/standin/metastore"
 )
 
-// What upstreams that say something of themselves may get.
+// Bounds on the requests that upstreams may get after a notice.
 const (
-	// drainAllowed is how long after an answer that tells that its upstream leaves a gateway may
-	// still be asked for what it sends there.
+	// leavingGrace is how long after an answer saying that its upstream is leaving a gateway may
+	// still accept requests that it sends there.
 	leavingGrace = 2 * time.Second
-	// restAfter is how long after it was asked for rest a gateway may go on, restMost how many
-	// requests it may send from then to the end of the rest.
+	// restGrace is how long a gateway may continue to send after it was asked for a rest. From then
+	// until the end of the rest it may send maxRequestsInRest requests.
 	restGrace         = 500 * time.Millisecond
 	maxRequestsInRest = 2
 )
@@ -31,16 +31,18 @@
 	leaving        bool
 }
 
-// record keeps what clients have asked, by request id. It is safe for concurrent use.
+// requestRecord holds the requests that clients have sent, by request ID. It is safe for
+// concurrent use.
 type requestRecord struct {
 	mu       sync.Mutex
 	requests map[string]exchange
 }
 
-// askOn lets clients ask for keys and pay, each in turn at all gateways, until stop is closed.
+// startClients starts clients that request keys or send payments to all gateways in turn until
+// stop is closed.
 func (b *bed) startClients(clients int, stop <-chan struct{}) (*requestRecord, *sync.WaitGroup) {
 	r := &requestRecord{requests: make(map[string]exchange)}
-	var asking sync.WaitGroup
+	var running sync.WaitGroup
 	ask := func(n, i int) {
 		g := b.gateways[i%len(b.gateways)]
 		method, path, key := http.MethodGet, "/status/x", (i*7919)%65536
@@ -57,7 +59,7 @@
 		}
 	}
 	for n := range clients {
-		asking.Go(func() {
+		running.Go(func() {
 			for i := n; ; i += clients {
 				select {
 				case <-stop:
@@ -68,32 +70,33 @@
 			}
 		})
 	}
-	return r, &asking
+	return r, &running
 }
 
-// tooLate returns how many requests of each gateway reached the upstream although clients sent
-// them too long after an answer of it had told that it leaves.
+// sentTooLate returns, by gateway, how many requests reached the upstream although clients sent
+// them more than leavingGrace after an answer through that gateway had said that the upstream is
+// leaving.
 func (r *requestRecord) sentTooLate(u *upstream) map[string]int {
 	arrived := u.Arrived()
-	told := make(map[string]time.Time)
+	noticed := make(map[string]time.Time)
 	for _, a := range arrived {
 		e, ok := r.requests[a.Request]
-		if first, known := told[e.gateway]; ok && e.leaving && (!known || e.answered.Before(first)) {
-			told[e.gateway] = e.answered
+		if first, known := noticed[e.gateway]; ok && e.leaving && (!known || e.answered.Before(first)) {
+			noticed[e.gateway] = e.answered
 		}
 	}
 	late := make(map[string]int)
 	for _, a := range arrived {
 		e := r.requests[a.Request]
-		if first, known := told[e.gateway]; known && e.sent.Sub(first) > leavingGrace {
+		if first, known := noticed[e.gateway]; known && e.sent.Sub(first) > leavingGrace {
 			late[e.gateway]++
 		}
 	}
 	return late
 }
 
-// mostInRests returns the most requests that each gateway sent in a rest that it had been asked
-// for, from restAfter on.
+// maxInRests returns, by gateway, the most requests that it sent during a rest it had been asked
+// for, from restGrace on.
 func (r *requestRecord) maxInRests(u *upstream) map[string]int {
 	byGateway := make(map[string][]instance.Arrival)
 	for _, a := range u.Arrived() {
@@ -116,8 +119,8 @@
 	return most
 }
 
-// served counts the answers to requests for a path that clients sent after a moment, and those
-// among them that are no success.
+// served counts the answers to requests for a path that clients sent after the given time, and
+// how many of them were not successful.
 func (r *requestRecord) served(path string, after time.Time) (all, not int) {
 	for _, e := range r.requests {
 		if e.path != path || !e.sent.After(after) {
@@ -131,15 +134,11 @@
 	return all, not
 }
 
-// TestLeavingUpstreamsGetNoMore is a regression test.
-//
-// What users saw: an upstream that left got requests until its end, eleven seconds after it had
-// first said so with an answer; two seconds are allowed.
-// Order of events: the store falls silent; an upstream begins to say with its answers that it
-// leaves; gateways pass such answers on; its entry in the store goes on to say that it is ready.
-// Cause: only the entry was read; the word in the answers was handed on with all other headers.
-// Evidence: with the lines and metrics of notices in place each gateway noticed the word within its
-// first answer, and what it sent there stayed what it was.
+// TestLeavingUpstreamsGetNoMoreRequests guards against gateways that ignore an upstream's notice
+// that it is leaving. While the store was silent, its entry still said that the upstream was
+// ready, and gateways read only the entry and passed the notice on like any other header. The
+// upstream got requests until its end, eleven seconds after its first notice; two seconds are
+// allowed.
 func TestLeavingUpstreamsGetNoMoreRequests(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -147,70 +146,66 @@
 		away bool
 	}{
 		{"the store silent", true},
-		{"the entry behind", false},
+		{"the entry outdated", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			b := standard(t)
 			stop := make(chan struct{})
-			asked, asking := b.startClients(8, stop)
+			asked, running := b.startClients(8, stop)
 			if c.away {
 				b.store.SetAll(metastore.Silent)
 			}
 			time.Sleep(time.Second)
 			owner, other := b.ups["i-s0"], b.ups["i-p0"]
-			said := time.Now()
+			announced := time.Now()
 			owner.Leave()
 			other.Leave()
 			time.Sleep(2 * leavingGrace)
 			close(stop)
-			asking.Wait()
+			running.Wait()
 			for _, u := range []*upstream{owner, other} {
 				for gateway, n := range asked.sentTooLate(u) {
-					t.Errorf("%s got %d requests of %s that clients sent more than %s after its word", u.ID, n, gateway, leavingGrace)
+					t.Errorf("%s got %d requests from %s that clients sent more than %s after its notice", u.ID, n, gateway, leavingGrace)
 				}
 			}
-			if all, not := asked.served("/pay/x", said); all == 0 || not > 0 {
-				t.Errorf("%d of %d payments not answered though an upstream stays", not, all)
+			if all, not := asked.served("/pay/x", announced); all == 0 || not > 0 {
+				t.Errorf("%d of %d payments not answered although another upstream stays", not, all)
 			}
 		})
 	}
 }
 
-// TestRestsAreKept is a regression test.
-//
-// What users saw: upstreams that had asked each gateway for three seconds of rest got three times
-// what they had got before and turned all of it away; a third of the requests for the service was
-// refused, many after two sends to the same upstream.
-// Order of events: an upstream turns a request away with the time for which it wants nothing more;
-// the gateway sends the request to it again a millisecond later, and every request that follows.
-// Cause: the time was not read; a refusal for want of room paused the upstream for 60 ms at most.
-// Evidence: with the lines and metrics of notices in place each gateway noticed the rest with the
-// first refusal, and sent on.
+// TestRestsAreRespected guards against gateways that ignore the rest that an upstream asks for
+// when it refuses a request. The rest was not read, and a refusal for lack of capacity paused the
+// upstream for at most 60 ms, so the gateway sent the same request again a millisecond later.
+// Upstreams that had asked each gateway for three seconds of rest got three times their former
+// load and refused all of it. A third of the requests for the service was refused, many of them
+// after two tries at the same upstream.
 func TestRestsAreRespected(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	stop := make(chan struct{})
-	asked, asking := b.startClients(8, stop)
+	asked, running := b.startClients(8, stop)
 	time.Sleep(time.Second)
 	owner, other := b.ups["i-s0"], b.ups["i-p0"]
 	owner.Rest("1.5")
 	other.Rest("1.5")
 	time.Sleep(4 * time.Second)
 	close(stop)
-	asking.Wait()
+	running.Wait()
 	for _, u := range []*upstream{owner, other} {
 		for gateway, n := range asked.maxInRests(u) {
 			if n > maxRequestsInRest {
-				t.Errorf("%s asked %s for 1.5 s of rest and got %d requests from half a second on, allowed %d", u.ID, gateway, n, maxRequestsInRest)
+				t.Errorf("%s asked %s for 1.5 s of rest and got %d requests after the first half second, allowed %d", u.ID, gateway, n, maxRequestsInRest)
 			}
 		}
 	}
 }
 
-// TestKeysOfLeavingAndRestingOwnersMove: an owner that says with its answers that it leaves, or that
-// asks all gateways for rest, is relieved of its keys while its entry says that it is ready, and
-// callers are answered by others.
+// TestKeysOfLeavingAndRestingOwnersMove checks that an owner loses its keys when it says in its
+// answers that it is leaving, or asks all gateways for a rest, although its entry says that it is
+// ready, and that other upstreams then answer the callers.
 func TestKeysOfLeavingAndRestingOwnersMove(t *testing.T) {
 	t.Parallel()
 	const settled = time.Second
@@ -225,18 +220,18 @@
 			t.Parallel()
 			b := standard(t)
 			stop := make(chan struct{})
-			asked, asking := b.startClients(8, stop)
+			asked, running := b.startClients(8, stop)
 			time.Sleep(time.Second)
-			said := time.Now()
+			announced := time.Now()
 			c.say(b.ups["i-s0"])
 			time.Sleep(2 * settled)
 			if n := b.ownedBy("i-s0"); n > 0 {
-				t.Errorf("it owns %d keys %s later", n, 2*settled)
+				t.Errorf("the owner still has %d keys after %s", n, 2*settled)
 			}
 			close(stop)
-			asking.Wait()
-			if all, not := asked.served("/status/x", said.Add(settled)); all == 0 || not > all/50 {
-				t.Errorf("%d of %d requests for keys not answered from %s on", not, all, settled)
+			running.Wait()
+			if all, not := asked.served("/status/x", announced.Add(settled)); all == 0 || not > all/50 {
+				t.Errorf("%d of %d requests for keys not answered from %s after the notice on", not, all, settled)
 			}
 		})
 	}
--- a/gateway/noticesight_test.go
+++ b/gateway/noticesight_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestNoticesAreSeen: from lines and metrics of a gateway one sees which upstream has said that it
-// leaves or has asked for rest, and what is sent there all the same.
+// TestNoticesAreLoggedAndCounted checks that log lines and metrics of a gateway show which
+// upstreams are leaving or have asked for a rest, and what is sent to them nevertheless.
 func TestNoticesAreLoggedAndCounted(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
@@ -21,14 +21,14 @@
 	go g.lines.Run(ctx, &out)
 	leaving.Leave()
 	resting.Rest("30")
-	b.eventually("both have been asked", func() bool {
+	b.eventually("both notices are counted", func() bool {
 		b.ask(g, http.MethodPost, "/pay/x", -1)
 		m := metricsOf(g)
 		return m["notices.pay.leaving"] == "1" && m["notices.pay.resting"] == "1"
 	})
-	b.eventually("a line tells of each", func() bool {
-		rests := out.lineOf("upstream asks for rest", "i-p1")
-		return out.lineOf("upstream says that it leaves", "i-p0") != nil && rests != nil && rests["rest_ms"] == 30000.0
+	b.eventually("both notices are logged", func() bool {
+		rests := out.lineOf("upstream asked for a rest", "i-p1")
+		return out.lineOf("upstream announced that it is leaving", "i-p0") != nil && rests != nil && rests["rest_ms"] == 30000.0
 	})
 	if m := metricsOf(g); m["notices.status.leaving"] != "0" || m["notices.status.resting"] != "0" {
 		t.Errorf("status: leaving %s, resting %s", m["notices.status.leaving"], m["notices.status.resting"])
--- a/gateway/wake.go
+++ b/gateway/wake.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// This file is what a gateway does when its machine wakes up from a suspension. Rights need
-// nothing here: they go by a clock that has counted the time.
+// This file handles the wake-up of a gateway's machine from a suspension. Leases and rights need
+// no handling here: they are measured by a clock that counts the time of suspensions.
 
-// woken is called after a suspension of the length.
+// handleWakeUp is called after the machine was suspended for the given time.
 func (g *Gateway) handleWakeUp(length time.Duration) {
 	g.meters.inc(clockSuspensions)
 	g.meters.add(clockSuspended, int(length.Milliseconds()))
 	g.log.Warn("machine was suspended", "for_ms", length.Milliseconds())
-	// The other sides may have dropped connections meanwhile, and what cannot be repeated must not
-	// be the first to find out.
+	// The remote ends may have dropped their connections during the suspension. A request that
+	// cannot be repeated must not be the first to notice.
 	g.conns.Forget()
 	g.calls.conns.Forget()
 	g.cluster.http.CloseIdleConnections()
-	// Timers have stood still as well: requests whose time has gone are answered now.
+	// Timers have stood still as well, so requests whose deadline has passed are ended now.
 	g.front.open.cancelOverdue(g.now())
 }
 
-// openRequests are those that this gateway works on. It is safe for concurrent use.
+// openRequests are the requests in progress at this gateway. It is safe for concurrent use.
 type openRequests struct {
 	mu      sync.Mutex
 	cancels map[*request]context.CancelCauseFunc
@@ -33,8 +33,9 @@
 	return &openRequests{cancels: make(map[*request]context.CancelCauseFunc)}
 }
 
-// add returns a context that ends with that of a request, or when its deadline has passed in a
-// suspension.
+// add registers a request. The returned context ends with ctx, or when cancelOverdue finds that
+// the request's deadline has passed during a suspension. The returned function removes the
+// request.
 func (o *openRequests) add(ctx context.Context, q *request) (context.Context, context.CancelFunc) {
 	ctx, end := context.WithCancelCause(ctx)
 	o.mu.Lock()
@@ -48,7 +49,7 @@
 	}
 }
 
-// endOverdue ends the work on requests whose deadline has passed.
+// cancelOverdue cancels the requests whose deadline has passed.
 func (o *openRequests) cancelOverdue(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/gateway/wake_test.go
+++ b/gateway/wake_test.go
@@ -13,8 +13,8 @@
 	"github.com/rockcroft/rockcroft/transport/bootclock"
 )
 
-// TestSuspendedLeaderHasNoRight: a leader that was suspended for longer than its lease does not
-// act by it when it wakes up; afterwards some gateway leads, and keys are served.
+// TestSuspendedLeaderMayNotAct checks that a leader that was suspended for longer than its lease
+// does not act by it after waking up, and that afterwards some gateway leads and keys are served.
 func TestSuspendedLeaderMayNotAct(t *testing.T) {
 	t.Parallel()
 	for _, length := range []time.Duration{leadership.LeaseDuration, 10 * time.Second} {
@@ -22,16 +22,17 @@
 			t.Parallel()
 			b := standard(t)
 			leader := b.leader()
-			// It renews its lease as soon as it has woken up; until then it must not act.
+			// The leader renews its lease as soon as it has woken up, which the lock delays. Until
+			// then it must not act.
 			leader.leading.writing.Lock()
 			leader.suspend(length)
 			if leader.leading.mayAct() || leader.leading.stillMayAct() == nil {
-				t.Error("it may act by a lease that has run out meanwhile")
+				t.Error("the leader may act by a lease that expired during the suspension")
 			}
 			leader.leading.writing.Unlock()
-			b.eventually("one leads", func() bool { return b.leader() != nil })
+			b.eventually("a gateway leads", func() bool { return b.leader() != nil })
 			b.eventually("keys are served", func() bool { return b.ask(leader, http.MethodGet, "/status/x", 7).status == http.StatusOK })
-			b.eventually("it is counted", func() bool { return metricsOf(leader)["clock.suspensions"] == "1" })
+			b.eventually("the suspension is counted", func() bool { return metricsOf(leader)["clock.suspensions"] == "1" })
 			if ms := metricsOf(leader)["clock.suspended_ms"]; ms == "" || ms == "0" {
 				t.Errorf("suspended for %s ms", ms)
 			}
@@ -39,7 +40,8 @@
 	}
 }
 
-// TestShortSuspension: one shorter than what is left of the lease changes nothing.
+// TestShortSuspensionKeepsLeadership checks that a suspension shorter than the rest of the lease
+// has no effect.
 func TestShortSuspensionKeepsLeadership(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
@@ -49,9 +51,10 @@
 	b.mustAsk(leader, http.MethodGet, "/status/x", 7)
 }
 
-// TestTwoLeadersAroundASuspension: a holder is suspended at any point of its lease's term, for any
-// time, and another takes the lease by what it sees. By the steady clock, which stands still in a
-// suspension, both act at once; by one that counts it they never do.
+// TestNoTwoLeadersAroundSuspension suspends a lease holder at any point of its lease, for various
+// times, while another gateway observes the lease and takes it over. With the monotonic clock,
+// which stands still during a suspension, both may act at once; with a clock that counts
+// suspensions they never do.
 func TestNoTwoLeadersAroundSuspension(t *testing.T) {
 	const step = 50 * time.Millisecond
 	both := func(counts bool) (n int) {
@@ -65,15 +68,15 @@
 		return n
 	}
 	if n := both(false); n == 0 {
-		t.Error("the test does not show the fault")
+		t.Error("the monotonic clock does not reproduce two leaders")
 	}
 	if n := both(true); n > 0 {
-		t.Errorf("two act at once in %d cases", n)
+		t.Errorf("two leaders act at once in %d cases", n)
 	}
 }
 
-// overlap plays one suspension of a holder that renewed its lease at zero, and reports whether it
-// acts once another has taken the lease.
+// leadersOverlap simulates one suspension of a holder that renewed its lease at time zero. It
+// reports whether the holder may still act after another gateway has taken the lease.
 func leadersOverlap(at, length time.Duration, counts bool) bool {
 	start := time.Unix(1000, 0)
 	var awake, asleep time.Duration
@@ -95,8 +98,8 @@
 	return taken && right.Valid(now())
 }
 
-// TestOverdueAfterWaking: a request whose deadline has passed in a suspension is answered at once,
-// and truly.
+// TestOverdueRequestsEndAfterWakeUp checks that a request whose deadline passed during a
+// suspension is answered at once, and that the answer says correctly whether it may have run.
 func TestOverdueRequestsEndAfterWakeUp(t *testing.T) {
 	start := time.Now()
 	open := newOpenRequests()
@@ -109,11 +112,11 @@
 		ctx, end := open.add(context.Background(), q)
 		open.cancelOverdue(start.Add(time.Second))
 		if ctx.Err() != nil {
-			t.Error("ended before its deadline")
+			t.Error("request ended before its deadline")
 		}
 		open.cancelOverdue(start.Add(2 * time.Minute))
 		if !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-			t.Errorf("ended by %v", context.Cause(ctx))
+			t.Errorf("request ended by %v", context.Cause(ctx))
 		}
 		if kind := answer.KindOf(f.giveUp(ctx, q, context.Cause(ctx))); kind != one.kind {
 			t.Errorf("answered as %s, may have run %v", kind, one.mayHaveRun)
@@ -121,6 +124,6 @@
 		end()
 	}
 	if len(open.cancels) > 0 {
-		t.Errorf("%d requests remembered", len(open.cancels))
+		t.Errorf("%d ended requests are still registered", len(open.cancels))
 	}
 }
