--- a/gateway/arrivals.go
+++ b/gateway/arrivals.go
@@ -6,46 +6,47 @@
 	"net/http"
 )
 
-// arrivedKey is the key of the function in a request's context that is called when bytes
-// of the answer's body have arrived.
-type arrivedKey struct{}
-
-// withArrived returns a context for a request that goes by an arrivals transport: arrived
-// is called whenever bytes of the answer's body have been read.
-func withArrived(ctx context.Context, arrived func()) context.Context {
-	return context.WithValue(ctx, arrivedKey{}, arrived)
+// progressKey is the context key of the function that is called when bytes of a response body
+// have been read.
+type progressKey struct{}
+
+// withProgress returns a context for a request sent through a progressTransport: onRead is called
+// whenever bytes of the response body have been read.
+func withProgress(ctx context.Context, onRead func()) context.Context {
+	return context.WithValue(ctx, progressKey{}, onRead)
 }
 
-// arrivals is a transport that tells of answers as they arrive, to the function that
-// withArrived has put into the request's context, if any.
-type arrivals struct{ base *http.Transport }
+// progressTransport is a transport that reports the progress of response bodies to the function
+// that withProgress has put into the request's context, if any.
+type progressTransport struct{ base *http.Transport }
 
-// RoundTrip implements http.RoundTripper. Its errors are those of the base.
-func (a *arrivals) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip implements http.RoundTripper. Errors of the base transport are returned unchanged.
+func (a *progressTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := a.base.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	if arrived, ok := r.Context().Value(arrivedKey{}).(func()); ok {
-		resp.Body = &arrivingBody{ReadCloser: resp.Body, arrived: arrived}
+	if onRead, ok := r.Context().Value(progressKey{}).(func()); ok {
+		resp.Body = &progressBody{ReadCloser: resp.Body, onRead: onRead}
 	}
 	return resp, nil
 }
 
-// CloseIdleConnections closes the base's, which http.Client asks for by this method.
-func (a *arrivals) CloseIdleConnections() { a.base.CloseIdleConnections() }
+// CloseIdleConnections closes the idle connections of the base transport. http.Client looks for
+// this method.
+func (a *progressTransport) CloseIdleConnections() { a.base.CloseIdleConnections() }
 
-// arrivingBody is the body of an answer that tells when bytes of it have been read.
-type arrivingBody struct {
+// progressBody is a response body that reports when bytes of it have been read.
+type progressBody struct {
 	io.ReadCloser
-	arrived func()
+	onRead func()
 }
 
 // Read implements io.Reader.
-func (b *arrivingBody) Read(p []byte) (int, error) {
+func (b *progressBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if n > 0 {
-		b.arrived()
+		b.onRead()
 	}
 	return n, err
 }
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -2,11 +2,11 @@
 
 import "github.com/rockcroft/rockcroft/protocol/syncpb"
 
-// This file adds up what gateways are asked for, as they report it.
+// This file sums the request rates that gateways report.
 
-// demandElsewhere returns how many requests a second all gateways but the given one and
-// those behind it are asked for, by service. own is what this process is asked for.
-func (c *cluster) demandElsewhere(except string, own map[string]float64) map[string]float64 {
+// demandExcept returns how many requests a second are sent to all gateways except the given one
+// and those that report through it, by service. own is the demand of this process.
+func (c *cluster) demandExcept(except string, own map[string]float64) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := make(map[string]float64)
@@ -26,8 +26,9 @@
 	return sum
 }
 
-// demandBelow returns what this gateway and those that report to it are asked for.
-func (c *cluster) demandBelow(own map[string]float64) map[string]float64 {
+// subtreeDemand returns how many requests a second are sent to this gateway and to those that
+// report to it, by service.
+func (c *cluster) subtreeDemand(own map[string]float64) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := make(map[string]float64)
@@ -48,7 +49,7 @@
 	}
 }
 
-func demandMessages(demand map[string]float64) []*syncpb.Demand {
+func encodeDemands(demand map[string]float64) []*syncpb.Demand {
 	out := make([]*syncpb.Demand, 0, len(demand))
 	for name, rate := range demand {
 		out = append(out, &syncpb.Demand{Service: name, Requests: float32(rate)})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -180,7 +180,7 @@
 		Node: conf.Node, Address: open.Peers.Addr().String(), Domain: conf.Domain, Incarnation: incarnation(),
 		Strength: uint32(thousand * conf.Strength),
 	}
-	client := &http.Client{Transport: &arrivals{base: &http.Transport{
+	client := &http.Client{Transport: &progressTransport{base: &http.Transport{
 		DialContext:         countReads((&net.Dialer{Timeout: reportTimeout}).DialContext, g.meters.counter(newsIn)),
 		MaxIdleConnsPerHost: 4, IdleConnTimeout: defaultIdle,
 	}}}
@@ -212,9 +212,9 @@
 	g.conns = pool.New(upstreamLimits, g.now)
 	g.steward = &steward{
 		view: g.view, cluster: g.cluster, traffic: g.traffic, store: store, calls: g.calls,
-		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newTurns(mostGrantCalls), longest: conf.LongestHold.D(),
+		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newCallSlots(maxGrantCalls), longest: conf.LongestHold.D(),
 		now: g.now, log: log, meters: g.meters, workTimes: newWorkTimes(g.view, g.now), limits: g.limits,
-		rights: &rights{view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now},
+		rights: &warmUpRights{view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now},
 	}
 	g.leading = &leading{
 		store: store, calls: g.calls, cluster: g.cluster, follower: g.follower, watcher: g.watcher,
@@ -226,21 +226,21 @@
 		store: store, steward: g.steward, leading: g.leading, cluster: g.cluster, evac: evac, suspects: g.suspects, unread: unread,
 		watches: g.watcher.ages, now: g.now, log: log,
 	}
-	g.watcher.draining, g.watcher.toldLeaving = g.steward.placements.draining, g.steward.toldLeaving
+	g.watcher.draining, g.watcher.toldLeaving = g.steward.placements.draining, g.steward.reportedLeaving
 	g.follower.setOwn = g.steward.setOwn
 	g.front = &front{
 		view: g.view, traffic: g.traffic, splitter: routing.NewSplitter(), conns: g.conns, now: g.now,
 		log: log, meters: g.meters, domain: conf.Domain, gaps: g.gaps, limits: g.limits, suspects: g.suspects, unread: unread, open: newOpenRequests(),
 		maxHeld: int64(conf.Memory) * megabyte / mostBodyShare, configurationAge: g.configurationAge,
 	}
-	g.clock.OnSuspended(g.woken)
+	g.clock.OnSuspended(g.handleWakeUp)
 	return g
 }
 
 // limitsChanged lets a limit that an upstream names, or its end, take effect here at once, and
 // tells it to those that report to this gateway.
 func (g *Gateway) limitsChanged() {
-	g.traffic.setLimits(g.limits.news(g.cluster.wantedByOthers))
+	g.traffic.setLimits(g.limits.inForce(g.cluster.wantedByOthers))
 	g.view.notify()
 }
 
--- a/gateway/hotkeys.go
+++ b/gateway/hotkeys.go
@@ -8,40 +8,41 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// This file brings the limits of hot keys from the leader to all gateways.
+// This file distributes the leader's limits of hot keys to all gateways.
 
-// admits is the part of the requests that can be run, of hot keys, by service.
-type admits = map[string]map[uint16]float64
+// admittedShares is the share of requests to admit for each hot key, by service. Requests beyond
+// it would exceed what the owner can run.
+type admittedShares = map[string]map[uint16]float64
 
-// hotKeys are the limits that the leader has decided, for concurrent use.
-type hotKeys struct {
-	mu sync.Mutex
-	by map[string][]ownership.Limit
+// hotKeyLimits are the limits that the leader has decided. It is safe for concurrent use.
+type hotKeyLimits struct {
+	mu        sync.Mutex
+	byService map[string][]ownership.Limit
 }
 
-// set takes over the limits of a service.
-func (h *hotKeys) set(service string, limits []ownership.Limit) {
+// set replaces the limits of a service.
+func (h *hotKeyLimits) set(service string, limits []ownership.Limit) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.by == nil {
-		h.by = make(map[string][]ownership.Limit)
+	if h.byService == nil {
+		h.byService = make(map[string][]ownership.Limit)
 	}
-	h.by[service] = limits
+	h.byService[service] = limits
 }
 
-// clear drops all limits: this gateway does not lead any more.
-func (h *hotKeys) clear() {
+// clear drops all limits, because this gateway no longer leads.
+func (h *hotKeyLimits) clear() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.by = nil
+	h.byService = nil
 }
 
-// messages returns the limits as they are told.
-func (h *hotKeys) messages() []*syncpb.HotKeys {
+// encode returns the limits as messages for other gateways.
+func (h *hotKeyLimits) encode() []*syncpb.HotKeys {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []*syncpb.HotKeys
-	for service, limits := range h.by {
+	for service, limits := range h.byService {
 		if len(limits) == 0 {
 			continue
 		}
@@ -55,9 +56,9 @@
 	return out
 }
 
-// admitted returns what messages tell. What cannot be is left out.
-func admitted(list []*syncpb.HotKeys) admits {
-	out := make(admits, len(list))
+// decodeHotKeys returns the limits in messages. Invalid ones are left out.
+func decodeHotKeys(list []*syncpb.HotKeys) admittedShares {
+	out := make(admittedShares, len(list))
 	for _, m := range list {
 		keys := make(map[uint16]float64, len(m.Keys))
 		for i, key := range m.Keys {
@@ -70,15 +71,15 @@
 	return out
 }
 
-// setHotKeys takes over what the parent told of hot keys.
-func (c *cluster) setHotKeys(list []*syncpb.HotKeys) {
+// setParentHotKeys stores the limits of hot keys received from the parent.
+func (c *cluster) setParentHotKeys(list []*syncpb.HotKeys) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hotKeys = list
 }
 
-// hotKeysAbove returns what the parent told of hot keys.
-func (c *cluster) hotKeysAbove() []*syncpb.HotKeys {
+// parentHotKeys returns the limits of hot keys received from the parent.
+func (c *cluster) parentHotKeys() []*syncpb.HotKeys {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hotKeys
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -168,11 +168,11 @@
 			if k.now().Sub(planned) >= planInterval {
 				planned = k.now()
 				k.plan(ctx)
-				k.warmUp()
+				k.clearColdMarks()
 			}
 			k.startMoves(ctx)
 			k.startRenewals(ctx)
-			k.startTrials(ctx)
+			k.startProbes(ctx)
 			k.saveDone(ctx)
 		}
 		k.publishPending()
@@ -353,7 +353,7 @@
 		o := ownership.Owner{ID: one.ID, Incarnation: one.Incarnation(), Capacity: k.capacity(one)}
 		k.noteStart(one)
 		control := k.control(one.ID)
-		o.MayKeep = !one.Leaving && !k.view.evacuated(one.Domain) && !k.isDead(one) && !k.rests(one.ID) && control.MayKeep(k.now(), k.hold())
+		o.MayKeep = !one.Leaving && !k.view.evacuated(one.Domain) && !k.isDead(one) && !k.isResting(one.ID) && control.MayKeep(k.now(), k.grantDuration())
 		o.Usable = o.MayKeep && !control.Failing()
 		o.Warming = warming[one.ID]
 		out = append(out, o)
@@ -365,12 +365,12 @@
 // capacity is how many requests a second the upstream can run, by what was seen of its runs and
 // by the limit that it may name: else its keys stay where most of their requests are refused.
 func (k *keeper) capacity(one *instances.Instance) float64 {
-	work := k.workTimes.of(k.service, one.ID)
+	work := k.workTimes.mean(k.service, one.ID)
 	if work <= 0 {
 		work = time.Second / defaultRate
 	}
 	capacity := float64(one.Slots) / work.Seconds()
-	if limit, ok := k.limits.of(one); ok {
+	if limit, ok := k.limits.limitOf(one); ok {
 		return min(capacity, quota.TargetUtilization*limit)
 	}
 	return capacity
--- a/gateway/keyowner_test.go
+++ b/gateway/keyowner_test.go
@@ -11,10 +11,10 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// TestLostKeysAreRefusedAtOnce: while a key moves requests wait for it; one that has been
-// without an owner for longer than their objective belonged to a lost upstream, and they
-// are not held for it.
-func TestLostKeysAreRefusedAtOnce(t *testing.T) {
+// TestRequestsForLostKeysAreRefusedAtOnce checks that requests wait for a key that moves, but not
+// for one that has been without an owner for longer than the route's objective: that key belonged
+// to a lost upstream.
+func TestRequestsForLostKeysAreRefusedAtOnce(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	clock := func() time.Time { return now }
@@ -28,15 +28,15 @@
 		}
 		ctx, leave := context.WithCancel(context.Background())
 		leave()
-		_, err := f.owner(ctx, q)
+		_, err := f.awaitOwner(ctx, q)
 		return err
 	}
 	now = now.Add(100 * time.Millisecond)
 	if err := ask(); !errors.Is(err, context.Canceled) {
-		t.Errorf("a key that moves is not waited for: %v", err)
+		t.Errorf("the request does not wait for a moving key: %v", err)
 	}
 	now = now.Add(101 * time.Millisecond)
 	if err := ask(); answer.KindOf(err) != answer.NoOwner {
-		t.Errorf("a lost key is waited for: %v", err)
+		t.Errorf("the request waits for a lost key: %v", err)
 	}
 }
