--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -39,17 +39,12 @@
 	return most
 }
 
-// TestNamedLimitsAreRespected is a regression test.
-//
-// What users saw: two upstreams in need named limits of about a third of what they got, and went
-// on getting all of it, three times what they had asked for, from eleven gateways.
-// Order of events: calm load; an upstream names its limit with each answer; three seconds later it
-// has got 180 requests in 4 s where 114 were allowed.
-// Cause: nothing read the limit, a header of the answers that was handed on with all others; and
-// each gateway by itself could not have kept to a sum over all.
-// Evidence: with the lines and metrics of limits in place all gateways noticed the limit within the
-// first answers, and what they sent stayed what it was. Gateways that each keep to the limit send
-// 160 requests in 4 s of 40 allowed (quota.TestIsolatedGatewaysExceedRate).
+// TestNamedLimitsAreRespected guards against gateways that ignore the limit in an upstream's
+// answers, or that each keep to it alone. Two upstreams that named a limit of about a third of
+// their load kept getting all of it from eleven gateways, as the limit was passed on to callers
+// like any other header but not read: three seconds after the first answer with a limit an
+// upstream got 180 requests in 4 s where 114 were allowed. Gateways that each keep to the whole
+// limit send 160 requests in 4 s where 40 are allowed (quota.TestIsolatedGatewaysExceedRate).
 func TestNamedLimitsAreRespected(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
