--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -190,7 +190,7 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.claim(callers, ready, peers)
+	b.claimPorts(callers, ready, peers)
 	if b.limitLinks {
 		peersLink = relay.Narrow(open.Peers, relay.Wide)
 		open.Peers = peersLink
@@ -242,7 +242,7 @@
 }
 
 func (b *bed) close() {
-	defer b.givePortsBack()
+	defer b.releasePorts()
 	for _, g := range b.gateways {
 		g.kill()
 	}
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -40,8 +40,8 @@
 	c.setLeading(true)
 	v, log := newView(), slog.New(slog.DiscardHandler)
 	p := &peerServer{
-		view: v, cluster: c, steward: &steward{workTimes: newWorkTimes(v, time.Now), rights: &rights{view: v, now: time.Now}}, parts: &parts{}, log: log,
-		follower: &follower{now: time.Now}, watcher: &watcher{ages: newWatchAges(time.Now, log)}, sieve: newSieve(v, time.Now, log, newMeters()), evac: &evacuations{view: v},
+		view: v, cluster: c, steward: &steward{workTimes: newWorkTimes(v, time.Now), rights: &rights{view: v, now: time.Now}}, parts: &partCache{}, log: log,
+		follower: &follower{now: time.Now}, watcher: &watcher{ages: newWatchAges(time.Now, log)}, validator: newPeerValidator(v, time.Now, log, newMeters()), evac: &evacuations{view: v},
 		limits: newNamedLimits(v, time.Now, log, newMeters()), suspects: noSuspects(),
 	}
 	server := &http.Server{Handler: syncpb.NewPeerServer(p)}
@@ -118,8 +118,8 @@
 			r := &syncpb.SyncRequest{Member: &syncpb.Member{Node: "g", Address: "x"}}
 			b.ReportAllocs()
 			for b.Loop() {
-				p.parts = &parts{}
-				if len(p.news(r).Parts) != 1 {
+				p.parts = &partCache{}
+				if len(p.buildResponse(r).Parts) != 1 {
 					b.Fatal("no news")
 				}
 			}
--- a/gateway/cluster.go
+++ b/gateway/cluster.go
@@ -38,46 +38,46 @@
 	version uint64
 	// changed says that the leader's list has changed since the version, listed when that
 	// was made.
-	changed bool
-	listed  time.Time
+	membersChanged bool
+	membersListed  time.Time
 	// summed is the last sum of what all have in flight.
-	summed *fleetSum
+	cachedSum *fleetSum
 	// above is what the gateways that do not report to this one have in flight,
 	// as the parent told, aboveDemands what they are asked for.
-	above []*syncpb.Load
+	parentLoads []*syncpb.Load
 	// worksTold are the times of runs as the parent told them, by upstream; never changed in
 	// place.
-	worksTold map[string]worktime.Estimate
+	parentWorkTimes map[string]worktime.Estimate
 	// hotKeys are those that the parent told of.
 	hotKeys []*syncpb.HotKeys
 	// rights are those that the parent told of, named at rightsNamed.
-	rights      []warmup.Right
-	rightsNamed time.Time
+	rights       []warmup.Right
+	rightsIssued time.Time
 	// runs are those that the gateways which report to this one have seen since its own
 	// last report, by upstream.
-	runs         map[string]worktime.Sum
-	aboveDemands []*syncpb.Demand
+	runs          map[string]worktime.Sum
+	parentDemands []*syncpb.Demand
 	// aboveWanted is how many requests a second the others are asked for that upstreams with a
 	// named limit would get, as the parent told.
-	aboveWanted map[string]float64
+	parentWanted map[string]float64
 	// expected is how many gateways there were under the leader before, who may not have
 	// reported yet; it counts until expectedUntil.
 	expected      int
 	expectedUntil time.Time
 	// avoided are heads of the own domain that did not answer, until when.
-	avoided map[string]time.Time
-	clients map[string]syncpb.Peer
-	rng     *rand.Rand
+	avoidedUntil map[string]time.Time
+	clients      map[string]syncpb.Peer
+	rng          *rand.Rand
 }
 
 // child is a gateway that reports to this one, with its last report.
 type child struct {
 	*syncpb.Member
-	seen time.Time
+	lastReport time.Time
 	// told is when it was last told what others have in flight, toldWorks when work times.
-	told, toldWorks time.Time
-	loads           []*syncpb.Load
-	demands         []*syncpb.Demand
+	fleetSent, workTimesSent time.Time
+	loads                    []*syncpb.Load
+	demands                  []*syncpb.Demand
 	// wanted is how many requests a second it is asked for, by upstream that names a limit.
 	wanted    map[string]float64
 	followers []*syncpb.Member
@@ -87,13 +87,13 @@
 	return &cluster{
 		self: self, now: now, http: client, rng: rng,
 		children: make(map[string]*child), members: make(map[string]*syncpb.Member),
-		runs: make(map[string]worktime.Sum), avoided: make(map[string]time.Time), clients: make(map[string]syncpb.Peer),
+		runs: make(map[string]worktime.Sum), avoidedUntil: make(map[string]time.Time), clients: make(map[string]syncpb.Peer),
 	}
 }
 
 // selfKnowing returns this gateway as it reports itself, with the highest revision of the
 // evacuations that it knows.
-func (c *cluster) selfKnowing(evacuations uint64) *syncpb.Member {
+func (c *cluster) selfMember(evacuations uint64) *syncpb.Member {
 	return &syncpb.Member{
 		Node: c.self.Node, Address: c.self.Address, Domain: c.self.Domain, Incarnation: c.self.Incarnation,
 		Strength: c.self.Strength, EvacuationsRevision: evacuations,
@@ -118,39 +118,39 @@
 
 // reported notes a report of another gateway. fresh says that this one leads or
 // hears from the leader: else nobody reports through it.
-func (c *cluster) reported(r *syncpb.SyncRequest, fresh bool) {
+func (c *cluster) handleReport(r *syncpb.SyncRequest, fresh bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !fresh || r.Member.Node == c.self.Node {
 		return
 	}
-	next := &child{Member: r.Member, seen: c.now(), loads: r.Loads, demands: r.Demands, followers: r.Followers, wanted: wantedOf(r.Limits)}
-	former := c.children[r.Member.Node]
-	if former != nil {
-		next.told, next.toldWorks = former.told, former.toldWorks
+	next := &child{Member: r.Member, lastReport: c.now(), loads: r.Loads, demands: r.Demands, followers: r.Followers, wanted: wantedOf(r.Limits)}
+	previous := c.children[r.Member.Node]
+	if previous != nil {
+		next.fleetSent, next.workTimesSent = previous.fleetSent, previous.workTimesSent
 	}
 	c.children[r.Member.Node] = next
-	if c.leading && (former == nil || !next.sameMembers(former)) {
-		c.gather()
+	if c.leading && (previous == nil || !next.sameMembers(previous)) {
+		c.rebuildMembers()
 	}
 }
 
 // setAbove takes over what the parent told of the others' requests in flight, and of the
 // times of runs if it told these.
-func (c *cluster) setAbove(loads []*syncpb.Load, works map[string]worktime.Estimate) {
+func (c *cluster) setParentLoads(loads []*syncpb.Load, workTimes map[string]worktime.Estimate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.above = loads
-	if works != nil {
-		c.worksTold = works
+	c.parentLoads = loads
+	if workTimes != nil {
+		c.parentWorkTimes = workTimes
 	}
 }
 
 // setDemandsAbove takes over what the parent told that the others are asked for.
-func (c *cluster) setDemandsAbove(demands []*syncpb.Demand) {
+func (c *cluster) setParentDemands(demands []*syncpb.Demand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.aboveDemands = demands
+	c.parentDemands = demands
 }
 
 // parent returns the address of the gateway to report to, or "" when none is
@@ -163,12 +163,12 @@
 		return ""
 	}
 	top := c.leader.Member
-	if len(c.members)+1 < treeLeast || c.self.Domain == top.Domain {
+	if len(c.members)+1 < minTreeSize || c.self.Domain == top.Domain {
 		return top.Address
 	}
 	head := c.self
 	for _, m := range c.members {
-		if m.Domain == c.self.Domain && before(m, head) && c.now().After(c.avoided[m.Node]) {
+		if m.Domain == c.self.Domain && stronger(m, head) && c.now().After(c.avoidedUntil[m.Node]) {
 			head = m
 		}
 	}
@@ -181,7 +181,7 @@
 // treeLeast is the number of gateways from which reports go by way of one
 // gateway in each failure domain: below, the leader can answer all itself, and
 // news are a step sooner everywhere.
-const treeLeast = 24
+const minTreeSize = 24
 
 // avoid lets the gateway at the address be no head for a while.
 func (c *cluster) avoid(address string) {
@@ -189,13 +189,13 @@
 	defer c.mu.Unlock()
 	for node, m := range c.members {
 		if m.Address == address {
-			c.avoided[node] = c.now().Add(avoidTime)
+			c.avoidedUntil[node] = c.now().Add(avoidDuration)
 		}
 	}
 }
 
 // avoidTime is how long a head that did not answer is passed over.
-const avoidTime = 3 * time.Second
+const avoidDuration = 3 * time.Second
 
 // inFlightElsewhere returns how many requests all other gateways have in flight, by
 // upstream.
@@ -203,13 +203,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := make(map[string]*syncpb.Load)
-	for _, one := range c.children {
-		if c.now().Sub(one.seen) < reportExpiry {
-			addLoads(sum, one.loads)
+	for _, child := range c.children {
+		if c.now().Sub(child.lastReport) < reportExpiry {
+			addLoads(sum, child.loads)
 		}
 	}
 	if !c.leading {
-		addLoads(sum, c.above)
+		addLoads(sum, c.parentLoads)
 	}
 	others := make(map[string]float64, len(sum))
 	for id, l := range sum {
@@ -220,14 +220,14 @@
 
 // below returns what this gateway and those that report to it have in flight, by
 // upstream.
-func (c *cluster) below(own []*syncpb.Load) map[string]*syncpb.Load {
+func (c *cluster) subtreeLoads(own []*syncpb.Load) map[string]*syncpb.Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := make(map[string]*syncpb.Load)
 	addLoads(sum, own)
-	for _, one := range c.children {
-		if c.now().Sub(one.seen) < reportExpiry {
-			addLoads(sum, one.loads)
+	for _, child := range c.children {
+		if c.now().Sub(child.lastReport) < reportExpiry {
+			addLoads(sum, child.loads)
 		}
 	}
 	return sum
@@ -284,7 +284,7 @@
 // some returns up to most other gateways: one of the strongest first, which have the
 // widest links, then any, so that not all are of the few that are strong when these are
 // lost together.
-func (c *cluster) some(most int) []syncpb.Peer {
+func (c *cluster) relayCandidates(most int) []syncpb.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	others := make([]*syncpb.Member, 0, len(c.members))
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -16,12 +16,12 @@
 		}
 	}
 	for node, one := range c.children {
-		if node != except && c.now().Sub(one.seen) < reportExpiry {
+		if node != except && c.now().Sub(one.lastReport) < reportExpiry {
 			addDemands(sum, one.demands)
 		}
 	}
 	if !c.leading {
-		addDemands(sum, c.aboveDemands)
+		addDemands(sum, c.parentDemands)
 	}
 	return sum
 }
@@ -35,7 +35,7 @@
 		sum[name] += rate
 	}
 	for _, one := range c.children {
-		if c.now().Sub(one.seen) < reportExpiry {
+		if c.now().Sub(one.lastReport) < reportExpiry {
 			addDemands(sum, one.demands)
 		}
 	}
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -37,7 +37,7 @@
 	if before.Covers(marks) {
 		return
 	}
-	changed, dropped := e.view.takeEvacuations(marks)
+	changed, dropped := e.view.mergeEvacuations(marks)
 	if dropped > 0 {
 		e.meters.add(evacuationsUnsound, dropped)
 	}
--- a/gateway/evacuationstate.go
+++ b/gateway/evacuationstate.go
@@ -24,7 +24,7 @@
 			state.Domains = append(state.Domains, p.evacuated(m))
 		}
 	}
-	members, _ := p.cluster.list()
+	members, _ := p.cluster.allMembers()
 	for _, m := range members {
 		known := m.EvacuationsRevision
 		if m.Node == p.cluster.self.Node {
--- a/gateway/fetch.go
+++ b/gateway/fetch.go
@@ -17,10 +17,10 @@
 	pieceTimeout = 800 * time.Millisecond
 	// mostPart bounds a part in bytes: the store's largest value, with what compression
 	// may add to one that cannot be compressed.
-	mostPart = 2 * megabyte
+	maxPartSize = 2 * megabyte
 	// offersKept is more than there are parts: one for the configuration, one for the
 	// upstreams and one for each keyed service.
-	offersKept = 64
+	maxOffers = 64
 )
 
 // offer is a part of the news that the gateway at an address has.
@@ -36,7 +36,7 @@
 type fetcher struct {
 	client func(address string) syncpb.Peer
 	// take takes over a part that is whole.
-	take   func(p *syncpb.Part, data []byte)
+	apply  func(p *syncpb.Part, data []byte)
 	now    func() time.Time
 	log    *slog.Logger
 	meters *meters
@@ -46,11 +46,11 @@
 	// running are the parts being fetched, by name.
 	running map[string]bool
 	// arrived is what has arrived of parts, by name.
-	arrived map[string]*arrival
+	partial map[string]*partialPart
 }
 
 // arrival is what has arrived of a part.
-type arrival struct {
+type partialPart struct {
 	id   uint64
 	data []byte
 }
@@ -58,8 +58,8 @@
 // newFetcher returns a fetcher of parts from gateways, which gives whole ones to take.
 func newFetcher(client func(string) syncpb.Peer, take func(*syncpb.Part, []byte), now func() time.Time, log *slog.Logger, m *meters) *fetcher {
 	return &fetcher{
-		client: client, take: take, now: now, log: log, meters: m, offers: make(chan offer, offersKept),
-		running: make(map[string]bool), arrived: make(map[string]*arrival),
+		client: client, apply: take, now: now, log: log, meters: m, offers: make(chan offer, maxOffers),
+		running: make(map[string]bool), partial: make(map[string]*partialPart),
 	}
 }
 
@@ -81,30 +81,30 @@
 // bytes, and taken over beside the loop that reports: a configuration of thousands of
 // routes takes longer to decode than a gateway may be silent. One of each name is at a
 // time.
-func (f *fetcher) offered(address string, list []*syncpb.Part) {
+func (f *fetcher) handleOffers(address string, list []*syncpb.Part) {
 	for _, part := range list {
-		if part.Size > mostPart {
+		if part.Size > maxPartSize {
 			f.log.Error("part of the news is too large", "part", part.Name, "bytes", part.Size, "from", address)
 			continue
 		}
-		if f.begin(part.Name) {
+		if f.claim(part.Name) {
 			f.offers <- offer{address, part}
 		}
 	}
 }
 
 // begin marks a part as being fetched, unless it is already or too many are.
-func (f *fetcher) begin(name string) bool {
+func (f *fetcher) claim(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.running[name] || len(f.running) >= offersKept {
+	if f.running[name] || len(f.running) >= maxOffers {
 		return false
 	}
 	f.running[name] = true
 	return true
 }
 
-func (f *fetcher) end(name string) {
+func (f *fetcher) release(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.running, name)
@@ -123,13 +123,13 @@
 
 // fetch fetches one part, unless it was offered with its bytes, and takes it over.
 func (f *fetcher) fetch(ctx context.Context, o offer) {
-	defer f.end(o.part.Name)
+	defer f.release(o.part.Name)
 	if len(o.part.Data) > 0 {
-		f.take(o.part, o.part.Data)
+		f.apply(o.part, o.part.Data)
 		return
 	}
 	began := f.now()
-	data, err := f.pieces(ctx, o)
+	data, err := f.fetchPieces(ctx, o)
 	if err != nil {
 		f.meters.inc(partsLeft)
 		f.log.Warn("part of the news left", "part", o.part.Name, "from", o.address, "bytes", len(data), "of", o.part.Size, "cause", err)
@@ -137,26 +137,26 @@
 	}
 	f.meters.inc(partsFetched)
 	f.log.Info("part of the news fetched", "part", o.part.Name, "from", o.address, "bytes", len(data), "took_ms", f.now().Sub(began).Milliseconds())
-	f.take(o.part, data)
+	f.apply(o.part, data)
 }
 
 // pieces fetches what is missing of a part. With an error it returns what has arrived,
 // which is kept.
-func (f *fetcher) pieces(ctx context.Context, o offer) ([]byte, error) {
-	a := f.arrival(o.part)
+func (f *fetcher) fetchPieces(ctx context.Context, o offer) ([]byte, error) {
+	a := f.partialFor(o.part)
 	for len(a.data) < int(o.part.Size) {
-		piece, err := f.piece(ctx, o, len(a.data))
+		piece, err := f.fetchPiece(ctx, o, len(a.data))
 		if err != nil {
 			return a.data, err
 		}
 		a.data = append(a.data, piece...)
 	}
-	f.forget(o.part.Name)
+	f.discardPartial(o.part.Name)
 	return a.data, nil
 }
 
 // piece fetches the next piece of a part.
-func (f *fetcher) piece(ctx context.Context, o offer, offset int) ([]byte, error) {
+func (f *fetcher) fetchPiece(ctx context.Context, o offer, offset int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, pieceTimeout)
 	defer cancel()
 	resp, err := f.client(o.address).Fetch(ctx, &syncpb.FetchRequest{Id: o.part.Id, Offset: uint32(offset)})
@@ -173,19 +173,19 @@
 
 // arrival returns what has arrived of the part before. What has arrived of another
 // part of the name is forgotten.
-func (f *fetcher) arrival(part *syncpb.Part) *arrival {
+func (f *fetcher) partialFor(part *syncpb.Part) *partialPart {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	a := f.arrived[part.Name]
+	a := f.partial[part.Name]
 	if a == nil || a.id != part.Id {
-		a = &arrival{id: part.Id}
-		f.arrived[part.Name] = a
+		a = &partialPart{id: part.Id}
+		f.partial[part.Name] = a
 	}
 	return a
 }
 
-func (f *fetcher) forget(name string) {
+func (f *fetcher) discardPartial(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.arrived, name)
+	delete(f.partial, name)
 }
--- a/gateway/fetch_test.go
+++ b/gateway/fetch_test.go
@@ -20,7 +20,7 @@
 // flakyPeer serves pieces of one part and fails as it is told.
 type flakyPeer struct {
 	syncpb.Peer
-	parts *parts
+	parts *partCache
 	// fails tells whether the call, counted from zero, fails.
 	fails func(call int) bool
 	calls int
@@ -62,14 +62,14 @@
 // TestFetchGoesOn: what has arrived of a part is not sent again when the part is offered
 // anew after a piece did not arrive, and each try ends with its first failure: another
 // gateway may be the better one to go on with.
-func TestFetchGoesOn(t *testing.T) {
+func TestFetchResumesAfterFailure(t *testing.T) {
 	const pieces = 8
-	made, err := (&parts{}).get(partKey{name: partConfiguration, version: 1}, nil, randomBytes(pieces*pieceSize-100))
+	made, err := (&partCache{}).get(partKey{name: partConfiguration, version: 1}, nil, randomBytes(pieces*pieceSize-100))
 	if err != nil {
 		t.Fatal(err)
 	}
 	part := &syncpb.Part{Name: partConfiguration, Id: made.id, Size: uint32(len(made.data))}
-	peer := &flakyPeer{parts: &parts{kept: []madePart{made}}, fails: func(call int) bool { return call%2 == 1 }}
+	peer := &flakyPeer{parts: &partCache{kept: []encodedPart{made}}, fails: func(call int) bool { return call%2 == 1 }}
 	f, taken := testFetcher(peer)
 	for try := 1; len(taken) == 0; try++ {
 		f.fetch(t.Context(), offer{"a", part})
@@ -95,18 +95,18 @@
 // counted the leader as lost. The cause: the answer was taken over by the loop that reports.
 // What proved it: no report of those runs failed, the loop was in the decoding when the
 // lists began, and no goroutine waited for the processor for more than 0.1 s.
-func TestReportsGoOnBesideDecoding(t *testing.T) {
+func TestReportsContinueWhileDecoding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := testFetcher(nil)
 		decoded, taken := make(chan struct{}), 0
-		f.take = func(*syncpb.Part, []byte) {
+		f.apply = func(*syncpb.Part, []byte) {
 			<-decoded
 			taken++
 		}
 		go f.run(t.Context())
 		// While it is taken over the next answer has it again.
 		for range 2 {
-			f.offered("a", []*syncpb.Part{{Name: partConfiguration, Id: 1, Size: 1, Data: []byte{1}}})
+			f.handleOffers("a", []*syncpb.Part{{Name: partConfiguration, Id: 1, Size: 1, Data: []byte{1}}})
 			synctest.Wait()
 		}
 		if got := f.fetching(); !slices.Equal(got, []string{partConfiguration}) {
@@ -121,8 +121,8 @@
 }
 
 // TestFetchOfAnotherPart: what has arrived of one version is not mixed with another.
-func TestFetchOfAnotherPart(t *testing.T) {
-	kept := &parts{}
+func TestFetchDoesNotMixVersions(t *testing.T) {
+	kept := &partCache{}
 	var offered []*syncpb.Part
 	for version := range uint64(2) {
 		made, err := kept.get(partKey{name: partConfiguration, version: version}, nil, randomBytes(3*pieceSize+int(version)))
@@ -143,11 +143,11 @@
 
 // TestOneFetchOfAName: a part that several gateways offer is fetched from one of them,
 // and told as being fetched meanwhile.
-func TestOneFetchOfAName(t *testing.T) {
+func TestOneFetchPerPartName(t *testing.T) {
 	f, _ := testFetcher(&flakyPeer{})
 	part := &syncpb.Part{Name: partUpstreams, Id: 1, Size: pieceSize}
-	f.offered("a", []*syncpb.Part{part})
-	f.offered("b", []*syncpb.Part{part})
+	f.handleOffers("a", []*syncpb.Part{part})
+	f.handleOffers("b", []*syncpb.Part{part})
 	if len(f.offers) != 1 || len(f.fetching()) != 1 {
 		t.Errorf("%d fetches of %v", len(f.offers), f.fetching())
 	}
@@ -159,25 +159,25 @@
 
 // TestPartsAreBounded: the parts that are kept for others are bounded in number and
 // bytes, and one that many ask for is made once.
-func TestPartsAreBounded(t *testing.T) {
-	p := &parts{}
-	for version := range uint64(2 * partsKept) {
+func TestPartCacheIsBounded(t *testing.T) {
+	p := &partCache{}
+	for version := range uint64(2 * maxCachedParts) {
 		for range 2 {
 			if _, err := p.get(partKey{name: partConfiguration, version: version}, nil, []byte("x")); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if len(p.kept) != partsKept {
-		t.Errorf("%d parts are kept, %d should be", len(p.kept), partsKept)
+	if len(p.kept) != maxCachedParts {
+		t.Errorf("%d parts are kept, %d should be", len(p.kept), maxCachedParts)
 	}
-	large := randomBytes(partBytesKept / 2)
+	large := randomBytes(maxCachedBytes / 2)
 	for version := range uint64(3) {
 		if _, err := p.get(partKey{name: partUpstreams, version: version}, nil, large); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if p.bytes > partBytesKept || len(p.kept) == 0 {
+	if p.bytes > maxCachedBytes || len(p.kept) == 0 {
 		t.Errorf("%d parts of %d bytes are kept", len(p.kept), p.bytes)
 	}
 	if _, kept := p.piece(p.kept[len(p.kept)-1].id, 0); !kept {
@@ -186,10 +186,10 @@
 }
 
 // listed is a view of many upstreams, built anew each time.
-func listed(version uint64) *view {
+func viewWithUpstreams(version uint64) *view {
 	v := newView()
 	var list []instances.Instance
-	for n := range registered {
+	for n := range registeredUpstreams {
 		list = append(list, instances.Instance{ID: fmt.Sprintf("i-%d", n), Service: "pay", Address: "127.0.0.1:1", Slots: 1})
 	}
 	v.setInstances(version, instances.NewView(version, list))
@@ -198,12 +198,12 @@
 
 // TestSamePartEverywhere: gateways with the same version of the upstreams make the same
 // part of it, so that one can go on with what another has begun to send.
-func TestSamePartEverywhere(t *testing.T) {
+func TestPartEncodingIsDeterministic(t *testing.T) {
 	ids := make(map[uint64]bool)
 	for range 8 {
-		p := &peerServer{view: listed(5), parts: &parts{}, log: slog.New(slog.DiscardHandler), limits: noLimits(), suspects: noSuspects()}
+		p := &peerServer{view: viewWithUpstreams(5), parts: &partCache{}, log: slog.New(slog.DiscardHandler), limits: noLimits(), suspects: noSuspects()}
 		resp := &syncpb.SyncResponse{}
-		p.tell(&syncpb.SyncRequest{}, resp)
+		p.addUpdates(&syncpb.SyncRequest{}, resp)
 		if len(resp.Parts) != 1 {
 			t.Fatalf("%d parts", len(resp.Parts))
 		}
@@ -216,7 +216,7 @@
 
 // TestUpstreamsAreToldWithTheirVersion: a view of upstreams is never told under the
 // number of another one.
-func TestUpstreamsAreToldWithTheirVersion(t *testing.T) {
+func TestInstancesMessageHasMatchingVersion(t *testing.T) {
 	const versions = 2000
 	v := newView()
 	v.setInstances(1, instances.NewView(1, nil))
@@ -238,24 +238,24 @@
 
 // TestOlderUpstreamsAreNotTold: a gateway that has a newer view of the upstreams than its
 // parent is not told the older one, which it would not take.
-func TestOlderUpstreamsAreNotTold(t *testing.T) {
-	p := &peerServer{view: listed(90), parts: &parts{}, log: slog.New(slog.DiscardHandler), limits: noLimits(), suspects: noSuspects()}
+func TestOlderUpstreamsAreNotSent(t *testing.T) {
+	p := &peerServer{view: viewWithUpstreams(90), parts: &partCache{}, log: slog.New(slog.DiscardHandler), limits: noLimits(), suspects: noSuspects()}
 	for _, c := range []struct {
 		revision uint64
 		told     bool
 	}{{89, true}, {90, true}, {91, false}} {
 		r := &syncpb.SyncRequest{InstancesRevision: c.revision, InstancesVersion: 7}
 		resp := &syncpb.SyncResponse{}
-		p.tell(r, resp)
-		if told := len(resp.Parts) > 0; told != c.told || p.knowsMore(r) != c.told {
-			t.Errorf("told %v, knows more %v, to one with revision %d", told, p.knowsMore(r), c.revision)
+		p.addUpdates(r, resp)
+		if told := len(resp.Parts) > 0; told != c.told || p.hasUpdates(r) != c.told {
+			t.Errorf("told %v, knows more %v, to one with revision %d", told, p.hasUpdates(r), c.revision)
 		}
 	}
 }
 
 // TestVersionWrittenAgain: a configuration that was written again without a new version
 // does not let those that have the version look behind for ever.
-func TestVersionWrittenAgain(t *testing.T) {
+func TestConfigurationRewrittenWithSameVersion(t *testing.T) {
 	const first, again = 10, 11
 	child, parent := newView(), newView()
 	for _, one := range []struct {
@@ -267,8 +267,8 @@
 		}
 	}
 	child.setConfiguration(again, []byte("spec"), &routing.Configuration{Version: 3})
-	p := &peerServer{view: parent, parts: &parts{}, log: slog.New(slog.DiscardHandler), limits: noLimits(), suspects: noSuspects()}
-	if p.knowsMore(&syncpb.SyncRequest{ConfigRevision: child.configuration().revision}) {
+	p := &peerServer{view: parent, parts: &partCache{}, log: slog.New(slog.DiscardHandler), limits: noLimits(), suspects: noSuspects()}
+	if p.hasUpdates(&syncpb.SyncRequest{ConfigRevision: child.configuration().revision}) {
 		t.Error("behind although it has the version")
 	}
 	if child.setConfiguration(first, []byte("spec"), &routing.Configuration{Version: 3}); child.configuration().revision != again {
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -14,7 +14,7 @@
 )
 
 // upstreamsNamed returns a view of so many upstreams.
-func upstreamsNamed(n int) *instances.View {
+func testUpstreams(n int) *instances.View {
 	var list []instances.Instance
 	for i := range n {
 		list = append(list, instances.Instance{ID: fmt.Sprintf("i-%08x", i*7919%n), Service: "s", Slots: 3})
@@ -23,19 +23,19 @@
 }
 
 // TestFleetComesBack within the precision of a byte.
-func TestFleetComesBack(t *testing.T) {
+func TestFleetRoundTrip(t *testing.T) {
 	v := newView()
-	v.setInstances(9, upstreamsNamed(50))
+	v.setInstances(9, testUpstreams(50))
 	known, version := v.upstreams()
 	sum := &fleetSum{
-		loads: map[string]*syncpb.Load{"i-00000003": {Inflight: 5}, "i-00000031": {Inflight: 0.3}, "gone": {Inflight: 7}},
-		parts: map[string][]*syncpb.Load{"g": {{Instance: "i-00000003", Inflight: 2}, {Instance: "gone", Inflight: 1}}},
+		loads:   map[string]*syncpb.Load{"i-00000003": {Inflight: 5}, "i-00000031": {Inflight: 0.3}, "gone": {Inflight: 7}},
+		byChild: map[string][]*syncpb.Load{"g": {{Instance: "i-00000003", Inflight: 2}, {Instance: "gone", Inflight: 1}}},
 	}
-	works := map[string]worktime.Estimate{
+	workTimes := map[string]worktime.Estimate{
 		"i-00000003": {Work: 90 * time.Millisecond, Slowness: 1}, "i-00000007": {Work: 2 * time.Second, Slowness: 2.8},
 	}
-	m := (&fleetPacker{}).pack(sum, "g", known, version, works, true)
-	loads, told, ok := v.takeFleet(m)
+	m := (&fleetEncoder{}).encode(sum, "g", known, version, workTimes, true)
+	loads, told, ok := v.decodeFleet(m)
 	if !ok || len(loads) != 2 || len(told) != 2 {
 		t.Fatalf("%v, %v, %v", loads, told, ok)
 	}
@@ -46,20 +46,20 @@
 	}
 	near("in flight", float64(loads[0].Inflight), 3)
 	near("in flight", float64(loads[1].Inflight), 0.3)
-	for id, want := range works {
+	for id, want := range workTimes {
 		near("work", told[id].Work.Seconds(), want.Work.Seconds())
 		near("slowness", told[id].Slowness, want.Slowness)
 	}
 }
 
 // TestFleetThatDoesNotFit is not taken over: of another version, or of another size.
-func TestFleetThatDoesNotFit(t *testing.T) {
+func TestMismatchedFleetIsRejected(t *testing.T) {
 	v := newView()
-	v.setInstances(9, upstreamsNamed(5))
+	v.setInstances(9, testUpstreams(5))
 	sound := func() *syncpb.Fleet {
 		return &syncpb.Fleet{InstancesVersion: 9, InFlight: make([]byte, 5), Work: make([]byte, 10)}
 	}
-	if _, _, ok := v.takeFleet(sound()); !ok {
+	if _, _, ok := v.decodeFleet(sound()); !ok {
 		t.Error("a sound one is not taken")
 	}
 	for name, spoil := range map[string]func(*syncpb.Fleet){
@@ -70,7 +70,7 @@
 	} {
 		m := sound()
 		spoil(m)
-		if _, _, ok := v.takeFleet(m); ok {
+		if _, _, ok := v.decodeFleet(m); ok {
 			t.Errorf("taken though its %s does not fit", name)
 		}
 	}
@@ -78,41 +78,41 @@
 
 // TestFleetIsToldInTime: a gateway that asks again and again for other news is told what
 // others have in flight no more often than it costs.
-func TestFleetIsToldInTime(t *testing.T) {
+func TestFleetSendRateIsLimited(t *testing.T) {
 	now := time.Now()
-	c := fleet(treeLeast, node("a", 0, 100), &now)
-	report := &syncpb.SyncRequest{Member: node("a", 1, 100)}
-	told, works := 0, 0
+	c := testCluster(minTreeSize, testMember("a", 0, 100), &now)
+	report := &syncpb.SyncRequest{Member: testMember("a", 1, 100)}
+	told, workTimesSent := 0, 0
 	for range 100 {
-		c.reported(report, true)
-		fleet, withWorks := c.tellFleet("a1", 3000)
-		if fleet {
+		c.handleReport(report, true)
+		due, withWorkTimes := c.claimFleetUpdate("a1", 3000)
+		if due {
 			told++
 		}
-		if withWorks {
-			works++
+		if withWorkTimes {
+			workTimesSent++
 		}
 		now = now.Add(10 * time.Millisecond)
 	}
-	if told != 6 || works != 1 {
-		t.Errorf("told %d times in a second, work times %d times", told, works)
+	if told != 6 || workTimesSent != 1 {
+		t.Errorf("told %d times in a second, work times %d times", told, workTimesSent)
 	}
 }
 
 // TestMembersAreListedInTime: while hundreds of gateways start, the list of members is told
 // a few times, and in the end it is whole.
-func TestMembersAreListedInTime(t *testing.T) {
+func TestMemberListVersionRateIsLimited(t *testing.T) {
 	now := time.Now()
-	c := newCluster(node("a", 0, 100), nil, func() time.Time { return now }, nil)
+	c := newCluster(testMember("a", 0, 100), nil, func() time.Time { return now }, nil)
 	c.setLeading(true)
 	versions := make(map[uint64]bool)
 	for i := 1; i < 300; i++ {
-		c.reported(&syncpb.SyncRequest{Member: node("a", i, 100)}, true)
+		c.handleReport(&syncpb.SyncRequest{Member: testMember("a", i, 100)}, true)
 		versions[c.membersVersion()] = true
 		now = now.Add(7 * time.Millisecond)
 	}
 	now = now.Add(time.Second)
-	list, last := c.list()
+	list, last := c.allMembers()
 	if len(versions) > 40 || len(list) != 300 || versions[last] {
 		t.Errorf("%d versions, %d members", len(versions), len(list))
 	}
@@ -122,26 +122,26 @@
 // over all reports made anew for every tenth.
 func BenchmarkFleet(b *testing.B) {
 	now := time.Now()
-	c := newCluster(node("a", 0, 100), nil, func() time.Time { return now }, nil)
+	c := newCluster(testMember("a", 0, 100), nil, func() time.Time { return now }, nil)
 	c.setLeading(true)
-	v, works := upstreamsNamed(3000), make(map[string]worktime.Estimate)
+	v, workTimes := testUpstreams(3000), make(map[string]worktime.Estimate)
 	for _, id := range v.IDs() {
-		works[id] = worktime.Estimate{Work: 90 * time.Millisecond, Slowness: 1}
+		workTimes[id] = worktime.Estimate{Work: 90 * time.Millisecond, Slowness: 1}
 	}
 	for g := range 100 {
-		r := &syncpb.SyncRequest{Member: node("a", g+1, 100)}
+		r := &syncpb.SyncRequest{Member: testMember("a", g+1, 100)}
 		for i := range 12 {
 			r.Loads = append(r.Loads, &syncpb.Load{Instance: v.IDs()[(g*30+i)%3000], Inflight: 1})
 		}
-		c.reported(r, true)
+		c.handleReport(r, true)
 	}
-	packer, size := &fleetPacker{}, 0
+	packer, size := &fleetEncoder{}, 0
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if i%10 == 0 {
-			now = now.Add(sumInterval)
+			now = now.Add(sumMaxAge)
 		}
-		size = proto.Size(packer.pack(c.sum(nil), "a1", v, 1, works, true))
+		size = proto.Size(packer.encode(c.sum(nil), "a1", v, 1, workTimes, true))
 	}
 	b.ReportMetric(float64(size), "bytes")
 }
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -50,7 +50,7 @@
 	meters *meters
 	evac   *evacuations
 	// sieve drops what others say of upstreams that cannot be.
-	sieve *sieve
+	sieve *peerValidator
 	// fetcher fetches what is too large for an answer to a report.
 	fetcher *fetcher
 	// setOwn keeps this process's own report, for those that report to it.
@@ -75,11 +75,11 @@
 	// resigned says that the known leader answers and leads no more.
 	resigned bool
 	// failing is the run of reports to parents without success.
-	failing failedReports
+	failing reportFailures
 	// newest is when the configuration was known to be the newest, by another gateway, and
 	// told is the newest one that was told and was not in force then.
 	newest time.Time
-	told   toldConfiguration
+	told   announcedConfiguration
 	// wantWhole says that the last difference of the configuration could not be decoded.
 	wantWhole bool
 }
@@ -92,7 +92,7 @@
 // run follows until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		interval := reportInterval(f.cluster.gateways())
+		interval := reportInterval(f.cluster.gatewayCount())
 		if f.cluster.isLeading() {
 			f.noteHeard()
 			pause(ctx, interval)
@@ -125,7 +125,7 @@
 	resp, err := f.cluster.client(address).Sync(limited, f.request(wait))
 	if ctx.Err() == nil {
 		// Else it was given up because this process stops.
-		f.noteReport(address, reportError(resp, err), f.now().Sub(began))
+		f.recordReport(address, reportError(resp, err), f.now().Sub(began))
 	}
 	if err != nil {
 		f.mu.Lock()
@@ -138,13 +138,13 @@
 		}
 		return false, false
 	}
-	f.take(address, resp)
+	f.applyResponse(address, resp)
 	age := time.Duration(resp.HeardMs) * time.Millisecond
 	f.mu.Lock()
 	f.refused, f.resigned = false, resp.Leader != nil && resp.Leader.Member.Address == address && !resp.Leading
 	if at := f.now().Add(-age); age < orphanAfter && at.After(f.heard) {
 		f.heard = at
-		f.ahead = f.cluster.ahead()
+		f.ahead = f.cluster.strongerInDomain()
 	}
 	f.mu.Unlock()
 	f.noteNews(resp)
@@ -152,9 +152,9 @@
 		return false, true
 	}
 	f.takeFleet(resp.Fleet)
-	f.cluster.setDemandsAbove(resp.Demands)
+	f.cluster.setParentDemands(resp.Demands)
 	f.cluster.setHotKeys(resp.HotKeys)
-	resp.Limits = f.sieve.soundLimits(unsoundNews, resp.Limits)
+	resp.Limits = f.sieve.soundLimits(invalidUpdate, resp.Limits)
 	f.cluster.setWantedAbove(resp.Limits)
 	f.limits.told(resp.Limits)
 	f.suspects.told(resp.Suspects)
@@ -172,8 +172,8 @@
 	if m == nil {
 		return
 	}
-	if loads, works, ok := f.view.takeFleet(m); ok {
-		f.cluster.setAbove(loads, works)
+	if loads, works, ok := f.view.decodeFleet(m); ok {
+		f.cluster.setParentLoads(loads, works)
 	}
 }
 
@@ -199,12 +199,12 @@
 func (f *follower) request(wait time.Duration) *syncpb.SyncRequest {
 	evacuated := f.view.evac.Load()
 	r := &syncpb.SyncRequest{
-		Member: f.cluster.selfKnowing(evacuated.Revision()), SpansVersions: make(map[string]uint64),
+		Member: f.cluster.selfMember(evacuated.Revision()), SpansVersions: make(map[string]uint64),
 		WaitMs: uint32(wait.Milliseconds()), Evacuations: evacuationMessages(evacuated),
 	}
 	config := f.view.configuration()
 	r.ConfigRevision = config.revision
-	r.InstancesRevision, r.InstancesVersion = f.view.upstreamsKnown()
+	r.InstancesRevision, r.InstancesVersion = f.view.upstreamsVersion()
 	if !f.needsWhole() {
 		r.ConfigDigest = config.digest
 	}
@@ -223,7 +223,7 @@
 	r.Suspects = f.suspects.messages()
 	r.Followers = f.cluster.followers()
 	f.cluster.keepRuns(own.loads)
-	r.Loads = withRuns(f.cluster.below(own.loads), f.cluster.takeRuns())
+	r.Loads = withRuns(f.cluster.subtreeLoads(own.loads), f.cluster.takeRuns())
 	for name, list := range own.keys {
 		k := &syncpb.KeyCounts{Service: name}
 		for _, key := range list {
@@ -280,14 +280,14 @@
 			defer cancel()
 			resp, err := f.cluster.client(m.Address).Sync(limited, f.request(0))
 			if ctx.Err() == nil {
-				f.meters.inc(fill(reportAnswer, reportEnd(reportError(resp, err))))
+				f.meters.inc(fill(reportAnswer, reportOutcome(reportError(resp, err))))
 			}
 			if err != nil {
 				return
 			}
-			f.take(m.Address, resp)
+			f.applyResponse(m.Address, resp)
 			f.noteNews(resp)
-			if m.Domain == f.cluster.self.Domain && before(m, f.cluster.self) {
+			if m.Domain == f.cluster.self.Domain && stronger(m, f.cluster.self) {
 				ahead.Add(1)
 			}
 		})
@@ -300,7 +300,7 @@
 
 // candidates returns the gateways that are asked in a look for a leader.
 func (f *follower) candidates() []*syncpb.Member {
-	members, _ := f.cluster.list()
+	members, _ := f.cluster.allMembers()
 	var mates, others []*syncpb.Member
 	for _, m := range members {
 		switch {
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -124,7 +124,7 @@
 	defer func() { _ = dark.Close() }()
 	f := &follower{
 		view: newView(), cluster: c, now: now, log: slog.New(slog.DiscardHandler), meters: newMeters(), began: now(),
-		sieve: newSieve(newView(), now, slog.New(slog.DiscardHandler), newMeters()), evac: &evacuations{view: newView()},
+		sieve: newPeerValidator(newView(), now, slog.New(slog.DiscardHandler), newMeters()), evac: &evacuations{view: newView()},
 		seeds: []string{dark.Addr().String()}, fetcher: newFetcher(c.client, nil, now, slog.New(slog.DiscardHandler), newMeters()),
 	}
 	go func() {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -186,10 +186,10 @@
 	}}}
 	g.cluster = newCluster(self, client, g.now, mathrand.New(mathrand.NewPCG(seeds[1], seeds[0])))
 	g.calls = &storeCaller{
-		conns: pool.New(storeLimits, g.now), address: conf.Store.String(), relays: g.cluster.some, leads: g.cluster.isLeading,
+		conns: pool.New(storeLimits, g.now), address: conf.Store.String(), relays: g.cluster.relayCandidates, leads: g.cluster.isLeading,
 		now: g.now, log: log, meters: g.meters, lastOK: g.now(),
 	}
-	g.suspects = newSuspects(g.view, g.cluster.gateways, g.now, log, g.meters, mathrand.New(mathrand.NewPCG(seeds[0], seeds[1]+1)))
+	g.suspects = newSuspects(g.view, g.cluster.gatewayCount, g.now, log, g.meters, mathrand.New(mathrand.NewPCG(seeds[0], seeds[1]+1)))
 	g.view.onInstances = func(v *instances.View) {
 		g.traffic.setUpstreams(v)
 		g.suspects.viewChanged(v)
@@ -203,8 +203,8 @@
 		view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now, log: log, meters: g.meters,
 		began: g.now(), evac: evac, limits: g.limits, suspects: g.suspects,
 	}
-	g.follower.sieve = newSieve(g.view, g.now, log, g.meters)
-	g.follower.fetcher = newFetcher(g.cluster.client, g.follower.takePart, g.now, log, g.meters)
+	g.follower.sieve = newPeerValidator(g.view, g.now, log, g.meters)
+	g.follower.fetcher = newFetcher(g.cluster.client, g.follower.applyPart, g.now, log, g.meters)
 	for _, s := range conf.Seeds {
 		g.follower.seeds = append(g.follower.seeds, s.String())
 		g.follower.seed = g.follower.seed || s == conf.Peers
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -14,7 +14,7 @@
 	m.gauge(logDropped, g.lines.Dropped())
 	m.gauge(leaderLeading, boolGauge(g.cluster.isLeading()))
 	m.gauge(leaderMayAct, boolGauge(g.leading.mayAct()))
-	m.gauge(clusterSize, int64(g.cluster.gateways()))
+	m.gauge(clusterSize, int64(g.cluster.gatewayCount()))
 	m.gauge(storeAway, boolGauge(g.calls.away()))
 	g.viewGauges()
 	g.serviceGauges()
--- a/gateway/handlers.go
+++ b/gateway/handlers.go
@@ -51,7 +51,7 @@
 	server := &peerServer{
 		view: g.view, cluster: g.cluster, store: g.calls, steward: g.steward, traffic: g.traffic,
 		promises: g.leading.promises, follower: g.follower, watcher: g.watcher,
-		parts: &parts{}, log: g.log, sieve: g.follower.sieve, evac: g.follower.evac, limits: g.limits, suspects: g.suspects,
+		parts: &partCache{}, log: g.log, validator: g.follower.sieve, evac: g.follower.evac, limits: g.limits, suspects: g.suspects,
 	}
 	r := mux.NewRouter()
 	r.PathPrefix(syncpb.PeerPathPrefix).Handler(syncpb.NewPeerServer(server))
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -323,7 +323,7 @@
 
 // publishDue reports whether the last version was given long enough ago. The lock is held.
 func (k *keeper) publishDue() bool {
-	pause := max(publishInterval, time.Duration(k.cluster.gateways())*publishPause)
+	pause := max(publishInterval, time.Duration(k.cluster.gatewayCount())*publishPause)
 	return k.now().Sub(k.published) >= pause
 }
 
--- a/gateway/keyowner.go
+++ b/gateway/keyowner.go
@@ -33,7 +33,7 @@
 	timer := time.NewTimer(refusedWait)
 	defer timer.Stop()
 	for {
-		changed := f.view.wait()
+		changed := f.view.nextChange()
 		if s := f.span(q); s.Moving() || s.Fence != q.refusedFence {
 			return
 		}
@@ -57,7 +57,7 @@
 		q.refusedFence = 0
 	}
 	for {
-		changed := f.view.wait()
+		changed := f.view.nextChange()
 		if owner := f.ownerNow(q); owner != "" {
 			return owner, nil
 		}
--- a/gateway/lead.go
+++ b/gateway/lead.go
@@ -209,7 +209,7 @@
 	self := l.cluster.self
 	mine := leadership.Lease{
 		Node: self.Node, Address: self.Address, Domain: self.Domain, Incarnation: self.Incarnation,
-		Term: former.Term + 1, Voters: l.firstVoters(former), Gateways: max(former.Gateways, l.cluster.gateways()),
+		Term: former.Term + 1, Voters: l.firstVoters(former), Gateways: max(former.Gateways, l.cluster.gatewayCount()),
 	}
 	sent := l.now()
 	var object platform.Object
@@ -232,7 +232,7 @@
 	l.formerKnown = false
 	l.mu.Unlock()
 	l.log.Info("leading", "term", mine.Term, "former", former.Node, "released", former.Released)
-	l.cluster.expect(former.Gateways)
+	l.cluster.expectGateways(former.Gateways)
 	l.cluster.setLeader(leaderMessage(mine, object.Revision))
 	l.cluster.setLeading(true)
 	l.steward.start(mine.Term, func(ctx context.Context) { l.inquire(ctx, former, ends, l.longest) })
@@ -265,7 +265,7 @@
 		return
 	}
 	next.Renewals++
-	next.Gateways = l.cluster.gateways()
+	next.Gateways = l.cluster.gatewayCount()
 	if voters := l.voters(next.Voters); l.votersMayChange() && !slices.Equal(voters, next.Voters) {
 		next.Voters = voters
 		l.mu.Lock()
--- a/gateway/limitnews.go
+++ b/gateway/limitnews.go
@@ -89,11 +89,11 @@
 }
 
 // soundLimits drops what cannot be from what another gateway tells of limits.
-func (s *sieve) soundLimits(source string, list []*syncpb.NamedLimit) []*syncpb.NamedLimit {
+func (s *peerValidator) soundLimits(source string, list []*syncpb.NamedLimit) []*syncpb.NamedLimit {
 	out := make([]*syncpb.NamedLimit, 0, min(len(list), mostLimits))
 	for _, m := range list[:min(len(list), mostLimits)] {
 		if m.Upstream == "" || !isRate(m.PerSecond) || !isRate(m.Wanted) {
-			s.note(source, m.Upstream, errNoNumber)
+			s.recordInvalid(source, m.Upstream, errInvalidNumber)
 			continue
 		}
 		out = append(out, m)
@@ -116,14 +116,14 @@
 		wanted += own[upstream]
 	}
 	for node, one := range c.children {
-		if node != except && c.now().Sub(one.seen) < reportExpiry {
+		if node != except && c.now().Sub(one.lastReport) < reportExpiry {
 			wanted += one.wanted[upstream]
 		}
 	}
 	if c.leading {
 		return wanted, true
 	}
-	above, known := c.aboveWanted[upstream]
+	above, known := c.parentWanted[upstream]
 	return wanted + above, known
 }
 
@@ -139,7 +139,7 @@
 	defer c.mu.Unlock()
 	wanted := own[upstream]
 	for _, one := range c.children {
-		if c.now().Sub(one.seen) < reportExpiry {
+		if c.now().Sub(one.lastReport) < reportExpiry {
 			wanted += one.wanted[upstream]
 		}
 	}
@@ -151,7 +151,7 @@
 func (c *cluster) setWantedAbove(list []*syncpb.NamedLimit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.aboveWanted = wantedOf(list)
+	c.parentWanted = wantedOf(list)
 }
 
 func wantedOf(list []*syncpb.NamedLimit) map[string]float64 {
--- a/gateway/limitnews_test.go
+++ b/gateway/limitnews_test.go
@@ -48,7 +48,7 @@
 	c := newCluster(&syncpb.Member{Node: "head", Address: "1"}, nil, func() time.Time { return now }, nil)
 	own := map[string]float64{"u": 1}
 	report := func(node string, wanted float32) {
-		c.reported(&syncpb.SyncRequest{
+		c.handleReport(&syncpb.SyncRequest{
 			Member: &syncpb.Member{Node: node, Address: node}, Limits: []*syncpb.NamedLimit{{Upstream: "u", Wanted: wanted}},
 		}, true)
 	}
@@ -79,9 +79,9 @@
 // TestUnsoundLimitsAreDropped: and counted.
 func TestUnsoundLimitsAreDropped(t *testing.T) {
 	m := newMeters()
-	s := newSieve(newView(), time.Now, slog.New(slog.DiscardHandler), m)
+	s := newPeerValidator(newView(), time.Now, slog.New(slog.DiscardHandler), m)
 	nan := float32(math.NaN())
-	got := s.soundLimits(unsoundNews, []*syncpb.NamedLimit{
+	got := s.soundLimits(invalidUpdate, []*syncpb.NamedLimit{
 		{PerSecond: 1}, {Upstream: "a", PerSecond: -1}, {Upstream: "b", PerSecond: nan},
 		{Upstream: "c", Wanted: nan}, {Upstream: "d", PerSecond: 2 * mostRate}, {Upstream: "e", PerSecond: 1},
 	})
--- a/gateway/loss_test.go
+++ b/gateway/loss_test.go
@@ -125,7 +125,7 @@
 	v.setSpans(after)
 	other := newView()
 	for base, want := range []*spans.Table{before, after} {
-		if err := other.takeSpans(v.spansMessage(want, uint64(base))); err != nil {
+		if err := other.applySpans(v.spansMessage(want, uint64(base))); err != nil {
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(want.Spans, other.spansOf("a").Spans); diff != "" {
@@ -139,13 +139,13 @@
 func TestNewLeaderCountsWithAll(t *testing.T) {
 	now := time.Now()
 	c := newCluster(&syncpb.Member{Node: "g0"}, http.DefaultClient, func() time.Time { return now }, nil)
-	c.expect(12)
-	if n := c.gateways(); n != 12 {
+	c.expectGateways(12)
+	if n := c.gatewayCount(); n != 12 {
 		t.Errorf("%d gateways before any has reported", n)
 	}
-	now = now.Add(expectTime)
-	if n := c.gateways(); n != 1 {
-		t.Errorf("%d gateways though no other has reported for %s", n, expectTime)
+	now = now.Add(expectationTTL)
+	if n := c.gatewayCount(); n != 1 {
+		t.Errorf("%d gateways though no other has reported for %s", n, expectationTTL)
 	}
 }
 
@@ -153,11 +153,11 @@
 // asked for.
 func TestDemandIsCountedOnce(t *testing.T) {
 	now := time.Now()
-	head := fleet(treeLeast, node("b", 0, 100), &now)
+	head := testCluster(minTreeSize, testMember("b", 0, 100), &now)
 	demand := func(n float32) []*syncpb.Demand { return []*syncpb.Demand{{Service: "a", Requests: n}} }
-	head.reported(&syncpb.SyncRequest{Member: node("b", 1, 100), Demands: demand(1)}, true)
-	head.reported(&syncpb.SyncRequest{Member: node("b", 2, 100), Demands: demand(2)}, true)
-	head.setDemandsAbove(demand(10))
+	head.handleReport(&syncpb.SyncRequest{Member: testMember("b", 1, 100), Demands: demand(1)}, true)
+	head.handleReport(&syncpb.SyncRequest{Member: testMember("b", 2, 100), Demands: demand(2)}, true)
+	head.setParentDemands(demand(10))
 	own := map[string]float64{"a": 4}
 	if got := head.demandBelow(own)["a"]; got != 7 {
 		t.Errorf("told the leader %v, want 1+2+4", got)
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -14,45 +14,45 @@
 // told it.
 
 // sameMembers reports whether the child and those that report through it are as before.
-func (one *child) sameMembers(former *child) bool {
-	return proto.Equal(one.Member, former.Member) && slices.EqualFunc(one.followers, former.followers, func(a, b *syncpb.Member) bool { return proto.Equal(a, b) })
+func (child *child) sameMembers(previous *child) bool {
+	return proto.Equal(child.Member, previous.Member) && slices.EqualFunc(child.followers, previous.followers, func(a, b *syncpb.Member) bool { return proto.Equal(a, b) })
 }
 
 // gather makes the leader's list of members from the reports.
-func (c *cluster) gather() {
+func (c *cluster) rebuildMembers() {
 	next := make(map[string]*syncpb.Member, len(c.members))
-	for node, one := range c.children {
-		if c.now().Sub(one.seen) > memberExpiry {
+	for node, child := range c.children {
+		if c.now().Sub(child.lastReport) > memberExpiry {
 			delete(c.children, node)
 			continue
 		}
-		for _, m := range append([]*syncpb.Member{one.Member}, one.followers...) {
+		for _, m := range append([]*syncpb.Member{child.Member}, child.followers...) {
 			if m.Node != c.self.Node {
 				next[m.Node] = m
 			}
 		}
 	}
-	c.changed = c.changed || !sameMembers(c.members, next)
+	c.membersChanged = c.membersChanged || !sameMembers(c.members, next)
 	c.members = next
 }
 
 // listPause is the least time between two versions of the list of members, for each that is
 // listed: each version goes to all. While 300 gateways start within two seconds, every new
 // one made a list of 18 KB for all others, 1.6 GB together.
-const listPause = time.Millisecond
+const memberListInterval = time.Millisecond
 
 // membersVersion returns the version of the list of members, the next one when the leader's
 // list has changed and the pause is over.
 func (c *cluster) membersVersion() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.versionLocked()
+	return c.membersVersionLocked()
 }
 
-func (c *cluster) versionLocked() uint64 {
-	if c.changed && c.now().Sub(c.listed) >= time.Duration(len(c.members))*listPause {
+func (c *cluster) membersVersionLocked() uint64 {
+	if c.membersChanged && c.now().Sub(c.membersListed) >= time.Duration(len(c.members))*memberListInterval {
 		c.version++
-		c.changed, c.listed = false, c.now()
+		c.membersChanged, c.membersListed = false, c.now()
 	}
 	return c.version
 }
@@ -73,7 +73,7 @@
 func (c *cluster) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gather()
+	c.rebuildMembers()
 }
 
 // followers are the gateways that report through this one.
@@ -81,13 +81,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*syncpb.Member
-	for node, one := range c.children {
-		if c.now().Sub(one.seen) > memberExpiry {
+	for node, child := range c.children {
+		if c.now().Sub(child.lastReport) > memberExpiry {
 			delete(c.children, node)
 			continue
 		}
-		out = append(out, one.Member)
-		out = append(out, one.followers...)
+		out = append(out, child.Member)
+		out = append(out, child.followers...)
 	}
 	return out
 }
@@ -106,7 +106,7 @@
 }
 
 // before orders gateways by what they can bear: the stronger first.
-func before(a, b *syncpb.Member) bool {
+func stronger(a, b *syncpb.Member) bool {
 	if a.Strength != b.Strength {
 		return a.Strength > b.Strength
 	}
@@ -115,12 +115,12 @@
 
 // ahead returns the number of gateways of the own failure domain that come before
 // this one.
-func (c *cluster) ahead() int {
+func (c *cluster) strongerInDomain() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	for _, m := range c.members {
-		if m.Domain == c.self.Domain && before(m, c.self) {
+		if m.Domain == c.self.Domain && stronger(m, c.self) {
 			n++
 		}
 	}
@@ -128,21 +128,21 @@
 }
 
 // list returns all members, this one among them, the strongest first.
-func (c *cluster) list() ([]*syncpb.Member, uint64) {
+func (c *cluster) allMembers() ([]*syncpb.Member, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := []*syncpb.Member{c.self}
 	for _, m := range c.members {
 		out = append(out, m)
 	}
-	sort.Slice(out, func(i, j int) bool { return before(out[i], out[j]) })
-	return out, c.versionLocked()
+	sort.Slice(out, func(i, j int) bool { return stronger(out[i], out[j]) })
+	return out, c.membersVersionLocked()
 }
 
 // rank is the place of this gateway among those that may take over from the
 // leader, counted from zero.
 func (c *cluster) rank() int {
-	list, _ := c.list()
+	list, _ := c.allMembers()
 	rank := 0
 	for _, m := range list {
 		if m.Node == c.self.Node {
@@ -156,7 +156,7 @@
 }
 
 // gateways returns the number of gateways, this one among them.
-func (c *cluster) gateways() int {
+func (c *cluster) gatewayCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := len(c.members) + 1
@@ -169,11 +169,11 @@
 // expectTime is how long a new leader counts with the gateways that the former one knew:
 // after all have started again their first reports take a second or two. Until then the
 // few that have reported would share out the room and the retries of all.
-const expectTime = 3 * time.Second
+const expectationTTL = 3 * time.Second
 
 // expect counts with a number of gateways until they have had time to report.
-func (c *cluster) expect(gateways int) {
+func (c *cluster) expectGateways(gateways int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.expected, c.expectedUntil = gateways, c.now().Add(expectTime)
+	c.expected, c.expectedUntil = gateways, c.now().Add(expectationTTL)
 }
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -14,36 +14,36 @@
 // This file takes over what other gateways tell.
 
 // take takes over what is newer than this gateway's own view.
-func (f *follower) take(address string, resp *syncpb.SyncResponse) {
+func (f *follower) applyResponse(address string, resp *syncpb.SyncResponse) {
 	if f.cluster.setLeader(resp.Leader) && resp.HeardMs < milliseconds(orphanAfter) && len(resp.Members) > 0 {
 		f.cluster.setMembers(resp.MembersVersion, resp.Members)
 	}
 	// Before upstreams: none is used that is known to be in an evacuated failure domain.
 	f.evac.told(resp.Evacuations)
 	// First, as a part may be in force as soon as it is offered.
-	f.noteConfiguration(resp)
-	f.fetcher.offered(address, resp.Parts)
+	f.recordAnnouncement(resp)
+	f.fetcher.handleOffers(address, resp.Parts)
 	if resp.Instances != nil {
-		f.takeUpstreams(resp.Instances)
+		f.applyUpstreams(resp.Instances)
 	}
 	for _, m := range resp.Spans {
-		f.takeOwners(m)
+		f.applyOwners(m)
 	}
 }
 
-func (f *follower) takeUpstreams(m *syncpb.Instances) {
-	f.sieve.instances(m)
-	f.view.takeInstances(m)
+func (f *follower) applyUpstreams(m *syncpb.Instances) {
+	f.sieve.filterInstances(m)
+	f.view.applyInstances(m)
 }
 
-func (f *follower) takeOwners(m *syncpb.Spans) {
-	if err := f.view.takeSpans(m); err != nil {
+func (f *follower) applyOwners(m *syncpb.Spans) {
+	if err := f.view.applySpans(m); err != nil {
 		f.log.Error("owners from another gateway are not valid", "error", err)
 	}
 }
 
 // takePart takes over a part of the news.
-func (f *follower) takePart(part *syncpb.Part, data []byte) {
+func (f *follower) applyPart(part *syncpb.Part, data []byte) {
 	if err := f.decodePart(part, data); err != nil {
 		f.log.Error("part of the news cannot be read", "part", part.Name, "bytes", len(data), "error", err)
 	}
@@ -54,7 +54,7 @@
 		return errors.New("the bytes are not those of the part")
 	}
 	if part.Name == partConfiguration {
-		return f.takeConfiguration(part, data)
+		return f.applyConfiguration(part, data)
 	}
 	document, err := delta.Decode(nil, data)
 	if err != nil {
@@ -65,7 +65,7 @@
 		if err := proto.Unmarshal(document, m); err != nil {
 			return err
 		}
-		f.takeUpstreams(m)
+		f.applyUpstreams(m)
 		return nil
 	}
 	if _, ok := serviceOf(part.Name); !ok {
@@ -75,13 +75,13 @@
 	if err := proto.Unmarshal(document, m); err != nil {
 		return err
 	}
-	f.takeOwners(m)
+	f.applyOwners(m)
 	return nil
 }
 
 // takeConfiguration takes over a configuration. After one that cannot be decoded the
 // next is asked for whole.
-func (f *follower) takeConfiguration(part *syncpb.Part, data []byte) error {
+func (f *follower) applyConfiguration(part *syncpb.Part, data []byte) error {
 	if part.Revision <= f.view.configuration().revision {
 		return nil
 	}
@@ -104,13 +104,13 @@
 
 // toldConfiguration is a revision of the configuration, and when another gateway knew it
 // to be the newest.
-type toldConfiguration struct {
+type announcedConfiguration struct {
 	revision uint64
 	at       time.Time
 }
 
 // noteConfiguration notes when another gateway knew its configuration to be the newest.
-func (f *follower) noteConfiguration(resp *syncpb.SyncResponse) {
+func (f *follower) recordAnnouncement(resp *syncpb.SyncResponse) {
 	if resp.ConfigRevision == 0 {
 		return
 	}
@@ -121,7 +121,7 @@
 	case f.view.configuration().revision >= resp.ConfigRevision:
 		f.newest = later(f.newest, at)
 	case resp.ConfigRevision >= f.told.revision:
-		f.told = toldConfiguration{revision: resp.ConfigRevision, at: at}
+		f.told = announcedConfiguration{revision: resp.ConfigRevision, at: at}
 	}
 }
 
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -16,7 +16,7 @@
 
 const (
 	// narrowFollowers is the number of gateways that report to the leader.
-	narrowFollowers = 6
+	followerCount = 6
 	// addedRoutes is the number of routes that the operator adds at once: some 450 KB
 	// in the form that is handed on.
 	addedRoutes = 2800
@@ -25,8 +25,8 @@
 	// whole configuration for each of six takes the leader fourteen seconds, many times
 	// the limit of a report, and one of them three seconds from elsewhere, more than any
 	// call to the store may take. A tenth of that for each passes within two.
-	leaderRate = 200 << 10
-	narrowRate = 150 << 10
+	leaderRate   = 200 << 10
+	followerRate = 150 << 10
 	// smallChanges is the number of changes of one route each, in a row.
 	smallChanges = 10
 	// secondsBefore and secondsAfter are the timeouts of a route before and after a
@@ -39,24 +39,24 @@
 func largeConfig(version uint64) platform.ConfigBody {
 	const letters, length = "0123456789abcdefghijklmnopqrstuvwxyz", 8
 	rng := rand.New(rand.NewPCG(1, 1))
-	c := config(version)
-	for len(c.Routes) < addedRoutes {
+	cfg := config(version)
+	for len(cfg.Routes) < addedRoutes {
 		name := make([]byte, length)
 		for i := range name {
 			name[i] = letters[rng.IntN(len(letters))]
 		}
-		c.Routes["r-"+string(name)] = platform.RouteBody{
+		cfg.Routes["r-"+string(name)] = platform.RouteBody{
 			Host: "h.example", Path: "/" + string(name) + "/", Kind: "safe", Timeout: secondsBefore, Objective: 1,
 			Priority: rng.IntN(3), Service: "pay", MaxAttempts: 2,
 		}
 	}
-	return c
+	return cfg
 }
 
 // specSize is the size of a configuration as it is stored, in bytes.
-func specSize(t *testing.T, c platform.ConfigBody) int64 {
+func specSize(t *testing.T, cfg platform.ConfigBody) int64 {
 	t.Helper()
-	data, err := json.Marshal(c)
+	data, err := json.Marshal(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,11 +65,11 @@
 
 // narrowBed is a deployment whose first gateway leads, with the others in touch with it
 // over links that can be narrowed.
-func narrowBed(t *testing.T, followers int, c platform.ConfigBody) *bed {
+func slowLinkDeployment(t *testing.T, followers int, cfg platform.ConfigBody) *bed {
 	t.Helper()
 	b := newBed(t)
 	b.limitLinks = true
-	b.store.Put(platform.ConfigKind, platform.ConfigName, c)
+	b.store.Put(platform.ConfigKind, platform.ConfigName, cfg)
 	b.upstream("i-s0", "status")
 	b.upstream("i-p0", "pay")
 	b.gateway("g0")
@@ -79,20 +79,20 @@
 	}
 	b.ready()
 	b.eventually("all in touch with the leader", func() bool {
-		return b.inForce(c.Version) && b.gateways[0].cluster.gateways() == followers+1 && b.leader() == b.gateways[0]
+		return b.inForce(cfg.Version) && b.gateways[0].cluster.gatewayCount() == followers+1 && b.leader() == b.gateways[0]
 	})
 	return b
 }
 
 // narrow limits the links of all gateways but the leader's way to the store.
-func (b *bed) narrow() {
+func (b *bed) slowDownLinks() {
 	for i, g := range b.gateways {
 		if i == 0 {
 			g.peersLink.SetRate(leaderRate)
 			continue
 		}
-		g.peersLink.SetRate(narrowRate)
-		g.storeLink.SetRate(narrowRate)
+		g.peersLink.SetRate(followerRate)
+		g.storeLink.SetRate(followerRate)
 	}
 }
 
@@ -108,15 +108,15 @@
 }
 
 // traced is what gateways have sent each other and asked the store for.
-type traced struct {
+type bytesSent struct {
 	// leader and all are the bytes that left the leader and all gateways for others.
 	leader, all int64
 	// store are the bytes that the store has sent to others than the leader.
 	store int64
 }
 
-func (b *bed) trace() traced {
-	var now traced
+func (b *bed) countBytes() bytesSent {
+	var now bytesSent
 	for i, g := range b.gateways {
 		now.all += g.peersLink.Sent()
 		if i > 0 {
@@ -128,9 +128,9 @@
 }
 
 // since returns what came after a former trace.
-func (b *bed) since(former traced) traced {
-	now := b.trace()
-	return traced{leader: now.leader - former.leader, all: now.all - former.all, store: now.store - former.store}
+func (b *bed) bytesSince(earlier bytesSent) bytesSent {
+	now := b.countBytes()
+	return bytesSent{leader: now.leader - earlier.leader, all: now.all - earlier.all, store: now.store - earlier.store}
 }
 
 // TestLargeConfigurationOverNarrowLinks: a large configuration reaches all gateways over
@@ -148,7 +148,7 @@
 // that version, until the day's end, with processors at 1 to 4 %; all 79 callers were at
 // the store afterwards, where two had been; and 239 of the refusals came from gateways
 // that worked by the version before.
-func TestLargeConfigurationOverNarrowLinks(t *testing.T) {
+func TestLargeConfigurationOverSlowLinks(t *testing.T) {
 	t.Parallel()
 	t.Run("many routes at once", manyRoutesAtOnce)
 	t.Run("small changes afterwards", smallChangesAfterwards)
@@ -157,28 +157,28 @@
 // manyRoutesAtOnce: nothing is sent again and again.
 func manyRoutesAtOnce(t *testing.T) {
 	t.Parallel()
-	b := narrowBed(t, narrowFollowers, config(3))
-	b.narrow()
-	before := b.trace()
+	b := slowLinkDeployment(t, followerCount, config(3))
+	b.slowDownLinks()
+	before := b.countBytes()
 	next := largeConfig(4)
 	size := specSize(t, next)
 	defer func() {
-		got := b.since(before)
+		got := b.bytesSince(before)
 		t.Logf("%d bytes of configuration, %d of %d gateways have it; %d bytes left the leader and %d all gateways, %d the store to others than the leader",
 			size, b.countInForce(next.Version), len(b.gateways), got.leader, got.all, got.store)
 	}()
 	b.store.Put(platform.ConfigKind, platform.ConfigName, next)
 	b.eventually("the large configuration in force everywhere", func() bool { return b.inForce(next.Version) })
-	b.since(before).check(t, size)
+	b.bytesSince(before).check(t, size)
 }
 
 // check reports bytes that are more than differences need: between gateways half of the
 // whole configuration for each, of which a tenth is enough, and with those of the store
 // two for each. A gateway that loses touch, as on a machine that is busy with other
 // things, takes one from the store; how many do is no part of this.
-func (got traced) check(t *testing.T, size int64) {
+func (got bytesSent) check(t *testing.T, size int64) {
 	t.Helper()
-	whole := narrowFollowers * size
+	whole := followerCount * size
 	if got.leader >= whole/2 || got.all >= whole/2 {
 		t.Errorf("%d bytes from the leader and %d from all gateways, want less than %d", got.leader, got.all, whole/2)
 	}
@@ -190,26 +190,26 @@
 // smallChangesAfterwards: each small change costs its difference only.
 func smallChangesAfterwards(t *testing.T) {
 	t.Parallel()
-	c := largeConfig(3)
-	size := specSize(t, c)
-	b := narrowBed(t, narrowFollowers, c)
-	b.narrow()
-	before, changes := b.trace(), 0
+	cfg := largeConfig(3)
+	size := specSize(t, cfg)
+	b := slowLinkDeployment(t, followerCount, cfg)
+	b.slowDownLinks()
+	before, changes := b.countBytes(), 0
 	defer func() {
-		got := b.since(before)
+		got := b.bytesSince(before)
 		t.Logf("%d bytes of configuration, change %d in force at %d of %d gateways; %d bytes left the leader and %d all gateways, %d the store to others than the leader",
-			size, changes, b.countInForce(c.Version), len(b.gateways), got.leader, got.all, got.store)
+			size, changes, b.countInForce(cfg.Version), len(b.gateways), got.leader, got.all, got.store)
 	}()
 	for range smallChanges {
 		changes++
-		c.Version++
-		r := c.Routes["read"]
+		cfg.Version++
+		r := cfg.Routes["read"]
 		r.Timeout = secondsBefore + secondsAfter - r.Timeout
-		c.Routes["read"] = r
-		b.store.Put(platform.ConfigKind, platform.ConfigName, c)
-		b.eventually(fmt.Sprintf("change %d in force everywhere", changes), func() bool { return b.inForce(c.Version) })
+		cfg.Routes["read"] = r
+		b.store.Put(platform.ConfigKind, platform.ConfigName, cfg)
+		b.eventually(fmt.Sprintf("change %d in force everywhere", changes), func() bool { return b.inForce(cfg.Version) })
 	}
-	b.since(before).check(t, size)
+	b.bytesSince(before).check(t, size)
 }
 
 // TestUnknownRouteWhileBehind: a gateway that may be behind says of a route that it does
@@ -223,9 +223,9 @@
 // answers from the configuration that it has, however long ago it last had news. What
 // proved it: 239 of the refusals came from gateways that worked by the version before,
 // while the version with the routes was in force elsewhere.
-func TestUnknownRouteWhileBehind(t *testing.T) {
+func TestUnknownRouteWithStaleConfiguration(t *testing.T) {
 	t.Parallel()
-	b := narrowBed(t, 1, config(3))
+	b := slowLinkDeployment(t, 1, config(3))
 	leader, cut := b.gateways[0], b.gateways[1]
 	if a := b.ask(cut, http.MethodGet, "/added/x", -1); a.status != http.StatusNotFound {
 		t.Errorf("in touch: status %d, body %q, error %v", a.status, a.body, a.err)
@@ -266,7 +266,7 @@
 
 // registered is the number of upstreams that only stand in the store, some 30 KB of
 // news.
-const registered = 300
+const registeredUpstreams = 300
 
 // TestGatewayComesBackFromTheStore: a gateway that has lost touch and has listed the
 // upstreams by itself takes the leader's view of them when it is back.
@@ -279,13 +279,13 @@
 // for the newer one and refused the leader's, which was offered again at once. The
 // evidence: both views had the same upstreams, the refused one revision 304 and the other
 // 318, and the bytes ended when the next upstream changed.
-func TestGatewayComesBackFromTheStore(t *testing.T) {
+func TestReconnectedGatewayTakesLeaderView(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
 	b.limitLinks = true
 	b.upstream("i-s0", "status")
 	b.upstream("i-p0", "pay")
-	for n := range registered {
+	for n := range registeredUpstreams {
 		var body platform.InstanceBody
 		body.Address = fmt.Sprintf("127.0.0.1:%d", n+1)
 		body.Info.Service, body.Info.Zone, body.Info.Slots = "spare", "a", 1
@@ -296,7 +296,7 @@
 	b.ready()
 	other = b.gateway("g1")
 	b.ready()
-	b.eventually("both in touch", func() bool { return b.leader() == leader && leader.cluster.gateways() == 2 })
+	b.eventually("both in touch", func() bool { return b.leader() == leader && leader.cluster.gatewayCount() == 2 })
 	lists := other.door.Lists()
 	leader.peersLink.SetRate(0)
 	b.eventually("the other has listed the upstreams", func() bool {
--- a/gateway/noticenews.go
+++ b/gateway/noticenews.go
@@ -46,5 +46,5 @@
 	if l == nil || time.Duration(l.RestMs)*time.Millisecond < leastRest {
 		return false
 	}
-	return float64(l.Resting) >= restingShare*float64(s.cluster.gateways())
+	return float64(l.Resting) >= restingShare*float64(s.cluster.gatewayCount())
 }
--- a/gateway/parts.go
+++ b/gateway/parts.go
@@ -19,14 +19,14 @@
 const (
 	// mostInline bounds what an answer has of configuration, upstreams and owners, in
 	// bytes: thirty answers at once take 0.1 s of a link of 10 Mbit/s.
-	mostInline = 4 << 10
+	maxInlineBytes = 4 << 10
 	// pieceSize is the most that one piece of a part has, in bytes. Thirty gateways
 	// that fetch at once keep a link of 10 Mbit/s busy for 0.4 s, within pieceTimeout.
 	pieceSize = 16 << 10
 	// partsKept and partBytesKept bound the parts that are kept for those that fetch them,
 	// in number and bytes: some versions of each document, from a few earlier ones each.
-	partsKept     = 24
-	partBytesKept = 4 * megabyte
+	maxCachedParts = 24
+	maxCachedBytes = 4 * megabyte
 )
 
 // Names of parts. That of the owners of a service ends with its name.
@@ -44,7 +44,7 @@
 }
 
 // madePart is a part with its bytes.
-type madePart struct {
+type encodedPart struct {
 	key  partKey
 	id   uint64
 	base uint64
@@ -53,48 +53,48 @@
 
 // parts keeps the parts that were made, the newest last. It is safe for concurrent
 // use. A part that many ask for is made once.
-type parts struct {
+type partCache struct {
 	mu    sync.Mutex
-	kept  []madePart
+	kept  []encodedPart
 	bytes int
 }
 
 // get returns the part, made from the document and the base that its receiver has.
-func (p *parts) get(key partKey, base, document []byte) (madePart, error) {
+func (p *partCache) get(key partKey, base, document []byte) (encodedPart, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, one := range p.kept {
-		if one.key == key {
-			return one, nil
+	for _, part := range p.kept {
+		if part.key == key {
+			return part, nil
 		}
 	}
 	data, err := delta.Encode(base, document)
 	if err != nil {
-		return madePart{}, err
+		return encodedPart{}, err
 	}
-	made := madePart{key: key, id: delta.Digest(data), base: delta.Digest(base), data: data}
-	p.keep(made)
+	made := encodedPart{key: key, id: delta.Digest(data), base: delta.Digest(base), data: data}
+	p.add(made)
 	return made, nil
 }
 
 // keep adds a part and drops the oldest ones beyond the bounds, never the new one.
 // The lock is held.
-func (p *parts) keep(made madePart) {
+func (p *partCache) add(made encodedPart) {
 	p.kept = append(p.kept, made)
 	p.bytes += len(made.data)
-	for len(p.kept) > partsKept || len(p.kept) > 1 && p.bytes > partBytesKept {
+	for len(p.kept) > maxCachedParts || len(p.kept) > 1 && p.bytes > maxCachedBytes {
 		p.bytes -= len(p.kept[0].data)
 		p.kept = p.kept[1:]
 	}
 }
 
 // piece returns the bytes of a part from an offset on, and whether the part is kept.
-func (p *parts) piece(id uint64, offset int) (data []byte, kept bool) {
+func (p *partCache) piece(id uint64, offset int) (data []byte, kept bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, one := range p.kept {
-		if one.id == id && offset <= len(one.data) {
-			return one.data[offset:min(offset+pieceSize, len(one.data))], true
+	for _, part := range p.kept {
+		if part.id == id && offset <= len(part.data) {
+			return part.data[offset:min(offset+pieceSize, len(part.data))], true
 		}
 	}
 	return nil, false
@@ -111,27 +111,27 @@
 
 // telling builds the news of one answer: what is small within it, the rest as parts to
 // be fetched.
-type telling struct {
+type responseBuilder struct {
 	*peerServer
 	request *syncpb.SyncRequest
 	resp    *syncpb.SyncResponse
 	// room is how many bytes the answer may still take.
-	room int
+	remaining int
 }
 
 // tell adds the news that the sender does not know and is not fetching.
-func (p *peerServer) tell(r *syncpb.SyncRequest, resp *syncpb.SyncResponse) {
-	t := &telling{peerServer: p, request: r, resp: resp, room: mostInline}
+func (p *peerServer) addUpdates(r *syncpb.SyncRequest, resp *syncpb.SyncResponse) {
+	b := &responseBuilder{peerServer: p, request: r, resp: resp, remaining: maxInlineBytes}
 	fetching := fetchingSet(r)
 	if !fetching[partConfiguration] {
-		t.addConfiguration()
+		b.addConfiguration()
 	}
-	if !fetching[partUpstreams] && p.newerUpstreams(r) {
-		t.addUpstreams()
+	if !fetching[partUpstreams] && p.hasNewerUpstreams(r) {
+		b.addUpstreams()
 	}
 	for service := range *p.view.owners.Load() {
 		if !fetching[partOwners+service] {
-			t.addOwners(service)
+			b.addOwners(service)
 		}
 	}
 }
@@ -144,73 +144,73 @@
 	return set
 }
 
-func (t *telling) addConfiguration() {
-	now := t.view.configuration()
-	if now.revision <= t.request.ConfigRevision {
+func (b *responseBuilder) addConfiguration() {
+	now := b.view.configuration()
+	if now.revision <= b.request.ConfigRevision {
 		return
 	}
-	base := t.view.configurationSpec(t.request.ConfigDigest)
+	base := b.view.configurationSpec(b.request.ConfigDigest)
 	key := partKey{name: partConfiguration, version: now.digest, base: delta.Digest(base)}
-	t.addPart(key, now.revision, base, now.spec)
+	b.addPart(key, now.revision, base, now.spec)
 }
 
-func (t *telling) addUpstreams() {
-	m := t.view.instancesMessage(t.request.InstancesVersion)
+func (b *responseBuilder) addUpstreams() {
+	m := b.view.instancesMessage(b.request.InstancesVersion)
 	switch {
 	case m == nil:
-	case t.fits(m):
-		t.resp.Instances = m
+	case b.reserve(m):
+		b.resp.Instances = m
 	default:
-		t.addMessage(partKey{name: partUpstreams, version: m.Version, base: m.Base}, m)
+		b.addMessage(partKey{name: partUpstreams, version: m.Version, base: m.Base}, m)
 	}
 }
 
-func (t *telling) addOwners(service string) {
-	now, base := t.view.spansOf(service), t.request.SpansVersions[service]
+func (b *responseBuilder) addOwners(service string) {
+	now, base := b.view.spansOf(service), b.request.SpansVersions[service]
 	if now.Version <= base {
 		return
 	}
-	m := t.view.spansMessage(now, base)
-	if t.fits(m) {
-		t.resp.Spans = append(t.resp.Spans, m)
+	m := b.view.spansMessage(now, base)
+	if b.reserve(m) {
+		b.resp.Spans = append(b.resp.Spans, m)
 		return
 	}
-	t.addMessage(partKey{name: partOwners + service, version: m.Version, base: m.Base}, m)
+	b.addMessage(partKey{name: partOwners + service, version: m.Version, base: m.Base}, m)
 }
 
 // fits reports whether the message goes within the answer, and takes the room for it.
-func (t *telling) fits(m proto.Message) bool {
+func (b *responseBuilder) reserve(m proto.Message) bool {
 	size := proto.Size(m)
-	if size > t.room {
+	if size > b.remaining {
 		return false
 	}
-	t.room -= size
+	b.remaining -= size
 	return true
 }
 
 // addMessage adds a message as a part. It is already the difference from its base.
-func (t *telling) addMessage(key partKey, m proto.Message) {
+func (b *responseBuilder) addMessage(key partKey, m proto.Message) {
 	document, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		t.log.Error("part of the news cannot be made", "part", key.name, "error", err)
+		b.log.Error("part of the news cannot be made", "part", key.name, "error", err)
 		return
 	}
-	t.addPart(key, 0, nil, document)
+	b.addPart(key, 0, nil, document)
 }
 
 // addPart adds a part, with its bytes when there is room for them.
-func (t *telling) addPart(key partKey, revision uint64, base, document []byte) {
-	made, err := t.parts.get(key, base, document)
+func (b *responseBuilder) addPart(key partKey, revision uint64, base, document []byte) {
+	made, err := b.parts.get(key, base, document)
 	if err != nil {
-		t.log.Error("part of the news cannot be made", "part", key.name, "error", err)
+		b.log.Error("part of the news cannot be made", "part", key.name, "error", err)
 		return
 	}
 	part := &syncpb.Part{Name: key.name, Id: made.id, Size: uint32(len(made.data)), Base: made.base, Revision: revision}
-	if len(made.data) <= t.room {
-		t.room -= len(made.data)
+	if len(made.data) <= b.remaining {
+		b.remaining -= len(made.data)
 		part.Data = made.data
 	}
-	t.resp.Parts = append(t.resp.Parts, part)
+	b.resp.Parts = append(b.resp.Parts, part)
 }
 
 // serviceOf returns the service whose owners the part tells.
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -15,7 +15,7 @@
 )
 
 // mostWait bounds how long a report waits for changes before it is answered.
-const mostWait = time.Second
+const maxWait = time.Second
 
 // peerServer serves the other gateways.
 type peerServer struct {
@@ -28,11 +28,11 @@
 	follower *follower
 	watcher  *watcher
 	promises *promises
-	parts    *parts
+	parts    *partCache
 	evac     *evacuations
-	packer   fleetPacker
+	encoder  fleetEncoder
 	// sieve drops what others say of upstreams that cannot be.
-	sieve *sieve
+	validator *peerValidator
 	// limits are those that upstreams name.
 	limits *namedLimits
 	// suspects are requests that end upstreams.
@@ -47,25 +47,25 @@
 	}
 	p.evac.told(r.Evacuations)
 	if r.WaitMs > 0 {
-		r.Loads = p.sieve.loads(r.Loads)
-		r.Limits = p.sieve.soundLimits(unsoundReport, r.Limits)
+		r.Loads = p.validator.filterLoads(r.Loads)
+		r.Limits = p.validator.soundLimits(invalidReport, r.Limits)
 		p.limits.told(r.Limits)
 		p.suspects.told(r.Suspects)
-		p.cluster.reported(r, p.heardAgo() < orphanAfter)
+		p.cluster.handleReport(r, p.leaderAge() < orphanAfter)
 		if p.cluster.isLeading() {
 			p.steward.asked(r.Keys)
 			p.steward.workTimes.note(r.Loads)
 		} else {
-			p.passOn(r.Keys)
+			p.forwardKeys(r.Keys)
 			p.cluster.keepRuns(r.Loads)
 		}
 	}
-	p.waitForNews(ctx, r)
-	return p.news(r), nil
+	p.waitForUpdates(ctx, r)
+	return p.buildResponse(r), nil
 }
 
 // passOn adds the keys that another gateway was asked for to the own report.
-func (p *peerServer) passOn(counts []*syncpb.KeyCounts) {
+func (p *peerServer) forwardKeys(counts []*syncpb.KeyCounts) {
 	for _, c := range counts {
 		s := p.traffic.get(c.Service)
 		for _, key := range c.Keys {
@@ -75,12 +75,12 @@
 }
 
 // waitForNews waits until something has changed that the sender does not know.
-func (p *peerServer) waitForNews(ctx context.Context, r *syncpb.SyncRequest) {
-	timer := time.NewTimer(min(time.Duration(r.WaitMs)*time.Millisecond, mostWait))
+func (p *peerServer) waitForUpdates(ctx context.Context, r *syncpb.SyncRequest) {
+	timer := time.NewTimer(min(time.Duration(r.WaitMs)*time.Millisecond, maxWait))
 	defer timer.Stop()
 	for {
-		changed := p.view.wait()
-		if p.heardAgo() > orphanAfter || p.knowsMore(r) {
+		changed := p.view.nextChange()
+		if p.leaderAge() > orphanAfter || p.hasUpdates(r) {
 			return
 		}
 		select {
@@ -94,7 +94,7 @@
 }
 
 // heardAgo returns how long ago this process heard from the leader.
-func (p *peerServer) heardAgo() time.Duration {
+func (p *peerServer) leaderAge() time.Duration {
 	if p.cluster.isLeading() {
 		return 0
 	}
@@ -103,7 +103,7 @@
 
 // newsAgo returns how long ago this process had news from the leader or the
 // store.
-func (p *peerServer) newsAgo() time.Duration {
+func (p *peerServer) updateAge() time.Duration {
 	if p.cluster.isLeading() {
 		return 0
 	}
@@ -115,15 +115,15 @@
 
 // knowsMore reports whether this process has a newer view than the sender has or is
 // fetching.
-func (p *peerServer) knowsMore(r *syncpb.SyncRequest) bool {
+func (p *peerServer) hasUpdates(r *syncpb.SyncRequest) bool {
 	fetching := fetchingSet(r)
-	if p.lacksEvacuations(r) || p.limits.lackedBy(r.Limits) {
+	if p.hasNewerEvacuations(r) || p.limits.lackedBy(r.Limits) {
 		return true
 	}
 	if !fetching[partConfiguration] && p.view.configuration().revision > r.ConfigRevision {
 		return true
 	}
-	if !fetching[partUpstreams] && p.newerUpstreams(r) {
+	if !fetching[partUpstreams] && p.hasNewerUpstreams(r) {
 		return true
 	}
 	for name, t := range *p.view.owners.Load() {
@@ -136,64 +136,64 @@
 
 // lacksEvacuations reports whether this process knows of evacuations what the sender
 // does not.
-func (p *peerServer) lacksEvacuations(r *syncpb.SyncRequest) bool {
+func (p *peerServer) hasNewerEvacuations(r *syncpb.SyncRequest) bool {
 	theirs, _ := (*evacuation.Set)(nil).Merge(evacuationMarks(r.Evacuations))
 	return !theirs.Covers(p.view.evac.Load().Marks())
 }
 
 // newerUpstreams reports whether this process has another view of upstreams than the
 // sender, and one that the sender would take.
-func (p *peerServer) newerUpstreams(r *syncpb.SyncRequest) bool {
-	revision, version := p.view.upstreamsKnown()
+func (p *peerServer) hasNewerUpstreams(r *syncpb.SyncRequest) bool {
+	revision, version := p.view.upstreamsVersion()
 	return version != r.InstancesVersion && revision >= r.InstancesRevision
 }
 
 // news builds the answer from what the sender does not know.
-func (p *peerServer) news(r *syncpb.SyncRequest) *syncpb.SyncResponse {
+func (p *peerServer) buildResponse(r *syncpb.SyncRequest) *syncpb.SyncResponse {
 	// The age first: a configuration that comes in between is not told as known of old.
 	age := p.follower.configurationAge(p.watcher.configurationHeard())
 	resp := &syncpb.SyncResponse{
 		Leader: p.cluster.knownLeader(), Leading: p.cluster.isLeading(),
-		HeardMs: milliseconds(p.heardAgo()), NewsMs: milliseconds(p.newsAgo()),
+		HeardMs: milliseconds(p.leaderAge()), NewsMs: milliseconds(p.updateAge()),
 		ConfigMs: milliseconds(age), ConfigRevision: p.view.configuration().revision,
 	}
-	if p.lacksEvacuations(r) {
+	if p.hasNewerEvacuations(r) {
 		resp.Evacuations = evacuationMessages(p.view.evac.Load())
 	}
-	p.tell(r, resp)
+	p.addUpdates(r, resp)
 	if r.WaitMs == 0 {
 		return resp
 	}
-	resp.Fleet = p.fleet(r)
+	resp.Fleet = p.fleetMessage(r)
 	resp.Demands = demandMessages(p.cluster.demandElsewhere(r.Member.Node, p.steward.lastOwn().demand))
-	resp.Gateways = uint32(p.cluster.gateways())
-	resp.HotKeys = p.hotKeys()
-	resp.Limits = p.namedLimits(r.Member.Node)
+	resp.Gateways = uint32(p.cluster.gatewayCount())
+	resp.HotKeys = p.hotKeyMessages()
+	resp.Limits = p.namedLimitMessages(r.Member.Node)
 	resp.Suspects = p.suspects.messages()
-	resp.Rights, resp.RightsMs = p.rights(r)
+	resp.Rights, resp.RightsMs = p.rightsFor(r)
 	resp.MembersVersion = r.MembersVersion
 	if p.cluster.membersVersion() != r.MembersVersion {
-		resp.Members, resp.MembersVersion = p.cluster.list()
+		resp.Members, resp.MembersVersion = p.cluster.allMembers()
 	}
 	return resp
 }
 
 // fleet returns what all gateways but the sender and those behind it have in flight, for the
 // view of upstreams that the sender has; nil when it was told a moment ago.
-func (p *peerServer) fleet(r *syncpb.SyncRequest) *syncpb.Fleet {
-	v := p.view.formerInstances(r.InstancesVersion)
+func (p *peerServer) fleetMessage(r *syncpb.SyncRequest) *syncpb.Fleet {
+	v := p.view.previousInstances(r.InstancesVersion)
 	if v == nil {
 		return nil
 	}
-	fleet, works := p.cluster.tellFleet(r.Member.Node, v.Len())
-	if !fleet {
+	due, withWorkTimes := p.cluster.claimFleetUpdate(r.Member.Node, v.Len())
+	if !due {
 		return nil
 	}
-	return p.packer.pack(p.cluster.sum(p.steward.lastOwn().loads), r.Member.Node, v, r.InstancesVersion, p.works(), works)
+	return p.encoder.encode(p.cluster.sum(p.steward.lastOwn().loads), r.Member.Node, v, r.InstancesVersion, p.workTimes(), withWorkTimes)
 }
 
 // works returns the mean times of a run as all gateways have seen them.
-func (p *peerServer) works() map[string]worktime.Estimate {
+func (p *peerServer) workTimes() map[string]worktime.Estimate {
 	if p.cluster.isLeading() {
 		return p.steward.workTimes.all()
 	}
@@ -202,7 +202,7 @@
 
 // namedLimits tells the limits that upstreams name, and what all gateways but the node and those
 // behind it are asked for.
-func (p *peerServer) namedLimits(node string) []*syncpb.NamedLimit {
+func (p *peerServer) namedLimitMessages(node string) []*syncpb.NamedLimit {
 	own := p.steward.lastOwn().wanted
 	return p.limits.messages(func(upstream string) float64 {
 		wanted, _ := p.cluster.wantedElsewhere(node, own, upstream)
@@ -211,7 +211,7 @@
 }
 
 // hotKeys returns the limits of hot keys, as this leader decides or as it was told them.
-func (p *peerServer) hotKeys() []*syncpb.HotKeys {
+func (p *peerServer) hotKeyMessages() []*syncpb.HotKeys {
 	if p.cluster.isLeading() {
 		return p.steward.hotKeys.messages()
 	}
@@ -220,7 +220,7 @@
 
 // rights returns the rights of the sender and of those that report through it, and how long
 // ago the leader named them.
-func (p *peerServer) rights(r *syncpb.SyncRequest) ([]*syncpb.Right, uint32) {
+func (p *peerServer) rightsFor(r *syncpb.SyncRequest) ([]*syncpb.Right, uint32) {
 	nodes := map[string]bool{r.Member.Node: true}
 	for _, m := range r.Followers {
 		nodes[m.Node] = true
--- a/gateway/ports_test.go
+++ b/gateway/ports_test.go
@@ -41,7 +41,7 @@
 
 // bind takes the port and allows a listener at it.
 func (p *port) bind() error {
-	if err := p.share(1); err != nil {
+	if err := p.setReuseAddr(1); err != nil {
 		return err
 	}
 	if err := syscall.Bind(p.socket, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
@@ -57,7 +57,7 @@
 }
 
 // share allows others to bind the port, with 1, or forbids it, with 0; who has it keeps it.
-func (p *port) share(yes int) error {
+func (p *port) setReuseAddr(yes int) error {
 	return os.NewSyscallError("setsockopt", syscall.SetsockoptInt(p.socket, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, yes))
 }
 
@@ -81,10 +81,10 @@
 }
 
 // claim keeps ports to the listeners that are open at them.
-func (b *bed) claim(ports ...*port) {
+func (b *bed) claimPorts(ports ...*port) {
 	b.t.Helper()
 	for _, p := range ports {
-		if err := p.share(0); err != nil {
+		if err := p.setReuseAddr(0); err != nil {
 			b.t.Fatal(err)
 		}
 	}
@@ -98,12 +98,12 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.claim(p)
+	b.claimPorts(p)
 	return l
 }
 
 // givePortsBack gives all ports back to the kernel.
-func (b *bed) givePortsBack() {
+func (b *bed) releasePorts() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.ports {
@@ -114,7 +114,7 @@
 // TestNobodyTakesThePlaceOfTheKilled: the addresses of a gateway that was killed stay
 // dead while its bed lives, so that what the others go on sending there reaches no
 // listener of another bed.
-func TestNobodyTakesThePlaceOfTheKilled(t *testing.T) {
+func TestAddressOfKilledGatewayStaysUnused(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	dead := b.leader()
--- a/gateway/promises.go
+++ b/gateway/promises.go
@@ -208,7 +208,7 @@
 
 // voters chooses the voters among the gateways that report.
 func (l *leading) voters(former []string) []string {
-	list, _ := l.cluster.list()
+	list, _ := l.cluster.allMembers()
 	var live []leadership.VoterCandidate
 	for _, m := range list {
 		live = append(live, leadership.VoterCandidate{Address: m.Address, Domain: m.Domain})
--- a/gateway/publish_test.go
+++ b/gateway/publish_test.go
@@ -52,7 +52,7 @@
 	v, versions := newView(), 0
 	v.onSpans = func(*spans.Table) { versions++ }
 	c := newCluster(&syncpb.Member{Incarnation: "a"}, http.DefaultClient, clock, nil)
-	c.expect(300)
+	c.expectGateways(300)
 	c.expectedUntil = now.Add(time.Hour)
 	k := newKeeper(&steward{view: v, cluster: c, now: clock, log: slog.New(slog.DiscardHandler)}, "s", 1)
 	k.table = ownership.InitialTable("s", []ownership.Owner{{ID: "a", Usable: true, MayKeep: true, Capacity: 1}})
@@ -69,7 +69,7 @@
 
 // TestDifferencesAreMadeOnce for all gateways that have the same version.
 func TestDifferencesAreMadeOnce(t *testing.T) {
-	var d differences[*syncpb.Spans]
+	var d messageCache[*syncpb.Spans]
 	made := 0
 	build := func() *syncpb.Spans {
 		made++
--- a/gateway/relayed_test.go
+++ b/gateway/relayed_test.go
@@ -26,7 +26,7 @@
 // configuration by way of gateways with narrow links.
 func TestLargeConfigurationByNarrowRelays(t *testing.T) {
 	t.Parallel()
-	b := narrowBed(t, 2, config(3))
+	b := slowLinkDeployment(t, 2, config(3))
 	leader := b.gateways[0]
 	leader.door.Set(metastore.Busy)
 	for _, g := range b.gateways[1:] {
--- a/gateway/reports.go
+++ b/gateway/reports.go
@@ -12,7 +12,7 @@
 // This file counts and logs how reports to other gateways end.
 
 // failedReports is a run of reports that all ended without success.
-type failedReports struct {
+type reportFailures struct {
 	// since is when the first of them ended.
 	since time.Time
 	count int
@@ -43,7 +43,7 @@
 }
 
 // reportEnd names how a report ended whose reportError is err.
-func reportEnd(err error) string {
+func reportOutcome(err error) string {
 	switch {
 	case err == nil:
 		return reportOK
@@ -59,8 +59,8 @@
 
 // noteReport counts a report to a parent by its reportError. It logs when reports begin
 // to fail, and when they succeed again.
-func (f *follower) noteReport(to string, err error, took time.Duration) {
-	f.meters.inc(fill(reportAnswer, reportEnd(err)))
+func (f *follower) recordReport(to string, err error, took time.Duration) {
+	f.meters.inc(fill(reportAnswer, reportOutcome(err)))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
@@ -77,5 +77,5 @@
 		f.log.Info("reports succeed again", "to", to,
 			"failed_for_ms", now.Sub(f.failing.since).Milliseconds(), "failures", f.failing.count)
 	}
-	f.failing = failedReports{}
+	f.failing = reportFailures{}
 }
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -103,7 +103,7 @@
 		one := b.gateways[2].view.inst.Load().Get("i-p0")
 		return one == nil || one.Leaving
 	})
-	if n := l.meters.counter(fill(upstreamsUnsound, unsoundEntry)).Count(); n != 2 {
+	if n := l.meters.counter(fill(upstreamsUnsound, invalidEntry)).Count(); n != 2 {
 		t.Errorf("%d unsound entries counted", n)
 	}
 	if v := b.gateways[2].view.inst.Load(); v.Get("i-odd") != nil || v.Get("i-p1") == nil {
@@ -123,9 +123,9 @@
 	v, m := newView(), newMeters()
 	one := instances.Instance{ID: "i", Service: "s", Address: "10.0.0.1:1", BornMs: 5}
 	v.setInstances(1, instances.NewView(1, []instances.Instance{one}))
-	s := newSieve(v, func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)), m)
+	s := newPeerValidator(v, func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)), m)
 	former := instances.Instance{BornMs: 4}
-	kept := s.loads([]*syncpb.Load{
+	kept := s.filterLoads([]*syncpb.Load{
 		{Instance: "i", Incarnation: uint32(one.Incarnation()), Inflight: 1},
 		{Instance: "i", Incarnation: uint32(former.Incarnation()), Inflight: 2},
 		{Instance: "i", Inflight: 3},
@@ -144,14 +144,14 @@
 		{Id: "b", Service: "s", Address: "10.0.0.1:2", BornMs: uint64(now.Add(2 * clockToleranceSeen).UnixMilli())},
 		{Id: "c", Service: "s"},
 	}}
-	s.instances(news)
+	s.filterInstances(news)
 	if len(news.List) != 1 || news.List[0].Id != "a" {
 		t.Errorf("kept %v", news.List)
 	}
-	if n := m.counter(fill(upstreamsUnsound, unsoundNews)).Count(); n != 2 {
+	if n := m.counter(fill(upstreamsUnsound, invalidUpdate)).Count(); n != 2 {
 		t.Errorf("%d counted", n)
 	}
-	if n := m.counter(fill(upstreamsUnsound, unsoundReport)).Count(); n != 1 {
+	if n := m.counter(fill(upstreamsUnsound, invalidReport)).Count(); n != 1 {
 		t.Errorf("%d reports counted", n)
 	}
 }
--- a/gateway/rights.go
+++ b/gateway/rights.go
@@ -46,7 +46,7 @@
 
 // all returns the rights that hold now, and when they were named.
 func (r *rights) all() ([]warmup.Right, time.Time) {
-	_, version := r.view.upstreamsKnown()
+	_, version := r.view.upstreamsVersion()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.book == nil {
@@ -60,7 +60,7 @@
 }
 
 func (r *rights) gateways() []warmup.Gateway {
-	members, _ := r.cluster.list()
+	members, _ := r.cluster.allMembers()
 	out := make([]warmup.Gateway, 0, len(members))
 	for _, m := range members {
 		out = append(out, warmup.Gateway{Node: m.Node, Domain: m.Domain})
@@ -110,12 +110,12 @@
 func (c *cluster) setRights(list []warmup.Right, named time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rights, c.rightsNamed = list, named
+	c.rights, c.rightsIssued = list, named
 }
 
 // rightsAbove returns what the parent told of rights, and when they were named.
 func (c *cluster) rightsAbove() ([]warmup.Right, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rights, c.rightsNamed
+	return c.rights, c.rightsIssued
 }
--- a/gateway/sight_test.go
+++ b/gateway/sight_test.go
@@ -82,7 +82,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	c := newCluster(self, &http.Client{Transport: transport}, now, rng)
 	return &follower{
-		sieve: newSieve(newView(), now, slog.New(slog.DiscardHandler), m), evac: &evacuations{view: newView()},
+		sieve: newPeerValidator(newView(), now, slog.New(slog.DiscardHandler), m), evac: &evacuations{view: newView()},
 		view: newView(), cluster: c, fetcher: newFetcher(c.client, nil, now, slog.New(slog.DiscardHandler), m),
 		traffic: newTraffic(settings.DefaultGateway(), now, rng), now: now,
 		log: slog.New(slog.NewJSONHandler(log, nil)), meters: m, began: now(),
--- a/gateway/steward.go
+++ b/gateway/steward.go
@@ -121,7 +121,7 @@
 			}
 		}
 		s.noteOwn()
-		pause(ctx, reportInterval(s.cluster.gateways()))
+		pause(ctx, reportInterval(s.cluster.gatewayCount()))
 	}
 }
 
@@ -153,7 +153,7 @@
 	elsewhere := s.cluster.demandElsewhere(s.cluster.self.Node, nil)
 	rights, named := s.rights.all()
 	s.traffic.reported(dispatch.ClusterReport{
-		InFlight: s.cluster.inFlightElsewhere(), WorkTimes: s.workTimes.all(), Gateways: s.cluster.gateways(),
+		InFlight: s.cluster.inFlightElsewhere(), WorkTimes: s.workTimes.all(), Gateways: s.cluster.gatewayCount(),
 		Rights: held(s.view.inst.Load(), rights, named, s.cluster.self.Node), Limits: s.limits.news(s.cluster.wantedByOthers),
 	}, elsewhere, admitted(s.hotKeys.messages()))
 }
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -23,18 +23,18 @@
 	mu sync.Mutex
 	// config is the configuration in force in the form that is handed on, formerConfigs
 	// are those before it.
-	config        configVersion
-	formerConfigs []configVersion
+	config          configVersion
+	previousConfigs []configVersion
 	// instVersion tells versions of the view of upstreams apart.
 	instVersion uint64
 	changed     chan struct{}
 	// former are older versions, to tell others only what has changed since.
-	formerInst  map[uint64]*instances.View
-	formerOrder []uint64
-	formerSpans map[string][]*spans.Table
+	previousInst  map[uint64]*instances.View
+	previousOrder []uint64
+	previousSpans map[string][]*spans.Table
 	// toldInstances and toldSpans are the messages about the newest versions.
-	toldInstances differences[*syncpb.Instances]
-	toldSpans     map[string]*differences[*syncpb.Spans]
+	instancesMessages messageCache[*syncpb.Instances]
+	spansMessages     map[string]*messageCache[*syncpb.Spans]
 	// onInstances is called, with the lock held, when upstreams have changed,
 	// onSpans when the owners of a service have, onEvacuations when failure domains were
 	// evacuated or taken back.
@@ -58,15 +58,15 @@
 	v := &view{
 		onInstances: func(*instances.View) {}, onSpans: func(*spans.Table) {}, onEvacuations: func(*evacuation.Set) {},
 		onConfiguration: func(*routing.Table) {},
-		changed:         make(chan struct{}), formerInst: make(map[uint64]*instances.View), formerSpans: make(map[string][]*spans.Table),
-		toldSpans: make(map[string]*differences[*syncpb.Spans]),
+		changed:         make(chan struct{}), previousInst: make(map[uint64]*instances.View), previousSpans: make(map[string][]*spans.Table),
+		spansMessages: make(map[string]*messageCache[*syncpb.Spans]),
 	}
 	v.owners.Store(&map[string]*spans.Table{})
 	return v
 }
 
 // wait returns a channel that is closed at the next change.
-func (v *view) wait() <-chan struct{} {
+func (v *view) nextChange() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
@@ -76,10 +76,10 @@
 func (v *view) notify() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.signal()
+	v.notifyLocked()
 }
 
-func (v *view) signal() {
+func (v *view) notifyLocked() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
@@ -93,21 +93,21 @@
 	if old := v.table.Load(); old != nil && c.Version <= old.Version {
 		if c.Version == old.Version && revision > v.config.revision {
 			v.config.revision = revision
-			v.signal()
+			v.notifyLocked()
 		}
 		return false
 	}
 	if v.config.digest != 0 {
-		v.formerConfigs = append(v.formerConfigs, v.config)
+		v.previousConfigs = append(v.previousConfigs, v.config)
 	}
-	if len(v.formerConfigs) > formerConfigsKept {
-		v.formerConfigs = v.formerConfigs[1:]
+	if len(v.previousConfigs) > maxPreviousConfigs {
+		v.previousConfigs = v.previousConfigs[1:]
 	}
 	v.config = configVersion{revision: revision, digest: delta.Digest(spec), spec: spec}
 	table := routing.NewTable(c)
 	v.table.Store(table)
 	v.onConfiguration(table)
-	v.signal()
+	v.notifyLocked()
 	return true
 }
 
@@ -120,14 +120,14 @@
 	}
 	v.instVersion = version
 	v.inst.Store(next)
-	v.formerInst[version] = next
-	v.formerOrder = append(v.formerOrder, version)
-	if len(v.formerOrder) > formerKept {
-		delete(v.formerInst, v.formerOrder[0])
-		v.formerOrder = v.formerOrder[1:]
+	v.previousInst[version] = next
+	v.previousOrder = append(v.previousOrder, version)
+	if len(v.previousOrder) > maxPreviousVersions {
+		delete(v.previousInst, v.previousOrder[0])
+		v.previousOrder = v.previousOrder[1:]
 	}
 	v.onInstances(next)
-	v.signal()
+	v.notifyLocked()
 	return true
 }
 
@@ -144,20 +144,20 @@
 		next[name] = table
 	}
 	next[t.Service] = t
-	former := append(v.formerSpans[t.Service], t)
-	if len(former) > formerKept {
-		former = former[1:]
+	previous := append(v.previousSpans[t.Service], t)
+	if len(previous) > maxPreviousVersions {
+		previous = previous[1:]
 	}
-	v.formerSpans[t.Service] = former
+	v.previousSpans[t.Service] = previous
 	v.owners.Store(&next)
 	v.onSpans(t)
-	v.signal()
+	v.notifyLocked()
 	return true
 }
 
 // takeEvacuations takes over what is newer of the marks. It returns whether there was
 // anything, and how many marks were dropped.
-func (v *view) takeEvacuations(marks []evacuation.Mark) (changed bool, dropped int) {
+func (v *view) mergeEvacuations(marks []evacuation.Mark) (changed bool, dropped int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	known := v.evac.Load()
@@ -167,7 +167,7 @@
 	}
 	v.evac.Store(next)
 	v.onEvacuations(next)
-	v.signal()
+	v.notifyLocked()
 	return true, dropped
 }
 
@@ -192,9 +192,9 @@
 	if v.config.digest == digest {
 		return v.config.spec
 	}
-	for _, former := range v.formerConfigs {
-		if former.digest == digest {
-			return former.spec
+	for _, previous := range v.previousConfigs {
+		if previous.digest == digest {
+			return previous.spec
 		}
 	}
 	return nil
@@ -209,7 +209,7 @@
 
 // upstreamsKnown returns the revision and the version of the view of upstreams, zero
 // before there is one.
-func (v *view) upstreamsKnown() (revision, version uint64) {
+func (v *view) upstreamsVersion() (revision, version uint64) {
 	now, version := v.upstreams()
 	if now == nil {
 		return 0, 0
@@ -219,36 +219,36 @@
 
 // formerConfigsKept is how many former configurations are kept, of a megabyte at most
 // each: those that gateways which are a little behind still have.
-const formerConfigsKept = 4
+const maxPreviousConfigs = 4
 
 // formerKept is how many versions are kept of each part of the view: those of
 // some seconds with many changes.
-const formerKept = 48
+const maxPreviousVersions = 48
 
 // formerInstances returns an older version of the view of upstreams, or nil.
-func (v *view) formerInstances(version uint64) *instances.View {
+func (v *view) previousInstances(version uint64) *instances.View {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.formerInst[version]
+	return v.previousInst[version]
 }
 
 // toldOwners returns the messages about the owners of a service.
-func (v *view) toldOwners(service string) *differences[*syncpb.Spans] {
+func (v *view) spansMessageCache(service string) *messageCache[*syncpb.Spans] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	d := v.toldSpans[service]
-	if d == nil {
-		d = &differences[*syncpb.Spans]{}
-		v.toldSpans[service] = d
+	cache := v.spansMessages[service]
+	if cache == nil {
+		cache = &messageCache[*syncpb.Spans]{}
+		v.spansMessages[service] = cache
 	}
-	return d
+	return cache
 }
 
 // formerTable returns an older version of an assignment, or nil.
-func (v *view) formerTable(service string, version uint64) *spans.Table {
+func (v *view) previousTable(service string, version uint64) *spans.Table {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, t := range v.formerSpans[service] {
+	for _, t := range v.previousSpans[service] {
 		if t.Version == version {
 			return t
 		}
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -334,14 +334,14 @@
 func (w *watcher) decode(o platform.Object) (instances.Instance, bool) {
 	one, err := platform.DecodeInstance(o)
 	if err == nil && !instances.Believable(one.BornMs, w.now()) {
-		err = errBornAhead
+		err = errStartInFuture
 	}
 	if err == nil {
 		return one, true
 	}
 	if w.badEntries[o.Name] != o.Revision {
 		w.badEntries[o.Name] = o.Revision
-		w.meters.inc(fill(upstreamsUnsound, unsoundEntry))
+		w.meters.inc(fill(upstreamsUnsound, invalidEntry))
 		w.log.Error("upstream entry is not sound, it names none", "upstream", o.Name, "error", err)
 	}
 	return instances.Instance{}, false
--- a/gateway/wire.go
+++ b/gateway/wire.go
@@ -18,23 +18,23 @@
 // differences keeps the messages that tell one version of a document, by the version that
 // their receivers have: of a hundred gateways most have the same. It is safe for concurrent
 // use; messages are not changed any more.
-type differences[M any] struct {
+type messageCache[M any] struct {
 	mu      sync.Mutex
 	version uint64
 	byBase  map[uint64]M
 }
 
 // get returns the message, made if there is none yet.
-func (d *differences[M]) get(version, base uint64, build func() M) M {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.version != version || d.byBase == nil {
-		d.version, d.byBase = version, make(map[uint64]M)
+func (c *messageCache[M]) get(version, base uint64, build func() M) M {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.version != version || c.byBase == nil {
+		c.version, c.byBase = version, make(map[uint64]M)
 	}
-	m, ok := d.byBase[base]
+	m, ok := c.byBase[base]
 	if !ok {
 		m = build()
-		d.byBase[base] = m
+		c.byBase[base] = m
 	}
 	return m
 }
@@ -46,47 +46,47 @@
 	if now == nil || version == base {
 		return nil
 	}
-	return v.toldInstances.get(version, base, func() *syncpb.Instances { return v.makeInstancesMessage(now, version, base) })
+	return v.instancesMessages.get(version, base, func() *syncpb.Instances { return v.buildInstancesMessage(now, version, base) })
 }
 
-func (v *view) makeInstancesMessage(now *instances.View, version, base uint64) *syncpb.Instances {
+func (v *view) buildInstancesMessage(now *instances.View, version, base uint64) *syncpb.Instances {
 	m := &syncpb.Instances{Revision: now.Revision, Version: version}
 	list := now.All()
-	if old := v.formerInstances(base); old != nil {
+	if old := v.previousInstances(base); old != nil {
 		m.Base = base
 		list, m.Removed = instances.Diff(old, now)
 	}
 	// In one order everywhere, so that the same message has the same bytes.
 	slices.SortFunc(list, func(a, b instances.Instance) int { return strings.Compare(a.ID, b.ID) })
 	slices.Sort(m.Removed)
-	for _, one := range list {
+	for _, inst := range list {
 		m.List = append(m.List, &syncpb.Instance{
-			Id: one.ID, Service: one.Service, Address: one.Address, Domain: one.Domain,
-			Slots: uint32(one.Slots), Leaving: one.Leaving,
-			WarmUpMs: uint32(one.WarmUp.Milliseconds()), Revision: one.Revision, BornMs: one.BornMs,
+			Id: inst.ID, Service: inst.Service, Address: inst.Address, Domain: inst.Domain,
+			Slots: uint32(inst.Slots), Leaving: inst.Leaving,
+			WarmUpMs: uint32(inst.WarmUp.Milliseconds()), Revision: inst.Revision, BornMs: inst.BornMs,
 		})
 	}
 	return m
 }
 
 // takeInstances takes over what a message says.
-func (v *view) takeInstances(m *syncpb.Instances) {
+func (v *view) applyInstances(m *syncpb.Instances) {
 	if m.Base == 0 {
-		v.setInstances(m.Version, instances.NewView(m.Revision, instancesList(m)))
+		v.setInstances(m.Version, instances.NewView(m.Revision, instancesFromMessage(m)))
 		return
 	}
-	if old := v.formerInstances(m.Base); old != nil {
-		v.setInstances(m.Version, old.Apply(m.Revision, instancesList(m), m.Removed))
+	if old := v.previousInstances(m.Base); old != nil {
+		v.setInstances(m.Version, old.Apply(m.Revision, instancesFromMessage(m), m.Removed))
 	}
 }
 
-func instancesList(m *syncpb.Instances) []instances.Instance {
+func instancesFromMessage(m *syncpb.Instances) []instances.Instance {
 	list := make([]instances.Instance, 0, len(m.List))
-	for _, one := range m.List {
+	for _, inst := range m.List {
 		list = append(list, instances.Instance{
-			ID: one.Id, Service: one.Service, Address: one.Address, Domain: one.Domain,
-			Slots: int(one.Slots), Leaving: one.Leaving,
-			WarmUp: time.Duration(one.WarmUpMs) * time.Millisecond, Revision: one.Revision, BornMs: one.BornMs,
+			ID: inst.Id, Service: inst.Service, Address: inst.Address, Domain: inst.Domain,
+			Slots: int(inst.Slots), Leaving: inst.Leaving,
+			WarmUp: time.Duration(inst.WarmUpMs) * time.Millisecond, Revision: inst.Revision, BornMs: inst.BornMs,
 		})
 	}
 	return list
@@ -113,13 +113,13 @@
 // spansMessage tells what has changed since the version base, or all when that is
 // not known any more.
 func (v *view) spansMessage(t *spans.Table, base uint64) *syncpb.Spans {
-	return v.toldOwners(t.Service).get(t.Version, base, func() *syncpb.Spans { return v.makeSpansMessage(t, base) })
+	return v.spansMessageCache(t.Service).get(t.Version, base, func() *syncpb.Spans { return v.buildSpansMessage(t, base) })
 }
 
-func (v *view) makeSpansMessage(t *spans.Table, base uint64) *syncpb.Spans {
+func (v *view) buildSpansMessage(t *spans.Table, base uint64) *syncpb.Spans {
 	m := &syncpb.Spans{Service: t.Service, Version: t.Version, LastFence: t.LastFence}
 	list := t.Spans
-	if old := v.formerTable(t.Service, base); old != nil {
+	if old := v.previousTable(t.Service, base); old != nil {
 		m.Base = base
 		list = spans.Diff(old, t)
 	}
@@ -134,10 +134,10 @@
 }
 
 // takeSpans takes over what a message says.
-func (v *view) takeSpans(m *syncpb.Spans) error {
-	t := spansTable(m)
+func (v *view) applySpans(m *syncpb.Spans) error {
+	t := spansFromMessage(m)
 	if m.Base != 0 {
-		old := v.formerTable(m.Service, m.Base)
+		old := v.previousTable(m.Service, m.Base)
 		if old == nil {
 			return nil
 		}
@@ -152,7 +152,7 @@
 	return nil
 }
 
-func spansTable(m *syncpb.Spans) *spans.Table {
+func spansFromMessage(m *syncpb.Spans) *spans.Table {
 	t := &spans.Table{Service: m.Service, Version: m.Version, LastFence: m.LastFence}
 	for _, s := range m.List {
 		t.Spans = append(t.Spans, spans.Span{
--- a/gateway/worktimes.go
+++ b/gateway/worktimes.go
@@ -44,7 +44,7 @@
 func (c *cluster) worksAbove() map[string]worktime.Estimate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.worksTold
+	return c.parentWorkTimes
 }
 
 // withRuns returns the loads with the runs told in them.
--- a/gateway/worktimes_test.go
+++ b/gateway/worktimes_test.go
@@ -13,17 +13,17 @@
 // what it has seen itself.
 func TestRunsReachTheLeaderOnce(t *testing.T) {
 	now := time.Now()
-	head := fleet(treeLeast, node("b", 0, 100), &now)
+	head := testCluster(minTreeSize, testMember("b", 0, 100), &now)
 	seen := func(us uint32, runs float32) []*syncpb.Load {
 		return []*syncpb.Load{{Instance: "i", WorkUs: us, Runs: runs}}
 	}
 	head.keepRuns(seen(100, 1))
 	head.keepRuns(seen(400, 2))
-	told := withRuns(head.below(nil), head.takeRuns())
+	told := withRuns(head.subtreeLoads(nil), head.takeRuns())
 	if len(told) != 1 || told[0].Runs != 3 || told[0].WorkUs != 300 {
 		t.Errorf("told %v", told)
 	}
-	if again := withRuns(head.below(nil), head.takeRuns()); len(again) != 0 {
+	if again := withRuns(head.subtreeLoads(nil), head.takeRuns()); len(again) != 0 {
 		t.Errorf("told again %v", again)
 	}
 }
