--- a/gateway/cluster.go
+++ b/gateway/cluster.go
@@ -15,14 +15,14 @@
 const (
 	// memberExpiry is how long a gateway that does not report stays a member.
 	memberExpiry = 2500 * time.Millisecond
-	// reportExpiry is how long a gateway's report of its load counts.
+	// reportExpiry is how long the load in a gateway's last report is counted.
 	reportExpiry = 900 * time.Millisecond
 )
 
-// cluster is what this process knows of the other gateways. Each reports to one
-// other, its parent: the leader, or in large deployments the first gateway of its
-// failure domain, which reports for it. The leader learns of all gateways from the
-// reports, the others from the leader.
+// cluster holds what this process knows of the other gateways. Each gateway reports to one other,
+// its parent: the leader or, in large deployments, the head of its failure domain, which is the
+// strongest gateway there and reports for the others. The leader learns of all gateways from the
+// reports; the others learn of them from the leader.
 type cluster struct {
 	self *syncpb.Member
 	now  func() time.Time
@@ -33,38 +33,40 @@
 	leading bool
 	// children are the gateways that report to this one, by node.
 	children map[string]*child
-	// members are all gateways but this one, by node.
+	// members are all gateways except this one, by node.
 	members map[string]*syncpb.Member
 	version uint64
-	// changed says that the leader's list has changed since the version, listed when that
-	// was made.
+	// membersChanged says that the leader's list has changed since the current version, which was
+	// made at membersListed.
 	membersChanged bool
 	membersListed  time.Time
-	// summed is the last sum of what all have in flight.
+	// cachedSum is the last computed sum of the load from all gateways.
 	cachedSum *fleetSum
-	// above is what the gateways that do not report to this one have in flight,
-	// as the parent told, aboveDemands what they are asked for.
+	// parentLoads are the requests in flight from the gateways that do not report to this one, as
+	// received from the parent; parentDemands are the requests those gateways receive.
 	parentLoads []*syncpb.Load
-	// worksTold are the times of runs as the parent told them, by upstream; never changed in
-	// place.
+	// parentWorkTimes are the work times received from the parent, by upstream. The map is
+	// replaced, never modified.
 	parentWorkTimes map[string]worktime.Estimate
-	// hotKeys are those that the parent told of.
+	// hotKeys are the hot keys received from the parent.
 	hotKeys []*syncpb.HotKeys
-	// rights are those that the parent told of, named at rightsNamed.
+	// rights are the warm-up rights received from the parent, which the leader issued at
+	// rightsIssued.
 	rights       []warmup.Right
 	rightsIssued time.Time
-	// runs are those that the gateways which report to this one have seen since its own
-	// last report, by upstream.
+	// runs are the runs seen by the gateways that report to this one since its own last report,
+	// by upstream.
 	runs          map[string]worktime.Sum
 	parentDemands []*syncpb.Demand
-	// aboveWanted is how many requests a second the others are asked for that upstreams with a
-	// named limit would get, as the parent told.
+	// parentWanted is the rate of requests, per second, that the other gateways receive for
+	// upstreams that set a named limit, by upstream, as received from the parent.
 	parentWanted map[string]float64
-	// expected is how many gateways there were under the leader before, who may not have
-	// reported yet; it counts until expectedUntil.
+	// expected is the number of gateways under the previous leader, some of which may not have
+	// reported yet. It applies until expectedUntil.
 	expected      int
 	expectedUntil time.Time
-	// avoided are heads of the own domain that did not answer, until when.
+	// avoidedUntil holds the heads of this failure domain that did not answer, and until when
+	// each is skipped.
 	avoidedUntil map[string]time.Time
 	clients      map[string]syncpb.Peer
 	rng          *rand.Rand
@@ -74,11 +76,13 @@
 type child struct {
 	*syncpb.Member
 	lastReport time.Time
-	// told is when it was last told what others have in flight, toldWorks when work times.
+	// fleetSent is when it was last sent the load from other gateways, workTimesSent when it was
+	// last sent work times.
 	fleetSent, workTimesSent time.Time
 	loads                    []*syncpb.Load
 	demands                  []*syncpb.Demand
-	// wanted is how many requests a second it is asked for, by upstream that names a limit.
+	// wanted is the rate of requests, per second, that it receives for each upstream that sets a
+	// named limit.
 	wanted    map[string]float64
 	followers []*syncpb.Member
 }
@@ -91,8 +95,8 @@
 	}
 }
 
-// selfKnowing returns this gateway as it reports itself, with the highest revision of the
-// evacuations that it knows.
+// selfMember returns this gateway's member entry for its reports, with the highest revision of
+// the evacuations that it knows.
 func (c *cluster) selfMember(evacuations uint64) *syncpb.Member {
 	return &syncpb.Member{
 		Node: c.self.Node, Address: c.self.Address, Domain: c.self.Domain, Incarnation: c.self.Incarnation,
@@ -100,7 +104,7 @@
 	}
 }
 
-// client returns the client of the gateway at the address.
+// client returns the client for the gateway at the address.
 func (c *cluster) client(address string) syncpb.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,12 +120,13 @@
 	return p
 }
 
-// reported notes a report of another gateway. fresh says that this one leads or
-// hears from the leader: else nobody reports through it.
-func (c *cluster) handleReport(r *syncpb.SyncRequest, fresh bool) {
+// handleReport stores the report of another gateway. The report is ignored unless leaderHeard is
+// set, that is, unless this gateway leads or hears from the leader: otherwise no gateway may
+// report through it.
+func (c *cluster) handleReport(r *syncpb.SyncRequest, leaderHeard bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !fresh || r.Member.Node == c.self.Node {
+	if !leaderHeard || r.Member.Node == c.self.Node {
 		return
 	}
 	next := &child{Member: r.Member, lastReport: c.now(), loads: r.Loads, demands: r.Demands, followers: r.Followers, wanted: wantedOf(r.Limits)}
@@ -135,8 +140,8 @@
 	}
 }
 
-// setAbove takes over what the parent told of the others' requests in flight, and of the
-// times of runs if it told these.
+// setParentLoads stores the other gateways' requests in flight, as received from the parent, and
+// the work times if the parent sent them.
 func (c *cluster) setParentLoads(loads []*syncpb.Load, workTimes map[string]worktime.Estimate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,25 +151,25 @@
 	}
 }
 
-// setDemandsAbove takes over what the parent told that the others are asked for.
+// setParentDemands stores the demand at the other gateways, as received from the parent.
 func (c *cluster) setParentDemands(demands []*syncpb.Demand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.parentDemands = demands
 }
 
-// parent returns the address of the gateway to report to, or "" when none is
-// known. A former leader that has started again still knows itself as the leader:
-// reporting to itself would count its requests again and again.
+// parent returns the address of the gateway to report to, or "" if none is known. A former leader
+// that has restarted may still take itself for the leader. It must not report to itself, because
+// its own report would be added to its next one again and again.
 func (c *cluster) parent() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader == nil || c.leader.Member.Address == c.self.Address {
 		return ""
 	}
-	top := c.leader.Member
-	if len(c.members)+1 < minTreeSize || c.self.Domain == top.Domain {
-		return top.Address
+	leader := c.leader.Member
+	if len(c.members)+1 < minTreeSize || c.self.Domain == leader.Domain {
+		return leader.Address
 	}
 	head := c.self
 	for _, m := range c.members {
@@ -173,17 +178,17 @@
 		}
 	}
 	if head == c.self {
-		return top.Address
+		return leader.Address
 	}
 	return head.Address
 }
 
-// treeLeast is the number of gateways from which reports go by way of one
-// gateway in each failure domain: below, the leader can answer all itself, and
-// news are a step sooner everywhere.
+// minTreeSize is the number of gateways from which on reports go through one gateway in each
+// failure domain. With fewer, the leader can answer all gateways itself, and changes reach every
+// gateway one hop sooner.
 const minTreeSize = 24
 
-// avoid lets the gateway at the address be no head for a while.
+// avoid keeps the gateway at the address from being chosen as head for avoidDuration.
 func (c *cluster) avoid(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,10 +199,10 @@
 	}
 }
 
-// avoidTime is how long a head that did not answer is passed over.
+// avoidDuration is how long a head that did not answer is skipped.
 const avoidDuration = 3 * time.Second
 
-// inFlightElsewhere returns how many requests all other gateways have in flight, by
+// inFlightElsewhere returns the number of requests in flight from all other gateways, by
 // upstream.
 func (c *cluster) inFlightElsewhere() map[string]float64 {
 	c.mu.Lock()
@@ -218,8 +223,7 @@
 	return others
 }
 
-// below returns what this gateway and those that report to it have in flight, by
-// upstream.
+// subtreeLoads returns the load from this gateway and from those that report to it, by upstream.
 func (c *cluster) subtreeLoads(own []*syncpb.Load) map[string]*syncpb.Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -249,7 +253,8 @@
 	}
 }
 
-// setLeader notes who leads. One of a lower term than known is not taken.
+// setLeader stores the leader and reports whether it did. A leader with a lower term than the
+// known one is rejected.
 func (c *cluster) setLeader(l *syncpb.Leader) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -281,17 +286,18 @@
 	return c.leading
 }
 
-// some returns up to most other gateways: one of the strongest first, which have the
-// widest links, then any, so that not all are of the few that are strong when these are
-// lost together.
-func (c *cluster) relayCandidates(most int) []syncpb.Peer {
+// relayCandidates returns up to limit other gateways. The first is one of the strongest, which
+// have the widest links. The rest are chosen at random, so that not all candidates are strong
+// gateways, which might be lost together.
+func (c *cluster) relayCandidates(limit int) []syncpb.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	others := make([]*syncpb.Member, 0, len(c.members))
 	for _, m := range c.members {
 		others = append(others, m)
 	}
-	// Sorted by name first: the order of a map would add to that of the generator.
+	// Sort by address first, because the random order of the map would make the result
+	// irreproducible for a given seed.
 	sort.Slice(others, func(i, j int) bool { return others[i].Address < others[j].Address })
 	c.shuffle(others)
 	sort.SliceStable(others, func(i, j int) bool { return others[i].Strength > others[j].Strength })
@@ -299,7 +305,7 @@
 		c.shuffle(others[1:])
 	}
 	var out []syncpb.Peer
-	for _, m := range others[:min(most, len(others))] {
+	for _, m := range others[:min(limit, len(others))] {
 		out = append(out, c.clientLocked(m.Address))
 	}
 	return out
--- a/gateway/cluster_test.go
+++ b/gateway/cluster_test.go
@@ -18,8 +18,8 @@
 	return &syncpb.Member{Node: name, Address: name + ":1", Domain: domain, Incarnation: name, Strength: strength}
 }
 
-// fleet returns the cluster of one gateway among size gateways in domains a, b
-// and c, led by a0.
+// testCluster returns the cluster state of one gateway among size gateways in the failure domains
+// a, b and c, led by a0.
 func testCluster(size int, self *syncpb.Member, now *time.Time) *cluster {
 	c := newCluster(self, nil, func() time.Time { return *now }, rand.New(rand.NewPCG(1, 2)))
 	var all []*syncpb.Member
@@ -50,7 +50,8 @@
 	}
 }
 
-// TestSilentHeadIsPassedOver for a while.
+// TestUnresponsiveHeadIsAvoided checks that a head that did not answer is skipped for
+// avoidDuration.
 func TestUnresponsiveHeadIsAvoided(t *testing.T) {
 	now := time.Now()
 	c := testCluster(minTreeSize, testMember("b", 3, 100), &now)
@@ -60,12 +61,13 @@
 	}
 	now = now.Add(avoidDuration + 1)
 	if got := c.parent(); got != "b0:1" {
-		t.Errorf("parent %s after the time", got)
+		t.Errorf("parent %s after avoidDuration", got)
 	}
 }
 
-// TestLoadsAreCountedOnce: what a head tells each side is what the other side and
-// it have, and nothing twice.
+// TestLoadsAreCountedOnce checks that the head of a failure domain reports to the leader the load
+// of its children and itself, and sends to each child the load of all others, with nothing
+// counted twice.
 func TestLoadsAreCountedOnce(t *testing.T) {
 	now := time.Now()
 	head := testCluster(minTreeSize, testMember("b", 0, 100), &now)
@@ -75,24 +77,24 @@
 	head.setParentLoads(load(10), nil)
 	own := load(4)
 	if got := head.subtreeLoads(own)["i"].Inflight; got != 7 {
-		t.Errorf("told the leader %v, want 1+2+4", got)
+		t.Errorf("reported %v to the leader, want 1+2+4", got)
 	}
 	v, packer := instances.NewView(1, []instances.Instance{{ID: "a"}, {ID: "i"}}), &fleetEncoder{}
-	told := packer.encode(head.sum(own), "b1", v, 7, map[string]worktime.Estimate{"i": {Work: 90 * time.Millisecond, Slowness: 1}}, true)
-	if got := smallfloat.FromByte(told.InFlight[1]); got != 16 || told.InFlight[0] != 0 {
-		t.Errorf("told a child %v, want 2+4+10", got)
+	sent := packer.encode(head.sum(own), "b1", v, 7, map[string]worktime.Estimate{"i": {Work: 90 * time.Millisecond, Slowness: 1}}, true)
+	if got := smallfloat.FromByte(sent.InFlight[1]); got != 16 || sent.InFlight[0] != 0 {
+		t.Errorf("sent %v to a child, want 2+4+10", got)
 	}
 	if got := head.inFlightElsewhere()["i"]; got != 13 {
-		t.Errorf("others of the head have %v, want 1+2+10", got)
+		t.Errorf("in flight at gateways other than the head: %v, want 1+2+10", got)
 	}
 	now = now.Add(reportExpiry + 1)
 	if got := head.subtreeLoads(own)["i"].Inflight; got != 4 {
-		t.Errorf("old reports still count: %v", got)
+		t.Errorf("expired reports are still counted: %v", got)
 	}
 }
 
-// TestLeaderKnowsAllGateways: also those that report through others, until they
-// are silent.
+// TestLeaderKnowsAllGateways checks that the leader also lists the gateways that report through
+// others, until they stop reporting.
 func TestLeaderKnowsAllGateways(t *testing.T) {
 	now := time.Now()
 	c := newCluster(testMember("a", 0, 100), nil, func() time.Time { return now }, rand.New(rand.NewPCG(1, 2)))
@@ -105,18 +107,18 @@
 	_, before := c.allMembers()
 	c.handleReport(r, true)
 	if _, after := c.allMembers(); after != before {
-		t.Error("the same report makes a new version")
+		t.Error("an unchanged report creates a new version")
 	}
 	now = now.Add(memberExpiry + 1)
 	c.expire()
 	if n := c.gatewayCount(); n != 1 {
-		t.Errorf("%d gateways after silence", n)
+		t.Errorf("%d gateways after all others stopped reporting", n)
 	}
 }
 
-// TestNobodyReportsToItself: a former leader that has started again takes itself
-// for the leader until another is known. (trouble-3: it added its own report to its
-// next one until all upstreams seemed full, for 1.5 s after it led again.)
+// TestGatewayDoesNotReportToItself guards against a former leader that has restarted and takes
+// itself for the leader until it learns of another one. It added its own report to its next one
+// again and again until all upstreams seemed full, which lasted until 1.5 s after it led again.
 func TestGatewayDoesNotReportToItself(t *testing.T) {
 	now := time.Now()
 	for _, size := range []int{3, minTreeSize} {
@@ -133,21 +135,22 @@
 	}
 }
 
-// TestOlderLeaderIsNotTaken.
+// TestLeaderOfOlderTermIsRejected checks that a leader replaces the known one only if its term is
+// not older.
 func TestLeaderOfOlderTermIsRejected(t *testing.T) {
 	now := time.Now()
 	c := testCluster(3, testMember("b", 0, 100), &now)
 	if !c.setLeader(&syncpb.Leader{Member: testMember("c", 0, 100), Term: 2}) || c.setLeader(&syncpb.Leader{Member: testMember("a", 0, 100), Term: 1}) {
-		t.Error("an older term is taken, or a newer one is not")
+		t.Error("an older term is accepted, or a newer one is rejected")
 	}
 	if l := c.knownLeader(); l.Member.Node != "c0" {
 		t.Errorf("leader %s", l.Member.Node)
 	}
 }
 
-// TestStrongestRelayFirst: calls to the store go by way of a gateway with the widest link
-// first, any of these, and then by way of any other: when the few strong ones are lost
-// together, a weaker one is asked.
+// TestStrongestRelayFirst checks that calls to the store are relayed first through one of the
+// gateways with the widest links, chosen at random, and then through any other one. If the few
+// strong gateways are lost together, a weaker one is asked.
 func TestStrongestRelayFirst(t *testing.T) {
 	now := time.Now()
 	c := newCluster(testMember("a", 0, 160), &http.Client{}, func() time.Time { return now }, rand.New(rand.NewPCG(1, 2)))
@@ -174,6 +177,6 @@
 		second[address[got[1]]]++
 	}
 	if len(first) != len(strong) || len(second) != len(all) {
-		t.Errorf("some are never asked: first %v, second %v", first, second)
+		t.Errorf("some gateways are never chosen: first %v, second %v", first, second)
 	}
 }
--- a/gateway/fetch.go
+++ b/gateway/fetch.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// pieceTimeout bounds the fetch of one piece: twice what it takes from a gateway with
-	// a link of 10 Mbit/s from which thirty others fetch too. What other gateways could
-	// tell of the part is held back for as long.
+	// pieceTimeout bounds the fetch of one piece. It is twice the time needed from a gateway on a
+	// link of 10 Mbit/s that thirty other gateways fetch from as well. While a piece is awaited,
+	// other gateways do not send the part either.
 	pieceTimeout = 800 * time.Millisecond
-	// mostPart bounds a part in bytes: the store's largest value, with what compression
-	// may add to one that cannot be compressed.
+	// maxPartSize bounds a part in bytes: the largest value that the store accepts, with what
+	// compression may add to incompressible data.
 	maxPartSize = 2 * megabyte
-	// offersKept is more than there are parts: one for the configuration, one for the
+	// maxOffers exceeds the possible number of parts: one for the configuration, one for the
 	// upstreams and one for each keyed service.
 	maxOffers = 64
 )
 
-// offer is a part of the news that the gateway at an address has.
+// offer is a part that the gateway at an address offers.
 type offer struct {
 	address string
 	part    *syncpb.Part
 }
 
-// fetcher fetches parts of the news, beside the reports: a report is bounded in time,
-// for it tells whether the leader is heard; a part may take as long as the links need.
-// When a piece does not arrive the part is left, and the gateway that offers it next goes
-// on with it: what has arrived is kept and is not sent again.
+// fetcher fetches parts independently of the reports. Reports have a short time limit, because
+// they show whether the leader is reachable; a part may take as long as the links need. If a
+// piece does not arrive, the fetch is aborted. The next gateway that offers the part continues
+// it: the data received so far is kept and not sent again.
 type fetcher struct {
 	client func(address string) syncpb.Peer
-	// take takes over a part that is whole.
+	// apply applies a complete part.
 	apply  func(p *syncpb.Part, data []byte)
 	now    func() time.Time
 	log    *slog.Logger
@@ -43,27 +43,27 @@
 	offers chan offer
 
 	mu sync.Mutex
-	// running are the parts being fetched, by name.
+	// running holds the names of the parts being fetched.
 	running map[string]bool
-	// arrived is what has arrived of parts, by name.
+	// partial holds the data received so far of incomplete parts, by name.
 	partial map[string]*partialPart
 }
 
-// arrival is what has arrived of a part.
+// partialPart is the data received so far of a part.
 type partialPart struct {
 	id   uint64
 	data []byte
 }
 
-// newFetcher returns a fetcher of parts from gateways, which gives whole ones to take.
-func newFetcher(client func(string) syncpb.Peer, take func(*syncpb.Part, []byte), now func() time.Time, log *slog.Logger, m *meters) *fetcher {
+// newFetcher returns a fetcher that passes complete parts to apply.
+func newFetcher(client func(string) syncpb.Peer, apply func(*syncpb.Part, []byte), now func() time.Time, log *slog.Logger, m *meters) *fetcher {
 	return &fetcher{
-		client: client, apply: take, now: now, log: log, meters: m, offers: make(chan offer, maxOffers),
+		client: client, apply: apply, now: now, log: log, meters: m, offers: make(chan offer, maxOffers),
 		running: make(map[string]bool), partial: make(map[string]*partialPart),
 	}
 }
 
-// run fetches what is offered until ctx ends.
+// run fetches the offered parts until ctx ends.
 func (f *fetcher) run(ctx context.Context) {
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -77,14 +77,14 @@
 	}
 }
 
-// offered notes parts that another gateway has. Each is fetched, unless it has all its
-// bytes, and taken over beside the loop that reports: a configuration of thousands of
-// routes takes longer to decode than a gateway may be silent. One of each name is at a
-// time.
+// handleOffers starts to fetch the parts that another gateway offers, or to apply those that were
+// sent with their data, one of each name at a time. Parts are applied outside the loop that sends
+// reports: decoding a configuration of thousands of routes takes longer than a gateway may go
+// without reporting.
 func (f *fetcher) handleOffers(address string, list []*syncpb.Part) {
 	for _, part := range list {
 		if part.Size > maxPartSize {
-			f.log.Error("part of the news is too large", "part", part.Name, "bytes", part.Size, "from", address)
+			f.log.Error("offered part is too large", "part", part.Name, "bytes", part.Size, "from", address)
 			continue
 		}
 		if f.claim(part.Name) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// begin marks a part as being fetched, unless it is already or too many are.
+// claim marks a part as being fetched. It returns false if it already is or too many parts are.
 func (f *fetcher) claim(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -121,7 +121,7 @@
 	return out
 }
 
-// fetch fetches one part, unless it was offered with its bytes, and takes it over.
+// fetch fetches one part, unless it was offered with its data, and applies it.
 func (f *fetcher) fetch(ctx context.Context, o offer) {
 	defer f.release(o.part.Name)
 	if len(o.part.Data) > 0 {
@@ -132,16 +132,16 @@
 	data, err := f.fetchPieces(ctx, o)
 	if err != nil {
 		f.meters.inc(partsLeft)
-		f.log.Warn("part of the news left", "part", o.part.Name, "from", o.address, "bytes", len(data), "of", o.part.Size, "cause", err)
+		f.log.Warn("part fetch aborted", "part", o.part.Name, "from", o.address, "bytes", len(data), "of", o.part.Size, "cause", err)
 		return
 	}
 	f.meters.inc(partsFetched)
-	f.log.Info("part of the news fetched", "part", o.part.Name, "from", o.address, "bytes", len(data), "took_ms", f.now().Sub(began).Milliseconds())
+	f.log.Info("part fetched", "part", o.part.Name, "from", o.address, "bytes", len(data), "took_ms", f.now().Sub(began).Milliseconds())
 	f.apply(o.part, data)
 }
 
-// pieces fetches what is missing of a part. With an error it returns what has arrived,
-// which is kept.
+// fetchPieces fetches the missing pieces of a part. On an error it returns the data received so
+// far, which is also kept for the next attempt.
 func (f *fetcher) fetchPieces(ctx context.Context, o offer) ([]byte, error) {
 	a := f.partialFor(o.part)
 	for len(a.data) < int(o.part.Size) {
@@ -155,7 +155,7 @@
 	return a.data, nil
 }
 
-// piece fetches the next piece of a part.
+// fetchPiece fetches the piece of a part that starts at the offset.
 func (f *fetcher) fetchPiece(ctx context.Context, o offer, offset int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, pieceTimeout)
 	defer cancel()
@@ -165,14 +165,14 @@
 		return nil, err
 	}
 	if len(resp.Data) == 0 || offset+len(resp.Data) > int(o.part.Size) {
-		return nil, fmt.Errorf("a piece of %d bytes at %d of %d", len(resp.Data), offset, o.part.Size)
+		return nil, fmt.Errorf("invalid piece of %d bytes at offset %d of a part of %d bytes", len(resp.Data), offset, o.part.Size)
 	}
 	f.meters.inc(piecesFetched)
 	return resp.Data, nil
 }
 
-// arrival returns what has arrived of the part before. What has arrived of another
-// part of the name is forgotten.
+// partialFor returns the data received so far of the part. It discards data of another version of
+// a part with the same name.
 func (f *fetcher) partialFor(part *syncpb.Part) *partialPart {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/fetch_test.go
+++ b/gateway/fetch_test.go
@@ -17,14 +17,14 @@
 	"github.com/rockcroft/rockcroft/state/routing"
 )
 
-// flakyPeer serves pieces of one part and fails as it is told.
+// flakyPeer serves pieces of parts and fails chosen calls.
 type flakyPeer struct {
 	syncpb.Peer
 	parts *partCache
-	// fails tells whether the call, counted from zero, fails.
+	// fails decides whether the call, counted from zero, fails.
 	fails func(call int) bool
 	calls int
-	// served counts the bytes that were handed out.
+	// served is the number of bytes sent.
 	served int
 }
 
@@ -33,13 +33,13 @@
 	p.calls++
 	data, kept := p.parts.piece(r.Id, int(r.Offset))
 	if p.fails(call) || !kept {
-		return nil, errors.New("the connection is cut")
+		return nil, errors.New("connection closed")
 	}
 	p.served += len(data)
 	return &syncpb.FetchResponse{Data: data}, nil
 }
 
-// randomBytes are bytes that cannot be compressed.
+// randomBytes returns incompressible bytes.
 func randomBytes(size int) []byte {
 	rng := rand.New(rand.NewPCG(1, 1))
 	out := make([]byte, size)
@@ -49,8 +49,8 @@
 	return out
 }
 
-// testFetcher is a fetcher of which another gateway's pieces come from peer. taken
-// receives the parts that became whole.
+// testFetcher returns a fetcher that fetches all pieces from peer. taken receives the completed
+// parts.
 func testFetcher(peer syncpb.Peer) (f *fetcher, taken chan []byte) {
 	taken = make(chan []byte, 1)
 	client := func(string) syncpb.Peer { return peer }
@@ -59,9 +59,9 @@
 	return f, taken
 }
 
-// TestFetchGoesOn: what has arrived of a part is not sent again when the part is offered
-// anew after a piece did not arrive, and each try ends with its first failure: another
-// gateway may be the better one to go on with.
+// TestFetchResumesAfterFailure checks that the data received so far is not sent again when a part
+// is offered again after a failed piece, and that each attempt ends with its first failure,
+// because another gateway may be a better source for the rest.
 func TestFetchResumesAfterFailure(t *testing.T) {
 	const pieces = 8
 	made, err := (&partCache{}).get(partKey{name: partConfiguration, version: 1}, nil, randomBytes(pieces*pieceSize-100))
@@ -74,27 +74,24 @@
 	for try := 1; len(taken) == 0; try++ {
 		f.fetch(t.Context(), offer{"a", part})
 		if len(taken) == 0 && peer.calls != 2*try {
-			t.Fatalf("%d calls in %d tries of which each fails with its second", peer.calls, try)
+			t.Fatalf("%d calls in %d attempts, want two per attempt because every second call fails", peer.calls, try)
 		}
 	}
 	if data := <-taken; string(data) != string(made.data) {
-		t.Error("another part came back")
+		t.Error("the fetched part differs from the offered one")
 	}
 	if peer.served != len(made.data) {
-		t.Errorf("%d bytes were handed out for a part of %d", peer.served, len(made.data))
+		t.Errorf("%d bytes were sent for a part of %d", peer.served, len(made.data))
 	}
 }
 
-// TestReportsGoOnBesideDecoding: a part that came within an answer is taken over beside
-// the reports, and is named as being fetched meanwhile.
+// TestReportsContinueWhileDecoding checks that a part sent within an answer is applied outside
+// the report loop and is named as being fetched meanwhile.
 //
-// Gateways in touch with the leader listed at the store although all their reports were
-// answered within the limit. The order of events: a change of one route came within an
-// answer; six gateways decoded the whole configuration at once, for 1.4 to 2.0 s on a busy
-// machine; none of them reported meanwhile, and 0.7 s and more after its last answer each
-// counted the leader as lost. The cause: the answer was taken over by the loop that reports.
-// What proved it: no report of those runs failed, the loop was in the decoding when the
-// lists began, and no goroutine waited for the processor for more than 0.1 s.
+// It guards against gateways that wrongly consider the leader lost. When the report loop applied
+// a changed configuration itself, decoding it took 1.4 to 2.0 s on a busy machine. Six gateways
+// sent no report meanwhile, took the leader for lost 0.7 s after its last answer and listed the
+// store, although no report had failed.
 func TestReportsContinueWhileDecoding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := testFetcher(nil)
@@ -104,7 +101,7 @@
 			taken++
 		}
 		go f.run(t.Context())
-		// While it is taken over the next answer has it again.
+		// The next answer contains the part again while the first copy is still being applied.
 		for range 2 {
 			f.handleOffers("a", []*syncpb.Part{{Name: partConfiguration, Id: 1, Size: 1, Data: []byte{1}}})
 			synctest.Wait()
@@ -115,34 +112,35 @@
 		close(decoded)
 		synctest.Wait()
 		if got := f.fetching(); len(got) > 0 || taken != 1 {
-			t.Errorf("fetching %v, taken over %d times", got, taken)
+			t.Errorf("fetching %v, applied %d times", got, taken)
 		}
 	})
 }
 
-// TestFetchOfAnotherPart: what has arrived of one version is not mixed with another.
+// TestFetchDoesNotMixVersions checks that data received of one version is not combined with data
+// of another.
 func TestFetchDoesNotMixVersions(t *testing.T) {
 	kept := &partCache{}
-	var offered []*syncpb.Part
+	var offeredParts []*syncpb.Part
 	for version := range uint64(2) {
 		made, err := kept.get(partKey{name: partConfiguration, version: version}, nil, randomBytes(3*pieceSize+int(version)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		offered = append(offered, &syncpb.Part{Name: partConfiguration, Id: made.id, Size: uint32(len(made.data))})
+		offeredParts = append(offeredParts, &syncpb.Part{Name: partConfiguration, Id: made.id, Size: uint32(len(made.data))})
 	}
 	peer := &flakyPeer{parts: kept, fails: func(call int) bool { return call > 0 }}
 	f, taken := testFetcher(peer)
-	f.fetch(t.Context(), offer{"a", offered[0]})
+	f.fetch(t.Context(), offer{"a", offeredParts[0]})
 	peer.fails = func(int) bool { return false }
-	f.fetch(t.Context(), offer{"a", offered[1]})
+	f.fetch(t.Context(), offer{"a", offeredParts[1]})
 	if data := <-taken; string(data) != string(kept.kept[1].data) {
-		t.Error("two versions were mixed")
+		t.Error("data of two versions was mixed")
 	}
 }
 
-// TestOneFetchOfAName: a part that several gateways offer is fetched from one of them,
-// and told as being fetched meanwhile.
+// TestOneFetchPerPartName checks that a part offered by several gateways is fetched from only one
+// of them and is named as being fetched.
 func TestOneFetchPerPartName(t *testing.T) {
 	f, _ := testFetcher(&flakyPeer{})
 	part := &syncpb.Part{Name: partUpstreams, Id: 1, Size: pieceSize}
@@ -153,12 +151,12 @@
 	}
 	set := fetchingSet(&syncpb.SyncRequest{Fetching: f.fetching()})
 	if !set[partUpstreams] || set[partConfiguration] {
-		t.Errorf("told as being fetched: %v", set)
+		t.Errorf("named as being fetched: %v", set)
 	}
 }
 
-// TestPartsAreBounded: the parts that are kept for others are bounded in number and
-// bytes, and one that many ask for is made once.
+// TestPartCacheIsBounded checks that the cached parts are bounded in number and bytes, and that a
+// part requested several times is encoded once.
 func TestPartCacheIsBounded(t *testing.T) {
 	p := &partCache{}
 	for version := range uint64(2 * maxCachedParts) {
@@ -169,7 +167,7 @@
 		}
 	}
 	if len(p.kept) != maxCachedParts {
-		t.Errorf("%d parts are kept, %d should be", len(p.kept), maxCachedParts)
+		t.Errorf("%d parts are cached, want %d", len(p.kept), maxCachedParts)
 	}
 	large := randomBytes(maxCachedBytes / 2)
 	for version := range uint64(3) {
@@ -178,14 +176,14 @@
 		}
 	}
 	if p.bytes > maxCachedBytes || len(p.kept) == 0 {
-		t.Errorf("%d parts of %d bytes are kept", len(p.kept), p.bytes)
+		t.Errorf("%d parts with %d bytes are cached", len(p.kept), p.bytes)
 	}
 	if _, kept := p.piece(p.kept[len(p.kept)-1].id, 0); !kept {
-		t.Error("the newest part is not kept")
+		t.Error("the newest part is not cached")
 	}
 }
 
-// listed is a view of many upstreams, built anew each time.
+// viewWithUpstreams returns a new view with registeredUpstreams upstreams.
 func viewWithUpstreams(version uint64) *view {
 	v := newView()
 	var list []instances.Instance
@@ -196,8 +194,8 @@
 	return v
 }
 
-// TestSamePartEverywhere: gateways with the same version of the upstreams make the same
-// part of it, so that one can go on with what another has begun to send.
+// TestPartEncodingIsDeterministic checks that gateways with the same version of the upstreams
+// encode the same part, so that a fetch begun from one gateway can continue from another.
 func TestPartEncodingIsDeterministic(t *testing.T) {
 	ids := make(map[uint64]bool)
 	for range 8 {
@@ -214,8 +212,8 @@
 	}
 }
 
-// TestUpstreamsAreToldWithTheirVersion: a view of upstreams is never told under the
-// number of another one.
+// TestInstancesMessageHasMatchingVersion checks that, while the upstreams change, a message never
+// carries the version number of another view.
 func TestInstancesMessageHasMatchingVersion(t *testing.T) {
 	const versions = 2000
 	v := newView()
@@ -236,8 +234,8 @@
 	writer.Wait()
 }
 
-// TestOlderUpstreamsAreNotTold: a gateway that has a newer view of the upstreams than its
-// parent is not told the older one, which it would not take.
+// TestOlderUpstreamsAreNotSent checks that a gateway whose view of the upstreams is newer than
+// its parent's is not sent the older view, which it would reject.
 func TestOlderUpstreamsAreNotSent(t *testing.T) {
 	p := &peerServer{view: viewWithUpstreams(90), parts: &partCache{}, log: slog.New(slog.DiscardHandler), limits: noLimits(), suspects: noSuspects()}
 	for _, c := range []struct {
@@ -247,14 +245,14 @@
 		r := &syncpb.SyncRequest{InstancesRevision: c.revision, InstancesVersion: 7}
 		resp := &syncpb.SyncResponse{}
 		p.addUpdates(r, resp)
-		if told := len(resp.Parts) > 0; told != c.told || p.hasUpdates(r) != c.told {
-			t.Errorf("told %v, knows more %v, to one with revision %d", told, p.hasUpdates(r), c.revision)
+		if sent := len(resp.Parts) > 0; sent != c.told || p.hasUpdates(r) != c.told {
+			t.Errorf("sent %v, has updates %v, for a gateway with revision %d", sent, p.hasUpdates(r), c.revision)
 		}
 	}
 }
 
-// TestVersionWrittenAgain: a configuration that was written again without a new version
-// does not let those that have the version look behind for ever.
+// TestConfigurationRewrittenWithSameVersion checks that a configuration written to the store
+// again with an unchanged version does not make gateways that have it look permanently outdated.
 func TestConfigurationRewrittenWithSameVersion(t *testing.T) {
 	const first, again = 10, 11
 	child, parent := newView(), newView()
@@ -263,25 +261,25 @@
 		revision uint64
 	}{{child, first}, {parent, again}} {
 		if !one.view.setConfiguration(one.revision, []byte("spec"), &routing.Configuration{Version: 3}) {
-			t.Fatal("not taken")
+			t.Fatal("configuration rejected")
 		}
 	}
 	child.setConfiguration(again, []byte("spec"), &routing.Configuration{Version: 3})
 	p := &peerServer{view: parent, parts: &partCache{}, log: slog.New(slog.DiscardHandler), limits: noLimits(), suspects: noSuspects()}
 	if p.hasUpdates(&syncpb.SyncRequest{ConfigRevision: child.configuration().revision}) {
-		t.Error("behind although it has the version")
+		t.Error("a gateway with the same version is considered outdated")
 	}
 	if child.setConfiguration(first, []byte("spec"), &routing.Configuration{Version: 3}); child.configuration().revision != again {
-		t.Error("back to the older revision")
+		t.Error("the revision went back to an older one")
 	}
 }
 
-// noLimits knows of no limit that an upstream names.
+// noLimits returns named limits without any entry.
 func noLimits() *namedLimits {
 	return newNamedLimits(newView(), time.Now, slog.New(slog.DiscardHandler), newMeters())
 }
 
-// noSuspects suspects no request.
+// noSuspects returns a list of suspects without any entry.
 func noSuspects() *suspects {
 	return newSuspects(newView(), func() int { return 1 }, time.Now, slog.New(slog.DiscardHandler), newMeters(), rand.New(rand.NewPCG(1, 1)))
 }
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -11,33 +11,36 @@
 	"github.com/rockcroft/rockcroft/state/smallfloat"
 )
 
-// This file tells gateways what the others have in flight, in three bytes for each upstream.
-// A leader answers some hundred reports a second, each about thousands of upstreams.
+// This file tells each gateway how many requests the other gateways have in flight at each
+// upstream. It uses three bytes per upstream: one for the requests in flight and two for the work
+// time. A leader answers some hundred reports a second, each about thousands of upstreams.
 
 const (
-	// sumInterval is how long sums over all reports are used again: reports come every
-	// 100 ms or more from each, so sums are hardly younger anyway.
+	// sumMaxAge is how long a sum over all reports is reused. Each gateway reports every 100 ms
+	// or less often, so a new sum would hardly be more current.
 	sumMaxAge = 50 * time.Millisecond
-	// fleetPause is the least time between two tellings to one gateway, for each upstream: a
-	// gateway is told at most 17 KB a second of requests in flight, whatever other news it has.
+	// fleetIntervalPerUpstream, times the number of upstreams, is the minimum time between two
+	// messages of this kind to one gateway. It limits the data about requests in flight to 17 KB
+	// a second per gateway, however many other updates the gateway receives.
 	fleetIntervalPerUpstream = 60 * time.Microsecond
-	// worksPause is the least time between two tellings of work times: they change slowly.
+	// workTimesInterval is the minimum time between two messages with work times to one gateway;
+	// they change slowly.
 	workTimesInterval = 2 * time.Second
-	// workBytes is the size of a work time.
+	// workTimeSize is the size of an encoded work time in bytes.
 	workTimeSize = 2
 )
 
-// fleetSum is what all gateways together have in flight, as of a moment.
+// fleetSum is the load from all gateways together at one time.
 type fleetSum struct {
 	at time.Time
-	// loads are the sums by upstream, parts what each child's report contributed. Neither is
-	// changed any more.
+	// loads are the sums by upstream, byChild the loads in each child's report. Neither is
+	// modified after it was built.
 	loads   map[string]*syncpb.Load
 	byChild map[string][]*syncpb.Load
 }
 
-// sum returns what this gateway, its children and all others have in flight. own is the load
-// of this process.
+// sum returns the load from this gateway, its children and all others. own is the load from this
+// process.
 func (c *cluster) sum(own []*syncpb.Load) *fleetSum {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,8 +63,9 @@
 	return s
 }
 
-// tellFleet reports whether the child is to be told what others have at so many upstreams,
-// and work times as well, and notes that it was.
+// claimFleetUpdate reports whether the child is due to be sent the load from other gateways,
+// which is about so many upstreams, and whether work times are due as well. It records what is
+// due as sent now.
 func (c *cluster) claimFleetUpdate(node string, upstreams int) (due, withWorkTimes bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,11 +85,11 @@
 	return true, true
 }
 
-// fleetPacker packs sums for one version of the view after the other. It is safe for
-// concurrent use.
+// fleetEncoder encodes sums and caches the result for the latest sum and version of the
+// upstreams. It is safe for concurrent use.
 type fleetEncoder struct {
 	mu sync.Mutex
-	// sum and version are those that inFlight, packed and work were made from.
+	// sum and version are what inFlight, encoded, work and slowness were computed from.
 	sum      *fleetSum
 	version  uint64
 	inFlight []float64
@@ -94,8 +98,8 @@
 	slowness []byte
 }
 
-// pack returns what all but one child have in flight at the upstreams of the view, and work
-// times if they are wanted.
+// encode returns the requests in flight at the upstreams of the view, summed over all gateways
+// except those covered by one child's report, with work times if wanted.
 func (e *fleetEncoder) encode(sum *fleetSum, except string, v *instances.View, version uint64, workTimes map[string]worktime.Estimate, withWorkTimes bool) *syncpb.Fleet {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -115,7 +119,7 @@
 	return out
 }
 
-// prepare makes what is the same for all children. The lock is held.
+// prepare computes what is the same for all children. The lock is held.
 func (e *fleetEncoder) prepare(sum *fleetSum, v *instances.View, workTimes map[string]worktime.Estimate) {
 	ids := v.IDs()
 	e.inFlight, e.encoded, e.work = make([]float64, len(ids)), make([]byte, len(ids)), make([]byte, workTimeSize*len(ids))
@@ -130,7 +134,8 @@
 	}
 }
 
-// setSlowness notes the slowness of one of so many upstreams, if it is known.
+// setSlowness stores the slowness of the upstream at index i if it is known and differs from 1;
+// of is the number of upstreams.
 func (e *fleetEncoder) setSlowness(i, of int, estimate worktime.Estimate) {
 	if estimate.Work == 0 || estimate.Slowness == 1 {
 		return
@@ -141,8 +146,9 @@
 	e.slowness[i] = smallfloat.Byte(estimate.Slowness)
 }
 
-// takeFleet returns what a message tells, or false when it is about a version of the view
-// that is not known, or is not of its size. Without work times these are nil.
+// decodeFleet returns the loads and work times in a message. It returns false if the message is
+// for a version of the upstreams that is not kept, or does not have the right size. The work
+// times are nil if the message has none.
 func (v *view) decodeFleet(m *syncpb.Fleet) ([]*syncpb.Load, map[string]worktime.Estimate, bool) {
 	known := v.previousInstances(m.InstancesVersion)
 	if known == nil {
@@ -165,7 +171,7 @@
 
 func hasLen(b []byte, size int) bool { return len(b) == size }
 
-// worksOf returns the work times that a message tells, or nil.
+// workTimesFromMessage returns the work times in a message, or nil if it has none.
 func workTimesFromMessage(m *syncpb.Fleet, ids []string) map[string]worktime.Estimate {
 	if len(m.Work) == 0 {
 		return nil
@@ -176,11 +182,11 @@
 		if work == 0 {
 			continue
 		}
-		one := worktime.Estimate{Work: time.Duration(work * float64(time.Second)), Slowness: 1}
+		estimate := worktime.Estimate{Work: time.Duration(work * float64(time.Second)), Slowness: 1}
 		if len(m.Slowness) > 0 && m.Slowness[i] > 0 {
-			one.Slowness = smallfloat.FromByte(m.Slowness[i])
+			estimate.Slowness = smallfloat.FromByte(m.Slowness[i])
 		}
-		workTimes[id] = one
+		workTimes[id] = estimate
 	}
 	return workTimes
 }
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// upstreamsNamed returns a view of so many upstreams.
+// testUpstreams returns a view of n upstreams.
 func testUpstreams(n int) *instances.View {
 	var list []instances.Instance
 	for i := range n {
@@ -22,7 +22,8 @@
 	return instances.NewView(1, list)
 }
 
-// TestFleetComesBack within the precision of a byte.
+// TestFleetRoundTrip checks that loads and work times survive encoding and decoding within the
+// precision of a byte.
 func TestFleetRoundTrip(t *testing.T) {
 	v := newView()
 	v.setInstances(9, testUpstreams(50))
@@ -35,9 +36,9 @@
 		"i-00000003": {Work: 90 * time.Millisecond, Slowness: 1}, "i-00000007": {Work: 2 * time.Second, Slowness: 2.8},
 	}
 	m := (&fleetEncoder{}).encode(sum, "g", known, version, workTimes, true)
-	loads, told, ok := v.decodeFleet(m)
-	if !ok || len(loads) != 2 || len(told) != 2 {
-		t.Fatalf("%v, %v, %v", loads, told, ok)
+	loads, decoded, ok := v.decodeFleet(m)
+	if !ok || len(loads) != 2 || len(decoded) != 2 {
+		t.Fatalf("%v, %v, %v", loads, decoded, ok)
 	}
 	near := func(what string, got, want float64) {
 		if math.Abs(got-want) > want/30 {
@@ -47,60 +48,61 @@
 	near("in flight", float64(loads[0].Inflight), 3)
 	near("in flight", float64(loads[1].Inflight), 0.3)
 	for id, want := range workTimes {
-		near("work", told[id].Work.Seconds(), want.Work.Seconds())
-		near("slowness", told[id].Slowness, want.Slowness)
+		near("work", decoded[id].Work.Seconds(), want.Work.Seconds())
+		near("slowness", decoded[id].Slowness, want.Slowness)
 	}
 }
 
-// TestFleetThatDoesNotFit is not taken over: of another version, or of another size.
+// TestMismatchedFleetIsRejected checks that a message for another version of the upstreams or of
+// the wrong size is not applied.
 func TestMismatchedFleetIsRejected(t *testing.T) {
 	v := newView()
 	v.setInstances(9, testUpstreams(5))
-	sound := func() *syncpb.Fleet {
+	validMessage := func() *syncpb.Fleet {
 		return &syncpb.Fleet{InstancesVersion: 9, InFlight: make([]byte, 5), Work: make([]byte, 10)}
 	}
-	if _, _, ok := v.decodeFleet(sound()); !ok {
-		t.Error("a sound one is not taken")
+	if _, _, ok := v.decodeFleet(validMessage()); !ok {
+		t.Error("a valid message is rejected")
 	}
-	for name, spoil := range map[string]func(*syncpb.Fleet){
+	for name, corrupt := range map[string]func(*syncpb.Fleet){
 		"version":   func(m *syncpb.Fleet) { m.InstancesVersion = 8 },
 		"in flight": func(m *syncpb.Fleet) { m.InFlight = m.InFlight[:4] },
 		"work":      func(m *syncpb.Fleet) { m.Work = append(m.Work, 0) },
 		"slowness":  func(m *syncpb.Fleet) { m.Slowness = make([]byte, 3) },
 	} {
-		m := sound()
-		spoil(m)
+		m := validMessage()
+		corrupt(m)
 		if _, _, ok := v.decodeFleet(m); ok {
-			t.Errorf("taken though its %s does not fit", name)
+			t.Errorf("accepted although its %s does not match", name)
 		}
 	}
 }
 
-// TestFleetIsToldInTime: a gateway that asks again and again for other news is told what
-// others have in flight no more often than it costs.
+// TestFleetSendRateIsLimited checks that a gateway that keeps asking for other updates is not
+// sent the load from other gateways more often than the minimum interval allows.
 func TestFleetSendRateIsLimited(t *testing.T) {
 	now := time.Now()
 	c := testCluster(minTreeSize, testMember("a", 0, 100), &now)
 	report := &syncpb.SyncRequest{Member: testMember("a", 1, 100)}
-	told, workTimesSent := 0, 0
+	sent, workTimesSent := 0, 0
 	for range 100 {
 		c.handleReport(report, true)
 		due, withWorkTimes := c.claimFleetUpdate("a1", 3000)
 		if due {
-			told++
+			sent++
 		}
 		if withWorkTimes {
 			workTimesSent++
 		}
 		now = now.Add(10 * time.Millisecond)
 	}
-	if told != 6 || workTimesSent != 1 {
-		t.Errorf("told %d times in a second, work times %d times", told, workTimesSent)
+	if sent != 6 || workTimesSent != 1 {
+		t.Errorf("sent %d times in a second, with work times %d times", sent, workTimesSent)
 	}
 }
 
-// TestMembersAreListedInTime: while hundreds of gateways start, the list of members is told
-// a few times, and in the end it is whole.
+// TestMemberListVersionRateIsLimited checks that the member list gets only a few versions while
+// hundreds of gateways start, and that it is complete in the end.
 func TestMemberListVersionRateIsLimited(t *testing.T) {
 	now := time.Now()
 	c := newCluster(testMember("a", 0, 100), nil, func() time.Time { return now }, nil)
@@ -118,8 +120,8 @@
 	}
 }
 
-// BenchmarkFleet is what a leader tells one of 300 gateways of 3,000 upstreams, with the sum
-// over all reports made anew for every tenth.
+// BenchmarkFleet measures how a leader encodes the load at 3,000 upstreams for one of 300
+// gateways, with the sum over all reports recomputed for every tenth message.
 func BenchmarkFleet(b *testing.B) {
 	now := time.Now()
 	c := newCluster(testMember("a", 0, 100), nil, func() time.Time { return now }, nil)
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -10,15 +10,15 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// This file keeps the list of gateways: the leader makes it from the reports, the others are
-// told it.
+// This file maintains the list of gateways. The leader builds it from the reports; the other
+// gateways receive it from the leader.
 
-// sameMembers reports whether the child and those that report through it are as before.
-func (child *child) sameMembers(previous *child) bool {
-	return proto.Equal(child.Member, previous.Member) && slices.EqualFunc(child.followers, previous.followers, func(a, b *syncpb.Member) bool { return proto.Equal(a, b) })
+// sameMembers reports whether the child and the gateways that report through it are unchanged.
+func (c *child) sameMembers(previous *child) bool {
+	return proto.Equal(c.Member, previous.Member) && slices.EqualFunc(c.followers, previous.followers, func(a, b *syncpb.Member) bool { return proto.Equal(a, b) })
 }
 
-// gather makes the leader's list of members from the reports.
+// rebuildMembers builds the leader's list of members from the reports. The lock is held.
 func (c *cluster) rebuildMembers() {
 	next := make(map[string]*syncpb.Member, len(c.members))
 	for node, child := range c.children {
@@ -36,13 +36,14 @@
 	c.members = next
 }
 
-// listPause is the least time between two versions of the list of members, for each that is
-// listed: each version goes to all. While 300 gateways start within two seconds, every new
-// one made a list of 18 KB for all others, 1.6 GB together.
+// memberListInterval, times the number of members, is the minimum time between two versions of
+// the member list, because each version is sent to every gateway. Without it, when 300 gateways
+// started within two seconds, each new one caused a list of 18 KB to be sent to all others, 1.6
+// GB in total.
 const memberListInterval = time.Millisecond
 
-// membersVersion returns the version of the list of members, the next one when the leader's
-// list has changed and the pause is over.
+// membersVersion returns the version of the member list. It starts a new version if the leader's
+// list has changed and the minimum interval has passed.
 func (c *cluster) membersVersion() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,14 +70,14 @@
 	return true
 }
 
-// expire forgets gateways that have stopped to report. It is for the leader.
+// expire removes gateways that no longer report. Only the leader calls it.
 func (c *cluster) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rebuildMembers()
 }
 
-// followers are the gateways that report through this one.
+// followers returns the gateways that report through this one.
 func (c *cluster) followers() []*syncpb.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +93,7 @@
 	return out
 }
 
-// setMembers takes over the leader's list.
+// setMembers applies the leader's list of members.
 func (c *cluster) setMembers(version uint64, list []*syncpb.Member) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,7 +106,7 @@
 	}
 }
 
-// before orders gateways by what they can bear: the stronger first.
+// stronger reports whether a comes before b in order of strength; ties are broken by node name.
 func stronger(a, b *syncpb.Member) bool {
 	if a.Strength != b.Strength {
 		return a.Strength > b.Strength
@@ -113,8 +114,8 @@
 	return a.Node < b.Node
 }
 
-// ahead returns the number of gateways of the own failure domain that come before
-// this one.
+// strongerInDomain returns the number of gateways in this one's failure domain that are stronger
+// than this one.
 func (c *cluster) strongerInDomain() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,7 +128,8 @@
 	return n
 }
 
-// list returns all members, this one among them, the strongest first.
+// allMembers returns all members including this one, the strongest first, and the version of the
+// list.
 func (c *cluster) allMembers() ([]*syncpb.Member, uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,8 +141,8 @@
 	return out, c.membersVersionLocked()
 }
 
-// rank is the place of this gateway among those that may take over from the
-// leader, counted from zero.
+// rank returns this gateway's position, counted from zero, in the order in which gateways take
+// over from the leader.
 func (c *cluster) rank() int {
 	list, _ := c.allMembers()
 	rank := 0
@@ -155,7 +157,7 @@
 	return rank
 }
 
-// gateways returns the number of gateways, this one among them.
+// gatewayCount returns the number of gateways including this one.
 func (c *cluster) gatewayCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,12 +168,13 @@
 	return known
 }
 
-// expectTime is how long a new leader counts with the gateways that the former one knew:
-// after all have started again their first reports take a second or two. Until then the
-// few that have reported would share out the room and the retries of all.
+// expectationTTL is how long a new leader assumes the number of gateways that its predecessor
+// knew. After a restart of all gateways the first reports take a second or two; until then the
+// few gateways that have reported would divide the upstreams' capacity and the retry budget of
+// all among themselves.
 const expectationTTL = 3 * time.Second
 
-// expect counts with a number of gateways until they have had time to report.
+// expectGateways assumes a number of gateways until they have had time to report.
 func (c *cluster) expectGateways(gateways int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -11,16 +11,18 @@
 	"github.com/rockcroft/rockcroft/state/delta"
 )
 
-// This file takes over what other gateways tell.
+// This file applies what other gateways send.
 
-// take takes over what is newer than this gateway's own view.
+// applyResponse applies everything in an answer that is newer than this gateway's own view.
 func (f *follower) applyResponse(address string, resp *syncpb.SyncResponse) {
 	if f.cluster.setLeader(resp.Leader) && resp.HeardMs < milliseconds(orphanAfter) && len(resp.Members) > 0 {
 		f.cluster.setMembers(resp.MembersVersion, resp.Members)
 	}
-	// Before upstreams: none is used that is known to be in an evacuated failure domain.
+	// Apply evacuations before upstreams, so that no upstream is used that is known to be in an
+	// evacuated failure domain.
 	f.evac.told(resp.Evacuations)
-	// First, as a part may be in force as soon as it is offered.
+	// Record the announcement before the parts are handled, because an offered part may come into
+	// force at once.
 	f.recordAnnouncement(resp)
 	f.fetcher.handleOffers(address, resp.Parts)
 	if resp.Instances != nil {
@@ -38,20 +40,20 @@
 
 func (f *follower) applyOwners(m *syncpb.Spans) {
 	if err := f.view.applySpans(m); err != nil {
-		f.log.Error("owners from another gateway are not valid", "error", err)
+		f.log.Error("invalid key owners from another gateway", "error", err)
 	}
 }
 
-// takePart takes over a part of the news.
+// applyPart decodes and applies a part.
 func (f *follower) applyPart(part *syncpb.Part, data []byte) {
 	if err := f.decodePart(part, data); err != nil {
-		f.log.Error("part of the news cannot be read", "part", part.Name, "bytes", len(data), "error", err)
+		f.log.Error("cannot apply part", "part", part.Name, "bytes", len(data), "error", err)
 	}
 }
 
 func (f *follower) decodePart(part *syncpb.Part, data []byte) error {
 	if delta.Digest(data) != part.Id {
-		return errors.New("the bytes are not those of the part")
+		return errors.New("the digest of the data does not match the part")
 	}
 	if part.Name == partConfiguration {
 		return f.applyConfiguration(part, data)
@@ -69,7 +71,7 @@
 		return nil
 	}
 	if _, ok := serviceOf(part.Name); !ok {
-		return errors.New("a part of unknown name")
+		return errors.New("unknown part name")
 	}
 	m := &syncpb.Spans{}
 	if err := proto.Unmarshal(document, m); err != nil {
@@ -79,8 +81,8 @@
 	return nil
 }
 
-// takeConfiguration takes over a configuration. After one that cannot be decoded the
-// next is asked for whole.
+// applyConfiguration applies a configuration. If it cannot be decoded, the next request asks for
+// the whole configuration instead of a difference.
 func (f *follower) applyConfiguration(part *syncpb.Part, data []byte) error {
 	if part.Revision <= f.view.configuration().revision {
 		return nil
@@ -102,14 +104,14 @@
 	return nil
 }
 
-// toldConfiguration is a revision of the configuration, and when another gateway knew it
-// to be the newest.
+// announcedConfiguration is a revision of the configuration and the time at which another gateway
+// knew it to be the newest.
 type announcedConfiguration struct {
 	revision uint64
 	at       time.Time
 }
 
-// noteConfiguration notes when another gateway knew its configuration to be the newest.
+// recordAnnouncement records when another gateway knew its configuration to be the newest.
 func (f *follower) recordAnnouncement(resp *syncpb.SyncResponse) {
 	if resp.ConfigRevision == 0 {
 		return
@@ -125,9 +127,9 @@
 	}
 }
 
-// configurationAge returns how long ago the configuration was known to be the newest,
-// from another gateway or by the own watch, which was last heard at watched; an hour when
-// it never was.
+// configurationAge returns how long ago this gateway's configuration was known to be the newest,
+// either from another gateway or from its own watch, which last received something at watched. It
+// returns at most an hour, also if that was never known.
 func (f *follower) configurationAge(watched time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// narrowFollowers is the number of gateways that report to the leader.
+	// followerCount is the number of gateways that report to the leader.
 	followerCount = 6
-	// addedRoutes is the number of routes that the operator adds at once: some 450 KB
-	// in the form that is handed on.
+	// addedRoutes is the number of routes that the operator adds at once, some 450 KB as sent
+	// between gateways.
 	addedRoutes = 2800
-	// leaderRate is what the leader can send to the others in all, and narrowRate what
-	// any other gateway can send to others and the store to it, in bytes a second. The
-	// whole configuration for each of six takes the leader fourteen seconds, many times
-	// the limit of a report, and one of them three seconds from elsewhere, more than any
-	// call to the store may take. A tenth of that for each passes within two.
+	// leaderRate is the bandwidth from the leader to all other gateways together, and
+	// followerRate that from any other gateway to its peers and from the store to it, in bytes
+	// per second. Sending the whole configuration to each of six gateways takes the leader
+	// fourteen seconds, many times the time limit of a report. A single copy takes three seconds
+	// from another source, longer than any call to the store may take. A tenth of the
+	// configuration for each gateway takes less than two seconds.
 	leaderRate   = 200 << 10
 	followerRate = 150 << 10
-	// smallChanges is the number of changes of one route each, in a row.
+	// smallChanges is the number of successive changes of one route each.
 	smallChanges = 10
-	// secondsBefore and secondsAfter are the timeouts of a route before and after a
-	// small change.
+	// secondsBefore and secondsAfter are the timeouts of a route before and after a small change.
 	secondsBefore, secondsAfter = 2, 3
 )
 
-// largeConfig is a configuration with many routes more, the same ones for every
+// largeConfig returns a configuration with many additional routes, which are the same for every
 // version.
 func largeConfig(version uint64) platform.ConfigBody {
 	const letters, length = "0123456789abcdefghijklmnopqrstuvwxyz", 8
@@ -53,7 +53,7 @@
 	return cfg
 }
 
-// specSize is the size of a configuration as it is stored, in bytes.
+// specSize returns the size of a configuration as stored, in bytes.
 func specSize(t *testing.T, cfg platform.ConfigBody) int64 {
 	t.Helper()
 	data, err := json.Marshal(cfg)
@@ -63,8 +63,8 @@
 	return int64(len(data))
 }
 
-// narrowBed is a deployment whose first gateway leads, with the others in touch with it
-// over links that can be narrowed.
+// slowLinkDeployment starts a deployment whose first gateway leads and whose other gateways are
+// connected to it. The bandwidth of their links can be limited.
 func slowLinkDeployment(t *testing.T, followers int, cfg platform.ConfigBody) *bed {
 	t.Helper()
 	b := newBed(t)
@@ -78,13 +78,14 @@
 		b.gateway(fmt.Sprintf("g%d", n+1))
 	}
 	b.ready()
-	b.eventually("all in touch with the leader", func() bool {
+	b.eventually("all gateways connected to the leader", func() bool {
 		return b.inForce(cfg.Version) && b.gateways[0].cluster.gatewayCount() == followers+1 && b.leader() == b.gateways[0]
 	})
 	return b
 }
 
-// narrow limits the links of all gateways but the leader's way to the store.
+// slowDownLinks limits the links of all gateways, except the link between the leader and the
+// store.
 func (b *bed) slowDownLinks() {
 	for i, g := range b.gateways {
 		if i == 0 {
@@ -96,7 +97,7 @@
 	}
 }
 
-// countInForce returns the number of gateways that work by the version.
+// countInForce returns the number of gateways with the version in force.
 func (b *bed) countInForce(version uint64) int {
 	n := 0
 	for _, g := range b.gateways {
@@ -107,11 +108,11 @@
 	return n
 }
 
-// traced is what gateways have sent each other and asked the store for.
+// bytesSent counts the bytes that gateways and the store have sent.
 type bytesSent struct {
-	// leader and all are the bytes that left the leader and all gateways for others.
+	// leader and all are the bytes that the leader and all gateways have sent to other gateways.
 	leader, all int64
-	// store are the bytes that the store has sent to others than the leader.
+	// store is the number of bytes that the store has sent to gateways other than the leader.
 	store int64
 }
 
@@ -127,34 +128,31 @@
 	return now
 }
 
-// since returns what came after a former trace.
+// bytesSince returns the bytes sent after an earlier count.
 func (b *bed) bytesSince(earlier bytesSent) bytesSent {
 	now := b.countBytes()
 	return bytesSent{leader: now.leader - earlier.leader, all: now.all - earlier.all, store: now.store - earlier.store}
 }
 
-// TestLargeConfigurationOverNarrowLinks: a large configuration reaches all gateways over
-// links that can carry it once, and small changes after it cost little.
+// TestLargeConfigurationOverSlowLinks checks that a large configuration reaches all gateways over
+// links with enough bandwidth to carry it once, and that small changes after it cost little.
 //
-// Clients were refused on routes that had been added, as unknown (404), until the end of
-// the day. The order of events: a version of 238 KB was in force everywhere within 0.3 s;
-// then the operator doubled the routes, to 470 KB, and within two seconds that version was
-// in force at the strong gateways and a few others; it never reached the rest, nor did
-// the next one, with a single route more. The cause: a gateway answered each report with
-// the whole configuration, to all that reported to it at once over its one link; a report
-// is given up after 0.65 s, and what had arrived by then was thrown away and asked for
-// again: from the same gateway, from the leader, from five others at once and from the
-// store. What proved it: the links of the small gateways were full from 39 s, just after
-// that version, until the day's end, with processors at 1 to 4 %; all 79 callers were at
-// the store afterwards, where two had been; and 239 of the refusals came from gateways
-// that worked by the version before.
+// It guards against clients being refused with 404 on routes that have been added. A version
+// of 238 KB was in force everywhere within 0.3 s. After the operator had doubled the routes,
+// to 470 KB, neither that version nor the next one, with a single route more, reached the
+// gateways with slow links. Each report was answered with the whole configuration, to all
+// reporting gateways at once over one link. A report is given up after 0.65 s; what had
+// arrived was discarded and requested again from the same gateway, the leader, five other
+// gateways and the store, so the links stayed full while the processors were at 1 to 4 %. All
+// 79 callers then used the store, where two had done so before, and 239 requests were refused
+// by gateways that still used the previous version.
 func TestLargeConfigurationOverSlowLinks(t *testing.T) {
 	t.Parallel()
 	t.Run("many routes at once", manyRoutesAtOnce)
 	t.Run("small changes afterwards", smallChangesAfterwards)
 }
 
-// manyRoutesAtOnce: nothing is sent again and again.
+// manyRoutesAtOnce checks that no data is sent repeatedly when many routes are added at once.
 func manyRoutesAtOnce(t *testing.T) {
 	t.Parallel()
 	b := slowLinkDeployment(t, followerCount, config(3))
@@ -164,7 +162,7 @@
 	size := specSize(t, next)
 	defer func() {
 		got := b.bytesSince(before)
-		t.Logf("%d bytes of configuration, %d of %d gateways have it; %d bytes left the leader and %d all gateways, %d the store to others than the leader",
+		t.Logf("%d bytes of configuration, in force at %d of %d gateways; bytes sent: %d by the leader, %d by all gateways, %d by the store to gateways other than the leader",
 			size, b.countInForce(next.Version), len(b.gateways), got.leader, got.all, got.store)
 	}()
 	b.store.Put(platform.ConfigKind, platform.ConfigName, next)
@@ -172,10 +170,10 @@
 	b.bytesSince(before).check(t, size)
 }
 
-// check reports bytes that are more than differences need: between gateways half of the
-// whole configuration for each, of which a tenth is enough, and with those of the store
-// two for each. A gateway that loses touch, as on a machine that is busy with other
-// things, takes one from the store; how many do is no part of this.
+// check fails the test if more bytes were sent than differences need. Between gateways the limit
+// is half of the whole configuration per gateway, of which a tenth suffices; together with the
+// bytes from the store it is two configurations per gateway. A gateway that loses contact, as on
+// a busy machine, fetches one copy from the store; how many gateways do so is not checked here.
 func (got bytesSent) check(t *testing.T, size int64) {
 	t.Helper()
 	whole := followerCount * size
@@ -187,7 +185,7 @@
 	}
 }
 
-// smallChangesAfterwards: each small change costs its difference only.
+// smallChangesAfterwards checks that each small change costs only its difference.
 func smallChangesAfterwards(t *testing.T) {
 	t.Parallel()
 	cfg := largeConfig(3)
@@ -197,7 +195,7 @@
 	before, changes := b.countBytes(), 0
 	defer func() {
 		got := b.bytesSince(before)
-		t.Logf("%d bytes of configuration, change %d in force at %d of %d gateways; %d bytes left the leader and %d all gateways, %d the store to others than the leader",
+		t.Logf("%d bytes of configuration, change %d in force at %d of %d gateways; bytes sent: %d by the leader, %d by all gateways, %d by the store to gateways other than the leader",
 			size, changes, b.countInForce(cfg.Version), len(b.gateways), got.leader, got.all, got.store)
 	}()
 	for range smallChanges {
@@ -212,27 +210,25 @@
 	b.bytesSince(before).check(t, size)
 }
 
-// TestUnknownRouteWhileBehind: a gateway that may be behind says of a route that it does
-// not know that nothing ran and that the client may come back, and not that there is no
-// such route.
+// TestUnknownRouteWithStaleConfiguration checks how a gateway whose configuration may be outdated
+// answers for a route that it does not know: it says that nothing ran and that the client may
+// retry, not that the route does not exist.
 //
-// Clients were refused with 404, which tells them to give up, on routes that were in force
-// at other gateways. The order of events: the operator added routes; the new version
-// reached some gateways and the links of the others were full from then on; their looks
-// for news, at other gateways and at the store, ended without it. The cause: a gateway
-// answers from the configuration that it has, however long ago it last had news. What
-// proved it: 239 of the refusals came from gateways that worked by the version before,
-// while the version with the routes was in force elsewhere.
+// It guards against a 404, which tells clients to give up, for routes that are in force at other
+// gateways. A gateway whose links are full receives neither the new version from other gateways
+// nor from the store, and it used to answer from the configuration it had, however old that was.
+// 239 requests were refused by gateways with the previous version while the new routes were in
+// force elsewhere.
 func TestUnknownRouteWithStaleConfiguration(t *testing.T) {
 	t.Parallel()
 	b := slowLinkDeployment(t, 1, config(3))
-	leader, cut := b.gateways[0], b.gateways[1]
-	if a := b.ask(cut, http.MethodGet, "/added/x", -1); a.status != http.StatusNotFound {
-		t.Errorf("in touch: status %d, body %q, error %v", a.status, a.body, a.err)
+	leader, disconnected := b.gateways[0], b.gateways[1]
+	if a := b.ask(disconnected, http.MethodGet, "/added/x", -1); a.status != http.StatusNotFound {
+		t.Errorf("connected: status %d, body %q, error %v", a.status, a.body, a.err)
 	}
 	leader.peersLink.SetRate(0)
-	cut.peersLink.SetRate(0)
-	cut.door.Set(metastore.Silent)
+	disconnected.peersLink.SetRate(0)
+	disconnected.door.Set(metastore.Silent)
 	next := config(4)
 	added := next.Routes["read"]
 	added.Path = "/added/"
@@ -244,41 +240,39 @@
 	b.mustAsk(leader, http.MethodGet, "/added/x", -1)
 	var last reply
 	defer func() {
-		t.Logf("last answer of the gateway that is cut off or was: status %d, kind %q, body %q", last.status, last.header.Get(header.Kind), last.body)
+		t.Logf("last answer of the disconnected or reconnected gateway: status %d, kind %q, body %q", last.status, last.header.Get(header.Kind), last.body)
 	}()
-	b.eventually("the gateway that is behind says come back", func() bool {
-		last = b.ask(cut, http.MethodGet, "/added/x", -1)
+	b.eventually("the outdated gateway asks the client to retry", func() bool {
+		last = b.ask(disconnected, http.MethodGet, "/added/x", -1)
 		return last.status == http.StatusServiceUnavailable
 	})
 	if last.header.Get(header.Kind) != string(answer.NoRight) || last.header.Get(header.Ran) != string(answer.NotRun) || last.header.Get("Retry-After") == "" {
 		t.Errorf("refused with %q: %v", last.body, last.header)
 	}
-	cut.door.Set(metastore.Open)
+	disconnected.door.Set(metastore.Open)
 	leader.peersLink.SetRate(relay.Wide)
-	cut.peersLink.SetRate(relay.Wide)
+	disconnected.peersLink.SetRate(relay.Wide)
 	b.eventually("the new route everywhere", func() bool { return b.inForce(next.Version) })
-	b.eventually("a route that nobody knows is unknown again", func() bool {
-		last = b.ask(cut, http.MethodGet, "/none/x", -1)
+	b.eventually("a nonexistent route is unknown again", func() bool {
+		last = b.ask(disconnected, http.MethodGet, "/none/x", -1)
 		return last.status == http.StatusNotFound
 	})
-	b.mustAsk(cut, http.MethodGet, "/added/x", -1)
+	b.mustAsk(disconnected, http.MethodGet, "/added/x", -1)
 }
 
-// registered is the number of upstreams that only stand in the store, some 30 KB of
-// news.
+// registeredUpstreams is the number of upstreams that exist only as entries in the store, some 30
+// KB of updates.
 const registeredUpstreams = 300
 
-// TestGatewayComesBackFromTheStore: a gateway that has lost touch and has listed the
-// upstreams by itself takes the leader's view of them when it is back.
+// TestReconnectedGatewayTakesLeaderView checks that a gateway that lost contact and listed the
+// upstreams itself takes over the leader's view of them once it is connected again.
 //
-// What was seen: after such a gateway was in touch again, its parent sent it the whole view
-// of upstreams forty times a second, 440 KB/s for 300 upstreams, until the next upstream
-// changed; a drain ordered meanwhile did not reach it. The order of events: the leader's
-// view stood at the revision of the last change it had watched; the list of the other bore
-// the store's present one, which other objects had raised. The cause: it took its own view
-// for the newer one and refused the leader's, which was offered again at once. The
-// evidence: both views had the same upstreams, the refused one revision 304 and the other
-// 318, and the bytes ended when the next upstream changed.
+// It guards against an endless exchange of views. The leader's view had the revision of the last
+// change it had watched (304), while the other gateway's list had the store's current revision
+// (318), which other objects had raised. The gateway therefore rejected the leader's view as
+// older, although both listed the same upstreams, and was offered it again at once: forty times a
+// second, 440 KB/s for 300 upstreams, until the next upstream changed. A drain ordered meanwhile
+// did not reach the gateway.
 func TestReconnectedGatewayTakesLeaderView(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
@@ -296,19 +290,19 @@
 	b.ready()
 	other = b.gateway("g1")
 	b.ready()
-	b.eventually("both in touch", func() bool { return b.leader() == leader && leader.cluster.gatewayCount() == 2 })
+	b.eventually("both gateways connected", func() bool { return b.leader() == leader && leader.cluster.gatewayCount() == 2 })
 	lists := other.door.Lists()
 	leader.peersLink.SetRate(0)
-	b.eventually("the other has listed the upstreams", func() bool {
+	b.eventually("the other gateway has listed the upstreams", func() bool {
 		return other.door.Lists() > lists && !sameUpstreams(other, leader)
 	})
 	leader.peersLink.SetRate(relay.Wide)
-	b.eventually("the other has the leader's view", func() bool {
+	b.eventually("the other gateway has the leader's view", func() bool {
 		return other.follower.heardAgo() < orphanAfter && sameUpstreams(other, leader)
 	})
 }
 
-// sameUpstreams reports whether two gateways have the same view of upstreams.
+// sameUpstreams reports whether two gateways have the same version of the upstreams.
 func sameUpstreams(a, b *testGateway) bool {
 	_, one := a.view.upstreams()
 	_, other := b.view.upstreams()
--- a/gateway/parts.go
+++ b/gateway/parts.go
@@ -12,38 +12,41 @@
 	"github.com/rockcroft/rockcroft/state/delta"
 )
 
-// This file tells other gateways what can be large: in parts that they fetch by pieces.
-// An answer to a report is bounded in bytes, as the time for it is: else a version that
-// is too large for the links does not arrive, and each new try fills them again.
+// This file sends documents that can be large to other gateways as parts, which they fetch in
+// pieces. The size of an answer to a report is bounded because the time for it is: a version too
+// large for the links would not arrive in time, and each retry would fill the links again.
 
 const (
-	// mostInline bounds what an answer has of configuration, upstreams and owners, in
-	// bytes: thirty answers at once take 0.1 s of a link of 10 Mbit/s.
+	// maxInlineBytes bounds the data about configuration, upstreams and owners in one answer.
+	// Thirty answers of that size at once take 0.1 s on a link of 10 Mbit/s.
 	maxInlineBytes = 4 << 10
-	// pieceSize is the most that one piece of a part has, in bytes. Thirty gateways
-	// that fetch at once keep a link of 10 Mbit/s busy for 0.4 s, within pieceTimeout.
+	// pieceSize is the maximum size of a piece of a part, in bytes. Thirty gateways that each
+	// fetch a piece at the same time occupy a link of 10 Mbit/s for 0.4 s, which is within
+	// pieceTimeout.
 	pieceSize = 16 << 10
-	// partsKept and partBytesKept bound the parts that are kept for those that fetch them,
-	// in number and bytes: some versions of each document, from a few earlier ones each.
+	// maxCachedParts and maxCachedBytes bound the number and the total size of the parts kept for
+	// fetching. They allow for some versions of each document, each encoded against a few base
+	// versions.
 	maxCachedParts = 24
 	maxCachedBytes = 4 * megabyte
 )
 
-// Names of parts. That of the owners of a service ends with its name.
+// Names of parts. The owners of a service have the prefix partOwners followed by the service's
+// name.
 const (
 	partConfiguration = "configuration"
 	partUpstreams     = "upstreams"
 	partOwners        = "owners/"
 )
 
-// partKey tells which part is meant: the version of a document, and the one that its
-// receiver has.
+// partKey identifies a part by its name, the version of its document and the base version that
+// its receiver has.
 type partKey struct {
 	name          string
 	version, base uint64
 }
 
-// madePart is a part with its bytes.
+// encodedPart is a part with its encoded bytes.
 type encodedPart struct {
 	key  partKey
 	id   uint64
@@ -51,15 +54,16 @@
 	data []byte
 }
 
-// parts keeps the parts that were made, the newest last. It is safe for concurrent
-// use. A part that many ask for is made once.
+// partCache caches encoded parts, the newest last, so that a part requested by many gateways is
+// encoded once. It is safe for concurrent use.
 type partCache struct {
 	mu    sync.Mutex
 	kept  []encodedPart
 	bytes int
 }
 
-// get returns the part, made from the document and the base that its receiver has.
+// get returns the part, encoding the document against the base that the receiver has if the part
+// is not cached.
 func (p *partCache) get(key partKey, base, document []byte) (encodedPart, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,8 +81,8 @@
 	return made, nil
 }
 
-// keep adds a part and drops the oldest ones beyond the bounds, never the new one.
-// The lock is held.
+// add adds a part and drops the oldest parts beyond the bounds, but never the new one. The lock
+// is held.
 func (p *partCache) add(made encodedPart) {
 	p.kept = append(p.kept, made)
 	p.bytes += len(made.data)
@@ -88,7 +92,8 @@
 	}
 }
 
-// piece returns the bytes of a part from an offset on, and whether the part is kept.
+// piece returns up to pieceSize bytes of a part from an offset on, and whether the part is still
+// cached.
 func (p *partCache) piece(id uint64, offset int) (data []byte, kept bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,17 +114,17 @@
 	return &syncpb.FetchResponse{Data: data}, nil
 }
 
-// telling builds the news of one answer: what is small within it, the rest as parts to
-// be fetched.
+// responseBuilder adds updates to one answer: small ones inline, the others as parts to be
+// fetched.
 type responseBuilder struct {
 	*peerServer
 	request *syncpb.SyncRequest
 	resp    *syncpb.SyncResponse
-	// room is how many bytes the answer may still take.
+	// remaining is the number of bytes that may still be added inline.
 	remaining int
 }
 
-// tell adds the news that the sender does not know and is not fetching.
+// addUpdates adds what the sender of the report neither has nor is fetching.
 func (p *peerServer) addUpdates(r *syncpb.SyncRequest, resp *syncpb.SyncResponse) {
 	b := &responseBuilder{peerServer: p, request: r, resp: resp, remaining: maxInlineBytes}
 	fetching := fetchingSet(r)
@@ -178,7 +183,7 @@
 	b.addMessage(partKey{name: partOwners + service, version: m.Version, base: m.Base}, m)
 }
 
-// fits reports whether the message goes within the answer, and takes the room for it.
+// reserve reports whether the message still fits into the answer, and deducts its size if so.
 func (b *responseBuilder) reserve(m proto.Message) bool {
 	size := proto.Size(m)
 	if size > b.remaining {
@@ -188,21 +193,22 @@
 	return true
 }
 
-// addMessage adds a message as a part. It is already the difference from its base.
+// addMessage adds a message as a part. The message is already a difference from its base, so the
+// part is encoded without one.
 func (b *responseBuilder) addMessage(key partKey, m proto.Message) {
 	document, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		b.log.Error("part of the news cannot be made", "part", key.name, "error", err)
+		b.log.Error("cannot encode part", "part", key.name, "error", err)
 		return
 	}
 	b.addPart(key, 0, nil, document)
 }
 
-// addPart adds a part, with its bytes when there is room for them.
+// addPart adds a part, with its bytes if they still fit.
 func (b *responseBuilder) addPart(key partKey, revision uint64, base, document []byte) {
 	made, err := b.parts.get(key, base, document)
 	if err != nil {
-		b.log.Error("part of the news cannot be made", "part", key.name, "error", err)
+		b.log.Error("cannot encode part", "part", key.name, "error", err)
 		return
 	}
 	part := &syncpb.Part{Name: key.name, Id: made.id, Size: uint32(len(made.data)), Base: made.base, Revision: revision}
@@ -213,5 +219,5 @@
 	b.resp.Parts = append(b.resp.Parts, part)
 }
 
-// serviceOf returns the service whose owners the part tells.
+// serviceOf returns the service whose owners the part describes.
 func serviceOf(part string) (service string, ok bool) { return strings.CutPrefix(part, partOwners) }
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -14,28 +14,28 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// mostWait bounds how long a report waits for changes before it is answered.
+// maxWait bounds how long the answer to a report is delayed while there are no changes to send.
 const maxWait = time.Second
 
-// peerServer serves the other gateways.
+// peerServer implements the RPC service for the other gateways.
 type peerServer struct {
 	view    *view
 	cluster *cluster
 	store   *storeCaller
 	steward *steward
 	traffic *traffic
-	// follower and watcher tell how fresh this process's view is.
+	// follower and watcher know how old this process's view is.
 	follower *follower
 	watcher  *watcher
 	promises *promises
 	parts    *partCache
 	evac     *evacuations
 	encoder  fleetEncoder
-	// sieve drops what others say of upstreams that cannot be.
+	// validator drops invalid data about upstreams from reports.
 	validator *peerValidator
-	// limits are those that upstreams name.
+	// limits are the named limits of upstreams.
 	limits *namedLimits
-	// suspects are requests that end upstreams.
+	// suspects are requests suspected of crashing upstreams.
 	suspects *suspects
 	log      *slog.Logger
 }
@@ -64,7 +64,8 @@
 	return p.buildResponse(r), nil
 }
 
-// passOn adds the keys that another gateway was asked for to the own report.
+// forwardKeys adds the keys that another gateway received requests for to this gateway's own
+// report.
 func (p *peerServer) forwardKeys(counts []*syncpb.KeyCounts) {
 	for _, c := range counts {
 		s := p.traffic.get(c.Service)
@@ -74,7 +75,8 @@
 	}
 }
 
-// waitForNews waits until something has changed that the sender does not know.
+// waitForUpdates waits until this process knows something that the sender of the report does not,
+// but no longer than the sender asks for.
 func (p *peerServer) waitForUpdates(ctx context.Context, r *syncpb.SyncRequest) {
 	timer := time.NewTimer(min(time.Duration(r.WaitMs)*time.Millisecond, maxWait))
 	defer timer.Stop()
@@ -93,7 +95,7 @@
 	}
 }
 
-// heardAgo returns how long ago this process heard from the leader.
+// leaderAge returns how long ago this process heard from the leader.
 func (p *peerServer) leaderAge() time.Duration {
 	if p.cluster.isLeading() {
 		return 0
@@ -101,8 +103,7 @@
 	return p.follower.heardAgo()
 }
 
-// newsAgo returns how long ago this process had news from the leader or the
-// store.
+// updateAge returns how long ago this process received updates from the leader or the store.
 func (p *peerServer) updateAge() time.Duration {
 	if p.cluster.isLeading() {
 		return 0
@@ -110,11 +111,11 @@
 	return p.follower.newsAge(p.watcher.ages.last())
 }
 
-// milliseconds is a time as it is told, at most an hour.
+// milliseconds converts a duration for messages, capped at an hour.
 func milliseconds(d time.Duration) uint32 { return uint32(min(d, time.Hour).Milliseconds()) }
 
-// knowsMore reports whether this process has a newer view than the sender has or is
-// fetching.
+// hasUpdates reports whether this process has anything newer than what the sender of the report
+// has or is fetching.
 func (p *peerServer) hasUpdates(r *syncpb.SyncRequest) bool {
 	fetching := fetchingSet(r)
 	if p.hasNewerEvacuations(r) || p.limits.lackedBy(r.Limits) {
@@ -134,23 +135,23 @@
 	return false
 }
 
-// lacksEvacuations reports whether this process knows of evacuations what the sender
-// does not.
+// hasNewerEvacuations reports whether this process knows evacuations that the sender does not.
 func (p *peerServer) hasNewerEvacuations(r *syncpb.SyncRequest) bool {
 	theirs, _ := (*evacuation.Set)(nil).Merge(evacuationMarks(r.Evacuations))
 	return !theirs.Covers(p.view.evac.Load().Marks())
 }
 
-// newerUpstreams reports whether this process has another view of upstreams than the
-// sender, and one that the sender would take.
+// hasNewerUpstreams reports whether this process has another version of the upstreams than the
+// sender, and one that the sender would accept.
 func (p *peerServer) hasNewerUpstreams(r *syncpb.SyncRequest) bool {
 	revision, version := p.view.upstreamsVersion()
 	return version != r.InstancesVersion && revision >= r.InstancesRevision
 }
 
-// news builds the answer from what the sender does not know.
+// buildResponse builds the answer to a report from what the sender does not know.
 func (p *peerServer) buildResponse(r *syncpb.SyncRequest) *syncpb.SyncResponse {
-	// The age first: a configuration that comes in between is not told as known of old.
+	// Read the age before the revision. If a configuration arrives in between, this order reports
+	// an age that is too high, never one that is too low.
 	age := p.follower.configurationAge(p.watcher.configurationHeard())
 	resp := &syncpb.SyncResponse{
 		Leader: p.cluster.knownLeader(), Leading: p.cluster.isLeading(),
@@ -178,8 +179,9 @@
 	return resp
 }
 
-// fleet returns what all gateways but the sender and those behind it have in flight, for the
-// view of upstreams that the sender has; nil when it was told a moment ago.
+// fleetMessage returns the load from all gateways except the sender and those that report through
+// it, encoded for the version of the upstreams that the sender has. It returns nil if that
+// version is not kept or the sender was sent such a message only a moment ago.
 func (p *peerServer) fleetMessage(r *syncpb.SyncRequest) *syncpb.Fleet {
 	v := p.view.previousInstances(r.InstancesVersion)
 	if v == nil {
@@ -192,7 +194,7 @@
 	return p.encoder.encode(p.cluster.sum(p.steward.lastOwn().loads), r.Member.Node, v, r.InstancesVersion, p.workTimes(), withWorkTimes)
 }
 
-// works returns the mean times of a run as all gateways have seen them.
+// workTimes returns the mean work times by upstream, over the requests of all gateways.
 func (p *peerServer) workTimes() map[string]worktime.Estimate {
 	if p.cluster.isLeading() {
 		return p.steward.workTimes.all()
@@ -200,8 +202,8 @@
 	return p.cluster.worksAbove()
 }
 
-// namedLimits tells the limits that upstreams name, and what all gateways but the node and those
-// behind it are asked for.
+// namedLimitMessages returns the named limits of upstreams, with the demand for them at all
+// gateways except the node and those that report through it.
 func (p *peerServer) namedLimitMessages(node string) []*syncpb.NamedLimit {
 	own := p.steward.lastOwn().wanted
 	return p.limits.messages(func(upstream string) float64 {
@@ -210,7 +212,8 @@
 	})
 }
 
-// hotKeys returns the limits of hot keys, as this leader decides or as it was told them.
+// hotKeyMessages returns the limits of hot keys: this gateway's own decisions if it leads,
+// otherwise those received from the parent.
 func (p *peerServer) hotKeyMessages() []*syncpb.HotKeys {
 	if p.cluster.isLeading() {
 		return p.steward.hotKeys.messages()
@@ -218,8 +221,8 @@
 	return p.cluster.hotKeysAbove()
 }
 
-// rights returns the rights of the sender and of those that report through it, and how long
-// ago the leader named them.
+// rightsFor returns the warm-up rights of the sender and of the gateways that report through it,
+// and how long ago the leader issued them.
 func (p *peerServer) rightsFor(r *syncpb.SyncRequest) ([]*syncpb.Right, uint32) {
 	nodes := map[string]bool{r.Member.Node: true}
 	for _, m := range r.Followers {
@@ -232,7 +235,8 @@
 	return rightMessages(all, nodes), milliseconds(p.follower.now().Sub(named))
 }
 
-// Relay implements syncpb.Peer. The answer is sent when the whole has come from the store.
+// Relay implements syncpb.Peer. It answers only after the complete response has arrived from the
+// store.
 func (p *peerServer) Relay(ctx context.Context, r *syncpb.RelayRequest) (*syncpb.RelayResponse, error) {
 	c, ok := relayed(r)
 	if !ok {
--- a/gateway/ports_test.go
+++ b/gateway/ports_test.go
@@ -10,17 +10,17 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// port is a port of loopback that is kept until its bed closes. Gateways go on calling
-// the address of one that was killed, and nobody may be there: a free port the kernel
-// would soon give to a listener of another bed. The port is had by a socket that does not
-// listen, so it refuses connections unless a listener is open.
+// port is a loopback port that stays reserved until its bed closes. Gateways keep calling the
+// address of a gateway that was killed, and nothing may listen there, but the kernel would soon
+// give a free port to a listener of another bed. The port is held by a socket that does not
+// listen, so connections are refused unless a listener is open.
 type port struct {
 	socket  int
 	address netip.AddrPort
 }
 
-// newPort takes a port that the kernel chooses. Others can bind it too until the bed
-// claims it.
+// newPort reserves a port that the kernel chooses. Others can still bind it until claimPorts is
+// called.
 func newPort() (*port, error) {
 	syscall.ForkLock.RLock()
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -39,7 +39,7 @@
 	return p, nil
 }
 
-// bind takes the port and allows a listener at it.
+// bind binds the socket to a port and lets a listener bind the same port.
 func (p *port) bind() error {
 	if err := p.setReuseAddr(1); err != nil {
 		return err
@@ -51,23 +51,24 @@
 	if err != nil {
 		return os.NewSyscallError("getsockname", err)
 	}
-	own := name.(*syscall.SockaddrInet4)
-	p.address = netip.AddrPortFrom(netip.AddrFrom4(own.Addr), uint16(own.Port))
+	sockaddr := name.(*syscall.SockaddrInet4)
+	p.address = netip.AddrPortFrom(netip.AddrFrom4(sockaddr.Addr), uint16(sockaddr.Port))
 	return nil
 }
 
-// share allows others to bind the port, with 1, or forbids it, with 0; who has it keeps it.
-func (p *port) setReuseAddr(yes int) error {
-	return os.NewSyscallError("setsockopt", syscall.SetsockoptInt(p.socket, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, yes))
+// setReuseAddr lets others bind the port (1) or prevents it (0). Sockets that are already bound
+// to it stay so.
+func (p *port) setReuseAddr(value int) error {
+	return os.NewSyscallError("setsockopt", syscall.SetsockoptInt(p.socket, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, value))
 }
 
-// close gives the port back; a listener that is still open keeps it.
+// close releases the port; a listener that is still open keeps it.
 func (p *port) close() { _ = syscall.Close(p.socket) }
 
-// addr is the port's address.
+// addr returns the port's address.
 func (p *port) addr() jsonc.Addr { return jsonc.Addr{AddrPort: p.address} }
 
-// port takes a port until the bed closes.
+// port reserves a port until the bed closes.
 func (b *bed) port() *port {
 	b.t.Helper()
 	p, err := newPort()
@@ -80,7 +81,8 @@
 	return p
 }
 
-// claim keeps ports to the listeners that are open at them.
+// claimPorts reserves ports for the listeners that are open on them: nothing else can bind them
+// afterwards.
 func (b *bed) claimPorts(ports ...*port) {
 	b.t.Helper()
 	for _, p := range ports {
@@ -90,7 +92,7 @@
 	}
 }
 
-// listen opens a listener at a port of the bed.
+// listen opens a listener on a port of the bed.
 func (b *bed) listen() net.Listener {
 	b.t.Helper()
 	p := b.port()
@@ -102,7 +104,7 @@
 	return l
 }
 
-// givePortsBack gives all ports back to the kernel.
+// releasePorts returns all ports to the kernel.
 func (b *bed) releasePorts() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -111,23 +113,23 @@
 	}
 }
 
-// TestNobodyTakesThePlaceOfTheKilled: the addresses of a gateway that was killed stay
-// dead while its bed lives, so that what the others go on sending there reaches no
-// listener of another bed.
+// TestAddressOfKilledGatewayStaysUnused checks that nothing can listen on the addresses of a
+// killed gateway while its bed lives. Otherwise requests that other gateways still send there
+// would reach a listener of another bed.
 func TestAddressOfKilledGatewayStaysUnused(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	dead := b.leader()
-	dead.kill()
+	killed := b.leader()
+	killed.kill()
 	b.eventually("another leader", func() bool { return b.leader() != nil })
-	for _, l := range []net.Listener{dead.open.Peers, dead.open.Callers, dead.open.Ready} {
+	for _, l := range []net.Listener{killed.open.Peers, killed.open.Callers, killed.open.Ready} {
 		address := l.Addr().String()
 		if conn, err := net.Dial("tcp", address); err == nil {
-			t.Errorf("%s takes connections", address)
+			t.Errorf("%s accepts connections", address)
 			_ = conn.Close()
 		}
 		if other, err := net.Listen("tcp", address); err == nil {
-			t.Errorf("%s can be taken", address)
+			t.Errorf("%s can be bound", address)
 			_ = other.Close()
 		}
 	}
--- a/gateway/reports.go
+++ b/gateway/reports.go
@@ -9,32 +9,33 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// This file counts and logs how reports to other gateways end.
+// This file counts and logs the outcomes of reports to other gateways.
 
-// failedReports is a run of reports that all ended without success.
+// reportFailures is an uninterrupted series of failed reports.
 type reportFailures struct {
-	// since is when the first of them ended.
+	// since is when the first of them failed.
 	since time.Time
 	count int
 }
 
-// How a report to another gateway ends, the parts of the counter's name.
+// Outcomes of a report to another gateway. They are part of a counter's name.
 const (
 	reportOK = "ok"
-	// reportLate is no whole answer in time, or no connection.
+	// reportLate means that no complete answer arrived, or no connection was made, in time.
 	reportLate    = "late"
 	reportRefused = "refused"
-	// reportFailed is any other error.
+	// reportFailed means any other error.
 	reportFailed = "failed"
-	// reportStale is an answer of a gateway that has not heard from the leader.
+	// reportStale means an answer from a gateway that has not recently heard from the leader.
 	reportStale = "stale"
 )
 
-// errStale is the cause of a report's failure that did get an answer.
+// errStale is the failure of a report that was answered, but by a gateway that has not recently
+// heard from the leader.
 var errStale = errors.New("the gateway has not heard from the leader")
 
-// reportError returns why a report is no success: its error, or errStale; nil for a
-// success.
+// reportError returns the reason why a report failed: its error, or errStale. It returns nil for
+// a success.
 func reportError(resp *syncpb.SyncResponse, err error) error {
 	if err == nil && time.Duration(resp.HeardMs)*time.Millisecond >= orphanAfter {
 		return errStale
@@ -42,7 +43,7 @@
 	return err
 }
 
-// reportEnd names how a report ended whose reportError is err.
+// reportOutcome returns the outcome of a report from the result of reportError.
 func reportOutcome(err error) string {
 	switch {
 	case err == nil:
@@ -57,8 +58,8 @@
 	return reportFailed
 }
 
-// noteReport counts a report to a parent by its reportError. It logs when reports begin
-// to fail, and when they succeed again.
+// recordReport counts the outcome of a report to a parent, given the result of reportError. It
+// logs when reports begin to fail and when they succeed again.
 func (f *follower) recordReport(to string, err error, took time.Duration) {
 	f.meters.inc(fill(reportAnswer, reportOutcome(err)))
 	f.mu.Lock()
--- a/gateway/sieve.go
+++ b/gateway/sieve.go
@@ -12,7 +12,7 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// Who said of an upstream what cannot be, the parts of the counter's name.
+// Sources of invalid data about upstreams. They are part of a counter's name.
 const (
 	invalidEntry  = "entry"
 	invalidUpdate = "news"
@@ -20,16 +20,16 @@
 )
 
 var (
-	errStartInFuture = errors.New("it says that it will start more than a day from now")
-	errMissingField  = errors.New("it has no ID, no service or no address")
-	errInvalidNumber = errors.New("its requests in flight or its runs are no number that can be")
+	errStartInFuture = errors.New("its start time is more than a day in the future")
+	errMissingField  = errors.New("it lacks an ID, a service or an address")
+	errInvalidNumber = errors.New("its number of requests in flight or of runs is out of range")
 )
 
-// mostUnsoundLogged bounds the upstreams that are logged for what others say of them.
+// maxInvalidLogged bounds the number of upstreams for which invalid data is logged.
 const maxInvalidLogged = 256
 
-// sieve drops what other gateways say of upstreams and cannot be, and reports of loads at
-// former starts of upstreams. It is safe for concurrent use.
+// peerValidator drops invalid data about upstreams that other gateways send, and load reports
+// about earlier incarnations of upstreams. It is safe for concurrent use.
 type peerValidator struct {
 	view   *view
 	now    func() time.Time
@@ -37,7 +37,7 @@
 	meters *meters
 
 	mu sync.Mutex
-	// logged are the upstreams that have been logged, by source.
+	// logged holds the pairs of source and upstream that have been logged.
 	logged map[string]bool
 }
 
@@ -45,17 +45,17 @@
 	return &peerValidator{view: v, now: now, log: log, meters: m, logged: make(map[string]bool)}
 }
 
-// instances drops upstreams from news that cannot be.
+// filterInstances removes invalid upstreams from a message.
 func (s *peerValidator) filterInstances(m *syncpb.Instances) {
-	sound := m.List[:0]
+	valid := m.List[:0]
 	for _, inst := range m.List {
 		if err := s.checkInstance(inst); err != nil {
 			s.recordInvalid(invalidUpdate, inst.Id, err)
 			continue
 		}
-		sound = append(sound, inst)
+		valid = append(valid, inst)
 	}
-	m.List = sound
+	m.List = valid
 }
 
 func (s *peerValidator) checkInstance(inst *syncpb.Instance) error {
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// loads returns the loads of a report that can be and are about the present starts of
-// upstreams: requests at a former start have ended with it.
+// filterLoads returns the valid loads of a report that are about the current incarnations of
+// upstreams. Requests of an earlier incarnation ended when it did.
 func (s *peerValidator) filterLoads(list []*syncpb.Load) []*syncpb.Load {
 	known := s.view.inst.Load()
 	out := make([]*syncpb.Load, 0, len(list))
@@ -89,16 +89,16 @@
 	return out
 }
 
-// isCount reports whether a told number can be one of requests.
+// validCount reports whether a received number is plausible as a number of requests.
 func validCount(n float32) bool { return n >= 0 && n <= math.MaxUint16 }
 
-// note counts what was dropped, and logs each upstream once.
+// recordInvalid counts dropped data and logs each upstream once per source.
 func (s *peerValidator) recordInvalid(source, upstream string, err error) {
 	s.meters.inc(fill(upstreamsUnsound, source))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if key := source + "/" + upstream; !s.logged[key] && len(s.logged) < maxInvalidLogged {
 		s.logged[key] = true
-		s.log.Error("what another gateway says of an upstream cannot be", "source", source, "upstream", upstream, "error", err)
+		s.log.Error("invalid upstream data from another gateway", "source", source, "upstream", upstream, "error", err)
 	}
 }
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -12,8 +12,8 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// view is what this process believes: configuration, upstreams, owners of
-// keys. Nothing in it goes back to an older version.
+// view is this process's copy of the shared state: configuration, upstreams, key owners and
+// evacuations. An older version never replaces a newer one.
 type view struct {
 	table  atomic.Pointer[routing.Table]
 	inst   atomic.Pointer[instances.View]
@@ -21,35 +21,36 @@
 	evac   atomic.Pointer[evacuation.Set]
 
 	mu sync.Mutex
-	// config is the configuration in force in the form that is handed on, formerConfigs
-	// are those before it.
+	// config is the configuration in force as it is sent to other gateways; previousConfigs are
+	// its predecessors, oldest first.
 	config          configVersion
 	previousConfigs []configVersion
-	// instVersion tells versions of the view of upstreams apart.
+	// instVersion identifies the current version of the upstreams.
 	instVersion uint64
 	changed     chan struct{}
-	// former are older versions, to tell others only what has changed since.
+	// previousInst, previousOrder and previousSpans keep older versions, so that other gateways
+	// can be sent only the changes since the version they have.
 	previousInst  map[uint64]*instances.View
 	previousOrder []uint64
 	previousSpans map[string][]*spans.Table
-	// toldInstances and toldSpans are the messages about the newest versions.
+	// instancesMessages and spansMessages cache the messages built for the newest versions.
 	instancesMessages messageCache[*syncpb.Instances]
 	spansMessages     map[string]*messageCache[*syncpb.Spans]
-	// onInstances is called, with the lock held, when upstreams have changed,
-	// onSpans when the owners of a service have, onEvacuations when failure domains were
-	// evacuated or taken back.
+	// onInstances is called with the lock held after a change of the upstreams, onSpans after a
+	// change of a service's key owners, and onEvacuations after a failure domain was evacuated or
+	// its evacuation ended.
 	onInstances func(*instances.View)
-	// onConfiguration is called, with the lock held, when another configuration is in force.
+	// onConfiguration is called with the lock held when a new configuration comes into force.
 	onConfiguration func(*routing.Table)
 	onSpans         func(*spans.Table)
 	onEvacuations   func(*evacuation.Set)
 }
 
-// configVersion is one version of the configuration as the store has it.
+// configVersion is one version of the configuration as stored.
 type configVersion struct {
-	// revision is the store's.
+	// revision is the store's revision of the object.
 	revision uint64
-	// digest tells the bytes of spec.
+	// digest is the digest of spec.
 	digest uint64
 	spec   []byte
 }
@@ -65,14 +66,14 @@
 	return v
 }
 
-// wait returns a channel that is closed at the next change.
+// nextChange returns a channel that is closed at the next change.
 func (v *view) nextChange() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
 }
 
-// notify wakes who waits for a change, as something beside the view has changed.
+// notify wakes the goroutines that wait for a change, when state outside the view has changed.
 func (v *view) notify() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -84,9 +85,9 @@
 	v.changed = make(chan struct{})
 }
 
-// setConfiguration takes over a newer configuration and reports whether it was
-// newer. One of the version in force that was written again stays in force under its
-// newer revision, by which gateways tell who is behind.
+// setConfiguration applies a configuration if its version is newer and reports whether it did. If
+// the version in force was written to the store again, only its revision is updated: gateways
+// compare revisions to find out who is behind.
 func (v *view) setConfiguration(revision uint64, spec []byte, c *routing.Configuration) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -111,7 +112,8 @@
 	return true
 }
 
-// setInstances takes over a view of upstreams that is at least as new.
+// setInstances applies a view of the upstreams unless its revision is older or its version is
+// already in use. It reports whether it did.
 func (v *view) setInstances(version uint64, next *instances.View) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -131,7 +133,7 @@
 	return true
 }
 
-// setSpans takes over a newer assignment of a service.
+// setSpans applies a service's table of key owners if it is newer and reports whether it did.
 func (v *view) setSpans(t *spans.Table) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -155,8 +157,8 @@
 	return true
 }
 
-// takeEvacuations takes over what is newer of the marks. It returns whether there was
-// anything, and how many marks were dropped.
+// mergeEvacuations merges newer evacuation marks into the known ones. It returns whether anything
+// changed and how many marks were dropped.
 func (v *view) mergeEvacuations(marks []evacuation.Mark) (changed bool, dropped int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -174,18 +176,18 @@
 // evacuated reports whether the failure domain is evacuated.
 func (v *view) evacuated(domain string) bool { return v.evac.Load().Active(domain) }
 
-// spansOf returns the assignment of a service, or nil.
+// spansOf returns a service's table of key owners, or nil.
 func (v *view) spansOf(service string) *spans.Table { return (*v.owners.Load())[service] }
 
-// configuration returns the configuration in force in the form that is handed on.
+// configuration returns the configuration in force as it is sent to other gateways.
 func (v *view) configuration() configVersion {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.config
 }
 
-// configurationSpec returns the spec with the digest, of the configuration in force or
-// a former one; nil when it is not kept.
+// configurationSpec returns the spec with the digest if it is the configuration in force or one
+// of the previous ones that are kept, otherwise nil.
 func (v *view) configurationSpec(digest uint64) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -200,15 +202,16 @@
 	return nil
 }
 
-// upstreams returns the view of upstreams, nil before there is one, and its version.
+// upstreams returns the current view of the upstreams, or nil if there is none yet, and its
+// version.
 func (v *view) upstreams() (*instances.View, uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.inst.Load(), v.instVersion
 }
 
-// upstreamsKnown returns the revision and the version of the view of upstreams, zero
-// before there is one.
+// upstreamsVersion returns the revision and the version of the current view of the upstreams, or
+// zeros if there is none yet.
 func (v *view) upstreamsVersion() (revision, version uint64) {
 	now, version := v.upstreams()
 	if now == nil {
@@ -217,22 +220,22 @@
 	return now.Revision, version
 }
 
-// formerConfigsKept is how many former configurations are kept, of a megabyte at most
-// each: those that gateways which are a little behind still have.
+// maxPreviousConfigs is the number of previous configurations that are kept, each of at most a
+// megabyte. They serve as bases of differences for gateways that are a few versions behind.
 const maxPreviousConfigs = 4
 
-// formerKept is how many versions are kept of each part of the view: those of
+// maxPreviousVersions is the number of versions kept of each other part of the view. It covers
 // some seconds with many changes.
 const maxPreviousVersions = 48
 
-// formerInstances returns an older version of the view of upstreams, or nil.
+// previousInstances returns a kept version of the upstreams, or nil.
 func (v *view) previousInstances(version uint64) *instances.View {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.previousInst[version]
 }
 
-// toldOwners returns the messages about the owners of a service.
+// spansMessageCache returns the cache of messages about a service's key owners.
 func (v *view) spansMessageCache(service string) *messageCache[*syncpb.Spans] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -244,7 +247,7 @@
 	return cache
 }
 
-// formerTable returns an older version of an assignment, or nil.
+// previousTable returns a kept version of a service's table of key owners, or nil.
 func (v *view) previousTable(service string, version uint64) *spans.Table {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/gateway/wire.go
+++ b/gateway/wire.go
@@ -12,19 +12,18 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// This file translates between the types of package state and the messages
-// between gateways.
+// This file converts between the types of the state packages and the messages between gateways.
 
-// differences keeps the messages that tell one version of a document, by the version that
-// their receivers have: of a hundred gateways most have the same. It is safe for concurrent
-// use; messages are not changed any more.
+// messageCache caches the messages that describe one version of a document, keyed by the version
+// that the receiver has: among a hundred gateways most have the same one. It is safe for
+// concurrent use. Cached messages must not be modified.
 type messageCache[M any] struct {
 	mu      sync.Mutex
 	version uint64
 	byBase  map[uint64]M
 }
 
-// get returns the message, made if there is none yet.
+// get returns the message for the version and base, building it if it is not cached.
 func (c *messageCache[M]) get(version, base uint64, build func() M) M {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,8 +38,8 @@
 	return m
 }
 
-// instancesMessage tells what has changed since the version base, or all when
-// that is not known any more.
+// instancesMessage returns the changes of the upstreams since the version base, or all upstreams
+// if that version is no longer kept. It returns nil if there is nothing to send.
 func (v *view) instancesMessage(base uint64) *syncpb.Instances {
 	now, version := v.upstreams()
 	if now == nil || version == base {
@@ -56,7 +55,7 @@
 		m.Base = base
 		list, m.Removed = instances.Diff(old, now)
 	}
-	// In one order everywhere, so that the same message has the same bytes.
+	// Sort, so that every gateway encodes the same message to the same bytes.
 	slices.SortFunc(list, func(a, b instances.Instance) int { return strings.Compare(a.ID, b.ID) })
 	slices.Sort(m.Removed)
 	for _, inst := range list {
@@ -69,7 +68,8 @@
 	return m
 }
 
-// takeInstances takes over what a message says.
+// applyInstances applies a message about upstreams. It ignores a difference whose base is not
+// kept.
 func (v *view) applyInstances(m *syncpb.Instances) {
 	if m.Base == 0 {
 		v.setInstances(m.Version, instances.NewView(m.Revision, instancesFromMessage(m)))
@@ -92,7 +92,7 @@
 	return list
 }
 
-// evacuationMessages tells all that is known of evacuations.
+// evacuationMessages returns the messages for all known evacuations.
 func evacuationMessages(set *evacuation.Set) []*syncpb.Evacuation {
 	var out []*syncpb.Evacuation
 	for _, m := range set.Marks() {
@@ -101,7 +101,7 @@
 	return out
 }
 
-// evacuationMarks returns what messages tell.
+// evacuationMarks converts messages about evacuations to marks.
 func evacuationMarks(list []*syncpb.Evacuation) []evacuation.Mark {
 	out := make([]evacuation.Mark, 0, len(list))
 	for _, m := range list {
@@ -110,8 +110,8 @@
 	return out
 }
 
-// spansMessage tells what has changed since the version base, or all when that is
-// not known any more.
+// spansMessage returns the changes of a service's key owners since the version base, or the whole
+// table if that version is no longer kept.
 func (v *view) spansMessage(t *spans.Table, base uint64) *syncpb.Spans {
 	return v.spansMessageCache(t.Service).get(t.Version, base, func() *syncpb.Spans { return v.buildSpansMessage(t, base) })
 }
@@ -133,7 +133,8 @@
 	return m
 }
 
-// takeSpans takes over what a message says.
+// applySpans applies a message about a service's key owners. It ignores a difference whose base
+// is not kept.
 func (v *view) applySpans(m *syncpb.Spans) error {
 	t := spansFromMessage(m)
 	if m.Base != 0 {
