--- a/gateway/cluster.go
+++ b/gateway/cluster.go
@@ -15,14 +15,14 @@
 const (
 	// memberExpiry is how long a gateway that does not report stays a member.
 	memberExpiry = 2500 * time.Millisecond
-	// reportExpiry is how long a gateway's report of its load counts.
+	// reportExpiry is how long the load in a gateway's last report is counted.
 	reportExpiry = 900 * time.Millisecond
 )
 
-// cluster is what this process knows of the other gateways. Each reports to one
-// other, its parent: the leader, or in large deployments the first gateway of its
-// failure domain, which reports for it. The leader learns of all gateways from the
-// reports, the others from the leader.
+// cluster holds what this process knows of the other gateways. Each gateway reports to one other,
+// its parent: the leader or, in large deployments, the head of its failure domain, which is the
+// strongest gateway there and reports for the others. The leader learns of all gateways from the
+// reports; the others learn of them from the leader.
 type cluster struct {
 	self *syncpb.Member
 	now  func() time.Time
@@ -33,52 +33,56 @@
 	leading bool
 	// children are the gateways that report to this one, by node.
 	children map[string]*child
-	// members are all gateways but this one, by node.
+	// members are all gateways except this one, by node.
 	members map[string]*syncpb.Member
 	version uint64
-	// changed says that the leader's list has changed since the version, listed when that
-	// was made.
-	changed bool
-	listed  time.Time
-	// summed is the last sum of what all have in flight.
-	summed *fleetSum
-	// above is what the gateways that do not report to this one have in flight,
-	// as the parent told, aboveDemands what they are asked for.
-	above []*syncpb.Load
-	// worksTold are the times of runs as the parent told them, by upstream; never changed in
-	// place.
-	worksTold map[string]worktime.Estimate
-	// hotKeys are those that the parent told of.
+	// membersChanged says that the leader's list has changed since the current version, which was
+	// made at membersListed.
+	membersChanged bool
+	membersListed  time.Time
+	// cachedSum is the last computed sum of the load from all gateways.
+	cachedSum *fleetSum
+	// parentLoads are the requests in flight from the gateways that do not report to this one, as
+	// received from the parent; parentDemands are the requests those gateways receive.
+	parentLoads []*syncpb.Load
+	// parentWorkTimes are the work times received from the parent, by upstream. The map is
+	// replaced, never modified.
+	parentWorkTimes map[string]worktime.Estimate
+	// hotKeys are the hot keys received from the parent.
 	hotKeys []*syncpb.HotKeys
-	// rights are those that the parent told of, named at rightsNamed.
-	rights      []warmup.Right
-	rightsNamed time.Time
-	// runs are those that the gateways which report to this one have seen since its own
-	// last report, by upstream.
-	runs         map[string]worktime.Sum
-	aboveDemands []*syncpb.Demand
-	// aboveWanted is how many requests a second the others are asked for that upstreams with a
-	// named limit would get, as the parent told.
-	aboveWanted map[string]float64
-	// expected is how many gateways there were under the leader before, who may not have
-	// reported yet; it counts until expectedUntil.
+	// rights are the warm-up rights received from the parent, which the leader issued at
+	// rightsIssued.
+	rights       []warmup.Right
+	rightsIssued time.Time
+	// runs are the runs seen by the gateways that report to this one since its own last report,
+	// by upstream.
+	runs          map[string]worktime.Sum
+	parentDemands []*syncpb.Demand
+	// parentWanted is the rate of requests, per second, that the other gateways receive for
+	// upstreams that set a named limit, by upstream, as received from the parent.
+	parentWanted map[string]float64
+	// expected is the number of gateways under the previous leader, some of which may not have
+	// reported yet. It applies until expectedUntil.
 	expected      int
 	expectedUntil time.Time
-	// avoided are heads of the own domain that did not answer, until when.
-	avoided map[string]time.Time
-	clients map[string]syncpb.Peer
-	rng     *rand.Rand
+	// avoidedUntil holds the heads of this failure domain that did not answer, and until when
+	// each is skipped.
+	avoidedUntil map[string]time.Time
+	clients      map[string]syncpb.Peer
+	rng          *rand.Rand
 }
 
 // child is a gateway that reports to this one, with its last report.
 type child struct {
 	*syncpb.Member
-	seen time.Time
-	// told is when it was last told what others have in flight, toldWorks when work times.
-	told, toldWorks time.Time
-	loads           []*syncpb.Load
-	demands         []*syncpb.Demand
-	// wanted is how many requests a second it is asked for, by upstream that names a limit.
+	lastReport time.Time
+	// fleetSent is when it was last sent the load from other gateways, workTimesSent when it was
+	// last sent work times.
+	fleetSent, workTimesSent time.Time
+	loads                    []*syncpb.Load
+	demands                  []*syncpb.Demand
+	// wanted is the rate of requests, per second, that it receives for each upstream that sets a
+	// named limit.
 	wanted    map[string]float64
 	followers []*syncpb.Member
 }
@@ -87,20 +91,20 @@
 	return &cluster{
 		self: self, now: now, http: client, rng: rng,
 		children: make(map[string]*child), members: make(map[string]*syncpb.Member),
-		runs: make(map[string]worktime.Sum), avoided: make(map[string]time.Time), clients: make(map[string]syncpb.Peer),
+		runs: make(map[string]worktime.Sum), avoidedUntil: make(map[string]time.Time), clients: make(map[string]syncpb.Peer),
 	}
 }
 
-// selfKnowing returns this gateway as it reports itself, with the highest revision of the
-// evacuations that it knows.
-func (c *cluster) selfKnowing(evacuations uint64) *syncpb.Member {
+// selfMember returns this gateway's member entry for its reports, with the highest revision of
+// the evacuations that it knows.
+func (c *cluster) selfMember(evacuations uint64) *syncpb.Member {
 	return &syncpb.Member{
 		Node: c.self.Node, Address: c.self.Address, Domain: c.self.Domain, Incarnation: c.self.Incarnation,
 		Strength: c.self.Strength, EvacuationsRevision: evacuations,
 	}
 }
 
-// client returns the client of the gateway at the address.
+// client returns the client for the gateway at the address.
 func (c *cluster) client(address string) syncpb.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,100 +120,101 @@
 	return p
 }
 
-// reported notes a report of another gateway. fresh says that this one leads or
-// hears from the leader: else nobody reports through it.
-func (c *cluster) reported(r *syncpb.SyncRequest, fresh bool) {
+// handleReport stores the report of another gateway. The report is ignored unless leaderHeard is
+// set, that is, unless this gateway leads or hears from the leader: otherwise no gateway may
+// report through it.
+func (c *cluster) handleReport(r *syncpb.SyncRequest, leaderHeard bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !fresh || r.Member.Node == c.self.Node {
+	if !leaderHeard || r.Member.Node == c.self.Node {
 		return
 	}
-	next := &child{Member: r.Member, seen: c.now(), loads: r.Loads, demands: r.Demands, followers: r.Followers, wanted: decodeWanted(r.Limits)}
-	former := c.children[r.Member.Node]
-	if former != nil {
-		next.told, next.toldWorks = former.told, former.toldWorks
+	next := &child{Member: r.Member, lastReport: c.now(), loads: r.Loads, demands: r.Demands, followers: r.Followers, wanted: decodeWanted(r.Limits)}
+	previous := c.children[r.Member.Node]
+	if previous != nil {
+		next.fleetSent, next.workTimesSent = previous.fleetSent, previous.workTimesSent
 	}
 	c.children[r.Member.Node] = next
-	if c.leading && (former == nil || !next.sameMembers(former)) {
-		c.gather()
+	if c.leading && (previous == nil || !next.sameMembers(previous)) {
+		c.rebuildMembers()
 	}
 }
 
-// setAbove takes over what the parent told of the others' requests in flight, and of the
-// times of runs if it told these.
-func (c *cluster) setAbove(loads []*syncpb.Load, works map[string]worktime.Estimate) {
+// setParentLoads stores the other gateways' requests in flight, as received from the parent, and
+// the work times if the parent sent them.
+func (c *cluster) setParentLoads(loads []*syncpb.Load, workTimes map[string]worktime.Estimate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.above = loads
-	if works != nil {
-		c.worksTold = works
+	c.parentLoads = loads
+	if workTimes != nil {
+		c.parentWorkTimes = workTimes
 	}
 }
 
-// setDemandsAbove takes over what the parent told that the others are asked for.
-func (c *cluster) setDemandsAbove(demands []*syncpb.Demand) {
+// setParentDemands stores the demand at the other gateways, as received from the parent.
+func (c *cluster) setParentDemands(demands []*syncpb.Demand) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.aboveDemands = demands
+	c.parentDemands = demands
 }
 
-// parent returns the address of the gateway to report to, or "" when none is
-// known. A former leader that has started again still knows itself as the leader:
-// reporting to itself would count its requests again and again.
+// parent returns the address of the gateway to report to, or "" if none is known. A former leader
+// that has restarted may still take itself for the leader. It must not report to itself, because
+// its own report would be added to its next one again and again.
 func (c *cluster) parent() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader == nil || c.leader.Member.Address == c.self.Address {
 		return ""
 	}
-	top := c.leader.Member
-	if len(c.members)+1 < treeLeast || c.self.Domain == top.Domain {
-		return top.Address
+	leader := c.leader.Member
+	if len(c.members)+1 < minTreeSize || c.self.Domain == leader.Domain {
+		return leader.Address
 	}
 	head := c.self
 	for _, m := range c.members {
-		if m.Domain == c.self.Domain && before(m, head) && c.now().After(c.avoided[m.Node]) {
+		if m.Domain == c.self.Domain && stronger(m, head) && c.now().After(c.avoidedUntil[m.Node]) {
 			head = m
 		}
 	}
 	if head == c.self {
-		return top.Address
+		return leader.Address
 	}
 	return head.Address
 }
 
-// treeLeast is the number of gateways from which reports go by way of one
-// gateway in each failure domain: below, the leader can answer all itself, and
-// news are a step sooner everywhere.
-const treeLeast = 24
+// minTreeSize is the number of gateways from which on reports go through one gateway in each
+// failure domain. With fewer, the leader can answer all gateways itself, and changes reach every
+// gateway one hop sooner.
+const minTreeSize = 24
 
-// avoid lets the gateway at the address be no head for a while.
+// avoid keeps the gateway at the address from being chosen as head for avoidDuration.
 func (c *cluster) avoid(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for node, m := range c.members {
 		if m.Address == address {
-			c.avoided[node] = c.now().Add(avoidTime)
+			c.avoidedUntil[node] = c.now().Add(avoidDuration)
 		}
 	}
 }
 
-// avoidTime is how long a head that did not answer is passed over.
-const avoidTime = 3 * time.Second
+// avoidDuration is how long a head that did not answer is skipped.
+const avoidDuration = 3 * time.Second
 
-// inFlightElsewhere returns how many requests all other gateways have in flight, by
+// inFlightElsewhere returns the number of requests in flight from all other gateways, by
 // upstream.
 func (c *cluster) inFlightElsewhere() map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := make(map[string]*syncpb.Load)
-	for _, one := range c.children {
-		if c.now().Sub(one.seen) < reportExpiry {
-			addLoads(sum, one.loads)
+	for _, child := range c.children {
+		if c.now().Sub(child.lastReport) < reportExpiry {
+			addLoads(sum, child.loads)
 		}
 	}
 	if !c.leading {
-		addLoads(sum, c.above)
+		addLoads(sum, c.parentLoads)
 	}
 	others := make(map[string]float64, len(sum))
 	for id, l := range sum {
@@ -218,16 +223,15 @@
 	return others
 }
 
-// below returns what this gateway and those that report to it have in flight, by
-// upstream.
-func (c *cluster) below(own []*syncpb.Load) map[string]*syncpb.Load {
+// subtreeLoads returns the load from this gateway and from those that report to it, by upstream.
+func (c *cluster) subtreeLoads(own []*syncpb.Load) map[string]*syncpb.Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := make(map[string]*syncpb.Load)
 	addLoads(sum, own)
-	for _, one := range c.children {
-		if c.now().Sub(one.seen) < reportExpiry {
-			addLoads(sum, one.loads)
+	for _, child := range c.children {
+		if c.now().Sub(child.lastReport) < reportExpiry {
+			addLoads(sum, child.loads)
 		}
 	}
 	return sum
@@ -249,7 +253,8 @@
 	}
 }
 
-// setLeader notes who leads. One of a lower term than known is not taken.
+// setLeader stores the leader and reports whether it did. A leader with a lower term than the
+// known one is rejected.
 func (c *cluster) setLeader(l *syncpb.Leader) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -281,17 +286,18 @@
 	return c.leading
 }
 
-// some returns up to most other gateways: one of the strongest first, which have the
-// widest links, then any, so that not all are of the few that are strong when these are
-// lost together.
-func (c *cluster) some(most int) []syncpb.Peer {
+// relayCandidates returns up to limit other gateways. The first is one of the strongest, which
+// have the widest links. The rest are chosen at random, so that not all candidates are strong
+// gateways, which might be lost together.
+func (c *cluster) relayCandidates(limit int) []syncpb.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	others := make([]*syncpb.Member, 0, len(c.members))
 	for _, m := range c.members {
 		others = append(others, m)
 	}
-	// Sorted by name first: the order of a map would add to that of the generator.
+	// Sort by address first, because the random order of the map would make the result
+	// irreproducible for a given seed.
 	sort.Slice(others, func(i, j int) bool { return others[i].Address < others[j].Address })
 	c.shuffle(others)
 	sort.SliceStable(others, func(i, j int) bool { return others[i].Strength > others[j].Strength })
@@ -299,7 +305,7 @@
 		c.shuffle(others[1:])
 	}
 	var out []syncpb.Peer
-	for _, m := range others[:min(most, len(others))] {
+	for _, m := range others[:min(limit, len(others))] {
 		out = append(out, c.clientLocked(m.Address))
 	}
 	return out
--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -16,12 +16,12 @@
 		}
 	}
 	for node, one := range c.children {
-		if node != except && c.now().Sub(one.seen) < reportExpiry {
+		if node != except && c.now().Sub(one.lastReport) < reportExpiry {
 			addDemands(sum, one.demands)
 		}
 	}
 	if !c.leading {
-		addDemands(sum, c.aboveDemands)
+		addDemands(sum, c.parentDemands)
 	}
 	return sum
 }
@@ -36,7 +36,7 @@
 		sum[name] += rate
 	}
 	for _, one := range c.children {
-		if c.now().Sub(one.seen) < reportExpiry {
+		if c.now().Sub(one.lastReport) < reportExpiry {
 			addDemands(sum, one.demands)
 		}
 	}
--- a/gateway/keyowner.go
+++ b/gateway/keyowner.go
@@ -35,7 +35,7 @@
 	timer := time.NewTimer(refusedWait)
 	defer timer.Stop()
 	for {
-		changed := f.view.wait()
+		changed := f.view.nextChange()
 		if s := f.span(q); s.Moving() || s.Fence != q.refusedFence {
 			return
 		}
@@ -59,7 +59,7 @@
 		q.refusedFence = 0
 	}
 	for {
-		changed := f.view.wait()
+		changed := f.view.nextChange()
 		if owner := f.currentOwner(q); owner != "" {
 			return owner, nil
 		}
--- a/gateway/limitnews.go
+++ b/gateway/limitnews.go
@@ -92,11 +92,11 @@
 
 // validLimits returns the limits of another gateway's message without the invalid ones, which it
 // counts and logs.
-func (s *sieve) validLimits(source string, list []*syncpb.NamedLimit) []*syncpb.NamedLimit {
+func (s *peerValidator) validLimits(source string, list []*syncpb.NamedLimit) []*syncpb.NamedLimit {
 	out := make([]*syncpb.NamedLimit, 0, min(len(list), maxLimits))
 	for _, m := range list[:min(len(list), maxLimits)] {
 		if m.Upstream == "" || !validRate(m.PerSecond) || !validRate(m.Wanted) {
-			s.note(source, m.Upstream, errNoNumber)
+			s.recordInvalid(source, m.Upstream, errInvalidNumber)
 			continue
 		}
 		out = append(out, m)
@@ -119,14 +119,14 @@
 		wanted += own[upstream]
 	}
 	for node, one := range c.children {
-		if node != except && c.now().Sub(one.seen) < reportExpiry {
+		if node != except && c.now().Sub(one.lastReport) < reportExpiry {
 			wanted += one.wanted[upstream]
 		}
 	}
 	if c.leading {
 		return wanted, true
 	}
-	above, known := c.aboveWanted[upstream]
+	above, known := c.parentWanted[upstream]
 	return wanted + above, known
 }
 
@@ -142,7 +142,7 @@
 	defer c.mu.Unlock()
 	wanted := own[upstream]
 	for _, one := range c.children {
-		if c.now().Sub(one.seen) < reportExpiry {
+		if c.now().Sub(one.lastReport) < reportExpiry {
 			wanted += one.wanted[upstream]
 		}
 	}
@@ -155,7 +155,7 @@
 func (c *cluster) setParentWanted(list []*syncpb.NamedLimit) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.aboveWanted = decodeWanted(list)
+	c.parentWanted = decodeWanted(list)
 }
 
 func decodeWanted(list []*syncpb.NamedLimit) map[string]float64 {
--- a/gateway/limitnews_test.go
+++ b/gateway/limitnews_test.go
@@ -49,7 +49,7 @@
 	c := newCluster(&syncpb.Member{Node: "head", Address: "1"}, nil, func() time.Time { return now }, nil)
 	own := map[string]float64{"u": 1}
 	report := func(node string, wanted float32) {
-		c.reported(&syncpb.SyncRequest{
+		c.handleReport(&syncpb.SyncRequest{
 			Member: &syncpb.Member{Node: node, Address: node}, Limits: []*syncpb.NamedLimit{{Upstream: "u", Wanted: wanted}},
 		}, true)
 	}
@@ -80,9 +80,9 @@
 // TestInvalidLimitsAreDropped checks that invalid limits are dropped and counted.
 func TestInvalidLimitsAreDropped(t *testing.T) {
 	m := newMeters()
-	s := newSieve(newView(), time.Now, slog.New(slog.DiscardHandler), m)
+	s := newPeerValidator(newView(), time.Now, slog.New(slog.DiscardHandler), m)
 	nan := float32(math.NaN())
-	got := s.validLimits(unsoundNews, []*syncpb.NamedLimit{
+	got := s.validLimits(invalidUpdate, []*syncpb.NamedLimit{
 		{PerSecond: 1}, {Upstream: "a", PerSecond: -1}, {Upstream: "b", PerSecond: nan},
 		{Upstream: "c", Wanted: nan}, {Upstream: "d", PerSecond: 2 * maxRate}, {Upstream: "e", PerSecond: 1},
 	})
--- a/gateway/noticenews.go
+++ b/gateway/noticenews.go
@@ -46,5 +46,5 @@
 	if l == nil || time.Duration(l.RestMs)*time.Millisecond < minRest {
 		return false
 	}
-	return float64(l.Resting) >= minRestingShare*float64(s.cluster.gateways())
+	return float64(l.Resting) >= minRestingShare*float64(s.cluster.gatewayCount())
 }
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -14,28 +14,28 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// mostWait bounds how long a report waits for changes before it is answered.
-const mostWait = time.Second
+// maxWait bounds how long the answer to a report is delayed while there are no changes to send.
+const maxWait = time.Second
 
-// peerServer serves the other gateways.
+// peerServer implements the RPC service for the other gateways.
 type peerServer struct {
 	view    *view
 	cluster *cluster
 	store   *storeCaller
 	steward *steward
 	traffic *traffic
-	// follower and watcher tell how fresh this process's view is.
+	// follower and watcher know how old this process's view is.
 	follower *follower
 	watcher  *watcher
 	promises *promises
-	parts    *parts
+	parts    *partCache
 	evac     *evacuations
-	packer   fleetPacker
-	// sieve drops what others say of upstreams that cannot be.
-	sieve *sieve
-	// limits are those that upstreams name.
+	encoder  fleetEncoder
+	// validator drops invalid data about upstreams from reports.
+	validator *peerValidator
+	// limits are the named limits of upstreams.
 	limits *namedLimits
-	// suspects are requests that end upstreams.
+	// suspects are requests suspected of crashing upstreams.
 	suspects *suspects
 	log      *slog.Logger
 }
@@ -47,25 +47,26 @@
 	}
 	p.evac.told(r.Evacuations)
 	if r.WaitMs > 0 {
-		r.Loads = p.sieve.loads(r.Loads)
-		r.Limits = p.sieve.validLimits(unsoundReport, r.Limits)
+		r.Loads = p.validator.filterLoads(r.Loads)
+		r.Limits = p.validator.validLimits(invalidReport, r.Limits)
 		p.limits.recordFromGateway(r.Limits)
 		p.suspects.told(r.Suspects)
-		p.cluster.reported(r, p.heardAgo() < orphanAfter)
+		p.cluster.handleReport(r, p.leaderAge() < orphanAfter)
 		if p.cluster.isLeading() {
 			p.steward.asked(r.Keys)
 			p.steward.workTimes.record(r.Loads)
 		} else {
-			p.passOn(r.Keys)
+			p.forwardKeys(r.Keys)
 			p.cluster.addRuns(r.Loads)
 		}
 	}
-	p.waitForNews(ctx, r)
-	return p.news(r), nil
+	p.waitForUpdates(ctx, r)
+	return p.buildResponse(r), nil
 }
 
-// passOn adds the keys that another gateway was asked for to the own report.
-func (p *peerServer) passOn(counts []*syncpb.KeyCounts) {
+// forwardKeys adds the keys that another gateway received requests for to this gateway's own
+// report.
+func (p *peerServer) forwardKeys(counts []*syncpb.KeyCounts) {
 	for _, c := range counts {
 		s := p.traffic.get(c.Service)
 		for _, key := range c.Keys {
@@ -74,13 +75,14 @@
 	}
 }
 
-// waitForNews waits until something has changed that the sender does not know.
-func (p *peerServer) waitForNews(ctx context.Context, r *syncpb.SyncRequest) {
-	timer := time.NewTimer(min(time.Duration(r.WaitMs)*time.Millisecond, mostWait))
+// waitForUpdates waits until this process knows something that the sender of the report does not,
+// but no longer than the sender asks for.
+func (p *peerServer) waitForUpdates(ctx context.Context, r *syncpb.SyncRequest) {
+	timer := time.NewTimer(min(time.Duration(r.WaitMs)*time.Millisecond, maxWait))
 	defer timer.Stop()
 	for {
-		changed := p.view.wait()
-		if p.heardAgo() > orphanAfter || p.knowsMore(r) {
+		changed := p.view.nextChange()
+		if p.leaderAge() > orphanAfter || p.hasUpdates(r) {
 			return
 		}
 		select {
@@ -93,37 +95,36 @@
 	}
 }
 
-// heardAgo returns how long ago this process heard from the leader.
-func (p *peerServer) heardAgo() time.Duration {
+// leaderAge returns how long ago this process heard from the leader.
+func (p *peerServer) leaderAge() time.Duration {
 	if p.cluster.isLeading() {
 		return 0
 	}
 	return p.follower.heardAgo()
 }
 
-// newsAgo returns how long ago this process had news from the leader or the
-// store.
-func (p *peerServer) newsAgo() time.Duration {
+// updateAge returns how long ago this process received updates from the leader or the store.
+func (p *peerServer) updateAge() time.Duration {
 	if p.cluster.isLeading() {
 		return 0
 	}
 	return p.follower.newsAge(p.watcher.ages.last())
 }
 
-// milliseconds is a time as it is told, at most an hour.
+// milliseconds converts a duration for messages, capped at an hour.
 func milliseconds(d time.Duration) uint32 { return uint32(min(d, time.Hour).Milliseconds()) }
 
-// knowsMore reports whether this process has a newer view than the sender has or is
-// fetching.
-func (p *peerServer) knowsMore(r *syncpb.SyncRequest) bool {
+// hasUpdates reports whether this process has anything newer than what the sender of the report
+// has or is fetching.
+func (p *peerServer) hasUpdates(r *syncpb.SyncRequest) bool {
 	fetching := fetchingSet(r)
-	if p.lacksEvacuations(r) || p.limits.hasNewerThan(r.Limits) {
+	if p.hasNewerEvacuations(r) || p.limits.hasNewerThan(r.Limits) {
 		return true
 	}
 	if !fetching[partConfiguration] && p.view.configuration().revision > r.ConfigRevision {
 		return true
 	}
-	if !fetching[partUpstreams] && p.newerUpstreams(r) {
+	if !fetching[partUpstreams] && p.hasNewerUpstreams(r) {
 		return true
 	}
 	for name, t := range *p.view.owners.Load() {
@@ -134,75 +135,76 @@
 	return false
 }
 
-// lacksEvacuations reports whether this process knows of evacuations what the sender
-// does not.
-func (p *peerServer) lacksEvacuations(r *syncpb.SyncRequest) bool {
+// hasNewerEvacuations reports whether this process knows evacuations that the sender does not.
+func (p *peerServer) hasNewerEvacuations(r *syncpb.SyncRequest) bool {
 	theirs, _ := (*evacuation.Set)(nil).Merge(evacuationMarks(r.Evacuations))
 	return !theirs.Covers(p.view.evac.Load().Marks())
 }
 
-// newerUpstreams reports whether this process has another view of upstreams than the
-// sender, and one that the sender would take.
-func (p *peerServer) newerUpstreams(r *syncpb.SyncRequest) bool {
-	revision, version := p.view.upstreamsKnown()
+// hasNewerUpstreams reports whether this process has another version of the upstreams than the
+// sender, and one that the sender would accept.
+func (p *peerServer) hasNewerUpstreams(r *syncpb.SyncRequest) bool {
+	revision, version := p.view.upstreamsVersion()
 	return version != r.InstancesVersion && revision >= r.InstancesRevision
 }
 
-// news builds the answer from what the sender does not know.
-func (p *peerServer) news(r *syncpb.SyncRequest) *syncpb.SyncResponse {
-	// The age first: a configuration that comes in between is not told as known of old.
+// buildResponse builds the answer to a report from what the sender does not know.
+func (p *peerServer) buildResponse(r *syncpb.SyncRequest) *syncpb.SyncResponse {
+	// Read the age before the revision. If a configuration arrives in between, this order reports
+	// an age that is too high, never one that is too low.
 	age := p.follower.configurationAge(p.watcher.configurationHeard())
 	resp := &syncpb.SyncResponse{
 		Leader: p.cluster.knownLeader(), Leading: p.cluster.isLeading(),
-		HeardMs: milliseconds(p.heardAgo()), NewsMs: milliseconds(p.newsAgo()),
+		HeardMs: milliseconds(p.leaderAge()), NewsMs: milliseconds(p.updateAge()),
 		ConfigMs: milliseconds(age), ConfigRevision: p.view.configuration().revision,
 	}
-	if p.lacksEvacuations(r) {
+	if p.hasNewerEvacuations(r) {
 		resp.Evacuations = evacuationMessages(p.view.evac.Load())
 	}
-	p.tell(r, resp)
+	p.addUpdates(r, resp)
 	if r.WaitMs == 0 {
 		return resp
 	}
-	resp.Fleet = p.fleet(r)
+	resp.Fleet = p.fleetMessage(r)
 	resp.Demands = encodeDemands(p.cluster.demandExcept(r.Member.Node, p.steward.lastOwn().demand))
-	resp.Gateways = uint32(p.cluster.gateways())
-	resp.HotKeys = p.hotKeys()
-	resp.Limits = p.namedLimits(r.Member.Node)
+	resp.Gateways = uint32(p.cluster.gatewayCount())
+	resp.HotKeys = p.hotKeyMessages()
+	resp.Limits = p.namedLimitMessages(r.Member.Node)
 	resp.Suspects = p.suspects.messages()
-	resp.Rights, resp.RightsMs = p.rights(r)
+	resp.Rights, resp.RightsMs = p.rightsFor(r)
 	resp.MembersVersion = r.MembersVersion
 	if p.cluster.membersVersion() != r.MembersVersion {
-		resp.Members, resp.MembersVersion = p.cluster.list()
+		resp.Members, resp.MembersVersion = p.cluster.allMembers()
 	}
 	return resp
 }
 
-// fleet returns what all gateways but the sender and those behind it have in flight, for the
-// view of upstreams that the sender has; nil when it was told a moment ago.
-func (p *peerServer) fleet(r *syncpb.SyncRequest) *syncpb.Fleet {
-	v := p.view.formerInstances(r.InstancesVersion)
+// fleetMessage returns the load from all gateways except the sender and those that report through
+// it, encoded for the version of the upstreams that the sender has. It returns nil if that
+// version is not kept or the sender was sent such a message only a moment ago.
+func (p *peerServer) fleetMessage(r *syncpb.SyncRequest) *syncpb.Fleet {
+	v := p.view.previousInstances(r.InstancesVersion)
 	if v == nil {
 		return nil
 	}
-	fleet, works := p.cluster.tellFleet(r.Member.Node, v.Len())
-	if !fleet {
+	due, withWorkTimes := p.cluster.claimFleetUpdate(r.Member.Node, v.Len())
+	if !due {
 		return nil
 	}
-	return p.packer.pack(p.cluster.sum(p.steward.lastOwn().loads), r.Member.Node, v, r.InstancesVersion, p.works(), works)
+	return p.encoder.encode(p.cluster.sum(p.steward.lastOwn().loads), r.Member.Node, v, r.InstancesVersion, p.workTimes(), withWorkTimes)
 }
 
-// works returns the mean times of a run as all gateways have seen them.
-func (p *peerServer) works() map[string]worktime.Estimate {
+// workTimes returns the mean work times by upstream, over the requests of all gateways.
+func (p *peerServer) workTimes() map[string]worktime.Estimate {
 	if p.cluster.isLeading() {
 		return p.steward.workTimes.estimates()
 	}
 	return p.cluster.parentWorkTimes()
 }
 
-// namedLimits tells the limits that upstreams name, and what all gateways but the node and those
-// behind it are asked for.
-func (p *peerServer) namedLimits(node string) []*syncpb.NamedLimit {
+// namedLimitMessages returns the named limits of upstreams, with the demand for them at all
+// gateways except the node and those that report through it.
+func (p *peerServer) namedLimitMessages(node string) []*syncpb.NamedLimit {
 	own := p.steward.lastOwn().wanted
 	return p.limits.encode(func(upstream string) float64 {
 		wanted, _ := p.cluster.wantedExcept(node, own, upstream)
@@ -210,17 +212,18 @@
 	})
 }
 
-// hotKeys returns the limits of hot keys, as this leader decides or as it was told them.
-func (p *peerServer) hotKeys() []*syncpb.HotKeys {
+// hotKeyMessages returns the limits of hot keys: this gateway's own decisions if it leads,
+// otherwise those received from the parent.
+func (p *peerServer) hotKeyMessages() []*syncpb.HotKeys {
 	if p.cluster.isLeading() {
 		return p.steward.hotKeys.encode()
 	}
 	return p.cluster.parentHotKeys()
 }
 
-// rights returns the rights of the sender and of those that report through it, and how long
-// ago the leader named them.
-func (p *peerServer) rights(r *syncpb.SyncRequest) ([]*syncpb.Right, uint32) {
+// rightsFor returns the warm-up rights of the sender and of the gateways that report through it,
+// and how long ago the leader issued them.
+func (p *peerServer) rightsFor(r *syncpb.SyncRequest) ([]*syncpb.Right, uint32) {
 	nodes := map[string]bool{r.Member.Node: true}
 	for _, m := range r.Followers {
 		nodes[m.Node] = true
@@ -232,7 +235,8 @@
 	return encodeRights(all, nodes), milliseconds(p.follower.now().Sub(named))
 }
 
-// Relay implements syncpb.Peer. The answer is sent when the whole has come from the store.
+// Relay implements syncpb.Peer. It answers only after the complete response has arrived from the
+// store.
 func (p *peerServer) Relay(ctx context.Context, r *syncpb.RelayRequest) (*syncpb.RelayResponse, error) {
 	c, ok := relayed(r)
 	if !ok {
--- a/gateway/rights.go
+++ b/gateway/rights.go
@@ -46,7 +46,7 @@
 
 // current returns the rights in force and when they were assigned.
 func (r *warmUpRights) current() ([]warmup.Right, time.Time) {
-	_, version := r.view.upstreamsKnown()
+	_, version := r.view.upstreamsVersion()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.assignments == nil {
@@ -60,7 +60,7 @@
 }
 
 func (r *warmUpRights) gateways() []warmup.Gateway {
-	members, _ := r.cluster.list()
+	members, _ := r.cluster.allMembers()
 	out := make([]warmup.Gateway, 0, len(members))
 	for _, m := range members {
 		out = append(out, warmup.Gateway{Node: m.Node, Domain: m.Domain})
@@ -110,12 +110,12 @@
 func (c *cluster) setParentRights(list []warmup.Right, assigned time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rights, c.rightsNamed = list, assigned
+	c.rights, c.rightsIssued = list, assigned
 }
 
 // parentRights returns the rights received from the parent and when they were assigned.
 func (c *cluster) parentRights() ([]warmup.Right, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rights, c.rightsNamed
+	return c.rights, c.rightsIssued
 }
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -12,8 +12,8 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// view is what this process believes: configuration, upstreams, owners of
-// keys. Nothing in it goes back to an older version.
+// view is this process's copy of the shared state: configuration, upstreams, key owners and
+// evacuations. An older version never replaces a newer one.
 type view struct {
 	table  atomic.Pointer[routing.Table]
 	inst   atomic.Pointer[instances.View]
@@ -21,35 +21,36 @@
 	evac   atomic.Pointer[evacuation.Set]
 
 	mu sync.Mutex
-	// config is the configuration in force in the form that is handed on, formerConfigs
-	// are those before it.
-	config        configVersion
-	formerConfigs []configVersion
-	// instVersion tells versions of the view of upstreams apart.
+	// config is the configuration in force as it is sent to other gateways; previousConfigs are
+	// its predecessors, oldest first.
+	config          configVersion
+	previousConfigs []configVersion
+	// instVersion identifies the current version of the upstreams.
 	instVersion uint64
 	changed     chan struct{}
-	// former are older versions, to tell others only what has changed since.
-	formerInst  map[uint64]*instances.View
-	formerOrder []uint64
-	formerSpans map[string][]*spans.Table
-	// toldInstances and toldSpans are the messages about the newest versions.
-	toldInstances differences[*syncpb.Instances]
-	toldSpans     map[string]*differences[*syncpb.Spans]
-	// onInstances is called, with the lock held, when upstreams have changed,
-	// onSpans when the owners of a service have, onEvacuations when failure domains were
-	// evacuated or taken back.
+	// previousInst, previousOrder and previousSpans keep older versions, so that other gateways
+	// can be sent only the changes since the version they have.
+	previousInst  map[uint64]*instances.View
+	previousOrder []uint64
+	previousSpans map[string][]*spans.Table
+	// instancesMessages and spansMessages cache the messages built for the newest versions.
+	instancesMessages messageCache[*syncpb.Instances]
+	spansMessages     map[string]*messageCache[*syncpb.Spans]
+	// onInstances is called with the lock held after a change of the upstreams, onSpans after a
+	// change of a service's key owners, and onEvacuations after a failure domain was evacuated or
+	// its evacuation ended.
 	onInstances func(*instances.View)
-	// onConfiguration is called, with the lock held, when another configuration is in force.
+	// onConfiguration is called with the lock held when a new configuration comes into force.
 	onConfiguration func(*routing.Table)
 	onSpans         func(*spans.Table)
 	onEvacuations   func(*evacuation.Set)
 }
 
-// configVersion is one version of the configuration as the store has it.
+// configVersion is one version of the configuration as stored.
 type configVersion struct {
-	// revision is the store's.
+	// revision is the store's revision of the object.
 	revision uint64
-	// digest tells the bytes of spec.
+	// digest is the digest of spec.
 	digest uint64
 	spec   []byte
 }
@@ -58,60 +59,61 @@
 	v := &view{
 		onInstances: func(*instances.View) {}, onSpans: func(*spans.Table) {}, onEvacuations: func(*evacuation.Set) {},
 		onConfiguration: func(*routing.Table) {},
-		changed:         make(chan struct{}), formerInst: make(map[uint64]*instances.View), formerSpans: make(map[string][]*spans.Table),
-		toldSpans: make(map[string]*differences[*syncpb.Spans]),
+		changed:         make(chan struct{}), previousInst: make(map[uint64]*instances.View), previousSpans: make(map[string][]*spans.Table),
+		spansMessages: make(map[string]*messageCache[*syncpb.Spans]),
 	}
 	v.owners.Store(&map[string]*spans.Table{})
 	return v
 }
 
-// wait returns a channel that is closed at the next change.
-func (v *view) wait() <-chan struct{} {
+// nextChange returns a channel that is closed at the next change.
+func (v *view) nextChange() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.changed
 }
 
-// notify wakes who waits for a change, as something beside the view has changed.
+// notify wakes the goroutines that wait for a change, when state outside the view has changed.
 func (v *view) notify() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.signal()
+	v.notifyLocked()
 }
 
-func (v *view) signal() {
+func (v *view) notifyLocked() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
 
-// setConfiguration takes over a newer configuration and reports whether it was
-// newer. One of the version in force that was written again stays in force under its
-// newer revision, by which gateways tell who is behind.
+// setConfiguration applies a configuration if its version is newer and reports whether it did. If
+// the version in force was written to the store again, only its revision is updated: gateways
+// compare revisions to find out who is behind.
 func (v *view) setConfiguration(revision uint64, spec []byte, c *routing.Configuration) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if old := v.table.Load(); old != nil && c.Version <= old.Version {
 		if c.Version == old.Version && revision > v.config.revision {
 			v.config.revision = revision
-			v.signal()
+			v.notifyLocked()
 		}
 		return false
 	}
 	if v.config.digest != 0 {
-		v.formerConfigs = append(v.formerConfigs, v.config)
+		v.previousConfigs = append(v.previousConfigs, v.config)
 	}
-	if len(v.formerConfigs) > formerConfigsKept {
-		v.formerConfigs = v.formerConfigs[1:]
+	if len(v.previousConfigs) > maxPreviousConfigs {
+		v.previousConfigs = v.previousConfigs[1:]
 	}
 	v.config = configVersion{revision: revision, digest: delta.Digest(spec), spec: spec}
 	table := routing.NewTable(c)
 	v.table.Store(table)
 	v.onConfiguration(table)
-	v.signal()
+	v.notifyLocked()
 	return true
 }
 
-// setInstances takes over a view of upstreams that is at least as new.
+// setInstances applies a view of the upstreams unless its revision is older or its version is
+// already in use. It reports whether it did.
 func (v *view) setInstances(version uint64, next *instances.View) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -120,18 +122,18 @@
 	}
 	v.instVersion = version
 	v.inst.Store(next)
-	v.formerInst[version] = next
-	v.formerOrder = append(v.formerOrder, version)
-	if len(v.formerOrder) > formerKept {
-		delete(v.formerInst, v.formerOrder[0])
-		v.formerOrder = v.formerOrder[1:]
+	v.previousInst[version] = next
+	v.previousOrder = append(v.previousOrder, version)
+	if len(v.previousOrder) > maxPreviousVersions {
+		delete(v.previousInst, v.previousOrder[0])
+		v.previousOrder = v.previousOrder[1:]
 	}
 	v.onInstances(next)
-	v.signal()
+	v.notifyLocked()
 	return true
 }
 
-// setSpans takes over a newer assignment of a service.
+// setSpans applies a service's table of key owners if it is newer and reports whether it did.
 func (v *view) setSpans(t *spans.Table) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -144,20 +146,20 @@
 		next[name] = table
 	}
 	next[t.Service] = t
-	former := append(v.formerSpans[t.Service], t)
-	if len(former) > formerKept {
-		former = former[1:]
+	previous := append(v.previousSpans[t.Service], t)
+	if len(previous) > maxPreviousVersions {
+		previous = previous[1:]
 	}
-	v.formerSpans[t.Service] = former
+	v.previousSpans[t.Service] = previous
 	v.owners.Store(&next)
 	v.onSpans(t)
-	v.signal()
+	v.notifyLocked()
 	return true
 }
 
-// takeEvacuations takes over what is newer of the marks. It returns whether there was
-// anything, and how many marks were dropped.
-func (v *view) takeEvacuations(marks []evacuation.Mark) (changed bool, dropped int) {
+// mergeEvacuations merges newer evacuation marks into the known ones. It returns whether anything
+// changed and how many marks were dropped.
+func (v *view) mergeEvacuations(marks []evacuation.Mark) (changed bool, dropped int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	known := v.evac.Load()
@@ -167,49 +169,50 @@
 	}
 	v.evac.Store(next)
 	v.onEvacuations(next)
-	v.signal()
+	v.notifyLocked()
 	return true, dropped
 }
 
 // evacuated reports whether the failure domain is evacuated.
 func (v *view) evacuated(domain string) bool { return v.evac.Load().Active(domain) }
 
-// spansOf returns the assignment of a service, or nil.
+// spansOf returns a service's table of key owners, or nil.
 func (v *view) spansOf(service string) *spans.Table { return (*v.owners.Load())[service] }
 
-// configuration returns the configuration in force in the form that is handed on.
+// configuration returns the configuration in force as it is sent to other gateways.
 func (v *view) configuration() configVersion {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.config
 }
 
-// configurationSpec returns the spec with the digest, of the configuration in force or
-// a former one; nil when it is not kept.
+// configurationSpec returns the spec with the digest if it is the configuration in force or one
+// of the previous ones that are kept, otherwise nil.
 func (v *view) configurationSpec(digest uint64) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.config.digest == digest {
 		return v.config.spec
 	}
-	for _, former := range v.formerConfigs {
-		if former.digest == digest {
-			return former.spec
+	for _, previous := range v.previousConfigs {
+		if previous.digest == digest {
+			return previous.spec
 		}
 	}
 	return nil
 }
 
-// upstreams returns the view of upstreams, nil before there is one, and its version.
+// upstreams returns the current view of the upstreams, or nil if there is none yet, and its
+// version.
 func (v *view) upstreams() (*instances.View, uint64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.inst.Load(), v.instVersion
 }
 
-// upstreamsKnown returns the revision and the version of the view of upstreams, zero
-// before there is one.
-func (v *view) upstreamsKnown() (revision, version uint64) {
+// upstreamsVersion returns the revision and the version of the current view of the upstreams, or
+// zeros if there is none yet.
+func (v *view) upstreamsVersion() (revision, version uint64) {
 	now, version := v.upstreams()
 	if now == nil {
 		return 0, 0
@@ -217,38 +220,38 @@
 	return now.Revision, version
 }
 
-// formerConfigsKept is how many former configurations are kept, of a megabyte at most
-// each: those that gateways which are a little behind still have.
-const formerConfigsKept = 4
+// maxPreviousConfigs is the number of previous configurations that are kept, each of at most a
+// megabyte. They serve as bases of differences for gateways that are a few versions behind.
+const maxPreviousConfigs = 4
 
-// formerKept is how many versions are kept of each part of the view: those of
+// maxPreviousVersions is the number of versions kept of each other part of the view. It covers
 // some seconds with many changes.
-const formerKept = 48
+const maxPreviousVersions = 48
 
-// formerInstances returns an older version of the view of upstreams, or nil.
-func (v *view) formerInstances(version uint64) *instances.View {
+// previousInstances returns a kept version of the upstreams, or nil.
+func (v *view) previousInstances(version uint64) *instances.View {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.formerInst[version]
+	return v.previousInst[version]
 }
 
-// toldOwners returns the messages about the owners of a service.
-func (v *view) toldOwners(service string) *differences[*syncpb.Spans] {
+// spansMessageCache returns the cache of messages about a service's key owners.
+func (v *view) spansMessageCache(service string) *messageCache[*syncpb.Spans] {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	d := v.toldSpans[service]
-	if d == nil {
-		d = &differences[*syncpb.Spans]{}
-		v.toldSpans[service] = d
+	cache := v.spansMessages[service]
+	if cache == nil {
+		cache = &messageCache[*syncpb.Spans]{}
+		v.spansMessages[service] = cache
 	}
-	return d
+	return cache
 }
 
-// formerTable returns an older version of an assignment, or nil.
-func (v *view) formerTable(service string, version uint64) *spans.Table {
+// previousTable returns a kept version of a service's table of key owners, or nil.
+func (v *view) previousTable(service string, version uint64) *spans.Table {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for _, t := range v.formerSpans[service] {
+	for _, t := range v.previousSpans[service] {
 		if t.Version == version {
 			return t
 		}
--- a/gateway/worktimes.go
+++ b/gateway/worktimes.go
@@ -44,7 +44,7 @@
 func (c *cluster) parentWorkTimes() map[string]worktime.Estimate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.worksTold
+	return c.parentWorkTimes
 }
 
 // mergeRuns returns the loads with the runs added to them.
--- a/gateway/worktimes_test.go
+++ b/gateway/worktimes_test.go
@@ -13,17 +13,17 @@
 // children exactly once, together with its own.
 func TestRunsReachTheLeaderOnce(t *testing.T) {
 	now := time.Now()
-	head := fleet(treeLeast, node("b", 0, 100), &now)
+	head := testCluster(minTreeSize, testMember("b", 0, 100), &now)
 	seen := func(us uint32, runs float32) []*syncpb.Load {
 		return []*syncpb.Load{{Instance: "i", WorkUs: us, Runs: runs}}
 	}
 	head.addRuns(seen(100, 1))
 	head.addRuns(seen(400, 2))
-	reported := mergeRuns(head.below(nil), head.takeRuns())
+	reported := mergeRuns(head.subtreeLoads(nil), head.takeRuns())
 	if len(reported) != 1 || reported[0].Runs != 3 || reported[0].WorkUs != 300 {
 		t.Errorf("reported %v", reported)
 	}
-	if again := mergeRuns(head.below(nil), head.takeRuns()); len(again) != 0 {
+	if again := mergeRuns(head.subtreeLoads(nil), head.takeRuns()); len(again) != 0 {
 		t.Errorf("reported again: %v", again)
 	}
 }
