--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -199,7 +199,7 @@
 	if p.cluster.isLeading() {
 		return p.steward.workTimes.estimates()
 	}
-	return p.cluster.parentWorkTimes()
+	return p.cluster.workTimesFromParent()
 }
 
 // namedLimitMessages returns the named limits of upstreams, with the demand for them at all
--- a/gateway/steward.go
+++ b/gateway/steward.go
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	s.keepers = make(map[string]*keeper)
-	s.workTimes.reset(s.cluster.parentWorkTimes())
+	s.workTimes.reset(s.cluster.workTimesFromParent())
 	s.rights.reset()
 	s.running.Go(func() { s.run(ctx, term) })
 	s.running.Go(func() { inquire(ctx) })
--- a/gateway/worktimes.go
+++ b/gateway/worktimes.go
@@ -39,9 +39,9 @@
 	return out
 }
 
-// parentWorkTimes returns the mean run times received from the parent, by upstream. The map must
+// workTimesFromParent returns the mean run times received from the parent, by upstream. The map must
 // not be changed.
-func (c *cluster) parentWorkTimes() map[string]worktime.Estimate {
+func (c *cluster) workTimesFromParent() map[string]worktime.Estimate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.parentWorkTimes
