--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement decides which upstream should own which range. All
-// functions are deterministic: typed inputs, typed moves out.
+// Package placement decides which upstream should own which range. Its functions are deterministic:
+// the same input always gives the same moves.
 package placement
 
 import (
@@ -12,68 +12,68 @@
 // Node is an upstream that can own ranges.
 type Node struct {
 	ID string
-	// Weight is the capacity relative to the others. Default 1.
+	// Weight is the relative capacity. Values of zero or less count as 1.
 	Weight float64
 }
 
-// Item is a range with its present owner and load.
+// Item is a range with its present owner and its load.
 type Item struct {
 	keyspace.Span
-	// Owner is "" when the range needs one.
+	// Owner is empty if the range needs an owner.
 	Owner string
-	// Load is in requests a second.
+	// Load is the number of requests a second.
 	Load float64
 }
 
-// Move gives a range to an upstream.
+// Move assigns a range to an upstream. From is empty if the range had no owner.
 type Move struct {
 	keyspace.Span
 	From, To string
 	Load     float64
 }
 
-// Options bound what a plan may do.
+// Options limits what a plan may do.
 type Options struct {
-	// MaxMoves bounds the number of moves.
+	// MaxMoves is the maximum number of moves.
 	MaxMoves int
-	// Band is the imbalance, busiest over mean, above which ranges move, and
-	// Target the one at which moving stops. Target < Band gives hysteresis.
+	// Band is the imbalance, the highest load over the mean, above which ranges move. Target is the
+	// imbalance at which moving stops. A Target below Band gives hysteresis.
 	Band, Target float64
-	// MinGain is the least fall in imbalance that a move must bring, per
-	// share of load moved.
+	// MinGain is the minimum decrease in imbalance that a move must achieve, relative to the share
+	// of the total load that it moves.
 	MinGain float64
 }
 
-// Bounds of the band of rebalancing.
 const (
-	narrowBand = 1.10
-	widestBand = 1.40
-	// targetShare is how much of the band's excess a plan leaves standing.
-	targetShare  = 0.5
-	movesPerPlan = 8
+	// minBand and maxBand limit the rebalancing band.
+	minBand = 1.10
+	maxBand = 1.40
+	// targetExcessShare is the share of the band's excess over 1 that a plan leaves in place.
+	targetExcessShare = 0.5
+	maxMovesPerPlan   = 8
 )
 
-// OptionsFor derives options from a service's weights. The more churn and
-// unavailable time weigh against imbalance, the wider the band in which nothing
-// moves, and the more a move has to gain.
+// OptionsFor derives options from the weights of a service. The more weight churn and unavailable
+// time have relative to imbalance, the wider the band in which nothing moves, and the more a move
+// has to gain.
 func OptionsFor(imbalance, churn, unavailable float64) Options {
-	caution := 1.0
+	moveAversion := 1.0
 	if sum := imbalance + churn + unavailable; sum > 0 {
-		caution = (churn + unavailable) / sum
+		moveAversion = (churn + unavailable) / sum
 	}
-	band := narrowBand + (widestBand-narrowBand)*caution*caution/2
+	band := minBand + (maxBand-minBand)*moveAversion*moveAversion/2
 	return Options{
-		MaxMoves: movesPerPlan,
+		MaxMoves: maxMovesPerPlan,
 		Band:     band,
-		Target:   1 + (band-1)*targetShare,
-		MinGain:  caution,
+		Target:   1 + (band-1)*targetExcessShare,
+		MinGain:  moveAversion,
 	}
 }
 
-// Imbalance returns the load of the busiest upstream over the mean, in terms
-// of weights. Without load it is 1.
+// Imbalance returns the highest load of an upstream divided by the mean, both per unit of weight.
+// It returns 1 if there is no load.
 func Imbalance(nodes []Node, items []Item) float64 {
-	l := newLedger(nodes, items)
+	l := newLoadModel(nodes, items)
 	if l.total == 0 || len(nodes) == 0 {
 		return 1
 	}
@@ -84,34 +84,35 @@
 	return busiest / l.mean()
 }
 
-// ledger keeps the load of each node while a plan is made.
-type ledger struct {
-	nodes  []*account
-	byID   map[string]*account
+// loadModel tracks the load of each node while a plan is computed.
+type loadModel struct {
+	nodes  []*nodeLoad
+	byID   map[string]*nodeLoad
 	total  float64
 	weight float64
 }
 
-type account struct {
+// nodeLoad is a node with its load and the ranges that it owns.
+type nodeLoad struct {
 	id     string
 	weight float64
 	load   float64
 	items  []Item
 }
 
-func newLedger(nodes []Node, items []Item) *ledger {
-	l := &ledger{byID: make(map[string]*account, len(nodes))}
+func newLoadModel(nodes []Node, items []Item) *loadModel {
+	l := &loadModel{byID: make(map[string]*nodeLoad, len(nodes))}
 	for _, n := range nodes {
 		w := n.Weight
 		if w <= 0 {
 			w = 1
 		}
-		a := &account{id: n.ID, weight: w}
+		a := &nodeLoad{id: n.ID, weight: w}
 		l.nodes = append(l.nodes, a)
 		l.byID[n.ID] = a
 		l.weight += w
 	}
-	slices.SortFunc(l.nodes, func(a, b *account) int { return cmp.Compare(a.id, b.id) })
+	slices.SortFunc(l.nodes, func(a, b *nodeLoad) int { return cmp.Compare(a.id, b.id) })
 	for _, it := range items {
 		l.total += it.Load
 		if a := l.byID[it.Owner]; a != nil {
@@ -122,46 +123,48 @@
 	return l
 }
 
-// mean returns the load per unit of weight.
-func (l *ledger) mean() float64 { return l.total / l.weight }
+// mean returns the mean load per unit of weight.
+func (l *loadModel) mean() float64 { return l.total / l.weight }
 
-// relative returns a node's load per unit of weight.
-func (a *account) relative() float64 { return a.load / a.weight }
+// relative returns the load of the node per unit of weight.
+func (a *nodeLoad) relative() float64 { return a.load / a.weight }
 
-// lightest returns the node with the least relative load; ties go to fewer
-// items, then to the lower ID.
-func (l *ledger) lightest(avoid string) *account {
-	var best *account
+// leastLoaded returns the node, other than avoid, with the lowest load per unit of weight. Ties go
+// to the node with fewer items per unit of weight, then to the one with the lower ID.
+func (l *loadModel) leastLoaded(avoid string) *nodeLoad {
+	var best *nodeLoad
 	for _, n := range l.nodes {
 		if n.id == avoid {
 			continue
 		}
-		if best == nil || less(n, best) {
+		if best == nil || lessLoaded(n, best) {
 			best = n
 		}
 	}
 	return best
 }
 
-func less(a, b *account) bool {
+// lessLoaded reports whether a has less load, or the same load and fewer items, than b, each per
+// unit of weight.
+func lessLoaded(a, b *nodeLoad) bool {
 	if a.relative() != b.relative() {
 		return a.relative() < b.relative()
 	}
 	return float64(len(a.items))/a.weight < float64(len(b.items))/b.weight
 }
 
-func (l *ledger) heaviest() *account {
-	var worst *account
+func (l *loadModel) mostLoaded() *nodeLoad {
+	var most *nodeLoad
 	for _, n := range l.nodes {
-		if worst == nil || n.relative() > worst.relative() {
-			worst = n
+		if most == nil || n.relative() > most.relative() {
+			most = n
 		}
 	}
-	return worst
+	return most
 }
 
-// baseLoad stands for the load of ranges that show none, so that they spread
-// evenly too.
+// baseLoad returns the load that is added to each range, so that ranges without measured load are
+// distributed evenly too.
 func baseLoad(items []Item) float64 {
 	total := 0.0
 	for _, it := range items {
@@ -174,16 +177,16 @@
 	return share * total / float64(len(items))
 }
 
-// Place chooses owners for items that have none, the heaviest first, each to
-// the node with the least load. It returns one move per such item, in the order
-// of the items; To is "" when there is no node.
+// Place chooses owners for the items that have none, in descending order of load. Each goes to the
+// least loaded node other than avoid. It returns one move for each such item, in the order of the
+// items; To is empty if there is no node.
 func Place(nodes []Node, items []Item, avoid string) []Move {
 	base := baseLoad(items)
 	padded := slices.Clone(items)
 	for i := range padded {
 		padded[i].Load += base
 	}
-	l := newLedger(nodes, padded)
+	l := newLoadModel(nodes, padded)
 	var orphans []int
 	for i, it := range padded {
 		if it.Owner == "" {
@@ -193,7 +196,7 @@
 	slices.SortStableFunc(orphans, func(a, b int) int { return cmp.Compare(padded[b].Load, padded[a].Load) })
 	chosen := make(map[int]string, len(orphans))
 	for _, i := range orphans {
-		n := l.lightest(avoid)
+		n := l.leastLoaded(avoid)
 		if n == nil {
 			continue
 		}
@@ -210,22 +213,22 @@
 	return out
 }
 
-// Join returns the moves that give a new node its share of ranges and load,
-// taking from the heaviest nodes. It moves no more than the share needs.
+// Join returns the moves that give a new node its share of the ranges and the load, taken from the
+// most loaded nodes. It moves no more than that share requires.
 func Join(nodes []Node, items []Item, id string) []Move {
 	base := baseLoad(items)
 	padded := slices.Clone(items)
 	for i := range padded {
 		padded[i].Load += base
 	}
-	l := newLedger(nodes, padded)
+	l := newLoadModel(nodes, padded)
 	to := l.byID[id]
 	if to == nil {
 		return nil
 	}
 	var out []Move
 	for {
-		from := l.heaviest()
+		from := l.mostLoaded()
 		if from == to {
 			return out
 		}
@@ -239,20 +242,21 @@
 	}
 }
 
-// bestFit returns the item of from that brings to nearest to the mean without
-// passing it by more than half of the item, or -1.
-func bestFit(from, to *account, mean float64) int {
-	room := mean*to.weight - to.load
+// bestFit returns the index of the largest item of from that fits, with a tolerance of 5 %, into
+// the difference between the load of to and its share of the mean, or -1.
+func bestFit(from, to *nodeLoad, mean float64) int {
+	headroom := mean*to.weight - to.load
 	best, bestLoad := -1, 0.0
 	for i, it := range from.items {
-		if it.Load <= room*1.05 && it.Load > bestLoad {
+		if it.Load <= headroom*1.05 && it.Load > bestLoad {
 			best, bestLoad = i, it.Load
 		}
 	}
 	return best
 }
 
-func (l *ledger) shift(from, to *account, i int) {
+// shift moves the item at index i between two nodes.
+func (l *loadModel) shift(from, to *nodeLoad, i int) {
 	it := from.items[i]
 	from.items = slices.Delete(from.items, i, i+1)
 	from.load -= it.Load
@@ -261,17 +265,17 @@
 	to.load += it.Load
 }
 
-// Rebalance returns moves that lower the imbalance when it lies above the
-// band, until it reaches the target or no move gains enough.
+// Rebalance returns moves that reduce the imbalance if it exceeds the band, until it reaches the
+// target or no move gains enough.
 func Rebalance(nodes []Node, items []Item, o Options) []Move {
-	l := newLedger(nodes, items)
-	if l.total == 0 || len(nodes) < 2 || l.heaviest().relative() <= o.Band*l.mean() {
+	l := newLoadModel(nodes, items)
+	if l.total == 0 || len(nodes) < 2 || l.mostLoaded().relative() <= o.Band*l.mean() {
 		return nil
 	}
 	moved := make(map[keyspace.Span]bool)
 	var out []Move
 	for len(out) < o.MaxMoves {
-		from := l.heaviest()
+		from := l.mostLoaded()
 		if from.relative() <= o.Target*l.mean() {
 			break
 		}
@@ -287,10 +291,10 @@
 	return out
 }
 
-// bestMove finds the item of from that, given to the lightest node, lowers the
-// higher of the two loads most.
-func (l *ledger) bestMove(from *account, moved map[keyspace.Span]bool, minGain float64) (int, *account) {
-	to := l.lightest(from.id)
+// bestMove returns the item of from whose move to the least loaded other node gives the lowest
+// maximum load of the two, and that node. The index is -1 if no move gains enough.
+func (l *loadModel) bestMove(from *nodeLoad, moved map[keyspace.Span]bool, minGain float64) (int, *nodeLoad) {
+	to := l.leastLoaded(from.id)
 	before := from.relative()
 	best, bestPeak := -1, before
 	for i, it := range from.items {
