--- a/gateway/arrivals_test.go
+++ b/gateway/arrivals_test.go
@@ -108,13 +108,13 @@
 		{"arrives for long", slowRelay{first: relayTimeout - 1, pieces: 4}, 0, nil},
 		{"silent", slowRelay{first: relayTimeout + 1, pieces: 1}, 0, context.DeadlineExceeded},
 		{"waits for changes", slowRelay{first: watchWait + relayTimeout - 1, pieces: 4}, watchWait, nil},
-		{"never ends", slowRelay{first: 0, pieces: 1000}, 0, errTooLong},
+		{"never ends", slowRelay{first: 0, pieces: 1000}, 0, errCallTooLong},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				told := 0
-				status, _, err := quietCaller().relay(t.Context(), c.relay, platform.Call{Wait: c.wait}, func() { told++ })
+				status, _, err := quietCaller().callViaRelay(t.Context(), c.relay, platform.Call{Wait: c.wait}, func() { told++ })
 				if err != c.want || (err == nil) != (status == http.StatusOK) {
 					t.Errorf("status %d, %v, want %v", status, err, c.want)
 				}
--- a/gateway/cluster_test.go
+++ b/gateway/cluster_test.go
@@ -166,8 +166,8 @@
 	first, second := make(map[string]int), make(map[string]int)
 	const draws = 400
 	for range draws {
-		got := c.some(mostRelays)
-		if len(got) != mostRelays || !strong[address[got[0]]] || got[0] == got[1] {
+		got := c.some(maxRelays)
+		if len(got) != maxRelays || !strong[address[got[0]]] || got[0] == got[1] {
 			t.Fatalf("%s and %s of %d", address[got[0]], address[got[1]], len(got))
 		}
 		first[address[got[0]]]++
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -186,8 +186,8 @@
 	}}}
 	g.cluster = newCluster(self, client, g.now, mathrand.New(mathrand.NewPCG(seeds[1], seeds[0])))
 	g.calls = &storeCaller{
-		conns: pool.New(storeLimits, g.now), address: conf.Store.String(), relays: g.cluster.some, leads: g.cluster.isLeading,
-		now: g.now, log: log, meters: g.meters, lastOK: g.now(),
+		conns: pool.New(storeLimits, g.now), address: conf.Store.String(), relayPeers: g.cluster.some, isLeader: g.cluster.isLeading,
+		now: g.now, log: log, meters: g.meters, lastSuccess: g.now(),
 	}
 	g.suspects = newSuspects(g.view, g.cluster.gateways, g.now, log, g.meters, mathrand.New(mathrand.NewPCG(seeds[0], seeds[1]+1)))
 	g.view.onInstances = func(v *instances.View) {
@@ -198,7 +198,7 @@
 	store := platform.NewStore(g.calls)
 	evac := newEvacuations(g.view, g.now, log, g.meters)
 	g.watcher = newWatcher(store, g.view, evac, g.now, log, g.meters, seeds[0])
-	g.calls.onReturn = g.watcher.returned
+	g.calls.onRecovery = g.watcher.returned
 	g.follower = &follower{
 		view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now, log: log, meters: g.meters,
 		began: g.now(), evac: evac, limits: g.limits, suspects: g.suspects,
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -234,11 +234,11 @@
 
 // Relay implements syncpb.Peer. The answer is sent when the whole has come from the store.
 func (p *peerServer) Relay(ctx context.Context, r *syncpb.RelayRequest) (*syncpb.RelayResponse, error) {
-	c, ok := relayed(r)
+	c, ok := relayedCall(r)
 	if !ok {
 		return nil, twirp.InvalidArgumentError("target", "is no path of the store")
 	}
-	status, body, err := p.store.direct(ctx, c)
+	status, body, err := p.store.callDirect(ctx, c)
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
--- a/gateway/relayed_test.go
+++ b/gateway/relayed_test.go
@@ -58,10 +58,10 @@
 	for _, c := range []struct {
 		method string
 		wait   time.Duration
-		want   [mostRelays]time.Duration
+		want   [maxRelays]time.Duration
 	}{
-		{http.MethodGet, 0, [mostRelays]time.Duration{0, callPatience}},
-		{http.MethodPut, 0, [mostRelays]time.Duration{}},
+		{http.MethodGet, 0, [maxRelays]time.Duration{0, fallbackDelay}},
+		{http.MethodPut, 0, [maxRelays]time.Duration{}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var mu sync.Mutex
@@ -73,15 +73,15 @@
 				asked = append(asked, time.Since(began))
 			}}
 			s := quietCaller()
-			s.relays = func(most int) []syncpb.Peer { return []syncpb.Peer{one, one}[:most] }
-			s.directFailed()
-			ways := s.ways(platform.Call{Method: c.method, Wait: c.wait})
+			s.relayPeers = func(most int) []syncpb.Peer { return []syncpb.Peer{one, one}[:most] }
+			s.noteDirectFailure()
+			ways := s.paths(platform.Call{Method: c.method, Wait: c.wait})
 			// The way from here is the last.
-			ways.left[len(ways.left)-1] = func(context.Context) int { return 0 }
+			ways.remaining[len(ways.remaining)-1] = func(context.Context) int { return 0 }
 			if _, _, err := ways.run(t.Context()); err == nil {
 				t.Error("answered")
 			}
-			if len(asked) != mostRelays || [mostRelays]time.Duration(asked) != c.want {
+			if len(asked) != maxRelays || [maxRelays]time.Duration(asked) != c.want {
 				t.Errorf("%s that may wait %v: asked after %v, not %v", c.method, c.wait, asked, c.want)
 			}
 		})
@@ -94,18 +94,18 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := quietCaller()
-		s.relays = func(int) []syncpb.Peer { return []syncpb.Peer{silentRelay{asked: func() {}}} }
-		s.directFailed()
-		ways := s.ways(platform.Call{Method: http.MethodGet})
+		s.relayPeers = func(int) []syncpb.Peer { return []syncpb.Peer{silentRelay{asked: func() {}}} }
+		s.noteDirectFailure()
+		ways := s.paths(platform.Call{Method: http.MethodGet})
 		began := time.Now()
-		ways.left[len(ways.left)-1] = func(context.Context) int {
+		ways.remaining[len(ways.remaining)-1] = func(context.Context) int {
 			ways.results <- callResult{direct: true, status: http.StatusOK}
 			return 1
 		}
 		if status, _, err := ways.run(t.Context()); status != http.StatusOK || err != nil {
 			t.Errorf("%d, %v", status, err)
 		}
-		if took := time.Since(began); took != callPatience {
+		if took := time.Since(began); took != fallbackDelay {
 			t.Errorf("after %v", took)
 		}
 	})
@@ -165,13 +165,13 @@
 			peers[others-1] = heardRelay{asked: count, waits: true}
 			s := quietCaller()
 			s.conns = silentStore{}
-			s.relays = func(most int) []syncpb.Peer { return peers[:min(most, others)] }
+			s.relayPeers = func(most int) []syncpb.Peer { return peers[:min(most, others)] }
 			watch := platform.Call{Method: http.MethodGet, Target: "/v1/objects/config?watch=1&wait_ms=1200", Wait: watchWait}
 			began := time.Now()
 			if status, _, err := s.Call(t.Context(), watch); status != http.StatusOK || err != nil {
 				t.Fatalf("%d others: %d, %v", others, status, err)
 			}
-			if took := time.Since(began); took < watchWait+seekPatience || took > watchWait+seekPatience+500*time.Millisecond {
+			if took := time.Since(began); took < watchWait+watchSilenceLimit || took > watchWait+watchSilenceLimit+500*time.Millisecond {
 				t.Errorf("%d others: after %v", others, took)
 			}
 			synctest.Wait()
@@ -199,9 +199,9 @@
 		}
 		s := quietCaller()
 		s.conns = silentStore{}
-		s.relays = func(most int) []syncpb.Peer { return peers[:min(most, len(peers))] }
+		s.relayPeers = func(most int) []syncpb.Peer { return peers[:min(most, len(peers))] }
 		watch := platform.Call{Method: http.MethodGet, Target: "/v1/objects/config?watch=1&wait_ms=1200", Wait: watchWait}
-		for i, want := range []int64{60, firstSeek} {
+		for i, want := range []int64{60, firstRoundSize} {
 			synctest.Wait()
 			asked.Store(0)
 			if _, _, err := s.Call(t.Context(), watch); err == nil {
@@ -226,14 +226,14 @@
 			peers[i] = silentRelay{asked: func() { asked.Add(1) }}
 		}
 		s := quietCaller()
-		s.conns, s.leads = silentStore{}, func() bool { return false }
-		s.relays = func(most int) []syncpb.Peer { return peers[:min(most, len(peers))] }
+		s.conns, s.isLeader = silentStore{}, func() bool { return false }
+		s.relayPeers = func(most int) []syncpb.Peer { return peers[:min(most, len(peers))] }
 		watch := platform.Call{Method: http.MethodGet, Target: watchTarget, Wait: watchWait}
 		if _, _, err := s.Call(t.Context(), watch); err == nil {
 			t.Error("answered")
 		}
 		synctest.Wait()
-		if got := asked.Load(); got != firstSeek {
+		if got := asked.Load(); got != firstRoundSize {
 			t.Errorf("%d asked", got)
 		}
 	})
--- a/gateway/storecall_test.go
+++ b/gateway/storecall_test.go
@@ -88,13 +88,13 @@
 	conns := pool.New(storeLimits, time.Now)
 	s := &storeCaller{
 		conns: conns, address: server.Listener.Addr().String(),
-		relays: nil, now: time.Now, log: slog.New(slog.DiscardHandler), meters: newMeters(),
+		relayPeers: nil, now: time.Now, log: slog.New(slog.DiscardHandler), meters: newMeters(),
 	}
 	two := func() {
 		var both sync.WaitGroup
 		for range 2 {
 			both.Go(func() {
-				if _, _, err := s.direct(context.Background(), platform.Call{Method: http.MethodGet, Target: "/well"}); err != nil {
+				if _, _, err := s.callDirect(context.Background(), platform.Call{Method: http.MethodGet, Target: "/well"}); err != nil {
 					t.Error(err)
 				}
 			})
@@ -104,7 +104,7 @@
 	for conns.Stats().Opened < 2 {
 		two()
 	}
-	if _, _, err := s.direct(context.Background(), platform.Call{Method: http.MethodGet, Target: "/silent"}); err == nil {
+	if _, _, err := s.callDirect(context.Background(), platform.Call{Method: http.MethodGet, Target: "/silent"}); err == nil {
 		t.Fatal("answered")
 	}
 	<-reached
@@ -129,13 +129,13 @@
 		{"falls silent", 3, 0, context.DeadlineExceeded, 3*pieceEvery + storeTimeout},
 		{"falls silent after it waited", 3, watchWait, context.DeadlineExceeded, 3*pieceEvery + storeTimeout},
 		{"heard while it waits", 1, watchWait, context.DeadlineExceeded, watchWait + storeTimeout},
-		{"never ends", 1000, 0, errTooLong, longestCall},
+		{"never ends", 1000, 0, errCallTooLong, maxCallDuration},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				ctx, heard, end := untilSilent(t.Context(), storeTimeout, c.wait)
+				ctx, heard, end := withSilenceTimeout(t.Context(), storeTimeout, c.wait)
 				defer end()
 				began := time.Now()
 				for i := 0; i < c.pieces && ctx.Err() == nil; i++ {
@@ -157,20 +157,20 @@
 
 // quietCaller is a caller of a store that is never asked.
 func quietCaller() *storeCaller {
-	return &storeCaller{leads: func() bool { return true }, now: time.Now, log: slog.New(slog.DiscardHandler), meters: newMeters(), onReturn: func() {}}
+	return &storeCaller{isLeader: func() bool { return true }, now: time.Now, log: slog.New(slog.DiscardHandler), meters: newMeters(), onRecovery: func() {}}
 }
 
 // TestArrivingCallIsNotMadeBeside, however long its answer takes.
 func TestArrivingCallIsNotMadeBeside(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		w := quietCaller().ways(platform.Call{Method: http.MethodGet})
-		w.left = []func(context.Context) int{
+		w := quietCaller().paths(platform.Call{Method: http.MethodGet})
+		w.remaining = []func(context.Context) int{
 			func(context.Context) int {
 				go func() {
 					for range 10 {
-						time.Sleep(callPatience * 9 / 10)
-						w.noteArriving()
+						time.Sleep(fallbackDelay * 9 / 10)
+						w.noteProgress()
 					}
 					w.results <- callResult{direct: true, status: http.StatusOK, body: []byte("all")}
 				}()
@@ -190,12 +190,12 @@
 	t.Parallel()
 	for _, wait := range []time.Duration{0, watchWait} {
 		synctest.Test(t, func(t *testing.T) {
-			w := quietCaller().ways(platform.Call{Method: http.MethodGet, Wait: wait})
+			w := quietCaller().paths(platform.Call{Method: http.MethodGet, Wait: wait})
 			began := time.Now()
 			var beside time.Duration
-			w.left = []func(context.Context) int{
+			w.remaining = []func(context.Context) int{
 				func(context.Context) int {
-					w.noteArriving()
+					w.noteProgress()
 					return 1
 				},
 				func(context.Context) int {
@@ -207,7 +207,7 @@
 			if status, _, err := w.run(t.Context()); status != http.StatusOK || err != nil {
 				t.Errorf("%d, %v", status, err)
 			}
-			if beside != wait+callPatience {
+			if beside != wait+fallbackDelay {
 				t.Errorf("a call that may wait %v made beside after %v", wait, beside)
 			}
 		})
@@ -219,10 +219,10 @@
 func TestTooLongAnswerIsNotAskedForBeside(t *testing.T) {
 	t.Parallel()
 	s := quietCaller()
-	w := s.ways(platform.Call{Method: http.MethodGet})
-	w.left = []func(context.Context) int{
+	w := s.paths(platform.Call{Method: http.MethodGet})
+	w.remaining = []func(context.Context) int{
 		func(context.Context) int {
-			w.results <- callResult{direct: true, err: fmt.Errorf("broken: %w", errTooLong)}
+			w.results <- callResult{direct: true, err: fmt.Errorf("broken: %w", errCallTooLong)}
 			return 1
 		},
 		func(context.Context) int { t.Error("made beside"); return 0 },
@@ -230,7 +230,7 @@
 	if _, _, err := w.run(t.Context()); !tooMuch(err) {
 		t.Error(err)
 	}
-	if s.avoidsDirect() || !s.failingFrom.IsZero() {
+	if s.avoidsDirect() || !s.failingSince.IsZero() {
 		t.Error("the store counts as not reached")
 	}
 }
--- a/gateway/storeseek.go
+++ b/gateway/storesearch.go
@@ -15,114 +15,114 @@
 const (
 	// seekPatience bounds the silence after its wait of a call that waits for changes: changes
 	// are to be in force everywhere within two seconds.
-	seekPatience = 250 * time.Millisecond
+	watchSilenceLimit = 250 * time.Millisecond
 	// seekPause is the time between rounds, in which firstSeek gateways are asked and then twice
 	// as many each time: a hundred within half a second.
-	seekPause = 100 * time.Millisecond
-	firstSeek = 4
+	searchRoundInterval = 100 * time.Millisecond
+	firstRoundSize      = 4
 	// mostSought bounds the gateways that are asked for one call.
-	mostSought = 128
+	maxSearchPeers = 128
 	// seekRest is how long after all gateways were asked in vain only one round is made: the
 	// store is away then for all that count as in touch with it.
-	seekRest = 3 * time.Second
+	searchCooldown = 3 * time.Second
 	// latencyWeight is the weight of a new call in the mean latency of the store, latencyShare
 	// how many times that it may be silent before it is asked another way.
 	latencyWeight = 0.2
-	latencyShare  = 2
+	latencyFactor = 2
 )
 
 // watchWays returns the ways of a call that waits for changes.
-func (w *callWays) watchWays() []func(context.Context) int {
-	first := w.direct
-	if peer := w.store.goodRelay(); peer != nil {
+func (w *callPaths) watchPaths() []func(context.Context) int {
+	first := w.startDirect
+	if peer := w.store.relayForWatch(); peer != nil {
 		first = func(ctx context.Context) int {
-			w.relayed(ctx, w.call, peer)
+			w.startRelay(ctx, w.call, peer)
 			return 1
 		}
 	}
-	return []func(context.Context) int{first, w.seek}
+	return []func(context.Context) int{first, w.searchRound}
 }
 
 // seek begins the next round, in which other gateways are asked without a wait, and the store from
 // here with the first of them.
-func (w *callWays) seek(ctx context.Context) int {
+func (w *callPaths) searchRound(ctx context.Context) int {
 	call := w.call.WithoutWait()
-	begun := 0
-	if !w.chosen {
-		w.peers, w.chosen = w.store.relays(mostSought), true
-		begun = w.directly(ctx, call)
+	started := 0
+	if !w.peersChosen {
+		w.peers, w.peersChosen = w.store.relayPeers(maxSearchPeers), true
+		started = w.startDirectCall(ctx, call)
 	}
-	round := w.peers[:min(firstSeek<<w.rounds, len(w.peers))]
+	round := w.peers[:min(firstRoundSize<<w.rounds, len(w.peers))]
 	w.peers = w.peers[len(round):]
 	w.rounds++
 	w.store.meters.inc(storeSought)
 	for _, peer := range round {
-		w.relayed(ctx, call, peer)
+		w.startRelay(ctx, call, peer)
 	}
-	if len(w.peers) > 0 && w.store.seeksWidely() {
-		w.left = append(w.left, w.seek)
+	if len(w.peers) > 0 && w.store.maySearchWidely() {
+		w.remaining = append(w.remaining, w.searchRound)
 	}
-	return begun + len(round)
+	return started + len(round)
 }
 
 // patience is how long the calls that are under way may be silent before the next way is begun.
-func (w *callWays) patience(waits time.Time) time.Duration {
-	left := max(time.Until(waits), 0)
+func (w *callPaths) nextPathDelay(waitEnd time.Time) time.Duration {
+	waitLeft := max(time.Until(waitEnd), 0)
 	switch {
 	case w.call.Wait == 0:
-		return callPatience
+		return fallbackDelay
 	case w.rounds > 0:
-		return w.store.silenceAllowed(seekPause)
+		return w.store.allowedSilence(searchRoundInterval)
 	}
-	return w.store.silenceAllowed(seekPatience) + left
+	return w.store.allowedSilence(watchSilenceLimit) + waitLeft
 }
 
 // silenceAllowed is the least silence, or more when the store is slow to answer.
-func (s *storeCaller) silenceAllowed(least time.Duration) time.Duration {
+func (s *storeCaller) allowedSilence(least time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return min(max(least, time.Duration(latencyShare*float64(s.latency))), callPatience)
+	return min(max(least, time.Duration(latencyFactor*float64(s.meanLatency))), fallbackDelay)
 }
 
 // noteLatency notes how long the store took for a call without a wait.
 func (s *storeCaller) noteLatency(took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.latency += time.Duration(latencyWeight * float64(took-s.latency))
+	s.meanLatency += time.Duration(latencyWeight * float64(took-s.meanLatency))
 }
 
 // noteRelay notes the gateway that has brought the store's answer last.
 func (s *storeCaller) noteRelay(peer syncpb.Peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.good = peer
+	s.lastRelay = peer
 }
 
 // goodRelay returns the gateway by way of which calls that wait are made; nil while the store
 // serves this machine.
-func (s *storeCaller) goodRelay() syncpb.Peer {
+func (s *storeCaller) relayForWatch() syncpb.Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.directFailing {
 		return nil
 	}
-	return s.good
+	return s.lastRelay
 }
 
 // soughtAll notes that all gateways were asked in vain.
-func (s *storeCaller) soughtAll() {
+func (s *storeCaller) noteSearchFailed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sought = s.now()
+	s.searchFailedAt = s.now()
 }
 
 // seeksWidely reports whether more than one round is to be made: by a leader, unless all were asked
 // in vain a moment ago. Hundreds of gateways that hear from no leader would ask each other.
-func (s *storeCaller) seeksWidely() bool {
-	if !s.leads() {
+func (s *storeCaller) maySearchWidely() bool {
+	if !s.isLeader() {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sought.IsZero() || s.now().Sub(s.sought) >= seekRest
+	return s.searchFailedAt.IsZero() || s.now().Sub(s.searchFailedAt) >= searchCooldown
 }
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -161,7 +161,7 @@
 // tooMuch reports whether a call failed for the size of its answer, which would be as
 // large the next time.
 func tooMuch(err error) bool {
-	return errors.Is(err, errTooLong) || errors.Is(err, pool.ErrTooLarge)
+	return errors.Is(err, errCallTooLong) || errors.Is(err, pool.ErrTooLarge)
 }
 
 // watch waits for changes, until another watch learns of a compaction.
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -230,7 +230,7 @@
 // Call implements platform.Transport.
 func (e *endlessWatch) Call(ctx context.Context, c platform.Call) (status int, body []byte, err error) {
 	if kind, operation := c.Describe(); kind == platform.ConfigKind && operation == "watch" {
-		e.once.Do(func() { err = errTooLong })
+		e.once.Do(func() { err = errCallTooLong })
 	}
 	if err != nil {
 		return 0, nil, err
--- a/gateway/watchseries_test.go
+++ b/gateway/watchseries_test.go
@@ -160,7 +160,7 @@
 		peers = append(peers, patchyRelay{store: store, gateway: i + 1, known: &known})
 	}
 	order := rand.New(rand.NewPCG(seed, 0))
-	s.relays = func(most int) []syncpb.Peer {
+	s.relayPeers = func(most int) []syncpb.Peer {
 		order.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 		return append([]syncpb.Peer{}, peers[:min(most, len(peers))]...)
 	}
