--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -198,7 +198,7 @@
 	store := platform.NewStore(g.calls)
 	evac := newEvacuations(g.view, g.now, log, g.meters)
 	g.watcher = newWatcher(store, g.view, evac, g.now, log, g.meters, seeds[0])
-	g.calls.onRecovery = g.watcher.returned
+	g.calls.onRecovery = g.watcher.storeRecovered
 	g.follower = &follower{
 		view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now, log: log, meters: g.meters,
 		began: g.now(), evac: evac, limits: g.limits, suspects: g.suspects,
@@ -226,7 +226,7 @@
 		store: store, steward: g.steward, leading: g.leading, cluster: g.cluster, evac: evac, suspects: g.suspects, unread: unread,
 		watches: g.watcher.ages, now: g.now, log: log,
 	}
-	g.watcher.draining, g.watcher.toldLeaving = g.steward.placements.draining, g.steward.toldLeaving
+	g.watcher.isDraining, g.watcher.announcedLeaving = g.steward.placements.draining, g.steward.toldLeaving
 	g.follower.setOwn = g.steward.setOwn
 	g.front = &front{
 		view: g.view, traffic: g.traffic, splitter: routing.NewSplitter(), conns: g.conns, now: g.now,
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -37,7 +37,7 @@
 	lost, age := time.Duration(0), time.Duration(0)
 	if !g.cluster.isLeading() {
 		lost, _, _ = g.follower.lostFor()
-		age = g.follower.newsAge(g.watcher.ages.last())
+		age = g.follower.newsAge(g.watcher.ages.lastHeardAny())
 	}
 	m.gauge(leaderHeard, lost.Milliseconds())
 	m.gauge(viewAge, age.Milliseconds())
@@ -45,7 +45,7 @@
 		m.gauge(viewVersion, int64(t.Version))
 		m.gauge(viewConfigurationAge, g.configurationAge().Milliseconds())
 	}
-	for kind, age := range g.watcher.ages.all() {
+	for kind, age := range g.watcher.ages.agesByKind() {
 		m.gauge(fill(watchHeard, kind), age.Milliseconds())
 	}
 	evacuated := g.view.evac.Load()
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -200,14 +200,14 @@
 
 // begin loads the assignment, or makes the first one.
 func (k *keeper) begin(ctx context.Context) bool {
-	backoff := firstBackoff
+	backoff := initialBackoff
 	for ctx.Err() == nil {
 		table, revision, err := k.load(ctx, k.service)
 		switch {
 		case err != nil:
 			k.log.Warn("owners not loaded", "error", err)
 			pause(ctx, backoff)
-			backoff = min(2*backoff, longestBackoff)
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		case table == nil:
 			if table = k.first(ctx); table == nil {
@@ -219,7 +219,7 @@
 			k.setSole(revision == 0)
 			return true
 		}
-		pause(ctx, firstBackoff)
+		pause(ctx, initialBackoff)
 	}
 	return false
 }
--- a/gateway/keeperstore.go
+++ b/gateway/keeperstore.go
@@ -150,7 +150,7 @@
 	got, err := k.save(ctx, next, revision)
 	if err != nil {
 		k.saveFailed(ctx, err)
-		pause(ctx, firstBackoff)
+		pause(ctx, initialBackoff)
 		return
 	}
 	k.mu.Lock()
--- a/gateway/lead.go
+++ b/gateway/lead.go
@@ -107,7 +107,7 @@
 	lastClaim := time.Time{}
 	for ctx.Err() == nil {
 		lost, refused, resigned := l.follower.lostFor()
-		wantWatch := l.cluster.isLeading() || l.follower.needsStore(l.watcher.ages.last())
+		wantWatch := l.cluster.isLeading() || l.follower.needsStore(l.watcher.ages.lastHeardAny())
 		switch {
 		case wantWatch && stopWatch == nil:
 			var watchCtx context.Context
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -107,7 +107,7 @@
 	if p.cluster.isLeading() {
 		return 0
 	}
-	return p.follower.newsAge(p.watcher.ages.last())
+	return p.follower.newsAge(p.watcher.ages.lastHeardAny())
 }
 
 // milliseconds is a time as it is told, at most an hour.
--- a/gateway/placements.go
+++ b/gateway/placements.go
@@ -51,7 +51,7 @@
 
 // load reads all intents, until that succeeds or ctx ends.
 func (p *placements) load(ctx context.Context) {
-	for backoff := firstBackoff; ctx.Err() == nil; backoff = min(2*backoff, longestBackoff) {
+	for backoff := initialBackoff; ctx.Err() == nil; backoff = min(2*backoff, maxBackoff) {
 		objects, _, err := p.store.List(ctx, placementsKind)
 		if err == nil {
 			p.adopt(objects)
--- a/gateway/storecall_test.go
+++ b/gateway/storecall_test.go
@@ -227,7 +227,7 @@
 		},
 		func(context.Context) int { t.Error("made beside"); return 0 },
 	}
-	if _, _, err := w.run(t.Context()); !tooMuch(err) {
+	if _, _, err := w.run(t.Context()); !answerTooLarge(err) {
 		t.Error(err)
 	}
 	if s.avoidsDirect() || !s.failingSince.IsZero() {
--- a/gateway/storepaths.go
+++ b/gateway/storepaths.go
@@ -150,7 +150,7 @@
 			case servedByStore(r.status, r.err):
 				w.noteSuccess(r)
 				return r.status, r.body, nil
-			case r.direct && tooMuch(r.err):
+			case r.direct && answerTooLarge(r.err):
 				// The store is reached. Another way's answer would be as large.
 				return 0, nil, r.err
 			case r.direct && ctx.Err() == nil:
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -20,18 +20,18 @@
 	watchWait = 1200 * time.Millisecond
 	// leastWatch keeps watches apart that end at once without changes, as the way failed on which
 	// they were to wait.
-	leastWatch = 100 * time.Millisecond
+	minWatchInterval = 100 * time.Millisecond
 	// joinConfiguration and joinInstances are how long changes are collected before
 	// the next watch. Upstreams come and go by the dozen; the time of one that leaves
 	// is two seconds and more.
-	joinConfiguration = 100 * time.Millisecond
-	joinInstances     = 250 * time.Millisecond
+	configurationBatchDelay = 100 * time.Millisecond
+	instancesBatchDelay     = 250 * time.Millisecond
 	// joinEvacuations is short: evacuations are rare, and each is to be in force everywhere
 	// within a second.
-	joinEvacuations = 20 * time.Millisecond
+	evacuationsBatchDelay = 20 * time.Millisecond
 	// firstBackoff and longestBackoff bound the pause after a failed call.
-	firstBackoff   = 100 * time.Millisecond
-	longestBackoff = 800 * time.Millisecond
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 800 * time.Millisecond
 	// settleInterval is the time between looks at upstreams that are missing.
 	settleInterval = 100 * time.Millisecond
 )
@@ -45,20 +45,20 @@
 	now   func() time.Time
 	log   *slog.Logger
 	// draining reports whether an operator wants an upstream to be left alone.
-	draining func(upstream string) bool
+	isDraining func(upstream string) bool
 	// toldLeaving returns the upstreams that have told a gateway that they leave.
-	toldLeaving func() map[string]bool
+	announcedLeaving func() map[string]bool
 	// drained are the upstreams for which either was so in the last view.
-	drained map[string]bool
+	leavingShown map[string]bool
 	// salt tells versions of this process's view from those of others.
 	salt uint64
 
 	mu      sync.Mutex
 	tracker *instances.Tracker
 	// badVersion is the revision of a configuration that cannot be read.
-	badVersion uint64
-	badEntries map[string]uint64
-	meters     *meters
+	badRevision uint64
+	badEntries  map[string]uint64
+	meters      *meters
 	// compacted is closed when one watch learns that history is gone, which
 	// concerns the others as well.
 	compacted chan struct{}
@@ -68,8 +68,8 @@
 
 func newWatcher(store *platform.Store, v *view, evac *evacuations, now func() time.Time, log *slog.Logger, m *meters, salt uint64) *watcher {
 	return &watcher{
-		drained: make(map[string]bool), salt: salt, store: store, view: v, evac: evac, now: now, log: log, meters: m,
-		ages: newWatchAges(now, log), badEntries: make(map[string]uint64), compacted: make(chan struct{}), toldLeaving: func() map[string]bool { return nil },
+		leavingShown: make(map[string]bool), salt: salt, store: store, view: v, evac: evac, now: now, log: log, meters: m,
+		ages: newWatchAges(now, log), badEntries: make(map[string]uint64), compacted: make(chan struct{}), announcedLeaving: func() map[string]bool { return nil },
 	}
 }
 
@@ -81,7 +81,7 @@
 	var all sync.WaitGroup
 	all.Go(func() {
 		known := w.view.configuration().revision
-		w.follow(ctx, platform.ConfigKind, known, joinConfiguration, w.listConfiguration, w.configurationEvents)
+		w.follow(ctx, platform.ConfigKind, known, configurationBatchDelay, w.listConfiguration, w.configurationEvents)
 	})
 	listed := make(chan struct{})
 	var once sync.Once
@@ -89,7 +89,7 @@
 		w.evac.listed(objects, at)
 		once.Do(func() { close(listed) })
 	}
-	all.Go(func() { w.follow(ctx, platform.EvacuationsKind, 0, joinEvacuations, list, w.evac.changed) })
+	all.Go(func() { w.follow(ctx, platform.EvacuationsKind, 0, evacuationsBatchDelay, list, w.evac.changed) })
 	all.Go(func() {
 		// No upstream is known before it is known which failure domains are evacuated.
 		select {
@@ -97,7 +97,7 @@
 		case <-ctx.Done():
 			return
 		}
-		w.follow(ctx, platform.InstancesKind, 0, joinInstances, w.listInstances, w.instanceEvents)
+		w.follow(ctx, platform.InstancesKind, 0, instancesBatchDelay, w.listInstances, w.instanceEvents)
 	})
 	all.Go(func() { w.settle(ctx) })
 	all.Wait()
@@ -106,10 +106,10 @@
 // follow watches a kind from a revision of which the view has everything. It lists the
 // kind first if there is none, which is zero, and again when the history is gone or too
 // much of it would have to be told.
-func (w *watcher) follow(ctx context.Context, kind string, revision uint64, join time.Duration, list func([]platform.Object, uint64), events func([]platform.Object, uint64)) {
+func (w *watcher) follow(ctx context.Context, kind string, revision uint64, batchDelay time.Duration, list func([]platform.Object, uint64), events func([]platform.Object, uint64)) {
 	w.ages.begin(kind)
 	defer w.ages.end(kind)
-	backoff := firstBackoff
+	backoff := initialBackoff
 	known, heard := revision > 0, false
 	for ctx.Err() == nil {
 		var err error
@@ -117,28 +117,28 @@
 			var objects []platform.Object
 			if objects, revision, err = w.store.List(ctx, kind); err == nil {
 				known = true
-				w.ages.note(kind)
+				w.ages.noteAnswer(kind)
 				list(objects, revision)
 			}
 		} else {
 			var changes []platform.Object
 			var next uint64
-			began := w.now()
+			started := w.now()
 			if changes, next, err = w.watch(ctx, kind, revision); err == nil {
-				w.ages.note(kind)
+				w.ages.noteAnswer(kind)
 			}
-			if err == nil && len(changes) == 0 && w.now().Sub(began) < leastWatch {
-				pause(ctx, leastWatch)
+			if err == nil && len(changes) == 0 && w.now().Sub(started) < minWatchInterval {
+				pause(ctx, minWatchInterval)
 			}
 			if len(changes) > 0 {
-				revision = advance(revision, changes, next)
+				revision = nextRevision(revision, changes, next)
 				events(changes, revision)
-				pause(ctx, join)
+				pause(ctx, batchDelay)
 			}
 		}
 		switch {
 		case err == nil:
-			backoff = firstBackoff
+			backoff = initialBackoff
 			heard = true
 		case errors.Is(err, platform.ErrCompacted):
 			w.log.Info("store history compacted, listing again", "kind", kind, "revision", revision)
@@ -146,21 +146,21 @@
 			if heard {
 				// Else the revision that this watch began with was old, and tells nothing of
 				// a compaction while the others watched.
-				w.wake()
+				w.cancelWatches()
 			}
-		case known && tooMuch(err):
+		case known && answerTooLarge(err):
 			w.log.Info("too many changes for one answer, listing again", "kind", kind, "revision", revision)
 			known = false
 		default:
 			pause(ctx, backoff)
-			backoff = min(2*backoff, longestBackoff)
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 }
 
 // tooMuch reports whether a call failed for the size of its answer, which would be as
 // large the next time.
-func tooMuch(err error) bool {
+func answerTooLarge(err error) bool {
 	return errors.Is(err, errCallTooLong) || errors.Is(err, pool.ErrTooLarge)
 }
 
@@ -182,7 +182,7 @@
 }
 
 // wake ends the watches under way.
-func (w *watcher) wake() {
+func (w *watcher) cancelWatches() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	close(w.compacted)
@@ -193,7 +193,7 @@
 // is that of the last change and not the one the store names: a watch that hears
 // nothing while changes are made names a revision beyond them. When the store
 // has dropped that history it says so, and the kind is listed anew.
-func advance(revision uint64, changes []platform.Object, named uint64) uint64 {
+func nextRevision(revision uint64, changes []platform.Object, named uint64) uint64 {
 	last := uint64(0)
 	for _, o := range changes {
 		last = max(last, o.Revision)
@@ -217,7 +217,7 @@
 
 func (w *watcher) listConfiguration(objects []platform.Object, _ uint64) {
 	for _, o := range objects {
-		w.takeConfiguration(o)
+		w.applyConfiguration(o)
 	}
 }
 
@@ -229,7 +229,7 @@
 		if o.Removed || o.Name != platform.ConfigName {
 			continue
 		}
-		if o.Revision <= known || w.takeConfiguration(o) {
+		if o.Revision <= known || w.applyConfiguration(o) {
 			return
 		}
 	}
@@ -237,14 +237,14 @@
 
 // takeConfiguration puts a configuration in force, and reports whether it is newer than
 // the one that was.
-func (w *watcher) takeConfiguration(o platform.Object) bool {
+func (w *watcher) applyConfiguration(o platform.Object) bool {
 	if o.Name != platform.ConfigName {
 		return false
 	}
 	c, err := platform.DecodeConfiguration(o.Spec)
 	if err != nil {
-		if w.badVersion != o.Revision {
-			w.badVersion = o.Revision
+		if w.badRevision != o.Revision {
+			w.badRevision = o.Revision
 			w.log.Error("configuration cannot be read, the last one stays in force", "revision", o.Revision, "error", err)
 		}
 		return false
@@ -297,32 +297,32 @@
 // whose entries say so. The lock is held.
 func (w *watcher) publish() {
 	v, version := w.tracker.View()
-	told := w.toldLeaving()
-	var drained []instances.Instance
+	announced := w.announcedLeaving()
+	var leaving []instances.Instance
 	for _, one := range v.All() {
-		if !one.Leaving && (told[one.ID] || w.draining(one.ID)) {
+		if !one.Leaving && (announced[one.ID] || w.isDraining(one.ID)) {
 			one.Leaving = true
-			drained = append(drained, one)
+			leaving = append(leaving, one)
 		}
 	}
-	if len(drained) > 0 {
-		v = v.Apply(v.Revision, drained, nil)
+	if len(leaving) > 0 {
+		v = v.Apply(v.Revision, leaving, nil)
 	}
 	w.view.setInstances(version, v)
 }
 
 // leaversChanged reports whether operators drain other upstreams than in the last view, or others
 // have told that they leave. The lock is held.
-func (w *watcher) leaversChanged() bool {
+func (w *watcher) leavingChanged() bool {
 	changed := false
 	v := w.view.inst.Load()
 	if v == nil {
 		return false
 	}
-	told := w.toldLeaving()
+	announced := w.announcedLeaving()
 	for _, one := range v.All() {
-		if now := told[one.ID] || w.draining(one.ID); now != w.drained[one.ID] {
-			w.drained[one.ID] = now
+		if now := announced[one.ID] || w.isDraining(one.ID); now != w.leavingShown[one.ID] {
+			w.leavingShown[one.ID] = now
 			changed = true
 		}
 	}
@@ -353,7 +353,7 @@
 		pause(ctx, settleInterval)
 		w.ages.check()
 		w.mu.Lock()
-		if settled, drained := w.tracker.Settle(w.now()), w.leaversChanged(); settled || drained {
+		if settled, leaving := w.tracker.Settle(w.now()), w.leavingChanged(); settled || leaving {
 			w.publish()
 		}
 		w.mu.Unlock()
@@ -361,7 +361,7 @@
 }
 
 // returned tells the watcher that the store was away and is back.
-func (w *watcher) returned() {
+func (w *watcher) storeRecovered() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.tracker != nil {
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -144,7 +144,7 @@
 	log, m := slog.New(w.lines), newMeters()
 	evac := newEvacuations(w.view, time.Now, log, m)
 	one := newWatcher(platform.NewStore(way), w.view, evac, time.Now, log, m, 1)
-	one.draining = func(string) bool { return false }
+	one.isDraining = func(string) bool { return false }
 	return one
 }
 
--- a/gateway/watchages.go
+++ b/gateway/watchages.go
@@ -17,7 +17,7 @@
 
 // watchSilent is how long a watch hears nothing before that is logged: longer than one that ends
 // without changes, and shorter than the time within which changes are to be in force.
-const watchSilent = 1500 * time.Millisecond
+const watchSilenceThreshold = 1500 * time.Millisecond
 
 // watchAges keeps when the store last answered a list or a watch, for concurrent use.
 type watchAges struct {
@@ -50,26 +50,26 @@
 }
 
 // note notes an answer of the store to a list or a watch.
-func (a *watchAges) note(kind string) {
+func (a *watchAges) noteAnswer(kind string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.silent[kind] {
-		a.log.Info("watch hears again", "kind", kind, "heard_ms_ago", a.now().Sub(a.since(kind)).Milliseconds())
+		a.log.Info("watch hears again", "kind", kind, "heard_ms_ago", a.now().Sub(a.silentSince(kind)).Milliseconds())
 		delete(a.silent, kind)
 	}
 	a.heard[kind] = a.now()
 }
 
 // since returns from when on nothing was heard of a kind that is watched. The lock is held.
-func (a *watchAges) since(kind string) time.Time { return later(a.heard[kind], a.watched[kind]) }
+func (a *watchAges) silentSince(kind string) time.Time { return later(a.heard[kind], a.watched[kind]) }
 
 // check logs the kinds whose watches have come to hear nothing.
 func (a *watchAges) check() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for kind := range a.watched {
-		age := a.now().Sub(a.since(kind))
-		if age < watchSilent || a.silent[kind] {
+		age := a.now().Sub(a.silentSince(kind))
+		if age < watchSilenceThreshold || a.silent[kind] {
 			continue
 		}
 		a.silent[kind] = true
@@ -78,14 +78,14 @@
 }
 
 // of returns when the store last answered for a kind, zero if it never did.
-func (a *watchAges) of(kind string) time.Time {
+func (a *watchAges) lastHeard(kind string) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.heard[kind]
 }
 
 // last returns when the store last answered for any kind.
-func (a *watchAges) last() time.Time {
+func (a *watchAges) lastHeardAny() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var last time.Time
@@ -96,7 +96,7 @@
 }
 
 // all returns how long ago the store last answered, by kind.
-func (a *watchAges) all() map[string]time.Duration {
+func (a *watchAges) agesByKind() map[string]time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := make(map[string]time.Duration, len(a.heard))
@@ -108,7 +108,7 @@
 
 // state returns what operators are shown, in the order of kinds.
 func (a *watchAges) state() []*placementpb.WatchState {
-	ages := a.all()
+	ages := a.agesByKind()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var out []*placementpb.WatchState
@@ -123,7 +123,7 @@
 
 // configurationHeard returns when the store last answered a list or a watch of the
 // configuration.
-func (w *watcher) configurationHeard() time.Time { return w.ages.of(platform.ConfigKind) }
+func (w *watcher) configurationHeard() time.Time { return w.ages.lastHeard(platform.ConfigKind) }
 
 // Watches implements placementpb.Placement: what the gateway that is asked has heard itself.
 func (p *placements) Watches(context.Context, *placementpb.WatchesRequest) (*placementpb.WatchesState, error) {
--- a/gateway/watchages_test.go
+++ b/gateway/watchages_test.go
@@ -27,26 +27,26 @@
 			t.Errorf("%s: %s", what, d)
 		}
 	}
-	a.note("config")
+	a.noteAnswer("config")
 	pass(time.Minute)
 	said("not watched", 0, 0)
 	a.begin("config")
 	a.begin("servers")
 	for range 10 {
 		pass(watchWait)
-		a.note("config")
-		a.note("servers")
+		a.noteAnswer("config")
+		a.noteAnswer("servers")
 	}
 	said("watches that end without changes", 0, 0)
 	for range 4 {
 		pass(time.Second)
-		a.note("config")
+		a.noteAnswer("config")
 	}
 	said("one kind is silent", 1, 0)
 	if s := a.state(); s[0].Silent || !s[1].Silent || !s[1].Watched {
 		t.Errorf("state: %v", s)
 	}
-	a.note("servers")
+	a.noteAnswer("servers")
 	said("it hears again", 1, 1)
 	a.end("servers")
 	a.end("config")
--- a/gateway/watchseries_test.go
+++ b/gateway/watchseries_test.go
@@ -197,7 +197,7 @@
 			_, err = fmt.Sscan(string(body), &revision)
 		}
 		if err != nil || revision == int(known.Load()) {
-			time.Sleep(leastWatch)
+			time.Sleep(minWatchInterval)
 			continue
 		}
 		known.Store(int64(revision))
