--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -116,7 +116,7 @@
 // the budget allows it. It is tried once a request.
 func (d *delivery) hedge(ctx context.Context) {
 	d.hedged = true
-	if d.draining.Load() || d.deadline.Sub(d.now()) < d.last.Expected || d.suspects.suspected(d.request) {
+	if d.draining.Load() || d.deadline.Sub(d.now()) < d.last.Expected || d.suspects.isSuspected(d.request) {
 		return
 	}
 	if !d.service.Keyed {
@@ -155,7 +155,7 @@
 		return false
 	case q.mayHaveRun && !q.route.Idempotent:
 		return false
-	case f.suspects.suspected(q):
+	case f.suspects.isSuspected(q):
 		// An innocent request loses a second try, a guilty one would end another upstream.
 		return false
 	case q.arrivals >= q.route.MaxAttempts || !f.spend(q):
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -32,7 +32,7 @@
 
 // take takes over what is newer, and logs which failure domains have changed. from tells in
 // the log who said it.
-func (e *evacuations) take(marks []evacuation.Mark, from string) {
+func (e *evacuations) apply(marks []evacuation.Mark, from string) {
 	before := e.view.evac.Load()
 	if before.Covers(marks) {
 		return
@@ -44,11 +44,11 @@
 	if !changed {
 		return
 	}
-	e.note(before, e.view.evac.Load(), from)
+	e.recordChanges(before, e.view.evac.Load(), from)
 }
 
 // note notes and logs which failure domains have changed.
-func (e *evacuations) note(before, now *evacuation.Set, from string) {
+func (e *evacuations) recordChanges(before, now *evacuation.Set, from string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, m := range now.Marks() {
@@ -75,16 +75,18 @@
 }
 
 // told takes over what another gateway tells.
-func (e *evacuations) told(list []*syncpb.Evacuation) { e.take(evacuationMarks(list), "gateway") }
+func (e *evacuations) applyFromPeer(list []*syncpb.Evacuation) {
+	e.apply(evacuationMarks(list), "gateway")
+}
 
 // listed takes over all entries of the store, as of a revision.
-func (e *evacuations) listed(objects []platform.Object, at uint64) {
-	e.take(e.view.evac.Load().Listed(decodeEvacuations(objects), at), "store")
+func (e *evacuations) applyList(objects []platform.Object, at uint64) {
+	e.apply(e.view.evac.Load().Listed(decodeEvacuations(objects), at), "store")
 }
 
 // changed takes over entries of the store that have changed.
-func (e *evacuations) changed(objects []platform.Object, _ uint64) {
-	e.take(decodeEvacuations(objects), "store")
+func (e *evacuations) applyChanges(objects []platform.Object, _ uint64) {
+	e.apply(decodeEvacuations(objects), "store")
 }
 
 func decodeEvacuations(objects []platform.Object) []evacuation.Mark {
--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -216,11 +216,11 @@
 func TestEvacuationsThatCannotBe(t *testing.T) {
 	m := newMeters()
 	e := newEvacuations(newView(), time.Now, slog.New(slog.DiscardHandler), m)
-	e.told([]*syncpb.Evacuation{{Domain: "a", Revision: 5, Ended: true}, {Domain: "b", Revision: 9}, {Revision: 3}, {Domain: "c"}})
+	e.applyFromPeer([]*syncpb.Evacuation{{Domain: "a", Revision: 5, Ended: true}, {Domain: "b", Revision: 9}, {Revision: 3}, {Domain: "c"}})
 	if n := m.counter(evacuationsUnsound).Count(); n != 2 {
 		t.Errorf("%d dropped", n)
 	}
-	e.told([]*syncpb.Evacuation{{Domain: "a", Revision: 5}, {Domain: "b", Revision: 8, Ended: true}})
+	e.applyFromPeer([]*syncpb.Evacuation{{Domain: "a", Revision: 5}, {Domain: "b", Revision: 8, Ended: true}})
 	if e.view.evacuated("a") || !e.view.evacuated("b") {
 		t.Errorf("a %v, b %v", e.view.evacuated("a"), e.view.evacuated("b"))
 	}
--- a/gateway/evacuationstate.go
+++ b/gateway/evacuationstate.go
@@ -21,7 +21,7 @@
 	state := &placementpb.EvacuationsState{Revision: set.Revision()}
 	for _, m := range set.Marks() {
 		if !m.Ended {
-			state.Domains = append(state.Domains, p.evacuated(m))
+			state.Domains = append(state.Domains, p.domainState(m))
 		}
 	}
 	members, _ := p.cluster.list()
@@ -37,7 +37,7 @@
 }
 
 // evacuated tells how far the evacuation of one failure domain is.
-func (p *placements) evacuated(m evacuation.Mark) *placementpb.EvacuatedDomain {
+func (p *placements) domainState(m evacuation.Mark) *placementpb.EvacuatedDomain {
 	out := &placementpb.EvacuatedDomain{
 		Domain: m.Domain, Revision: m.Revision, KnownMs: uint64(p.evac.knownFor(m.Domain).Milliseconds()),
 	}
@@ -51,7 +51,7 @@
 		}
 	}
 	for _, table := range *p.steward.view.owners.Load() {
-		out.Keys += uint32(keysOf(table, func(owner string) bool {
+		out.Keys += uint32(countKeys(table, func(owner string) bool {
 			one := upstreams.Get(owner)
 			return one != nil && one.Domain == m.Domain
 		}))
@@ -60,10 +60,10 @@
 }
 
 // keysOf returns how many keys have an owner of the kind.
-func keysOf(t *spans.Table, is func(owner string) bool) int {
+func countKeys(t *spans.Table, ownedBy func(owner string) bool) int {
 	keys := 0
 	for _, s := range t.Spans {
-		if is(s.Owner) {
+		if ownedBy(s.Owner) {
 			keys += s.Count()
 		}
 	}
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -157,7 +157,7 @@
 	resp.Limits = f.sieve.soundLimits(unsoundNews, resp.Limits)
 	f.cluster.setWantedAbove(resp.Limits)
 	f.limits.told(resp.Limits)
-	f.suspects.told(resp.Suspects)
+	f.suspects.applyMessage(resp.Suspects)
 	f.cluster.setRights(toldRights(resp.Rights), f.now().Add(-time.Duration(resp.RightsMs)*time.Millisecond))
 	f.shareLoads(int(resp.Gateways))
 	if f.now().Sub(began) < newsAtOnce {
@@ -220,7 +220,7 @@
 	f.setOwn(own)
 	r.Demands = demandMessages(f.cluster.demandBelow(own.demand))
 	r.Limits = f.limits.messages(func(upstream string) float64 { return f.cluster.wantedBelow(own.wanted, upstream) })
-	r.Suspects = f.suspects.messages()
+	r.Suspects = f.suspects.message()
 	r.Followers = f.cluster.followers()
 	f.cluster.keepRuns(own.loads)
 	r.Loads = withRuns(f.cluster.below(own.loads), f.cluster.takeRuns())
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -250,7 +250,7 @@
 	for {
 		want := &dispatch.Want{
 			Priority: q.route.Priority, Objective: q.route.Objective, Deadline: q.deadline,
-			Until: q.until, Exclude: slices.Concat(q.exclude, f.suspects.avoid(q)),
+			Until: q.until, Exclude: slices.Concat(q.exclude, f.suspects.upstreamsToAvoid(q)),
 		}
 		switch {
 		case atOnce:
@@ -289,9 +289,9 @@
 
 // try sends the request to one upstream and reports how that ended.
 func (f *front) try(ctx context.Context, q *request, grant dispatch.Grant, results chan<- result) {
-	suspected := f.suspects.began(q, grant)
+	suspected := f.suspects.noteStarted(q, grant)
 	resp, outcome, said, err := f.send(ctx, q, grant)
-	f.suspects.ended(q, grant, suspected, outcome)
+	f.suspects.noteEnded(q, grant, suspected, outcome)
 	f.noticed(grant, said.notice, f.traffic.doneTelling(q.traffic, grant, outcome, said))
 	f.meters.inc(f.meters.service(tryOutcome, q.service.Name, f.class(grant), outcome.String()))
 	results <- result{grant: grant, resp: resp, err: err}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -192,7 +192,7 @@
 	g.suspects = newSuspects(g.view, g.cluster.gateways, g.now, log, g.meters, mathrand.New(mathrand.NewPCG(seeds[0], seeds[1]+1)))
 	g.view.onInstances = func(v *instances.View) {
 		g.traffic.setUpstreams(v)
-		g.suspects.viewChanged(v)
+		g.suspects.onViewChanged(v)
 	}
 	unread := newUnreadHeaders(g.now, log, g.meters)
 	store := platform.NewStore(g.calls)
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -21,7 +21,7 @@
 	g.gaps.gauges()
 	g.limits.gauges()
 	g.traffic.noticeGauges(g.meters)
-	g.suspects.gauges()
+	g.suspects.updateGauges()
 	g.steward.ownerGauges()
 	stats := g.conns.Stats()
 	m.gauge(connOpened, int64(stats.Opened))
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -19,7 +19,7 @@
 		f.cluster.setMembers(resp.MembersVersion, resp.Members)
 	}
 	// Before upstreams: none is used that is known to be in an evacuated failure domain.
-	f.evac.told(resp.Evacuations)
+	f.evac.applyFromPeer(resp.Evacuations)
 	// First, as a part may be in force as soon as it is offered.
 	f.noteConfiguration(resp)
 	f.fetcher.offered(address, resp.Parts)
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -45,12 +45,12 @@
 	if r.Member == nil || r.Member.Node == "" || r.Member.Address == "" {
 		return nil, twirp.RequiredArgumentError("member")
 	}
-	p.evac.told(r.Evacuations)
+	p.evac.applyFromPeer(r.Evacuations)
 	if r.WaitMs > 0 {
 		r.Loads = p.sieve.loads(r.Loads)
 		r.Limits = p.sieve.soundLimits(unsoundReport, r.Limits)
 		p.limits.told(r.Limits)
-		p.suspects.told(r.Suspects)
+		p.suspects.applyMessage(r.Suspects)
 		p.cluster.reported(r, p.heardAgo() < orphanAfter)
 		if p.cluster.isLeading() {
 			p.steward.asked(r.Keys)
@@ -169,7 +169,7 @@
 	resp.Gateways = uint32(p.cluster.gateways())
 	resp.HotKeys = p.hotKeys()
 	resp.Limits = p.namedLimits(r.Member.Node)
-	resp.Suspects = p.suspects.messages()
+	resp.Suspects = p.suspects.message()
 	resp.Rights, resp.RightsMs = p.rights(r)
 	resp.MembersVersion = r.MembersVersion
 	if p.cluster.membersVersion() != r.MembersVersion {
--- a/gateway/suspectnews.go
+++ b/gateway/suspectnews.go
@@ -13,24 +13,24 @@
 
 // suspectsAgain is how long a message is used again: a leader answers hundreds of reports a second,
 // and the crashes of a lost failure domain are hundreds of requests.
-const suspectsAgain = 50 * time.Millisecond
+const suspectsCacheTime = 50 * time.Millisecond
 
 // mostSuspectsTold bounds what is taken over from one message, of each kind.
-const mostSuspectsTold = 512
+const maxSuspectsPerMessage = 512
 
 // messages tells what was seen of late and what is refused. The message is not to be changed.
-func (s *suspects) messages() *syncpb.Suspects {
+func (s *suspects) message() *syncpb.Suspects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if now.Sub(s.packedAt) >= suspectsAgain {
-		s.packed, s.packedAt = s.pack(now), now
+	if now.Sub(s.cachedAt) >= suspectsCacheTime {
+		s.cached, s.cachedAt = s.buildMessage(now), now
 	}
-	return s.packed
+	return s.cached
 }
 
 // pack makes the message; nil when there is nothing to be told. The lock is held.
-func (s *suspects) pack(now time.Time) *syncpb.Suspects {
+func (s *suspects) buildMessage(now time.Time) *syncpb.Suspects {
 	crashes, clearings := s.book.Tell(now)
 	ends := s.book.EndsOfLate(now)
 	if len(crashes) == 0 && len(clearings) == 0 && len(ends) == 0 {
@@ -50,17 +50,17 @@
 }
 
 // told takes over what another gateway tells. What is beyond the bound is counted and dropped.
-func (s *suspects) told(m *syncpb.Suspects) {
+func (s *suspects) applyMessage(m *syncpb.Suspects) {
 	if m == nil {
 		return
 	}
-	if len(m.Crashes) > mostSuspectsTold || len(m.Clearings) > mostSuspectsTold || len(m.Ends) > mostSuspectsTold {
+	if len(m.Crashes) > maxSuspectsPerMessage || len(m.Clearings) > maxSuspectsPerMessage || len(m.Ends) > maxSuspectsPerMessage {
 		s.meters.inc(suspectsUnsound)
 		return
 	}
 	now := s.now()
 	ago := func(ms uint32) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
-	var own []poison.Crash
+	var crashesHere []poison.Crash
 	s.mu.Lock()
 	for _, c := range m.Clearings {
 		s.book.Clear(poison.Clearing{Digest: poison.Digest(c.Digest), At: ago(c.AgeMs)})
@@ -71,8 +71,8 @@
 	}
 	s.book.Told(crashes)
 	for _, e := range m.Ends {
-		own = append(own, s.book.Ended(ago(e.AgeMs), e.Upstream, instances.Incarnation(e.Incarnation))...)
+		crashesHere = append(crashesHere, s.book.Ended(ago(e.AgeMs), e.Upstream, instances.Incarnation(e.Incarnation))...)
 	}
 	s.mu.Unlock()
-	s.logCrashes(own, "", "gateway")
+	s.logCrashes(crashesHere, "", "gateway")
 }
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -34,8 +34,8 @@
 	runs *poison.Runs
 	rng  *rand.Rand
 	// packed is the message that was made at packedAt.
-	packed   *syncpb.Suspects
-	packedAt time.Time
+	cached   *syncpb.Suspects
+	cachedAt time.Time
 }
 
 func newSuspects(v *view, gateways func() int, now func() time.Time, log *slog.Logger, m *meters, rng *rand.Rand) *suspects {
@@ -77,7 +77,7 @@
 
 // suspected reports whether an upstream has ended with the request on it: then it is not sent again
 // by itself.
-func (s *suspects) suspected(q *request) bool {
+func (s *suspects) isSuspected(q *request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.book.Empty() && s.book.Crashes(q.digest()) > 0
@@ -85,7 +85,7 @@
 
 // avoid returns the upstreams at which a suspect is not to run, as others do. Where that would be
 // half of the service's and more it runs beside others, as they would wait for each other.
-func (s *suspects) avoid(q *request) []string {
+func (s *suspects) upstreamsToAvoid(q *request) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() {
@@ -99,7 +99,7 @@
 }
 
 // began notes that a request is sent to an upstream, and reports whether it is suspected.
-func (s *suspects) began(q *request, g dispatch.Grant) bool {
+func (s *suspects) noteStarted(q *request, g dispatch.Grant) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() || s.book.Crashes(q.digest()) == 0 {
@@ -110,7 +110,7 @@
 }
 
 // ended notes how a try ended, which was suspected when it began or not.
-func (s *suspects) ended(q *request, g dispatch.Grant, suspected bool, o dispatch.Outcome) {
+func (s *suspects) noteEnded(q *request, g dispatch.Grant, suspected bool, o dispatch.Outcome) {
 	one := &g.Instance
 	s.mu.Lock()
 	var crashes []poison.Crash
@@ -133,7 +133,7 @@
 }
 
 // viewChanged compares the starts of upstreams at which runs broke off with the present ones.
-func (s *suspects) viewChanged(v *instances.View) {
+func (s *suspects) onViewChanged(v *instances.View) {
 	var crashes []poison.Crash
 	s.mu.Lock()
 	for _, end := range s.book.Unsettled() {
@@ -175,7 +175,7 @@
 }
 
 // gauges tells how many requests are suspected.
-func (s *suspects) gauges() {
+func (s *suspects) updateGauges() {
 	list := s.list()
 	refused := 0
 	for _, one := range list {
@@ -190,12 +190,12 @@
 // digestText and parseDigest are the form of digests for people.
 func digestText(d poison.Digest) string { return fmt.Sprintf("%016x", uint64(d)) }
 
-var errDigest = errors.New("not a digest of 16 hexadecimal digits")
+var errInvalidDigest = errors.New("not a digest of 16 hexadecimal digits")
 
 func parseDigest(text string) (poison.Digest, error) {
 	var d uint64
 	if n, err := fmt.Sscanf(text, "%16x", &d); err != nil || n != 1 || len(text) != 16 {
-		return 0, errDigest
+		return 0, errInvalidDigest
 	}
 	return poison.Digest(d), nil
 }
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -144,25 +144,25 @@
 		return &request{known: d, service: &routing.Service{Name: service}}
 	}
 	sent := func(u string) dispatch.Grant { return dispatch.Grant{Instance: instances.Instance{ID: u}} }
-	if s.began(ask(1, "read"), sent("u1")) {
+	if s.noteStarted(ask(1, "read"), sent("u1")) {
 		t.Error("a request is watched that nothing is known of")
 	}
 	for i, d := range []poison.Digest{1, 2, 2} {
 		s.book.Told([]poison.Crash{{Digest: d, Event: poison.Event(i), At: s.now()}})
 	}
-	first := s.began(ask(1, "read"), sent("u1"))
-	if got := s.avoid(ask(2, "read")); !slices.Equal(got, []string{"u1"}) {
+	first := s.noteStarted(ask(1, "read"), sent("u1"))
+	if got := s.upstreamsToAvoid(ask(2, "read")); !slices.Equal(got, []string{"u1"}) {
 		t.Errorf("another suspect avoids %v", got)
 	}
 	for what, q := range map[string]*request{
 		"itself": ask(1, "read"), "one that is not suspected": ask(3, "read"), "one for two upstreams": ask(2, "pair"),
 	} {
-		if got := s.avoid(q); len(got) > 0 {
+		if got := s.upstreamsToAvoid(q); len(got) > 0 {
 			t.Errorf("%s avoids %v", what, got)
 		}
 	}
-	s.ended(ask(1, "read"), sent("u1"), first, dispatch.Broken)
-	if got := s.avoid(ask(2, "read")); len(got) > 0 {
+	s.noteEnded(ask(1, "read"), sent("u1"), first, dispatch.Broken)
+	if got := s.upstreamsToAvoid(ask(2, "read")); len(got) > 0 {
 		t.Errorf("%v avoided after the run has ended", got)
 	}
 }
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -86,10 +86,10 @@
 	listed := make(chan struct{})
 	var once sync.Once
 	list := func(objects []platform.Object, at uint64) {
-		w.evac.listed(objects, at)
+		w.evac.applyList(objects, at)
 		once.Do(func() { close(listed) })
 	}
-	all.Go(func() { w.follow(ctx, platform.EvacuationsKind, 0, evacuationsBatchDelay, list, w.evac.changed) })
+	all.Go(func() { w.follow(ctx, platform.EvacuationsKind, 0, evacuationsBatchDelay, list, w.evac.applyChanges) })
 	all.Go(func() {
 		// No upstream is known before it is known which failure domains are evacuated.
 		select {
