--- a/gateway/arrivals_test.go
+++ b/gateway/arrivals_test.go
@@ -114,7 +114,7 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				told := 0
-				status, _, err := quietCaller().callViaRelay(t.Context(), c.relay, platform.Call{Wait: c.wait}, func() { told++ })
+				status, _, err := newTestCaller().callViaRelay(t.Context(), c.relay, platform.Call{Wait: c.wait}, func() { told++ })
 				if err != c.want || (err == nil) != (status == http.StatusOK) {
 					t.Errorf("status %d, %v, want %v", status, err, c.want)
 				}
--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -19,7 +19,7 @@
 // This file tests evacuations of failure domains.
 
 // twoDomains returns a bed with upstreams in the failure domains a and b and three gateways.
-func twoDomains(t *testing.T) *bed {
+func twoDomainBed(t *testing.T) *bed {
 	t.Helper()
 	b := newBed(t)
 	for _, domain := range []string{"a", "b"} {
@@ -41,7 +41,7 @@
 
 // knowEvacuated reports whether all gateways that run know that the domain is evacuated, or
 // that it is not.
-func (b *bed) knowEvacuated(domain string, evacuated bool) bool {
+func (b *bed) allKnowEvacuated(domain string, evacuated bool) bool {
 	for _, g := range b.gateways {
 		if g.running() && g.view.evacuated(domain) != evacuated {
 			return false
@@ -86,7 +86,7 @@
 
 // seesEvacuated reports whether operators are told that the domain is evacuated, owns no key
 // any more and is known to be so by all gateways.
-func (b *bed) seesEvacuated(domain string) bool {
+func (b *bed) operatorSeesEvacuated(domain string) bool {
 	state, err := b.operator().Evacuations(context.Background(), &placementpb.EvacuationsRequest{})
 	if err != nil || len(state.Domains) != 1 || len(state.Gateways) != len(b.gateways) {
 		return false
@@ -103,14 +103,14 @@
 // TestEvacuatedDomainGetsNothing: all gateways hear of it, keys that are owned there are
 // handed over, and they return when the evacuation has ended. What the entry holds does not
 // matter.
-func TestEvacuatedDomainGetsNothing(t *testing.T) {
+func TestEvacuatedDomainReceivesNoRequests(t *testing.T) {
 	t.Parallel()
-	b := twoDomains(t)
+	b := twoDomainBed(t)
 	if b.keysIn(b.gateways[1], "a") == 0 {
 		t.Fatal("no key is owned in the domain")
 	}
 	b.store.Put(platform.EvacuationsKind, "a", "no object")
-	b.eventually("known everywhere", func() bool { return b.knowEvacuated("a", true) })
+	b.eventually("known everywhere", func() bool { return b.allKnowEvacuated("a", true) })
 	b.eventually("its keys elsewhere", func() bool {
 		return b.keysIn(b.gateways[1], "a") == 0 && b.gateways[1].allOwned()
 	})
@@ -120,19 +120,19 @@
 		}
 	}
 	b.mustServeOutside("a")
-	b.eventually("operators see it", func() bool { return b.seesEvacuated("a") })
+	b.eventually("operators see it", func() bool { return b.operatorSeesEvacuated("a") })
 	b.store.Remove(platform.EvacuationsKind, "a")
-	b.eventually("ended everywhere", func() bool { return b.knowEvacuated("a", false) })
+	b.eventually("ended everywhere", func() bool { return b.allKnowEvacuated("a", false) })
 	b.eventually("keys there again", func() bool { return b.keysIn(b.gateways[1], "a") > 0 })
 }
 
 // TestEvacuationOutlivesItsLeader: the next leader and a gateway that starts while the store
 // is away know of it, and the next leader gives the keys away.
-func TestEvacuationOutlivesItsLeader(t *testing.T) {
+func TestEvacuationSurvivesLeaderLoss(t *testing.T) {
 	t.Parallel()
-	b := twoDomains(t)
+	b := twoDomainBed(t)
 	b.evacuate("a")
-	b.eventually("known everywhere", func() bool { return b.knowEvacuated("a", true) })
+	b.eventually("known everywhere", func() bool { return b.allKnowEvacuated("a", true) })
 	b.leader().kill()
 	b.eventually("another leader", func() bool { return b.leader() != nil })
 	b.eventually("its keys elsewhere", func() bool {
@@ -162,11 +162,11 @@
 // once as not run.
 func TestAllDomainsEvacuated(t *testing.T) {
 	t.Parallel()
-	b := twoDomains(t)
+	b := twoDomainBed(t)
 	b.evacuate("a")
 	b.evacuate("b")
 	b.evacuate("of another deployment")
-	b.eventually("known everywhere", func() bool { return b.knowEvacuated("a", true) && b.knowEvacuated("b", true) })
+	b.eventually("known everywhere", func() bool { return b.allKnowEvacuated("a", true) && b.allKnowEvacuated("b", true) })
 	g := b.gateways[2]
 	b.eventually("owners get nothing", func() bool {
 		return b.ask(g, http.MethodGet, "/status/x", 7).status == http.StatusServiceUnavailable
@@ -183,7 +183,7 @@
 // TestEvacuationsAfterCompaction: one that ended and one that began while the watch heard
 // nothing are known from the next list.
 func TestEvacuationsAfterCompaction(t *testing.T) {
-	w := newWatched(t)
+	w := newWatcherFixture(t)
 	w.store.Put(platform.EvacuationsKind, "a", struct{}{})
 	one := w.watcher()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -213,7 +213,7 @@
 
 // TestEvacuationsThatCannotBe: what another gateway tells and cannot be is dropped and
 // counted, and a late word of an ended evacuation changes nothing.
-func TestEvacuationsThatCannotBe(t *testing.T) {
+func TestInvalidEvacuationsAreDropped(t *testing.T) {
 	m := newMeters()
 	e := newEvacuations(newView(), time.Now, slog.New(slog.DiscardHandler), m)
 	e.applyFromPeer([]*syncpb.Evacuation{{Domain: "a", Revision: 5, Ended: true}, {Domain: "b", Revision: 9}, {Revision: 3}, {Domain: "c"}})
--- a/gateway/publish_test.go
+++ b/gateway/publish_test.go
@@ -14,7 +14,7 @@
 
 // TestManyEndsOfMovesAreFewVersions: moves that end one after the other within some
 // milliseconds are told together, the first at once and the last soon.
-func TestManyEndsOfMovesAreFewVersions(t *testing.T) {
+func TestMoveCompletionsAreBatched(t *testing.T) {
 	now := time.Now()
 	clock := func() time.Time { return now }
 	v, versions := newView(), 0
@@ -46,7 +46,7 @@
 
 // TestVersionsOfOwnersForManyGateways: each version is an answer to each of 300 gateways; ten
 // a second are told where one gateway would be told fifty.
-func TestVersionsOfOwnersForManyGateways(t *testing.T) {
+func TestOwnerVersionRateWithManyGateways(t *testing.T) {
 	now := time.Now()
 	clock := func() time.Time { return now }
 	v, versions := newView(), 0
@@ -68,7 +68,7 @@
 }
 
 // TestDifferencesAreMadeOnce for all gateways that have the same version.
-func TestDifferencesAreMadeOnce(t *testing.T) {
+func TestDifferencesAreBuiltOnce(t *testing.T) {
 	var d differences[*syncpb.Spans]
 	made := 0
 	build := func() *syncpb.Spans {
--- a/gateway/relayed_test.go
+++ b/gateway/relayed_test.go
@@ -53,7 +53,7 @@
 
 // TestRelaysInTurn: a read, whose answer may be large, is asked for at another gateway
 // only when the first is silent, a write at both at once.
-func TestRelaysInTurn(t *testing.T) {
+func TestReadsUseRelaysInTurn(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		method string
@@ -72,13 +72,13 @@
 				defer mu.Unlock()
 				asked = append(asked, time.Since(began))
 			}}
-			s := quietCaller()
+			s := newTestCaller()
 			s.relayPeers = func(most int) []syncpb.Peer { return []syncpb.Peer{one, one}[:most] }
 			s.noteDirectFailure()
-			ways := s.paths(platform.Call{Method: c.method, Wait: c.wait})
+			paths := s.paths(platform.Call{Method: c.method, Wait: c.wait})
 			// The way from here is the last.
-			ways.remaining[len(ways.remaining)-1] = func(context.Context) int { return 0 }
-			if _, _, err := ways.run(t.Context()); err == nil {
+			paths.remaining[len(paths.remaining)-1] = func(context.Context) int { return 0 }
+			if _, _, err := paths.run(t.Context()); err == nil {
 				t.Error("answered")
 			}
 			if len(asked) != maxRelays || [maxRelays]time.Duration(asked) != c.want {
@@ -90,19 +90,19 @@
 
 // TestNoTimeForRelaysThatAreNone: with one other gateway the way from here comes right
 // after it.
-func TestNoTimeForRelaysThatAreNone(t *testing.T) {
+func TestNoDelayForMissingRelays(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := quietCaller()
+		s := newTestCaller()
 		s.relayPeers = func(int) []syncpb.Peer { return []syncpb.Peer{silentRelay{asked: func() {}}} }
 		s.noteDirectFailure()
-		ways := s.paths(platform.Call{Method: http.MethodGet})
+		paths := s.paths(platform.Call{Method: http.MethodGet})
 		began := time.Now()
-		ways.remaining[len(ways.remaining)-1] = func(context.Context) int {
-			ways.results <- callResult{direct: true, status: http.StatusOK}
+		paths.remaining[len(paths.remaining)-1] = func(context.Context) int {
+			paths.results <- callResult{direct: true, status: http.StatusOK}
 			return 1
 		}
-		if status, _, err := ways.run(t.Context()); status != http.StatusOK || err != nil {
+		if status, _, err := paths.run(t.Context()); status != http.StatusOK || err != nil {
 			t.Errorf("%d, %v", status, err)
 		}
 		if took := time.Since(began); took != fallbackDelay {
@@ -113,14 +113,14 @@
 
 // heardRelay is a gateway that the store serves: what waits hears nothing there either, unless it
 // lets it.
-type heardRelay struct {
+type servedRelay struct {
 	syncpb.Peer
 	waits bool
 	asked func(waits bool)
 }
 
 // Relay implements syncpb.Peer.
-func (h heardRelay) Relay(ctx context.Context, r *syncpb.RelayRequest) (*syncpb.RelayResponse, error) {
+func (h servedRelay) Relay(ctx context.Context, r *syncpb.RelayRequest) (*syncpb.RelayResponse, error) {
 	h.asked(r.WaitMs > 0)
 	if r.WaitMs > 0 && !h.waits {
 		<-ctx.Done()
@@ -144,7 +144,7 @@
 // TestSilentWatchIsSoughtBeside: when nothing is heard of a call that waits for a quarter of a
 // second after its wait, ever more gateways are asked at once for what there is now, within half a
 // second a hundred; the one that the store serves is waited on next, and nobody else is asked then.
-func TestSilentWatchIsSoughtBeside(t *testing.T) {
+func TestSilentWatchStartsSearch(t *testing.T) {
 	t.Parallel()
 	for _, others := range []int{1, 11, 100} {
 		synctest.Test(t, func(t *testing.T) {
@@ -162,8 +162,8 @@
 			for i := range peers {
 				peers[i] = silentRelay{asked: func() { count(false) }}
 			}
-			peers[others-1] = heardRelay{asked: count, waits: true}
-			s := quietCaller()
+			peers[others-1] = servedRelay{asked: count, waits: true}
+			s := newTestCaller()
 			s.conns = silentStore{}
 			s.relayPeers = func(most int) []syncpb.Peer { return peers[:min(most, others)] }
 			watch := platform.Call{Method: http.MethodGet, Target: "/v1/objects/config?watch=1&wait_ms=1200", Wait: watchWait}
@@ -189,7 +189,7 @@
 }
 
 // TestNobodyIsServed: where all gateways were asked in vain, few are for a while.
-func TestNobodyIsServed(t *testing.T) {
+func TestSearchCooldownAfterFailedSearch(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		var asked atomic.Int64
@@ -197,7 +197,7 @@
 		for i := range peers {
 			peers[i] = silentRelay{asked: func() { asked.Add(1) }}
 		}
-		s := quietCaller()
+		s := newTestCaller()
 		s.conns = silentStore{}
 		s.relayPeers = func(most int) []syncpb.Peer { return peers[:min(most, len(peers))] }
 		watch := platform.Call{Method: http.MethodGet, Target: "/v1/objects/config?watch=1&wait_ms=1200", Wait: watchWait}
@@ -217,7 +217,7 @@
 
 // TestWhoDoesNotLeadAsksFew: after a start of all at once hundreds of gateways hear from no leader
 // and watch the store themselves; slow as they are then, they do not ask each other widely.
-func TestWhoDoesNotLeadAsksFew(t *testing.T) {
+func TestFollowerDoesNotSearchWidely(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		var asked atomic.Int64
@@ -225,7 +225,7 @@
 		for i := range peers {
 			peers[i] = silentRelay{asked: func() { asked.Add(1) }}
 		}
-		s := quietCaller()
+		s := newTestCaller()
 		s.conns, s.isLeader = silentStore{}, func() bool { return false }
 		s.relayPeers = func(most int) []syncpb.Peer { return peers[:min(most, len(peers))] }
 		watch := platform.Call{Method: http.MethodGet, Target: watchTarget, Wait: watchWait}
--- a/gateway/resign_test.go
+++ b/gateway/resign_test.go
@@ -14,21 +14,21 @@
 func TestStoppingLeaderRenewsInItsStopOnly(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
-	record := newCallRecord()
-	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, record.at(h) }
+	record := newCallCounter()
+	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, record.counting(h) }
 	b.upstream("i-s0", "status")
 	g := b.gateway("g0")
 	b.ready()
 	const renewals = leaseKind + ".replace"
-	before := record.of(renewals)
-	b.eventually("it renews", func() bool { return record.of(renewals) > before })
+	before := record.count(renewals)
+	b.eventually("it renews", func() bool { return record.count(renewals) > before })
 	g.leading.resigned.Store(true)
 	// One that has begun ends.
 	g.leading.writing.Lock()
-	before = record.of(renewals)
+	before = record.count(renewals)
 	g.leading.writing.Unlock()
 	time.Sleep(3 * leadership.Renewal)
-	if n := record.of(renewals) - before; n > 0 {
+	if n := record.count(renewals) - before; n > 0 {
 		t.Errorf("the loop renewed the lease %d times in a stop", n)
 	}
 }
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -14,7 +14,7 @@
 
 // TestStoreTurnsTheLeaderAway: calls go by way of other gateways, and the
 // leader stays.
-func TestStoreTurnsTheLeaderAway(t *testing.T) {
+func TestLeaderStaysWhenStoreRejectsIt(t *testing.T) {
 	t.Parallel()
 	for name, mode := range map[string]metastore.Mode{"busy": metastore.Busy, "many": metastore.Many, "reset": metastore.Reset, "silent": metastore.Silent} {
 		t.Run(name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 
 // TestStoreAway: the leader goes on by promises through an outage that is longer
 // than its lease and than any grant, and owners serve on.
-func TestStoreAway(t *testing.T) {
+func TestStoreOutageLongerThanLease(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.store.SetAll(metastore.Silent)
@@ -57,7 +57,7 @@
 // TestLeaderLostWhileStoreAway: keys are served on by the longer grants, and the
 // next leader counts with these: the oracle sees no two owners when an owner falls
 // silent as well.
-func TestLeaderLostWhileStoreAway(t *testing.T) {
+func TestLeaderLostDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.store.SetAll(metastore.Busy)
@@ -74,7 +74,7 @@
 
 // TestCompactionWhileWatchesAreDeaf: a change that no watch showed is in force
 // all the same.
-func TestCompactionWhileWatchesAreDeaf(t *testing.T) {
+func TestCompactedChangeMissedByWatches(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.store.SetDeaf(true)
@@ -87,7 +87,7 @@
 }
 
 // TestBadConfiguration: the last good version stays in force.
-func TestBadConfiguration(t *testing.T) {
+func TestInvalidConfigurationIsIgnored(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.store.Put(platform.ConfigKind, platform.ConfigName, rawJSON(`{"version":"x"}`))
@@ -100,7 +100,7 @@
 }
 
 // TestConfigurationNeverGoesBack, whoever says so.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.configure(9)
--- a/gateway/storecall_test.go
+++ b/gateway/storecall_test.go
@@ -71,7 +71,7 @@
 
 // TestSilentStoreIsGivenUp: a store that falls silent within an answer is waited for no
 // longer than one that says nothing, and idle connections to it are not used again.
-func TestSilentStoreIsGivenUp(t *testing.T) {
+func TestSilentStoreTimesOut(t *testing.T) {
 	t.Parallel()
 	reached := make(chan struct{}, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -114,9 +114,9 @@
 }
 
 // TestUntilSilent: what bounds a call is the silence, and in the end the whole.
-func TestUntilSilent(t *testing.T) {
+func TestSilenceTimeout(t *testing.T) {
 	t.Parallel()
-	const pieceEvery = storeTimeout * 9 / 10
+	const pieceInterval = storeTimeout * 9 / 10
 	cases := []struct {
 		name   string
 		pieces int
@@ -126,8 +126,8 @@
 	}{
 		{"silent from the begin", 0, 0, context.DeadlineExceeded, storeTimeout},
 		{"waits for changes", 0, watchWait, context.DeadlineExceeded, storeTimeout + watchWait},
-		{"falls silent", 3, 0, context.DeadlineExceeded, 3*pieceEvery + storeTimeout},
-		{"falls silent after it waited", 3, watchWait, context.DeadlineExceeded, 3*pieceEvery + storeTimeout},
+		{"falls silent", 3, 0, context.DeadlineExceeded, 3*pieceInterval + storeTimeout},
+		{"falls silent after it waited", 3, watchWait, context.DeadlineExceeded, 3*pieceInterval + storeTimeout},
 		{"heard while it waits", 1, watchWait, context.DeadlineExceeded, watchWait + storeTimeout},
 		{"never ends", 1000, 0, errCallTooLong, maxCallDuration},
 	}
@@ -139,7 +139,7 @@
 				defer end()
 				began := time.Now()
 				for i := 0; i < c.pieces && ctx.Err() == nil; i++ {
-					time.Sleep(pieceEvery)
+					time.Sleep(pieceInterval)
 					heard()
 				}
 				<-ctx.Done()
@@ -147,7 +147,7 @@
 					t.Errorf("cause %v", cause)
 				}
 				// The last sleep of an answer that never ends may pass the bound.
-				if took := time.Since(began); took < c.after || took > c.after+pieceEvery {
+				if took := time.Since(began); took < c.after || took > c.after+pieceInterval {
 					t.Errorf("took %v, not %v", took, c.after)
 				}
 			})
@@ -156,15 +156,15 @@
 }
 
 // quietCaller is a caller of a store that is never asked.
-func quietCaller() *storeCaller {
+func newTestCaller() *storeCaller {
 	return &storeCaller{isLeader: func() bool { return true }, now: time.Now, log: slog.New(slog.DiscardHandler), meters: newMeters(), onRecovery: func() {}}
 }
 
 // TestArrivingCallIsNotMadeBeside, however long its answer takes.
-func TestArrivingCallIsNotMadeBeside(t *testing.T) {
+func TestNoFallbackWhileAnswerArrives(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		w := quietCaller().paths(platform.Call{Method: http.MethodGet})
+		w := newTestCaller().paths(platform.Call{Method: http.MethodGet})
 		w.remaining = []func(context.Context) int{
 			func(context.Context) int {
 				go func() {
@@ -186,20 +186,20 @@
 
 // TestStalledCallIsMadeBeside: the answer stops after its first piece. While the store
 // may wait for changes that piece can be the head of an answer to come.
-func TestStalledCallIsMadeBeside(t *testing.T) {
+func TestFallbackWhenAnswerStalls(t *testing.T) {
 	t.Parallel()
 	for _, wait := range []time.Duration{0, watchWait} {
 		synctest.Test(t, func(t *testing.T) {
-			w := quietCaller().paths(platform.Call{Method: http.MethodGet, Wait: wait})
+			w := newTestCaller().paths(platform.Call{Method: http.MethodGet, Wait: wait})
 			began := time.Now()
-			var beside time.Duration
+			var fallbackAfter time.Duration
 			w.remaining = []func(context.Context) int{
 				func(context.Context) int {
 					w.noteProgress()
 					return 1
 				},
 				func(context.Context) int {
-					beside = time.Since(began)
+					fallbackAfter = time.Since(began)
 					w.results <- callResult{status: http.StatusOK}
 					return 1
 				},
@@ -207,8 +207,8 @@
 			if status, _, err := w.run(t.Context()); status != http.StatusOK || err != nil {
 				t.Errorf("%d, %v", status, err)
 			}
-			if beside != wait+fallbackDelay {
-				t.Errorf("a call that may wait %v made beside after %v", wait, beside)
+			if fallbackAfter != wait+fallbackDelay {
+				t.Errorf("a call that may wait %v made beside after %v", wait, fallbackAfter)
 			}
 		})
 	}
@@ -216,9 +216,9 @@
 
 // TestTooLongAnswerIsNotAskedForBeside: the store is reached, and said to be; the next
 // call goes to it directly.
-func TestTooLongAnswerIsNotAskedForBeside(t *testing.T) {
+func TestNoFallbackAfterTooLongAnswer(t *testing.T) {
 	t.Parallel()
-	s := quietCaller()
+	s := newTestCaller()
 	w := s.paths(platform.Call{Method: http.MethodGet})
 	w.remaining = []func(context.Context) int{
 		func(context.Context) int {
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -23,7 +23,7 @@
 
 // harmful lets upstreams end by marked requests, and be back after a time. It returns how many such
 // requests they began to run.
-func (b *bed) harmful(back time.Duration) *atomic.Int64 {
+func (b *bed) crashOnHarmful(back time.Duration) *atomic.Int64 {
 	var runs atomic.Int64
 	var arm func(u *upstream)
 	arm = func(u *upstream) {
@@ -41,7 +41,7 @@
 }
 
 // harm sends a request that ends the upstream which runs it, the same each time but for its id.
-func (b *bed) harm(g *testGateway, method, path string, key int) reply {
+func (b *bed) sendHarmful(g *testGateway, method, path string, key int) reply {
 	id := fmt.Sprintf("h%d", b.next.Add(1))
 	var body *strings.Reader
 	if body = strings.NewReader(""); method == http.MethodPost {
@@ -74,10 +74,10 @@
 		t.Run(strings.Trim(kind.path, "/"), func(t *testing.T) {
 			t.Parallel()
 			b := standard(t)
-			runs := b.harmful(700 * time.Millisecond)
+			runs := b.crashOnHarmful(700 * time.Millisecond)
 			stopped := func() bool {
 				for i, g := range b.gateways {
-					if a := b.harm(g, kind.method, kind.path, 7); a.status == kind.status && a.header.Get("Retry-After") != "" != (kind.method == http.MethodPost) && metricsOf(b.gateways[i])["suspects.stopped"] == "1" {
+					if a := b.sendHarmful(g, kind.method, kind.path, 7); a.status == kind.status && a.header.Get("Retry-After") != "" != (kind.method == http.MethodPost) && metricsOf(b.gateways[i])["suspects.stopped"] == "1" {
 						continue
 					}
 					return false
@@ -94,7 +94,7 @@
 			}
 			for range 5 {
 				for _, g := range b.gateways {
-					a := b.harm(g, kind.method, kind.path, 7)
+					a := b.sendHarmful(g, kind.method, kind.path, 7)
 					if again := a.header.Get("Retry-After"); kind.status == http.StatusServiceUnavailable && again != "60.000" {
 						t.Errorf("it may come back in %s s", again)
 					}
@@ -135,7 +135,7 @@
 
 // TestSuspectsDoNotMeet guards against ends of upstreams that do not tell which of two suspects was
 // their cause: while one runs others go elsewhere, unless hardly an upstream were left.
-func TestSuspectsDoNotMeet(t *testing.T) {
+func TestSuspectsRunOnSeparateUpstreams(t *testing.T) {
 	s := noSuspects()
 	s.view.setInstances(1, instances.NewView(1, []instances.Instance{
 		{ID: "u1", Service: "read"}, {ID: "u2", Service: "read"}, {ID: "u3", Service: "read"}, {ID: "w", Service: "pair"}, {ID: "x", Service: "pair"},
@@ -169,7 +169,7 @@
 
 // TestHarmfulWhileItWaits guards against a harmful request that is let through since nothing was
 // known of it when it came: it waited for an upstream while the word went round.
-func TestHarmfulWhileItWaits(t *testing.T) {
+func TestHarmfulRequestRefusedWhileQueued(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	f := b.gateways[0].front
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -18,15 +18,15 @@
 // This file tests what a watcher asks the store for and takes over.
 
 // callRecord counts calls to the store by kind and operation.
-type callRecord struct {
+type callCounter struct {
 	mu    sync.Mutex
 	calls map[string]int
 }
 
-func newCallRecord() *callRecord { return &callRecord{calls: make(map[string]int)} }
+func newCallCounter() *callCounter { return &callCounter{calls: make(map[string]int)} }
 
 // at counts what goes to a handler.
-func (r *callRecord) at(h http.Handler) http.Handler {
+func (r *callCounter) counting(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		kind, operation := platform.Call{Method: q.Method, Target: q.URL.RequestURI()}.Describe()
 		r.mu.Lock()
@@ -37,7 +37,7 @@
 }
 
 // of returns the number of calls of one kind and operation.
-func (r *callRecord) of(what string) int {
+func (r *callCounter) count(what string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls[what]
@@ -45,19 +45,19 @@
 
 // TestNextLeaderDoesNotListTheConfiguration: one that has the newest goes on from its
 // revision, and hears of the next change.
-func TestNextLeaderDoesNotListTheConfiguration(t *testing.T) {
+func TestNextLeaderResumesConfigurationWatch(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
-	record := newCallRecord()
-	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, record.at(h) }
+	record := newCallCounter()
+	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, record.counting(h) }
 	b.fill()
 	b.configure(9)
 	b.eventually("version 9 everywhere", func() bool { return b.inForce(9) })
-	lists, watches := record.of("config.list"), record.of("config.watch")
+	lists, watches := record.count("config.list"), record.count("config.watch")
 	b.leader().kill()
 	b.eventually("another leader", func() bool { return b.leader() != nil })
-	b.eventually("watches", func() bool { return record.of("config.watch") > watches+1 })
-	if n := record.of("config.list") - lists; n != 0 {
+	b.eventually("watches", func() bool { return record.count("config.watch") > watches+1 })
+	if n := record.count("config.list") - lists; n != 0 {
 		t.Errorf("listed %d times again", n)
 	}
 	b.configure(10)
@@ -82,32 +82,32 @@
 }
 
 // watched is a store and a view that is kept up to date from it.
-type watched struct {
-	store  *metastore.Store
-	record *callRecord
-	view   *view
-	lines  *lineRecord
+type watcherFixture struct {
+	store   *metastore.Store
+	counter *callCounter
+	view    *view
+	lines   *logCounter
 	// wrap, if set, stands before the store.
 	wrap func(platform.Transport) platform.Transport
 }
 
 // lineRecord counts log lines by message.
-type lineRecord struct {
+type logCounter struct {
 	slog.Handler
 	mu    sync.Mutex
 	lines map[string]int
 }
 
-func (r *lineRecord) Handle(_ context.Context, line slog.Record) error {
+func (r *logCounter) Handle(_ context.Context, line slog.Record) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lines[line.Message]++
 	return nil
 }
 
-func (r *lineRecord) Enabled(context.Context, slog.Level) bool { return true }
+func (r *logCounter) Enabled(context.Context, slog.Level) bool { return true }
 
-func (r *lineRecord) of(message string) int {
+func (r *logCounter) count(message string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lines[message]
@@ -115,11 +115,11 @@
 
 // newWatched returns a store with version 2 of the configuration and a view that
 // has it.
-func newWatched(t *testing.T) *watched {
+func newWatcherFixture(t *testing.T) *watcherFixture {
 	t.Helper()
-	w := &watched{
-		store: metastore.New(), record: newCallRecord(), view: newView(),
-		lines: &lineRecord{Handler: slog.DiscardHandler, lines: make(map[string]int)},
+	w := &watcherFixture{
+		store: metastore.New(), counter: newCallCounter(), view: newView(),
+		lines: &logCounter{Handler: slog.DiscardHandler, lines: make(map[string]int)},
 	}
 	revision := w.put(config(2))
 	spec := w.store.Spec(platform.ConfigKind, platform.ConfigName)
@@ -131,13 +131,13 @@
 	return w
 }
 
-func (w *watched) put(spec any) uint64 {
+func (w *watcherFixture) put(spec any) uint64 {
 	return w.store.Put(platform.ConfigKind, platform.ConfigName, spec)
 }
 
 // watcher returns a watcher of the store that has not begun.
-func (w *watched) watcher() *watcher {
-	var way platform.Transport = handlerTransport{w.record.at(w.store.Door("g"))}
+func (w *watcherFixture) watcher() *watcher {
+	var way platform.Transport = handlerTransport{w.counter.counting(w.store.Door("g"))}
 	if w.wrap != nil {
 		way = w.wrap(way)
 	}
@@ -150,7 +150,7 @@
 
 // run watches until the version is in force, and longer until the store has been
 // asked for changes again. The limit only ends a test that hangs.
-func (w *watched) run(t *testing.T, version uint64) {
+func (w *watcherFixture) run(t *testing.T, version uint64) {
 	t.Helper()
 	one := w.watcher()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -159,7 +159,7 @@
 	defer running.Wait()
 	defer cancel()
 	for limit := time.Now().Add(time.Minute); ; time.Sleep(5 * time.Millisecond) {
-		if w.view.table.Load().Version == version && w.record.of("config.watch") > 1 {
+		if w.view.table.Load().Version == version && w.counter.count("config.watch") > 1 {
 			return
 		}
 		if time.Now().After(limit) {
@@ -169,12 +169,12 @@
 }
 
 // TestWatcherGoesOnFromTheViewsRevision, and what it has missed comes by the watch.
-func TestWatcherGoesOnFromTheViewsRevision(t *testing.T) {
+func TestWatcherResumesFromViewRevision(t *testing.T) {
 	t.Parallel()
-	w := newWatched(t)
+	w := newWatcherFixture(t)
 	w.put(config(3))
 	w.run(t, 3)
-	if n := w.record.of("config.list"); n != 0 {
+	if n := w.counter.count("config.list"); n != 0 {
 		t.Errorf("listed %d times", n)
 	}
 }
@@ -182,19 +182,19 @@
 // TestWatcherListsAfterCompaction: the history after the view's revision is gone.
 func TestWatcherListsAfterCompaction(t *testing.T) {
 	t.Parallel()
-	w := newWatched(t)
+	w := newWatcherFixture(t)
 	w.put(config(3))
 	w.store.Compact()
 	w.run(t, 3)
-	if n := w.record.of("config.list"); n != 1 {
+	if n := w.counter.count("config.list"); n != 1 {
 		t.Errorf("listed %d times", n)
 	}
 }
 
 // TestWatcherDecodesTheNewestStep of several.
-func TestWatcherDecodesTheNewestStep(t *testing.T) {
+func TestWatcherDecodesOnlyNewestConfiguration(t *testing.T) {
 	t.Parallel()
-	w := newWatched(t)
+	w := newWatcherFixture(t)
 	known := w.view.configuration().revision
 	for version := range uint64(4) {
 		w.put(config(3 + version))
@@ -205,15 +205,15 @@
 		t.Fatalf("%d changes, %v", len(changes), err)
 	}
 	one.configurationEvents(changes, next)
-	if n, version := w.lines.of("configuration in force"), w.view.table.Load().Version; n != 1 || version != 6 {
+	if n, version := w.lines.count("configuration in force"), w.view.table.Load().Version; n != 1 || version != 6 {
 		t.Errorf("%d versions came in force, the last is %d", n, version)
 	}
 }
 
 // TestWatcherTakesTheLastGoodStep: what cannot be read and what is older stands aside.
-func TestWatcherTakesTheLastGoodStep(t *testing.T) {
+func TestWatcherAppliesNewestValidConfiguration(t *testing.T) {
 	t.Parallel()
-	w := newWatched(t)
+	w := newWatcherFixture(t)
 	w.put(config(7))
 	w.put(rawJSON(`{"version":"x"}`))
 	w.put(config(1))
@@ -222,13 +222,13 @@
 
 // endlessWatch carries calls, and fails the first watch of the configuration for the
 // size of its answer.
-type endlessWatch struct {
+type tooLargeWatch struct {
 	platform.Transport
 	once sync.Once
 }
 
 // Call implements platform.Transport.
-func (e *endlessWatch) Call(ctx context.Context, c platform.Call) (status int, body []byte, err error) {
+func (e *tooLargeWatch) Call(ctx context.Context, c platform.Call) (status int, body []byte, err error) {
 	if kind, operation := c.Describe(); kind == platform.ConfigKind && operation == "watch" {
 		e.once.Do(func() { err = errCallTooLong })
 	}
@@ -240,13 +240,13 @@
 
 // TestWatcherListsWhatIsTooMuchForAWatch: all steps since the view's revision do not
 // arrive in time, the newest alone does.
-func TestWatcherListsWhatIsTooMuchForAWatch(t *testing.T) {
+func TestWatcherListsAfterTooLargeWatch(t *testing.T) {
 	t.Parallel()
-	w := newWatched(t)
+	w := newWatcherFixture(t)
 	w.put(config(3))
-	w.wrap = func(inner platform.Transport) platform.Transport { return &endlessWatch{Transport: inner} }
+	w.wrap = func(inner platform.Transport) platform.Transport { return &tooLargeWatch{Transport: inner} }
 	w.run(t, 3)
-	if n := w.record.of("config.list"); n != 1 {
+	if n := w.counter.count("config.list"); n != 1 {
 		t.Errorf("listed %d times", n)
 	}
 }
--- a/gateway/watchseries_test.go
+++ b/gateway/watchseries_test.go
@@ -18,27 +18,27 @@
 )
 
 // wayState is how the store treats the calls of one gateway.
-type wayState int
+type pathState int
 
 const (
-	wayServed wayState = iota
-	waySilent
-	wayBusy
-	wayReset
+	pathServed pathState = iota
+	pathSilent
+	pathBusy
+	pathReset
 )
 
 // patchyStore is a store that serves some gateways only, others from time to time. A call that waits
 // hears nothing once its gateway is not served any more.
-type patchyStore struct {
+type partialStore struct {
 	mu      sync.Mutex
-	ways    []wayState
+	paths   []pathState
 	changed chan struct{}
 	// revision is the newest, latency how long an answer takes.
 	revision int
 	latency  time.Duration
 }
 
-func (s *patchyStore) update(change func()) {
+func (s *partialStore) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -49,21 +49,21 @@
 var errReset = errors.New("connection reset")
 
 // call answers a call of one gateway that knows a revision.
-func (s *patchyStore) call(ctx context.Context, gateway, known int, wait time.Duration) (int, int, error) {
+func (s *partialStore) call(ctx context.Context, gateway, known int, wait time.Duration) (int, int, error) {
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
 	ended := wait == 0
 	for {
 		s.mu.Lock()
-		way, revision, changed, latency := s.ways[gateway], s.revision, s.changed, s.latency
+		path, revision, changed, latency := s.paths[gateway], s.revision, s.changed, s.latency
 		s.mu.Unlock()
 		switch {
-		case way == waySilent:
+		case path == pathSilent:
 			<-ctx.Done()
 			return 0, 0, context.Cause(ctx)
-		case way == wayReset:
+		case path == pathReset:
 			return 0, 0, errReset
-		case way == wayBusy:
+		case path == pathBusy:
 			return http.StatusServiceUnavailable, 0, nil
 		case revision > known || ended:
 			select {
@@ -84,14 +84,14 @@
 }
 
 // patchyWay is the way of the leader, which is gateway 0, to the store.
-type patchyWay struct {
-	store *patchyStore
+type partialStoreConn struct {
+	store *partialStore
 	known *atomic.Int64
 }
 
 // Do implements exchanger.
-func (p patchyWay) Do(ctx context.Context, _ string, r *pool.Request) (*pool.Response, error) {
-	status, revision, err := p.store.call(ctx, 0, int(p.known.Load()), waitOf(r.Target))
+func (p partialStoreConn) Do(ctx context.Context, _ string, r *pool.Request) (*pool.Response, error) {
+	status, revision, err := p.store.call(ctx, 0, int(p.known.Load()), watchWaitOf(r.Target))
 	if err != nil {
 		return nil, err
 	}
@@ -99,10 +99,10 @@
 }
 
 // Forget implements exchanger.
-func (patchyWay) Forget() {}
+func (partialStoreConn) Forget() {}
 
 // waitOf is how long a call may wait.
-func waitOf(target string) time.Duration {
+func watchWaitOf(target string) time.Duration {
 	if target == watchTarget {
 		return watchWait
 	}
@@ -112,16 +112,16 @@
 const watchTarget = "/v1/objects/config?wait_ms=1200&watch=1"
 
 // patchyRelay is another gateway.
-type patchyRelay struct {
+type partialStoreRelay struct {
 	syncpb.Peer
-	store   *patchyStore
+	store   *partialStore
 	gateway int
 	known   *atomic.Int64
 }
 
 // Relay implements syncpb.Peer.
-func (p patchyRelay) Relay(ctx context.Context, r *syncpb.RelayRequest) (*syncpb.RelayResponse, error) {
-	status, revision, err := p.store.call(ctx, p.gateway, int(p.known.Load()), waitOf(r.Target))
+func (p partialStoreRelay) Relay(ctx context.Context, r *syncpb.RelayRequest) (*syncpb.RelayResponse, error) {
+	status, revision, err := p.store.call(ctx, p.gateway, int(p.known.Load()), watchWaitOf(r.Target))
 	if err != nil {
 		return nil, err
 	}
@@ -130,17 +130,17 @@
 
 // TestChangesArriveByAnyWay: whichever gateways the store serves, one at least, and however it treats
 // the others, a change is known to the leader within the time that leaves a part for telling all.
-func TestChangesArriveByAnyWay(t *testing.T) {
+func TestChangesArriveByAnyPath(t *testing.T) {
 	t.Parallel()
 	// tellingAll is kept for the way from the leader to all others.
-	const tellingAll = 100 * time.Millisecond
+	const distributionTime = 100 * time.Millisecond
 	for _, c := range []struct {
 		gateways, series int
 		within           time.Duration
 	}{{3, 100, 2 * time.Second}, {12, 100, 2 * time.Second}, {74, 50, 2500 * time.Millisecond}} {
 		for seed := range uint64(c.series) {
 			synctest.Test(t, func(t *testing.T) {
-				if took := slowestChange(t.Context(), c.gateways, seed); took > c.within-tellingAll {
+				if took := slowestChange(t.Context(), c.gateways, seed); took > c.within-distributionTime {
 					t.Errorf("%d gateways, seed %d: a change known after %s", c.gateways, seed, took)
 				}
 			})
@@ -151,35 +151,35 @@
 // slowestChange plays a minute of changes and returns how long the slowest took.
 func slowestChange(ctx context.Context, gateways int, seed uint64) time.Duration {
 	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
-	store := &patchyStore{ways: make([]wayState, gateways), changed: make(chan struct{}), latency: 5 * time.Millisecond}
+	store := &partialStore{paths: make([]pathState, gateways), changed: make(chan struct{}), latency: 5 * time.Millisecond}
 	var known atomic.Int64
-	s := quietCaller()
-	s.conns = patchyWay{store: store, known: &known}
+	s := newTestCaller()
+	s.conns = partialStoreConn{store: store, known: &known}
 	peers := make([]syncpb.Peer, 0, gateways)
 	for i := range gateways - 1 {
-		peers = append(peers, patchyRelay{store: store, gateway: i + 1, known: &known})
+		peers = append(peers, partialStoreRelay{store: store, gateway: i + 1, known: &known})
 	}
 	order := rand.New(rand.NewPCG(seed, 0))
 	s.relayPeers = func(most int) []syncpb.Peer {
 		order.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 		return append([]syncpb.Peer{}, peers[:min(most, len(peers))]...)
 	}
-	redraw(rng, store)
+	drawPaths(rng, store)
 	const changes = 20
 	slowest, pending := time.Duration(0), time.Time{}
-	nextChange, nextWays := time.Now().Add(time.Second), time.Now().Add(3*time.Second)
+	nextChange, nextPaths := time.Now().Add(time.Second), time.Now().Add(3*time.Second)
 	ctx, cancel := context.WithCancel(ctx)
 	var mu sync.Mutex
-	var playing sync.WaitGroup
-	defer playing.Wait()
+	var simulation sync.WaitGroup
+	defer simulation.Wait()
 	defer cancel()
-	playing.Go(func() {
+	simulation.Go(func() {
 		for ctx.Err() == nil {
 			time.Sleep(10 * time.Millisecond)
 			now := time.Now()
-			if now.After(nextWays) {
-				redraw(rng, store)
-				nextWays = now.Add(3*time.Second + time.Duration(rng.Int64N(int64(3*time.Second))))
+			if now.After(nextPaths) {
+				drawPaths(rng, store)
+				nextPaths = now.Add(3*time.Second + time.Duration(rng.Int64N(int64(3*time.Second))))
 			}
 			mu.Lock()
 			if now.After(nextChange) && pending.IsZero() {
@@ -210,16 +210,16 @@
 }
 
 // redraw draws which gateways the store serves: one at least.
-func redraw(rng *rand.Rand, store *patchyStore) {
-	bad := []wayState{waySilent, wayBusy, wayReset}[rng.IntN(3)]
+func drawPaths(rng *rand.Rand, store *partialStore) {
+	bad := []pathState{pathSilent, pathBusy, pathReset}[rng.IntN(3)]
 	share := []float64{0, 0.1, 0.5, 1}[rng.IntN(4)]
 	store.update(func() {
-		for i := range store.ways {
-			store.ways[i] = bad
+		for i := range store.paths {
+			store.paths[i] = bad
 			if rng.Float64() < share {
-				store.ways[i] = wayServed
+				store.paths[i] = pathServed
 			}
 		}
-		store.ways[rng.IntN(len(store.ways))] = wayServed
+		store.paths[rng.IntN(len(store.paths))] = pathServed
 	})
 }
