--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -185,10 +185,10 @@
 func TestEvacuationsAfterCompaction(t *testing.T) {
 	w := newWatcherFixture(t)
 	w.store.Put(platform.EvacuationsKind, "a", struct{}{})
-	one := w.watcher()
+	watcher := w.watcher()
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { one.run(ctx) })
+	running.Go(func() { watcher.run(ctx) })
 	defer running.Wait()
 	defer cancel()
 	known := func(domain string, evacuated bool) {
--- a/gateway/evacuationstate.go
+++ b/gateway/evacuationstate.go
@@ -45,15 +45,15 @@
 	if upstreams == nil {
 		return out
 	}
-	for _, one := range upstreams.All() {
-		if one.Domain == m.Domain {
+	for _, inst := range upstreams.All() {
+		if inst.Domain == m.Domain {
 			out.Upstreams++
 		}
 	}
 	for _, table := range *p.steward.view.owners.Load() {
 		out.Keys += uint32(countKeys(table, func(owner string) bool {
-			one := upstreams.Get(owner)
-			return one != nil && one.Domain == m.Domain
+			inst := upstreams.Get(owner)
+			return inst != nil && inst.Domain == m.Domain
 		}))
 	}
 	return out
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -15,7 +15,7 @@
 	m.gauge(leaderLeading, boolGauge(g.cluster.isLeading()))
 	m.gauge(leaderMayAct, boolGauge(g.leading.mayAct()))
 	m.gauge(clusterSize, int64(g.cluster.gateways()))
-	m.gauge(storeAway, boolGauge(g.calls.away()))
+	m.gauge(storeAway, boolGauge(g.calls.unavailable()))
 	g.viewGauges()
 	g.serviceGauges()
 	g.gaps.gauges()
--- a/gateway/relayed_test.go
+++ b/gateway/relayed_test.go
@@ -67,13 +67,13 @@
 			var mu sync.Mutex
 			var asked []time.Duration
 			began := time.Now()
-			one := silentRelay{asked: func() {
+			relay := silentRelay{asked: func() {
 				mu.Lock()
 				defer mu.Unlock()
 				asked = append(asked, time.Since(began))
 			}}
 			s := newTestCaller()
-			s.relayPeers = func(most int) []syncpb.Peer { return []syncpb.Peer{one, one}[:most] }
+			s.relayPeers = func(most int) []syncpb.Peer { return []syncpb.Peer{relay, relay}[:most] }
 			s.noteDirectFailure()
 			paths := s.paths(platform.Call{Method: c.method, Wait: c.wait})
 			// The way from here is the last.
--- a/gateway/storecall.go
+++ b/gateway/storecall.go
@@ -39,7 +39,7 @@
 	maxRelays = 2
 	// awayAfter is how long every call must have failed for the store to
 	// count as away.
-	awayThreshold = 900 * time.Millisecond
+	outageThreshold = 900 * time.Millisecond
 )
 
 // exchanger sends one request to an address and returns the whole answer.
@@ -109,12 +109,12 @@
 // directly makes the call from here, and calls arrived whenever bytes of the answer
 // have arrived.
 func (s *storeCaller) callDirectWithProgress(ctx context.Context, c platform.Call, onProgress func()) (int, []byte, error) {
-	ctx, heard, end := withSilenceTimeout(ctx, storeTimeout, c.Wait)
+	ctx, noteArrival, end := withSilenceTimeout(ctx, storeTimeout, c.Wait)
 	defer end()
 	resp, err := s.conns.Do(ctx, s.address, &pool.Request{
 		Method: c.Method, Target: c.Target, Host: s.address, Body: c.Body,
 		Header:  http.Header{"Content-Type": {"application/json"}},
-		Arrived: func(int) { heard(); onProgress() },
+		Arrived: func(int) { noteArrival(); onProgress() },
 	})
 	kind, operation := c.Describe()
 	if err != nil {
@@ -130,26 +130,26 @@
 // ends with the cause context.DeadlineExceeded when nothing has been heard for first, or
 // for storeTimeout since heard was last called; neither counts while the store may wait.
 // It ends with errTooLong after longestCall.
-func withSilenceTimeout(ctx context.Context, first, wait time.Duration) (_ context.Context, heard, end func()) {
+func withSilenceTimeout(ctx context.Context, first, wait time.Duration) (_ context.Context, noteArrival, end func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	silenceTimer := time.AfterFunc(first+wait, func() { cancel(context.DeadlineExceeded) })
 	totalTimer := time.AfterFunc(maxCallDuration+wait, func() { cancel(errCallTooLong) })
 	waitEnd := time.Now().Add(wait)
-	heard = func() { silenceTimer.Reset(storeTimeout + max(time.Until(waitEnd), 0)) }
+	noteArrival = func() { silenceTimer.Reset(storeTimeout + max(time.Until(waitEnd), 0)) }
 	end = func() {
 		silenceTimer.Stop()
 		totalTimer.Stop()
 		cancel(nil)
 	}
-	return ctx, heard, end
+	return ctx, noteArrival, end
 }
 
 // relay makes the call by way of another gateway, and calls arrived whenever bytes of
 // the answer have arrived.
 func (s *storeCaller) callViaRelay(ctx context.Context, peer syncpb.Peer, c platform.Call, onProgress func()) (int, []byte, error) {
-	ctx, heard, end := withSilenceTimeout(ctx, relayTimeout, c.Wait)
+	ctx, noteArrival, end := withSilenceTimeout(ctx, relayTimeout, c.Wait)
 	defer end()
-	ctx = withArrived(ctx, func() { heard(); onProgress() })
+	ctx = withArrived(ctx, func() { noteArrival(); onProgress() })
 	s.meters.inc(storeRelayed)
 	resp, err := peer.Relay(ctx, &syncpb.RelayRequest{
 		Method: c.Method, Target: c.Target, Body: c.Body, WaitMs: uint32(c.Wait.Milliseconds()),
@@ -181,7 +181,7 @@
 		s.directFailing = false
 	}
 	now := s.now()
-	recovered := s.awayAt(now)
+	recovered := s.unavailableAt(now)
 	s.lastSuccess = now
 	s.failingSince = time.Time{}
 	s.mu.Unlock()
@@ -200,15 +200,15 @@
 	}
 }
 
-func (s *storeCaller) awayAt(now time.Time) bool {
-	return !s.failingSince.IsZero() && now.Sub(s.failingSince) > awayThreshold
+func (s *storeCaller) unavailableAt(now time.Time) bool {
+	return !s.failingSince.IsZero() && now.Sub(s.failingSince) > outageThreshold
 }
 
 // away reports whether no call has succeeded for a while.
-func (s *storeCaller) away() bool {
+func (s *storeCaller) unavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.awayAt(s.now())
+	return s.unavailableAt(s.now())
 }
 
 // relayed checks a call that another gateway asks for: only calls on objects
--- a/gateway/storecall_test.go
+++ b/gateway/storecall_test.go
@@ -135,12 +135,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				ctx, heard, end := withSilenceTimeout(t.Context(), storeTimeout, c.wait)
+				ctx, noteArrival, end := withSilenceTimeout(t.Context(), storeTimeout, c.wait)
 				defer end()
 				began := time.Now()
 				for i := 0; i < c.pieces && ctx.Err() == nil; i++ {
 					time.Sleep(pieceInterval)
-					heard()
+					noteArrival()
 				}
 				<-ctx.Done()
 				if cause := context.Cause(ctx); cause != c.cause {
--- a/gateway/suspectnews.go
+++ b/gateway/suspectnews.go
@@ -60,7 +60,7 @@
 	}
 	now := s.now()
 	ago := func(ms uint32) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
-	var crashesHere []poison.Crash
+	var ownCrashes []poison.Crash
 	s.mu.Lock()
 	for _, c := range m.Clearings {
 		s.book.Clear(poison.Clearing{Digest: poison.Digest(c.Digest), At: ago(c.AgeMs)})
@@ -71,8 +71,8 @@
 	}
 	s.book.Told(crashes)
 	for _, e := range m.Ends {
-		crashesHere = append(crashesHere, s.book.Ended(ago(e.AgeMs), e.Upstream, instances.Incarnation(e.Incarnation))...)
+		ownCrashes = append(ownCrashes, s.book.Ended(ago(e.AgeMs), e.Upstream, instances.Incarnation(e.Incarnation))...)
 	}
 	s.mu.Unlock()
-	s.logCrashes(crashesHere, "", "gateway")
+	s.logCrashes(ownCrashes, "", "gateway")
 }
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -111,25 +111,25 @@
 
 // ended notes how a try ended, which was suspected when it began or not.
 func (s *suspects) noteEnded(q *request, g dispatch.Grant, suspected bool, o dispatch.Outcome) {
-	one := &g.Instance
+	inst := &g.Instance
 	s.mu.Lock()
 	var crashes []poison.Crash
 	if suspected {
-		s.runs.End(one.ID, q.digest())
+		s.runs.End(inst.ID, q.digest())
 	}
 	switch o {
 	case dispatch.Broken:
-		crashes = s.book.Broke(s.now(), q.digest(), one.ID, one.Incarnation())
+		crashes = s.book.Broke(s.now(), q.digest(), inst.ID, inst.Incarnation())
 	case dispatch.Refused:
-		crashes = s.book.Ended(s.now(), one.ID, one.Incarnation())
+		crashes = s.book.Ended(s.now(), inst.ID, inst.Incarnation())
 	case dispatch.Answered, dispatch.Failed, dispatch.Full:
-		s.book.Answered(one.ID, one.Incarnation(), g.Began)
+		s.book.Answered(inst.ID, inst.Incarnation(), g.Began)
 		if o == dispatch.Answered && !s.book.Empty() && s.book.Crashes(q.digest()) > 0 {
 			s.book.Clear(poison.Clearing{Digest: q.digest(), At: s.now()})
 		}
 	}
 	s.mu.Unlock()
-	s.logCrashes(crashes, one.ID, "try")
+	s.logCrashes(crashes, inst.ID, "try")
 }
 
 // viewChanged compares the starts of upstreams at which runs broke off with the present ones.
@@ -137,7 +137,7 @@
 	var crashes []poison.Crash
 	s.mu.Lock()
 	for _, end := range s.book.Unsettled() {
-		if one := v.Get(end.Upstream); one == nil || one.Incarnation().Other(end.Incarnation) {
+		if inst := v.Get(end.Upstream); inst == nil || inst.Incarnation().Other(end.Incarnation) {
 			crashes = append(crashes, s.book.Ended(s.now(), end.Upstream, end.Incarnation)...)
 		}
 	}
@@ -178,8 +178,8 @@
 func (s *suspects) updateGauges() {
 	list := s.list()
 	refused := 0
-	for _, one := range list {
-		if one.Refused {
+	for _, suspect := range list {
+		if suspect.Refused {
 			refused++
 		}
 	}
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -216,13 +216,13 @@
 	b := standard(t)
 	const crashes = 3
 	d := poison.DigestOf("/read/same", "127.0.0.1", nil)
-	one := b.gateways[0].suspects
-	one.mu.Lock()
+	first := b.gateways[0].suspects
+	first.mu.Lock()
 	for i := range crashes {
-		one.book.Broke(one.now(), d, "i-p0", instances.Incarnation(i+1))
-		one.book.Ended(one.now(), "i-p0", instances.Incarnation(i+1))
+		first.book.Broke(first.now(), d, "i-p0", instances.Incarnation(i+1))
+		first.book.Ended(first.now(), "i-p0", instances.Incarnation(i+1))
 	}
-	one.mu.Unlock()
+	first.mu.Unlock()
 	// Not asked for before all know: answered well meanwhile, it would be cleared.
 	b.eventually("all know it", func() bool {
 		for _, g := range b.gateways {
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -81,15 +81,17 @@
 	var all sync.WaitGroup
 	all.Go(func() {
 		known := w.view.configuration().revision
-		w.follow(ctx, platform.ConfigKind, known, configurationBatchDelay, w.listConfiguration, w.configurationEvents)
+		w.follow(ctx, platform.ConfigKind, known, configurationBatchDelay, w.configurationListed, w.configurationChanged)
 	})
 	listed := make(chan struct{})
 	var once sync.Once
-	list := func(objects []platform.Object, at uint64) {
+	onEvacuationList := func(objects []platform.Object, at uint64) {
 		w.evac.applyList(objects, at)
 		once.Do(func() { close(listed) })
 	}
-	all.Go(func() { w.follow(ctx, platform.EvacuationsKind, 0, evacuationsBatchDelay, list, w.evac.applyChanges) })
+	all.Go(func() {
+		w.follow(ctx, platform.EvacuationsKind, 0, evacuationsBatchDelay, onEvacuationList, w.evac.applyChanges)
+	})
 	all.Go(func() {
 		// No upstream is known before it is known which failure domains are evacuated.
 		select {
@@ -97,7 +99,7 @@
 		case <-ctx.Done():
 			return
 		}
-		w.follow(ctx, platform.InstancesKind, 0, instancesBatchDelay, w.listInstances, w.instanceEvents)
+		w.follow(ctx, platform.InstancesKind, 0, instancesBatchDelay, w.instancesListed, w.instancesChanged)
 	})
 	all.Go(func() { w.settle(ctx) })
 	all.Wait()
@@ -106,11 +108,11 @@
 // follow watches a kind from a revision of which the view has everything. It lists the
 // kind first if there is none, which is zero, and again when the history is gone or too
 // much of it would have to be told.
-func (w *watcher) follow(ctx context.Context, kind string, revision uint64, batchDelay time.Duration, list func([]platform.Object, uint64), events func([]platform.Object, uint64)) {
+func (w *watcher) follow(ctx context.Context, kind string, revision uint64, batchDelay time.Duration, onList func([]platform.Object, uint64), onChanges func([]platform.Object, uint64)) {
 	w.ages.begin(kind)
 	defer w.ages.end(kind)
 	backoff := initialBackoff
-	known, heard := revision > 0, false
+	known, answered := revision > 0, false
 	for ctx.Err() == nil {
 		var err error
 		if !known {
@@ -118,7 +120,7 @@
 			if objects, revision, err = w.store.List(ctx, kind); err == nil {
 				known = true
 				w.ages.noteAnswer(kind)
-				list(objects, revision)
+				onList(objects, revision)
 			}
 		} else {
 			var changes []platform.Object
@@ -132,18 +134,18 @@
 			}
 			if len(changes) > 0 {
 				revision = nextRevision(revision, changes, next)
-				events(changes, revision)
+				onChanges(changes, revision)
 				pause(ctx, batchDelay)
 			}
 		}
 		switch {
 		case err == nil:
 			backoff = initialBackoff
-			heard = true
+			answered = true
 		case errors.Is(err, platform.ErrCompacted):
 			w.log.Info("store history compacted, listing again", "kind", kind, "revision", revision)
 			known = false
-			if heard {
+			if answered {
 				// Else the revision that this watch began with was old, and tells nothing of
 				// a compaction while the others watched.
 				w.cancelWatches()
@@ -215,7 +217,7 @@
 	}
 }
 
-func (w *watcher) listConfiguration(objects []platform.Object, _ uint64) {
+func (w *watcher) configurationListed(objects []platform.Object, _ uint64) {
 	for _, o := range objects {
 		w.applyConfiguration(o)
 	}
@@ -223,7 +225,7 @@
 
 // configurationEvents takes the newest configuration of several that can be taken; those
 // before it are not decoded.
-func (w *watcher) configurationEvents(changes []platform.Object, _ uint64) {
+func (w *watcher) configurationChanged(changes []platform.Object, _ uint64) {
 	known := w.view.configuration().revision
 	for _, o := range slices.Backward(changes) {
 		if o.Removed || o.Name != platform.ConfigName {
@@ -256,13 +258,13 @@
 	return true
 }
 
-func (w *watcher) listInstances(objects []platform.Object, _ uint64) {
+func (w *watcher) instancesListed(objects []platform.Object, _ uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	list := make([]instances.Instance, 0, len(objects))
 	for _, o := range objects {
-		if one, ok := w.decode(o); ok {
-			list = append(list, one)
+		if inst, ok := w.decode(o); ok {
+			list = append(list, inst)
 		}
 	}
 	w.tracker.List(w.now(), list)
@@ -270,7 +272,7 @@
 	w.publish()
 }
 
-func (w *watcher) instanceEvents(changes []platform.Object, revision uint64) {
+func (w *watcher) instancesChanged(changes []platform.Object, revision uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, o := range changes {
@@ -279,13 +281,13 @@
 			w.tracker.Remove(w.now(), o.Name)
 			continue
 		}
-		one, ok := w.decode(o)
+		inst, ok := w.decode(o)
 		if !ok {
 			w.tracker.Remove(w.now(), o.Name)
 			continue
 		}
-		w.log.Info("upstream entry", "upstream", one.ID, "service", one.Service, "address", one.Address, "leaving", one.Leaving, "born_ms", one.BornMs)
-		w.tracker.Put(one)
+		w.log.Info("upstream entry", "upstream", inst.ID, "service", inst.Service, "address", inst.Address, "leaving", inst.Leaving, "born_ms", inst.BornMs)
+		w.tracker.Put(inst)
 	}
 	w.tracker.Advance(revision)
 	w.tracker.Settle(w.now())
@@ -299,10 +301,10 @@
 	v, version := w.tracker.View()
 	announced := w.announcedLeaving()
 	var leaving []instances.Instance
-	for _, one := range v.All() {
-		if !one.Leaving && (announced[one.ID] || w.isDraining(one.ID)) {
-			one.Leaving = true
-			leaving = append(leaving, one)
+	for _, inst := range v.All() {
+		if !inst.Leaving && (announced[inst.ID] || w.isDraining(inst.ID)) {
+			inst.Leaving = true
+			leaving = append(leaving, inst)
 		}
 	}
 	if len(leaving) > 0 {
@@ -320,9 +322,9 @@
 		return false
 	}
 	announced := w.announcedLeaving()
-	for _, one := range v.All() {
-		if now := announced[one.ID] || w.isDraining(one.ID); now != w.leavingShown[one.ID] {
-			w.leavingShown[one.ID] = now
+	for _, inst := range v.All() {
+		if now := announced[inst.ID] || w.isDraining(inst.ID); now != w.leavingShown[inst.ID] {
+			w.leavingShown[inst.ID] = now
 			changed = true
 		}
 	}
@@ -332,12 +334,12 @@
 // decode reads one entry. One that is not sound names no upstream: it counts as gone
 // until it is sound, and is counted and logged once.
 func (w *watcher) decode(o platform.Object) (instances.Instance, bool) {
-	one, err := platform.DecodeInstance(o)
-	if err == nil && !instances.Believable(one.BornMs, w.now()) {
+	inst, err := platform.DecodeInstance(o)
+	if err == nil && !instances.Believable(inst.BornMs, w.now()) {
 		err = errBornAhead
 	}
 	if err == nil {
-		return one, true
+		return inst, true
 	}
 	if w.badEntries[o.Name] != o.Revision {
 		w.badEntries[o.Name] = o.Revision
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -48,16 +48,16 @@
 func TestNextLeaderResumesConfigurationWatch(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
-	record := newCallCounter()
-	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, record.counting(h) }
+	counter := newCallCounter()
+	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, counter.counting(h) }
 	b.fill()
 	b.configure(9)
 	b.eventually("version 9 everywhere", func() bool { return b.inForce(9) })
-	lists, watches := record.count("config.list"), record.count("config.watch")
+	lists, watches := counter.count("config.list"), counter.count("config.watch")
 	b.leader().kill()
 	b.eventually("another leader", func() bool { return b.leader() != nil })
-	b.eventually("watches", func() bool { return record.count("config.watch") > watches+1 })
-	if n := record.count("config.list") - lists; n != 0 {
+	b.eventually("watches", func() bool { return counter.count("config.watch") > watches+1 })
+	if n := counter.count("config.list") - lists; n != 0 {
 		t.Errorf("listed %d times again", n)
 	}
 	b.configure(10)
@@ -137,25 +137,25 @@
 
 // watcher returns a watcher of the store that has not begun.
 func (w *watcherFixture) watcher() *watcher {
-	var way platform.Transport = handlerTransport{w.counter.counting(w.store.Door("g"))}
+	var transport platform.Transport = handlerTransport{w.counter.counting(w.store.Door("g"))}
 	if w.wrap != nil {
-		way = w.wrap(way)
+		transport = w.wrap(transport)
 	}
 	log, m := slog.New(w.lines), newMeters()
 	evac := newEvacuations(w.view, time.Now, log, m)
-	one := newWatcher(platform.NewStore(way), w.view, evac, time.Now, log, m, 1)
-	one.isDraining = func(string) bool { return false }
-	return one
+	watcher := newWatcher(platform.NewStore(transport), w.view, evac, time.Now, log, m, 1)
+	watcher.isDraining = func(string) bool { return false }
+	return watcher
 }
 
 // run watches until the version is in force, and longer until the store has been
 // asked for changes again. The limit only ends a test that hangs.
 func (w *watcherFixture) run(t *testing.T, version uint64) {
 	t.Helper()
-	one := w.watcher()
+	watcher := w.watcher()
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { one.run(ctx) })
+	running.Go(func() { watcher.run(ctx) })
 	defer running.Wait()
 	defer cancel()
 	for limit := time.Now().Add(time.Minute); ; time.Sleep(5 * time.Millisecond) {
@@ -199,12 +199,12 @@
 	for version := range uint64(4) {
 		w.put(config(3 + version))
 	}
-	one := w.watcher()
-	changes, next, err := one.store.Watch(t.Context(), platform.ConfigKind, known, 0)
+	watcher := w.watcher()
+	changes, next, err := watcher.store.Watch(t.Context(), platform.ConfigKind, known, 0)
 	if err != nil || len(changes) != 4 {
 		t.Fatalf("%d changes, %v", len(changes), err)
 	}
-	one.configurationEvents(changes, next)
+	watcher.configurationChanged(changes, next)
 	if n, version := w.lines.count("configuration in force"), w.view.table.Load().Version; n != 1 || version != 6 {
 		t.Errorf("%d versions came in force, the last is %d", n, version)
 	}
--- a/gateway/watchages.go
+++ b/gateway/watchages.go
@@ -24,15 +24,15 @@
 	now func() time.Time
 	log *slog.Logger
 
-	mu    sync.Mutex
-	heard map[string]time.Time
+	mu         sync.Mutex
+	lastAnswer map[string]time.Time
 	// watched is since when this gateway watches a kind; those that it does not are not listed.
 	watched map[string]time.Time
 	silent  map[string]bool
 }
 
 func newWatchAges(now func() time.Time, log *slog.Logger) *watchAges {
-	return &watchAges{now: now, log: log, heard: make(map[string]time.Time), watched: make(map[string]time.Time), silent: make(map[string]bool)}
+	return &watchAges{now: now, log: log, lastAnswer: make(map[string]time.Time), watched: make(map[string]time.Time), silent: make(map[string]bool)}
 }
 
 // begin and end note from when until when a kind is watched.
@@ -57,11 +57,13 @@
 		a.log.Info("watch hears again", "kind", kind, "heard_ms_ago", a.now().Sub(a.silentSince(kind)).Milliseconds())
 		delete(a.silent, kind)
 	}
-	a.heard[kind] = a.now()
+	a.lastAnswer[kind] = a.now()
 }
 
 // since returns from when on nothing was heard of a kind that is watched. The lock is held.
-func (a *watchAges) silentSince(kind string) time.Time { return later(a.heard[kind], a.watched[kind]) }
+func (a *watchAges) silentSince(kind string) time.Time {
+	return later(a.lastAnswer[kind], a.watched[kind])
+}
 
 // check logs the kinds whose watches have come to hear nothing.
 func (a *watchAges) check() {
@@ -81,7 +83,7 @@
 func (a *watchAges) lastHeard(kind string) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.heard[kind]
+	return a.lastAnswer[kind]
 }
 
 // last returns when the store last answered for any kind.
@@ -89,7 +91,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var last time.Time
-	for _, at := range a.heard {
+	for _, at := range a.lastAnswer {
 		last = later(last, at)
 	}
 	return last
@@ -99,8 +101,8 @@
 func (a *watchAges) agesByKind() map[string]time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := make(map[string]time.Duration, len(a.heard))
-	for kind, at := range a.heard {
+	out := make(map[string]time.Duration, len(a.lastAnswer))
+	for kind, at := range a.lastAnswer {
 		out[kind] = a.now().Sub(at)
 	}
 	return out
