--- a/gateway/relayed_test.go
+++ b/gateway/relayed_test.go
@@ -15,15 +15,15 @@
 	"github.com/rockcroft/rockcroft/transport/pool"
 )
 
-// This file tests calls to the store that go by way of other gateways.
+// This file tests calls to the store that other gateways relay.
 
-// relayRate is what a relay can send to others, in bytes a second: a large configuration
-// takes more than two seconds, longer than a watch may wait and a relay be silent, and
-// twice that when two send it at once over one link.
+// relayRate is the rate at which a relay can send to others, in bytes per second. A large
+// configuration takes more than two seconds, longer than a watch may wait or a relay be silent, and
+// twice that when two relays send it over one link at the same time.
 const relayRate = 200 << 10
 
-// TestLargeConfigurationByNarrowRelays: a leader that the store turns away takes a large
-// configuration by way of gateways with narrow links.
+// TestLargeConfigurationByNarrowRelays checks that a leader which the store rejects receives a
+// large configuration through gateways with narrow links.
 func TestLargeConfigurationByNarrowRelays(t *testing.T) {
 	t.Parallel()
 	b := narrowBed(t, 2, config(3))
@@ -33,12 +33,12 @@
 		g.peersLink.SetRate(relayRate)
 	}
 	b.store.Put(platform.ConfigKind, platform.ConfigName, largeConfig(4))
-	b.eventually("the large configuration at the leader", func() bool {
+	b.eventually("large configuration in force at the leader", func() bool {
 		return leader.view.table.Load().Version == 4
 	})
 }
 
-// silentRelay is a gateway that notes when it is asked and never answers.
+// silentRelay is a gateway that records when it is asked and never answers.
 type silentRelay struct {
 	syncpb.Peer
 	asked func()
@@ -51,8 +51,8 @@
 	return nil, context.Cause(ctx)
 }
 
-// TestRelaysInTurn: a read, whose answer may be large, is asked for at another gateway
-// only when the first is silent, a write at both at once.
+// TestReadsUseRelaysInTurn checks that a read, whose answer may be large, goes to the second relay
+// only when the first is silent, and a write to both at once.
 func TestReadsUseRelaysInTurn(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -76,19 +76,19 @@
 			s.relayPeers = func(most int) []syncpb.Peer { return []syncpb.Peer{relay, relay}[:most] }
 			s.noteDirectFailure()
 			paths := s.paths(platform.Call{Method: c.method, Wait: c.wait})
-			// The way from here is the last.
+			// The direct path is the last one.
 			paths.remaining[len(paths.remaining)-1] = func(context.Context) int { return 0 }
 			if _, _, err := paths.run(t.Context()); err == nil {
-				t.Error("answered")
+				t.Error("the call succeeded without an answer")
 			}
 			if len(asked) != maxRelays || [maxRelays]time.Duration(asked) != c.want {
-				t.Errorf("%s that may wait %v: asked after %v, not %v", c.method, c.wait, asked, c.want)
+				t.Errorf("%s with wait %v: relays asked after %v, want %v", c.method, c.wait, asked, c.want)
 			}
 		})
 	}
 }
 
-// TestNoTimeForRelaysThatAreNone: with one other gateway the way from here comes right
+// TestNoDelayForMissingRelays checks that with only one other gateway the direct path follows right
 // after it.
 func TestNoDelayForMissingRelays(t *testing.T) {
 	t.Parallel()
@@ -103,16 +103,16 @@
 			return 1
 		}
 		if status, _, err := paths.run(t.Context()); status != http.StatusOK || err != nil {
-			t.Errorf("%d, %v", status, err)
+			t.Errorf("status %d, error %v", status, err)
 		}
 		if took := time.Since(began); took != fallbackDelay {
-			t.Errorf("after %v", took)
+			t.Errorf("the direct path was tried after %v", took)
 		}
 	})
 }
 
-// heardRelay is a gateway that the store serves: what waits hears nothing there either, unless it
-// lets it.
+// servedRelay is a gateway that the store serves. A call that waits receives nothing through it
+// unless waits is set.
 type servedRelay struct {
 	syncpb.Peer
 	waits bool
@@ -132,18 +132,19 @@
 // silentStore never answers.
 type silentStore struct{}
 
-// Do implements exchanger.
+// Do implements requestSender.
 func (silentStore) Do(ctx context.Context, _ string, _ *pool.Request) (*pool.Response, error) {
 	<-ctx.Done()
 	return nil, context.Cause(ctx)
 }
 
-// Forget implements exchanger.
+// Forget implements requestSender.
 func (silentStore) Forget() {}
 
-// TestSilentWatchIsSoughtBeside: when nothing is heard of a call that waits for a quarter of a
-// second after its wait, ever more gateways are asked at once for what there is now, within half a
-// second a hundred; the one that the store serves is waited on next, and nobody else is asked then.
+// TestSilentWatchStartsSearch checks that when a watch stays silent for a quarter of a second after
+// its wait, a growing number of gateways is asked at once for the current state, a hundred within
+// half a second. The next watch goes through the gateway that the store serves, and no other
+// gateway is asked then.
 func TestSilentWatchStartsSearch(t *testing.T) {
 	t.Parallel()
 	for _, others := range []int{1, 11, 100} {
@@ -169,26 +170,27 @@
 			watch := platform.Call{Method: http.MethodGet, Target: "/v1/objects/config?watch=1&wait_ms=1200", Wait: watchWait}
 			began := time.Now()
 			if status, _, err := s.Call(t.Context(), watch); status != http.StatusOK || err != nil {
-				t.Fatalf("%d others: %d, %v", others, status, err)
+				t.Fatalf("%d others: status %d, error %v", others, status, err)
 			}
 			if took := time.Since(began); took < watchWait+watchSilenceLimit || took > watchWait+watchSilenceLimit+500*time.Millisecond {
-				t.Errorf("%d others: after %v", others, took)
+				t.Errorf("%d others: answered after %v", others, took)
 			}
 			synctest.Wait()
 			mu.Lock()
 			asked = 0
 			mu.Unlock()
 			if status, _, err := s.Call(t.Context(), watch); status != http.StatusOK || err != nil {
-				t.Fatalf("%d others, again: %d, %v", others, status, err)
+				t.Fatalf("%d others, second call: status %d, error %v", others, status, err)
 			}
 			if asked != 1 || waited != 1 {
-				t.Errorf("%d others, again: %d asked, %d of them to wait", others, asked, waited)
+				t.Errorf("%d others, second call: %d gateways asked, %d of them with a wait", others, asked, waited)
 			}
 		})
 	}
 }
 
-// TestNobodyIsServed: where all gateways were asked in vain, few are for a while.
+// TestSearchCooldownAfterFailedSearch checks that only the first round is made for a while after
+// all gateways were asked without success.
 func TestSearchCooldownAfterFailedSearch(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -205,18 +207,19 @@
 			synctest.Wait()
 			asked.Store(0)
 			if _, _, err := s.Call(t.Context(), watch); err == nil {
-				t.Error("answered")
+				t.Error("the call succeeded without an answer")
 			}
 			synctest.Wait()
 			if got := asked.Load(); got != want {
-				t.Errorf("call %d: %d asked, want %d", i, got, want)
+				t.Errorf("call %d: %d gateways asked, want %d", i, got, want)
 			}
 		}
 	})
 }
 
-// TestWhoDoesNotLeadAsksFew: after a start of all at once hundreds of gateways hear from no leader
-// and watch the store themselves; slow as they are then, they do not ask each other widely.
+// TestFollowerDoesNotSearchWidely guards against gateways that all ask each other: when all start
+// at once, hundreds of them hear from no leader and watch the store themselves, and are slow at
+// that time.
 func TestFollowerDoesNotSearchWidely(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -230,11 +233,11 @@
 		s.relayPeers = func(most int) []syncpb.Peer { return peers[:min(most, len(peers))] }
 		watch := platform.Call{Method: http.MethodGet, Target: watchTarget, Wait: watchWait}
 		if _, _, err := s.Call(t.Context(), watch); err == nil {
-			t.Error("answered")
+			t.Error("the call succeeded without an answer")
 		}
 		synctest.Wait()
 		if got := asked.Load(); got != firstRoundSize {
-			t.Errorf("%d asked", got)
+			t.Errorf("%d gateways asked", got)
 		}
 	})
 }
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -10,10 +10,10 @@
 	"github.com/rockcroft/rockcroft/standin/metastore"
 )
 
-// This file tests what gateways do when the store fails or what it holds is odd.
+// This file tests how gateways behave when the store fails or holds unexpected content.
 
-// TestStoreTurnsTheLeaderAway: calls go by way of other gateways, and the
-// leader stays.
+// TestLeaderStaysWhenStoreRejectsIt checks that a leader which the store does not serve makes its
+// calls through other gateways and stays the leader.
 func TestLeaderStaysWhenStoreRejectsIt(t *testing.T) {
 	t.Parallel()
 	for name, mode := range map[string]metastore.Mode{"busy": metastore.Busy, "many": metastore.Many, "reset": metastore.Reset, "silent": metastore.Silent} {
@@ -23,91 +23,93 @@
 			l := b.leader()
 			l.door.Set(mode)
 			b.configure(9)
-			b.eventually("new configuration everywhere", func() bool { return b.inForce(9) })
+			b.eventually("new configuration in force on all gateways", func() bool { return b.inForce(9) })
 			revision := l.cluster.knownLeader().Revision
-			b.eventually("two more renewals", func() bool { return l.cluster.knownLeader().Revision > revision+1 })
+			b.eventually("two more lease renewals", func() bool { return l.cluster.knownLeader().Revision > revision+1 })
 			if b.leader() != l {
-				t.Error("the leader has changed")
+				t.Error("another gateway became the leader")
 			}
 		})
 	}
 }
 
-// TestStoreAway: the leader goes on by promises through an outage that is longer
-// than its lease and than any grant, and owners serve on.
+// TestStoreOutageLongerThanLease checks that the leader continues by promises of the other gateways
+// during an outage longer than its lease and than any grant, and that owners continue to serve.
 func TestStoreOutageLongerThanLease(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.store.SetAll(metastore.Silent)
 	l := b.leader()
-	b.eventually("promises", l.leading.byPromises)
+	b.eventually("leader acts by promises", l.leading.byPromises)
 	stop := b.load(b.gateways, http.MethodGet, "/status/x", true)
 	time.Sleep(3 * holdTime)
 	if b.leader() != l {
-		t.Error("the leader does not go on")
+		t.Error("the leader stopped leading during the outage")
 	}
 	if sent, failed := stop(); failed > 0 || sent == 0 {
-		t.Errorf("%d of %d failed in the outage", failed, sent)
+		t.Errorf("%d of %d requests failed during the outage", failed, sent)
 	}
 	b.store.SetAll(metastore.Open)
-	b.eventually("a leader", func() bool { return b.leader() != nil })
+	b.eventually("a leader after the outage", func() bool { return b.leader() != nil })
 	b.ready()
 }
 
-// TestLeaderLostWhileStoreAway: keys are served on by the longer grants, and the
-// next leader counts with these: the oracle sees no two owners when an owner falls
-// silent as well.
+// TestLeaderLostDuringStoreOutage checks that keys are served during the longer grants after the
+// leader is lost, and that the next leader waits for these grants to expire: the oracle must not
+// see two owners of a key when an owner becomes silent as well.
 func TestLeaderLostDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.store.SetAll(metastore.Busy)
 	l := b.leader()
-	b.eventually("promises", l.leading.byPromises)
+	b.eventually("leader acts by promises", l.leading.byPromises)
 	time.Sleep(renewInterval)
 	l.kill()
 	b.ups["i-s0"].Set(instance.Silent)
 	b.store.SetAll(metastore.Open)
 	b.eventually("another leader", func() bool { return b.leader() != nil })
-	b.eventually("nothing owned by the lost one", func() bool { return b.ownedBy("i-s0") == 0 })
+	b.eventually("silent owner owns no keys", func() bool { return b.ownedBy("i-s0") == 0 })
 	b.ready()
 }
 
-// TestCompactionWhileWatchesAreDeaf: a change that no watch showed is in force
-// all the same.
+// TestCompactedChangeMissedByWatches checks that a change takes effect even if every watch missed
+// it and its history was compacted.
 func TestCompactedChangeMissedByWatches(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.store.SetDeaf(true)
 	b.configure(7)
-	// A watch that began before ends in the deaf time.
+	// Watches that were already in progress end while watches receive nothing.
 	time.Sleep(watchWait)
 	b.store.Compact()
 	b.store.SetDeaf(false)
-	b.eventually("the configuration in force", func() bool { return b.gateways[2].view.table.Load().Version == 7 })
+	b.eventually("missed configuration in force", func() bool { return b.gateways[2].view.table.Load().Version == 7 })
 }
 
-// TestBadConfiguration: the last good version stays in force.
+// TestInvalidConfigurationIsIgnored checks that the last valid configuration stays in force, and
+// that an invalid upstream entry does not hide later ones.
 func TestInvalidConfigurationIsIgnored(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.store.Put(platform.ConfigKind, platform.ConfigName, rawJSON(`{"version":"x"}`))
 	b.store.Put(platform.InstancesKind, "i-odd", rawJSON(`[1]`))
 	b.upstream("i-p7", "pay")
-	b.eventually("the upstream after the bad one", func() bool { return b.gateways[0].view.inst.Load().Get("i-p7") != nil })
+	b.eventually("upstream added after the invalid entry", func() bool { return b.gateways[0].view.inst.Load().Get("i-p7") != nil })
 	b.mustAsk(b.gateways[0], http.MethodGet, "/status/x", 5)
 	b.configure(8)
-	b.eventually("the next good version", func() bool { return b.gateways[1].view.table.Load().Version == 8 })
+	b.eventually("next valid configuration in force", func() bool { return b.gateways[1].view.table.Load().Version == 8 })
 }
 
-// TestConfigurationNeverGoesBack, whoever says so.
+// TestOlderConfigurationIsIgnored checks that a configuration with a lower version does not replace
+// a newer one, whatever its source.
 func TestOlderConfigurationIsIgnored(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.configure(9)
-	b.eventually("version 9 everywhere", func() bool { return b.inForce(9) })
+	b.eventually("version 9 in force on all gateways", func() bool { return b.inForce(9) })
 	b.configure(4)
 	b.upstream("i-p7", "pay")
-	b.eventually("a later change everywhere", func() bool {
+	b.eventually("a later change known to all gateways", func() bool {
 		for _, g := range b.gateways {
 			if g.view.inst.Load().Get("i-p7") == nil {
 				return false
@@ -117,7 +119,7 @@
 	})
 	for _, g := range b.gateways {
 		if v := g.view.table.Load().Version; v != 9 {
-			t.Errorf("%s: version %d", g.conf.Node, v)
+			t.Errorf("%s: configuration version %d in force, want 9", g.conf.Node, v)
 		}
 	}
 }
--- a/gateway/storecall.go
+++ b/gateway/storecall.go
@@ -16,47 +16,46 @@
 )
 
 const (
-	// storeTimeout bounds the silence of the store in a call that does not wait for
-	// changes, from its begin and from each piece of the answer: the store answers
-	// in milliseconds, and in some hundred when it is slow, but its answers may be
-	// large and the link narrow.
+	// storeTimeout bounds the silence of the store during a call that does not wait for changes,
+	// measured from the start of the call and again from each piece of the answer. It bounds the
+	// silence rather than the whole call because the store answers within milliseconds, or a few
+	// hundred when it is slow, but its answers may be large and the link narrow.
 	storeTimeout = 700 * time.Millisecond
-	// longestCall bounds such a call as a whole: six times what the smallest link,
-	// 10 Mbit/s, needs for the largest page of a list, 1 MB.
+	// maxCallDuration bounds such a call as a whole. It is six times what the narrowest link, 10
+	// Mbit/s, needs for the largest page of a list, 1 MB.
 	maxCallDuration = 5 * time.Second
-	// relayTimeout bounds the silence of another gateway by way of which a call goes,
-	// until the first bytes of its answer: it hands the store's answer on when it has
-	// the whole. From then on storeTimeout does.
+	// relayTimeout bounds the silence of another gateway that relays a call, until the first bytes
+	// of its answer: a relay passes the store's answer on only once it has received all of it.
+	// After the first bytes storeTimeout applies.
 	relayTimeout = 900 * time.Millisecond
-	// callPatience is how long one way is waited for, while nothing of the answer
-	// arrives, before another is tried beside it: longer than the store's answers
-	// take when it is slow.
+	// fallbackDelay is how long a call may go without receiving any part of the answer before the
+	// next path is tried in parallel. It is longer than the store takes to answer when it is slow.
 	fallbackDelay = 450 * time.Millisecond
-	// directPause is how long calls go by way of other gateways first after a
-	// direct one failed.
+	// directRetryDelay is how long calls prefer other gateways after a direct call failed.
 	directRetryDelay = 1500 * time.Millisecond
-	// mostRelays bounds the gateways that are asked for one call.
+	// maxRelays bounds the number of gateways asked to relay one call that does not wait for
+	// changes.
 	maxRelays = 2
-	// awayAfter is how long every call must have failed for the store to
-	// count as away.
+	// outageThreshold is how long every call must have failed before the store counts as
+	// unavailable.
 	outageThreshold = 900 * time.Millisecond
 )
 
-// exchanger sends one request to an address and returns the whole answer.
+// requestSender sends one request to an address and returns the complete answer.
 type requestSender interface {
 	Do(ctx context.Context, addr string, r *pool.Request) (*pool.Response, error)
 	// Forget closes the idle connections.
 	Forget()
 }
 
-// storeCaller carries calls to the platform's store: directly, or by way of
-// other gateways when the store does not serve this machine.
+// storeCaller sends calls to the platform's store: directly, or through other gateways when the
+// store does not serve this machine.
 type storeCaller struct {
 	conns   requestSender
 	address string
-	// leads reports whether this gateway leads, and the others go by what it hears.
+	// isLeader reports whether this gateway is the leader, whose view the other gateways follow.
 	isLeader func() bool
-	// relays returns gateways to ask, the best first.
+	// relayPeers returns up to most gateways that can relay a call, the best first.
 	relayPeers func(most int) []syncpb.Peer
 	now        func() time.Time
 	log        *slog.Logger
@@ -66,48 +65,47 @@
 	avoidDirectUntil time.Time
 	lastSuccess      time.Time
 	failingSince     time.Time
-	// directFailing says that the last direct call failed, good is the gateway by way of which
-	// one has succeeded last.
+	// directFailing is true if the last direct call failed; lastRelay is the gateway that relayed
+	// the last successful call.
 	directFailing bool
 	lastRelay     syncpb.Peer
-	// sought is when all gateways were last asked in vain, latency the mean time of a call that
-	// does not wait.
+	// searchFailedAt is when all gateways were last asked without success; meanLatency is the
+	// smoothed latency of calls that do not wait for changes.
 	searchFailedAt time.Time
 	meanLatency    time.Duration
-	// onReturn is called when the store is reached again after an outage.
+	// onRecovery is called when the store is reached again after an outage.
 	onRecovery func()
 }
 
 var (
-	errStoreUnreachable = errors.New("the store is reached neither directly nor by way of other gateways")
-	// errTooLong: the answer was still arriving when longestCall had passed.
-	errCallTooLong = errors.New("the store's answer takes too long")
+	errStoreUnreachable = errors.New("the store cannot be reached, neither directly nor through other gateways")
+	// errCallTooLong is returned when the answer was still arriving after maxCallDuration.
+	errCallTooLong = errors.New("the store's answer exceeded the time limit of the call")
 )
 
-// Call implements platform.Transport. The call is made directly, and by way of
-// other gateways as well when that fails or nothing arrives for long; the other way
-// round when it has failed directly a moment ago. A call whose answer is arriving is not
-// made another way beside: that would take the same link. Reads, whose answers may be
-// large, go by way of one other gateway after the other; writes by way of all at once,
-// as the lease must be renewed in time. All calls that write are
-// conditional, so that one that is made twice takes effect once.
+// Call implements platform.Transport. The call is made directly, and through other gateways as well
+// if the direct call fails or nothing arrives for fallbackDelay. If a direct call failed a moment
+// ago, the order is reversed. A call whose answer is arriving is not repeated on another path,
+// because both would share the same link. Reads, whose answers may be large, use one relay after
+// the other; writes use all relays at once, because the lease must be renewed in time. All writes
+// are conditional, so a write that is sent twice takes effect once.
 func (s *storeCaller) Call(ctx context.Context, c platform.Call) (int, []byte, error) {
 	return s.paths(c).run(ctx)
 }
 
-// served reports whether the store itself took the call. What it turns away is
-// tried another way.
+// servedByStore reports whether the store itself served the call. A call that the store rejects as
+// overloaded or unavailable is tried on another path.
 func servedByStore(status int, err error) bool {
 	return err == nil && status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests
 }
 
-// direct makes the call from here.
+// callDirect makes the call from this gateway.
 func (s *storeCaller) callDirect(ctx context.Context, c platform.Call) (int, []byte, error) {
 	return s.callDirectWithProgress(ctx, c, func() {})
 }
 
-// directly makes the call from here, and calls arrived whenever bytes of the answer
-// have arrived.
+// callDirectWithProgress makes the call from this gateway and calls onProgress whenever bytes of
+// the answer arrive.
 func (s *storeCaller) callDirectWithProgress(ctx context.Context, c platform.Call, onProgress func()) (int, []byte, error) {
 	ctx, noteArrival, end := withSilenceTimeout(ctx, storeTimeout, c.Wait)
 	defer end()
@@ -126,10 +124,11 @@
 	return resp.Status, resp.Body, nil
 }
 
-// untilSilent returns a context for a call to the store that may wait for changes. It
-// ends with the cause context.DeadlineExceeded when nothing has been heard for first, or
-// for storeTimeout since heard was last called; neither counts while the store may wait.
-// It ends with errTooLong after longestCall.
+// withSilenceTimeout returns a context for a call to the store that may wait for changes for the
+// duration wait. The context ends with the cause context.DeadlineExceeded when nothing has arrived
+// for the duration first, or for storeTimeout since noteArrival was last called; the time during
+// which the store may wait does not count. It ends with errCallTooLong after maxCallDuration plus
+// wait.
 func withSilenceTimeout(ctx context.Context, first, wait time.Duration) (_ context.Context, noteArrival, end func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	silenceTimer := time.AfterFunc(first+wait, func() { cancel(context.DeadlineExceeded) })
@@ -144,8 +143,8 @@
 	return ctx, noteArrival, end
 }
 
-// relay makes the call by way of another gateway, and calls arrived whenever bytes of
-// the answer have arrived.
+// callViaRelay makes the call through another gateway and calls onProgress whenever bytes of the
+// answer arrive.
 func (s *storeCaller) callViaRelay(ctx context.Context, peer syncpb.Peer, c platform.Call, onProgress func()) (int, []byte, error) {
 	ctx, noteArrival, end := withSilenceTimeout(ctx, relayTimeout, c.Wait)
 	defer end()
@@ -173,7 +172,7 @@
 	s.directFailing = true
 }
 
-// succeeded notes a call that the store has served.
+// noteSuccess records a call that the store has served.
 func (s *storeCaller) noteSuccess(direct bool) {
 	s.mu.Lock()
 	if direct {
@@ -204,15 +203,15 @@
 	return !s.failingSince.IsZero() && now.Sub(s.failingSince) > outageThreshold
 }
 
-// away reports whether no call has succeeded for a while.
+// unavailable reports whether every call has failed for longer than outageThreshold.
 func (s *storeCaller) unavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.unavailableAt(s.now())
 }
 
-// relayed checks a call that another gateway asks for: only calls on objects
-// are passed on.
+// relayedCall decodes a call that another gateway asks this one to relay. It reports false unless
+// the call is for objects; nothing else is relayed.
 func relayedCall(r *syncpb.RelayRequest) (platform.Call, bool) {
 	c := platform.Call{
 		Method: r.Method, Target: r.Target, Body: r.Body,
--- a/gateway/storecall_test.go
+++ b/gateway/storecall_test.go
@@ -18,21 +18,21 @@
 	"github.com/rockcroft/rockcroft/transport/pool"
 )
 
-// This file tests how long calls to the store may take.
+// This file tests the time limits of calls to the store.
 
-// storeRate is the rate of a narrow way to the store in bytes a second: a large
-// configuration takes several times storeTimeout.
+// storeRate is the rate of a narrow link to the store in bytes per second: a large configuration
+// takes several times storeTimeout.
 const storeRate = 150 << 10
 
-// TestLargeConfigurationFromStoreOverNarrowLink: a configuration of which the transfer
-// takes longer than the store may be silent is taken over, and not sent again and again.
+// TestLargeConfigurationFromStoreOverNarrowLink checks that a configuration whose transfer takes
+// longer than the store may be silent is accepted, and not transferred again and again.
 func TestLargeConfigurationFromStoreOverNarrowLink(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
 	b.store.Put(platform.ConfigKind, platform.ConfigName, largeConfig(5))
 	size := int64(len(b.store.Spec(platform.ConfigKind, platform.ConfigName)))
 	if size < 400<<10 {
-		t.Fatalf("the configuration has %d bytes only", size)
+		t.Fatalf("the configuration has only %d bytes", size)
 	}
 	var link *relay.Link
 	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
@@ -44,13 +44,13 @@
 		table := g.view.table.Load()
 		return table != nil && table.Version == 5
 	})
-	// Once is enough; a busy machine may be silent for long enough for one more.
+	// One transfer is enough; on a busy machine the silence can last long enough for one more.
 	if sent := link.Sent(); sent >= 3*size {
-		t.Errorf("%d bytes from the store for a configuration of %d", sent, size)
+		t.Errorf("the store sent %d bytes for a configuration of %d", sent, size)
 	}
 }
 
-// TestLargeChangeFromStoreOverNarrowLink: the same for a change that a watch shows.
+// TestLargeChangeFromStoreOverNarrowLink checks the same for a change that arrives by a watch.
 func TestLargeChangeFromStoreOverNarrowLink(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
@@ -64,13 +64,14 @@
 			return table != nil && table.Version == version
 		}
 	}
-	b.eventually("the first configuration", inForce(2))
+	b.eventually("the first configuration in force", inForce(2))
 	b.store.Put(platform.ConfigKind, platform.ConfigName, largeConfig(5))
 	b.eventually("the large configuration in force", inForce(5))
 }
 
-// TestSilentStoreIsGivenUp: a store that falls silent within an answer is waited for no
-// longer than one that says nothing, and idle connections to it are not used again.
+// TestSilentStoreTimesOut checks that a store which becomes silent in the middle of an answer is
+// waited for no longer than one that sends nothing, and that idle connections to it are not used
+// again.
 func TestSilentStoreTimesOut(t *testing.T) {
 	t.Parallel()
 	reached := make(chan struct{}, 1)
@@ -105,15 +106,16 @@
 		two()
 	}
 	if _, _, err := s.callDirect(context.Background(), platform.Call{Method: http.MethodGet, Target: "/silent"}); err == nil {
-		t.Fatal("answered")
+		t.Fatal("the silent call returned an answer")
 	}
 	<-reached
 	if conns.Stats().Distrusted == 0 {
-		t.Error("idle connections are trusted still")
+		t.Error("idle connections are still trusted")
 	}
 }
 
-// TestUntilSilent: what bounds a call is the silence, and in the end the whole.
+// TestSilenceTimeout checks that a call is bounded by the silence, and finally by its total
+// duration.
 func TestSilenceTimeout(t *testing.T) {
 	t.Parallel()
 	const pieceInterval = storeTimeout * 9 / 10
@@ -124,11 +126,11 @@
 		cause  error
 		after  time.Duration
 	}{
-		{"silent from the begin", 0, 0, context.DeadlineExceeded, storeTimeout},
+		{"silent from the start", 0, 0, context.DeadlineExceeded, storeTimeout},
 		{"waits for changes", 0, watchWait, context.DeadlineExceeded, storeTimeout + watchWait},
-		{"falls silent", 3, 0, context.DeadlineExceeded, 3*pieceInterval + storeTimeout},
-		{"falls silent after it waited", 3, watchWait, context.DeadlineExceeded, 3*pieceInterval + storeTimeout},
-		{"heard while it waits", 1, watchWait, context.DeadlineExceeded, watchWait + storeTimeout},
+		{"becomes silent", 3, 0, context.DeadlineExceeded, 3*pieceInterval + storeTimeout},
+		{"becomes silent after the wait", 3, watchWait, context.DeadlineExceeded, 3*pieceInterval + storeTimeout},
+		{"one piece during the wait", 1, watchWait, context.DeadlineExceeded, watchWait + storeTimeout},
 		{"never ends", 1000, 0, errCallTooLong, maxCallDuration},
 	}
 	for _, c := range cases {
@@ -144,23 +146,24 @@
 				}
 				<-ctx.Done()
 				if cause := context.Cause(ctx); cause != c.cause {
-					t.Errorf("cause %v", cause)
+					t.Errorf("unexpected cause %v", cause)
 				}
 				// The last sleep of an answer that never ends may pass the bound.
 				if took := time.Since(began); took < c.after || took > c.after+pieceInterval {
-					t.Errorf("took %v, not %v", took, c.after)
+					t.Errorf("took %v, want %v", took, c.after)
 				}
 			})
 		})
 	}
 }
 
-// quietCaller is a caller of a store that is never asked.
+// newTestCaller returns a storeCaller without a store connection or relays.
 func newTestCaller() *storeCaller {
 	return &storeCaller{isLeader: func() bool { return true }, now: time.Now, log: slog.New(slog.DiscardHandler), meters: newMeters(), onRecovery: func() {}}
 }
 
-// TestArrivingCallIsNotMadeBeside, however long its answer takes.
+// TestNoFallbackWhileAnswerArrives checks that a call whose answer is arriving is not repeated on
+// another path, however long the answer takes.
 func TestNoFallbackWhileAnswerArrives(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -176,16 +179,17 @@
 				}()
 				return 1
 			},
-			func(context.Context) int { t.Error("made beside"); return 0 },
+			func(context.Context) int { t.Error("the call was repeated on another path"); return 0 },
 		}
 		if status, body, err := w.run(t.Context()); status != http.StatusOK || string(body) != "all" || err != nil {
-			t.Errorf("%d, %q, %v", status, body, err)
+			t.Errorf("status %d, body %q, error %v", status, body, err)
 		}
 	})
 }
 
-// TestStalledCallIsMadeBeside: the answer stops after its first piece. While the store
-// may wait for changes that piece can be the head of an answer to come.
+// TestFallbackWhenAnswerStalls checks that a call is repeated on another path if its answer stops
+// after the first piece. While the store may wait for changes, that piece can be the start of an
+// answer still to come, so the fallback starts only after the wait.
 func TestFallbackWhenAnswerStalls(t *testing.T) {
 	t.Parallel()
 	for _, wait := range []time.Duration{0, watchWait} {
@@ -205,17 +209,17 @@
 				},
 			}
 			if status, _, err := w.run(t.Context()); status != http.StatusOK || err != nil {
-				t.Errorf("%d, %v", status, err)
+				t.Errorf("status %d, error %v", status, err)
 			}
 			if fallbackAfter != wait+fallbackDelay {
-				t.Errorf("a call that may wait %v made beside after %v", wait, fallbackAfter)
+				t.Errorf("a call that may wait %v was repeated after %v", wait, fallbackAfter)
 			}
 		})
 	}
 }
 
-// TestTooLongAnswerIsNotAskedForBeside: the store is reached, and said to be; the next
-// call goes to it directly.
+// TestNoFallbackAfterTooLongAnswer checks that an answer which takes too long is not requested on
+// another path. The store counts as reachable, and the next call is direct.
 func TestNoFallbackAfterTooLongAnswer(t *testing.T) {
 	t.Parallel()
 	s := newTestCaller()
@@ -225,12 +229,12 @@
 			w.results <- callResult{direct: true, err: fmt.Errorf("broken: %w", errCallTooLong)}
 			return 1
 		},
-		func(context.Context) int { t.Error("made beside"); return 0 },
+		func(context.Context) int { t.Error("the call was repeated on another path"); return 0 },
 	}
 	if _, _, err := w.run(t.Context()); !answerTooLarge(err) {
 		t.Error(err)
 	}
 	if s.avoidsDirect() || !s.failingSince.IsZero() {
-		t.Error("the store counts as not reached")
+		t.Error("the store counts as unreachable")
 	}
 }
--- a/gateway/storepaths.go
+++ b/gateway/storepaths.go
@@ -10,10 +10,10 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// callResult is how one way of making a call ended.
+// callResult is the result of a call on one path.
 type callResult struct {
 	direct bool
-	// peer is the gateway by way of which it was made.
+	// peer is the gateway that relayed the call.
 	peer    syncpb.Peer
 	started time.Time
 	waited  bool
@@ -22,25 +22,26 @@
 	err     error
 }
 
-// callWays are the ways of making one call to the store, and those under way.
+// callPaths makes one call to the store on several paths and tracks the attempts in progress.
 type callPaths struct {
 	store *storeCaller
 	call  platform.Call
-	// left begin the ways not tried yet and return how many calls they have begun.
+	// remaining holds functions that start the paths not tried yet; each returns how many calls it
+	// has started.
 	remaining []func(context.Context) int
-	// running counts the calls under way. Each gives one result.
+	// pending counts the calls in progress. Each delivers one result.
 	pending int
 	results chan callResult
-	// peers are the gateways left to ask one after the other, once chosen says so.
+	// peers are the gateways not asked yet. It is valid once peersChosen is set.
 	peers       []syncpb.Peer
 	peersChosen bool
-	// rounds counts those in which a call that waits was made without a wait.
+	// rounds counts the search rounds, in which a call that waits is repeated without a wait.
 	rounds int
-	// arriving tells that bytes of an answer have arrived.
+	// progress signals that bytes of an answer have arrived.
 	progress chan struct{}
 }
 
-// ways returns the ways of making a call, the one to be tried first in front.
+// paths returns the paths of a call, the first one to try in front.
 func (s *storeCaller) paths(c platform.Call) *callPaths {
 	w := &callPaths{store: s, call: c, results: make(chan callResult, 1+maxRelays), progress: make(chan struct{}, 1)}
 	if c.Wait > 0 {
@@ -59,10 +60,10 @@
 	return w
 }
 
-// direct begins the call from here.
+// startDirect starts the call from this gateway.
 func (w *callPaths) startDirect(ctx context.Context) int { return w.startDirectCall(ctx, w.call) }
 
-// directly begins a form of the call from here.
+// startDirectCall starts the given variant of the call from this gateway.
 func (w *callPaths) startDirectCall(ctx context.Context, c platform.Call) int {
 	started := time.Now()
 	go func() {
@@ -72,7 +73,7 @@
 	return 1
 }
 
-// give hands a result over, unless nobody wants it any more.
+// deliver passes a result to run, unless run has already returned.
 func (w *callPaths) deliver(ctx context.Context, r callResult) {
 	select {
 	case w.results <- r:
@@ -80,7 +81,7 @@
 	}
 }
 
-// noteArriving tells that the answer is on its way. One note waits at most.
+// noteProgress signals that part of an answer has arrived. At most one signal is buffered.
 func (w *callPaths) noteProgress() {
 	select {
 	case w.progress <- struct{}{}:
@@ -88,7 +89,7 @@
 	}
 }
 
-// relayedAtOnce begins the call by way of several other gateways.
+// startAllRelays starts the call through several gateways at once.
 func (w *callPaths) startAllRelays(ctx context.Context) int {
 	peers := w.store.relayPeers(maxRelays)
 	for _, peer := range peers {
@@ -97,7 +98,7 @@
 	return len(peers)
 }
 
-// relayedNext begins the call by way of the best gateway that was not asked yet.
+// startNextRelay starts the call through the best gateway that has not been asked yet.
 func (w *callPaths) startNextRelay(ctx context.Context) int {
 	if !w.peersChosen {
 		w.peers, w.peersChosen = w.store.relayPeers(maxRelays), true
@@ -110,7 +111,7 @@
 	return 1
 }
 
-// relayed begins a form of the call by way of one other gateway.
+// startRelay starts the given variant of the call through one other gateway.
 func (w *callPaths) startRelay(ctx context.Context, c platform.Call, peer syncpb.Peer) {
 	started := time.Now()
 	go func() {
@@ -119,7 +120,7 @@
 	}()
 }
 
-// next begins the next way that is open, if one is left.
+// startNext starts the next path on which a call can be made, if one remains.
 func (w *callPaths) startNext(ctx context.Context) {
 	for started := 0; started == 0 && len(w.remaining) > 0; w.remaining = w.remaining[1:] {
 		started = w.remaining[0](ctx)
@@ -127,7 +128,8 @@
 	}
 }
 
-// goesOn reports whether a call is under way, and begins the next way if none is.
+// ensurePending starts the next path if no call is in progress, and reports whether one is in
+// progress then.
 func (w *callPaths) ensurePending(ctx context.Context) bool {
 	if w.pending == 0 {
 		w.startNext(ctx)
@@ -151,7 +153,7 @@
 				w.noteSuccess(r)
 				return r.status, r.body, nil
 			case r.direct && answerTooLarge(r.err):
-				// The store is reached. Another way's answer would be as large.
+				// The store is reachable. The answer would be as large on another path.
 				return 0, nil, r.err
 			case r.direct && ctx.Err() == nil:
 				w.store.noteDirectFailure()
@@ -173,8 +175,9 @@
 	return 0, nil, errStoreUnreachable
 }
 
-// succeeded notes what a result that the store has served says of its way. A call that waits from
-// here and was passed by one from elsewhere has been silent.
+// noteSuccess records what a result that the store has served says about its path. If a relay
+// answered a search first, the path on which the call waited was silent, so the direct path counts
+// as failed.
 func (w *callPaths) noteSuccess(r callResult) {
 	w.store.noteSuccess(r.direct)
 	if !r.waited {
@@ -185,7 +188,7 @@
 	}
 	w.store.noteRelay(r.peer)
 	if w.rounds > 0 {
-		w.store.log.Info("changes asked for by other gateways, a call that waits heard nothing", "rounds", w.rounds)
+		w.store.log.Info("watch silent, changes fetched through other gateways", "rounds", w.rounds)
 		w.store.noteDirectFailure()
 	}
 }
--- a/gateway/storesearch.go
+++ b/gateway/storesearch.go
@@ -7,31 +7,33 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// This file makes calls that wait for changes. Such a call shows only after its whole wait that its
-// way hears nothing, and other calls that get through say nothing of its way. So it waits on one
-// way only; when that is silent, the changes that there are now are asked for by ever more gateways
-// at once, as the store may serve few of them. The one that brought an answer is waited on next.
+// This file makes calls that wait for changes (watches). A path that delivers nothing is noticed
+// only after the whole wait, and other calls that succeed say nothing about that path. A watch
+// therefore waits on one path only. When that path is silent, the call is repeated without a wait
+// through a growing number of gateways at once, because the store may serve few of them. The
+// gateway that returned an answer is used for the next watch.
 
 const (
-	// seekPatience bounds the silence after its wait of a call that waits for changes: changes
-	// are to be in force everywhere within two seconds.
+	// watchSilenceLimit bounds the silence of a watch after its wait has ended: changes must be in
+	// force everywhere within two seconds.
 	watchSilenceLimit = 250 * time.Millisecond
-	// seekPause is the time between rounds, in which firstSeek gateways are asked and then twice
-	// as many each time: a hundred within half a second.
+	// searchRoundInterval is the time between rounds of a search. The first round asks
+	// firstRoundSize gateways and each later round twice as many as the one before, so a hundred
+	// are asked within half a second.
 	searchRoundInterval = 100 * time.Millisecond
 	firstRoundSize      = 4
-	// mostSought bounds the gateways that are asked for one call.
+	// maxSearchPeers bounds the number of gateways asked for one call.
 	maxSearchPeers = 128
-	// seekRest is how long after all gateways were asked in vain only one round is made: the
-	// store is away then for all that count as in touch with it.
+	// searchCooldown is how long after a search through all gateways failed only one round is made:
+	// the store is then unavailable to every gateway that this one knows of.
 	searchCooldown = 3 * time.Second
-	// latencyWeight is the weight of a new call in the mean latency of the store, latencyShare
-	// how many times that it may be silent before it is asked another way.
+	// latencyWeight is the weight of a new call in the smoothed latency of the store. latencyFactor
+	// times that latency is the silence allowed before another path is tried.
 	latencyWeight = 0.2
 	latencyFactor = 2
 )
 
-// watchWays returns the ways of a call that waits for changes.
+// watchPaths returns the paths of a call that waits for changes.
 func (w *callPaths) watchPaths() []func(context.Context) int {
 	first := w.startDirect
 	if peer := w.store.relayForWatch(); peer != nil {
@@ -43,8 +45,8 @@
 	return []func(context.Context) int{first, w.searchRound}
 }
 
-// seek begins the next round, in which other gateways are asked without a wait, and the store from
-// here with the first of them.
+// searchRound starts the next round, in which other gateways are asked without a wait. The first
+// round also makes a direct call without a wait.
 func (w *callPaths) searchRound(ctx context.Context) int {
 	call := w.call.WithoutWait()
 	started := 0
@@ -65,7 +67,7 @@
 	return started + len(round)
 }
 
-// patience is how long the calls that are under way may be silent before the next way is begun.
+// nextPathDelay returns how long the pending calls may be silent before the next path is started.
 func (w *callPaths) nextPathDelay(waitEnd time.Time) time.Duration {
 	waitLeft := max(time.Until(waitEnd), 0)
 	switch {
@@ -77,28 +79,29 @@
 	return w.store.allowedSilence(watchSilenceLimit) + waitLeft
 }
 
-// silenceAllowed is the least silence, or more when the store is slow to answer.
+// allowedSilence returns the given minimum, or more if the store is slow to answer, up to
+// fallbackDelay.
 func (s *storeCaller) allowedSilence(least time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return min(max(least, time.Duration(latencyFactor*float64(s.meanLatency))), fallbackDelay)
 }
 
-// noteLatency notes how long the store took for a call without a wait.
+// noteLatency records how long the store took for a call without a wait.
 func (s *storeCaller) noteLatency(took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.meanLatency += time.Duration(latencyWeight * float64(took-s.meanLatency))
 }
 
-// noteRelay notes the gateway that has brought the store's answer last.
+// noteRelay records the gateway that relayed the last answer of the store.
 func (s *storeCaller) noteRelay(peer syncpb.Peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastRelay = peer
 }
 
-// goodRelay returns the gateway by way of which calls that wait are made; nil while the store
+// relayForWatch returns the gateway through which calls that wait are made, or nil while the store
 // serves this machine.
 func (s *storeCaller) relayForWatch() syncpb.Peer {
 	s.mu.Lock()
@@ -109,15 +112,16 @@
 	return s.lastRelay
 }
 
-// soughtAll notes that all gateways were asked in vain.
+// noteSearchFailed records that all gateways were asked without success.
 func (s *storeCaller) noteSearchFailed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.searchFailedAt = s.now()
 }
 
-// seeksWidely reports whether more than one round is to be made: by a leader, unless all were asked
-// in vain a moment ago. Hundreds of gateways that hear from no leader would ask each other.
+// maySearchWidely reports whether more than one round may be made: only by a leader, and not within
+// searchCooldown of a failed search. Otherwise hundreds of gateways that hear from no leader would
+// all ask each other.
 func (s *storeCaller) maySearchWidely() bool {
 	if !s.isLeader() {
 		return false
--- a/gateway/watchseries_test.go
+++ b/gateway/watchseries_test.go
@@ -17,7 +17,7 @@
 	"github.com/rockcroft/rockcroft/transport/pool"
 )
 
-// wayState is how the store treats the calls of one gateway.
+// pathState is how the store treats the calls of one gateway.
 type pathState int
 
 const (
@@ -27,13 +27,13 @@
 	pathReset
 )
 
-// patchyStore is a store that serves some gateways only, others from time to time. A call that waits
-// hears nothing once its gateway is not served any more.
+// partialStore is a store that serves only some gateways, and others from time to time. A waiting
+// call receives nothing once its gateway is no longer served.
 type partialStore struct {
 	mu      sync.Mutex
 	paths   []pathState
 	changed chan struct{}
-	// revision is the newest, latency how long an answer takes.
+	// revision is the newest revision, latency how long an answer takes.
 	revision int
 	latency  time.Duration
 }
@@ -48,7 +48,7 @@
 
 var errReset = errors.New("connection reset")
 
-// call answers a call of one gateway that knows a revision.
+// call answers a call of a gateway that has the revision known.
 func (s *partialStore) call(ctx context.Context, gateway, known int, wait time.Duration) (int, int, error) {
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
@@ -83,13 +83,13 @@
 	}
 }
 
-// patchyWay is the way of the leader, which is gateway 0, to the store.
+// partialStoreConn is the direct connection of the leader, gateway 0, to the store.
 type partialStoreConn struct {
 	store *partialStore
 	known *atomic.Int64
 }
 
-// Do implements exchanger.
+// Do implements requestSender.
 func (p partialStoreConn) Do(ctx context.Context, _ string, r *pool.Request) (*pool.Response, error) {
 	status, revision, err := p.store.call(ctx, 0, int(p.known.Load()), watchWaitOf(r.Target))
 	if err != nil {
@@ -98,10 +98,10 @@
 	return &pool.Response{Status: status, Body: []byte(fmt.Sprint(revision))}, nil
 }
 
-// Forget implements exchanger.
+// Forget implements requestSender.
 func (partialStoreConn) Forget() {}
 
-// waitOf is how long a call may wait.
+// watchWaitOf returns how long a call may wait.
 func watchWaitOf(target string) time.Duration {
 	if target == watchTarget {
 		return watchWait
@@ -111,7 +111,7 @@
 
 const watchTarget = "/v1/objects/config?wait_ms=1200&watch=1"
 
-// patchyRelay is another gateway.
+// partialStoreRelay is another gateway, which relays calls.
 type partialStoreRelay struct {
 	syncpb.Peer
 	store   *partialStore
@@ -128,11 +128,11 @@
 	return &syncpb.RelayResponse{Status: uint32(status), Body: []byte(fmt.Sprint(revision))}, nil
 }
 
-// TestChangesArriveByAnyWay: whichever gateways the store serves, one at least, and however it treats
-// the others, a change is known to the leader within the time that leaves a part for telling all.
+// TestChangesArriveByAnyPath checks that the leader learns of a change in time to distribute it,
+// whichever gateways the store serves (at least one) and however it treats the others.
 func TestChangesArriveByAnyPath(t *testing.T) {
 	t.Parallel()
-	// tellingAll is kept for the way from the leader to all others.
+	// distributionTime is reserved for sending the change from the leader to all others.
 	const distributionTime = 100 * time.Millisecond
 	for _, c := range []struct {
 		gateways, series int
@@ -141,14 +141,15 @@
 		for seed := range uint64(c.series) {
 			synctest.Test(t, func(t *testing.T) {
 				if took := slowestChange(t.Context(), c.gateways, seed); took > c.within-distributionTime {
-					t.Errorf("%d gateways, seed %d: a change known after %s", c.gateways, seed, took)
+					t.Errorf("%d gateways, seed %d: a change reached the leader after %s", c.gateways, seed, took)
 				}
 			})
 		}
 	}
 }
 
-// slowestChange plays a minute of changes and returns how long the slowest took.
+// slowestChange simulates about a minute of changes and returns how long the slowest took to
+// reach the leader.
 func slowestChange(ctx context.Context, gateways int, seed uint64) time.Duration {
 	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
 	store := &partialStore{paths: make([]pathState, gateways), changed: make(chan struct{}), latency: 5 * time.Millisecond}
@@ -209,7 +210,7 @@
 	return slowest
 }
 
-// redraw draws which gateways the store serves: one at least.
+// drawPaths draws which gateways the store serves: at least one.
 func drawPaths(rng *rand.Rand, store *partialStore) {
 	bad := []pathState{pathSilent, pathBusy, pathReset}[rng.IntN(3)]
 	share := []float64{0, 0.1, 0.5, 1}[rng.IntN(4)]
