--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -14,55 +14,57 @@
 )
 
 const (
-	// watchWait is how long one watch waits for changes. Around a compaction a
-	// watch hears nothing and only the next one is told so, and a path may fall
-	// silent: changes are to be in force within two seconds all the same.
+	// watchWait is how long one watch waits for changes. It is kept short because changes must be
+	// in force within two seconds even in two cases: a watch around a compaction receives nothing
+	// and only the next one is told of it, and a path may become silent.
 	watchWait = 1200 * time.Millisecond
-	// leastWatch keeps watches apart that end at once without changes, as the way failed on which
-	// they were to wait.
+	// minWatchInterval is the pause after a watch that ends at once without changes, which happens
+	// when the path on which it was to wait fails.
 	minWatchInterval = 100 * time.Millisecond
-	// joinConfiguration and joinInstances are how long changes are collected before
-	// the next watch. Upstreams come and go by the dozen; the time of one that leaves
-	// is two seconds and more.
+	// configurationBatchDelay and instancesBatchDelay are how long changes are collected before the
+	// next watch. Upstreams start and stop by the dozen, and one that leaves takes two seconds or
+	// more to do so.
 	configurationBatchDelay = 100 * time.Millisecond
 	instancesBatchDelay     = 250 * time.Millisecond
-	// joinEvacuations is short: evacuations are rare, and each is to be in force everywhere
-	// within a second.
+	// evacuationsBatchDelay is short because evacuations are rare and each must be in force
+	// everywhere within a second.
 	evacuationsBatchDelay = 20 * time.Millisecond
-	// firstBackoff and longestBackoff bound the pause after a failed call.
+	// initialBackoff and maxBackoff bound the pause after a failed call.
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = 800 * time.Millisecond
-	// settleInterval is the time between looks at upstreams that are missing.
+	// settleInterval is the time between checks of upstreams whose entries are missing.
 	settleInterval = 100 * time.Millisecond
 )
 
-// watcher keeps the view up to date from the platform's store, while it is
-// wanted: in the leader, and in a gateway that hears from no leader.
+// watcher keeps the view up to date from the platform's store. It runs in the leader and in a
+// gateway that hears from no leader.
 type watcher struct {
 	store *platform.Store
 	view  *view
 	evac  *evacuations
 	now   func() time.Time
 	log   *slog.Logger
-	// draining reports whether an operator wants an upstream to be left alone.
+	// isDraining reports whether an operator is draining an upstream.
 	isDraining func(upstream string) bool
-	// toldLeaving returns the upstreams that have told a gateway that they leave.
+	// announcedLeaving returns the upstreams that have told a gateway that they are leaving.
 	announcedLeaving func() map[string]bool
-	// drained are the upstreams for which either was so in the last view.
+	// leavingShown are the upstreams that were draining or had announced that they are leaving in
+	// the last view.
 	leavingShown map[string]bool
-	// salt tells versions of this process's view from those of others.
+	// salt distinguishes versions of this process's view from those of other processes.
 	salt uint64
 
 	mu      sync.Mutex
 	tracker *instances.Tracker
-	// badVersion is the revision of a configuration that cannot be read.
+	// badRevision is the revision of the last configuration that could not be decoded; badEntries
+	// are those of upstream entries, by name.
 	badRevision uint64
 	badEntries  map[string]uint64
 	meters      *meters
-	// compacted is closed when one watch learns that history is gone, which
-	// concerns the others as well.
+	// compacted is closed when one watch learns that history was compacted, which affects the other
+	// watches as well.
 	compacted chan struct{}
-	// ages tells how old what the store said last is.
+	// ages records when the store last answered for each kind.
 	ages *watchAges
 }
 
@@ -93,7 +95,8 @@
 		w.follow(ctx, platform.EvacuationsKind, 0, evacuationsBatchDelay, onEvacuationList, w.evac.applyChanges)
 	})
 	all.Go(func() {
-		// No upstream is known before it is known which failure domains are evacuated.
+		// Evacuations must be known before any upstream is: no upstream of an evacuated failure
+		// domain may be used.
 		select {
 		case <-listed:
 		case <-ctx.Done():
@@ -105,9 +108,9 @@
 	all.Wait()
 }
 
-// follow watches a kind from a revision of which the view has everything. It lists the
-// kind first if there is none, which is zero, and again when the history is gone or too
-// much of it would have to be told.
+// follow watches a kind from a revision up to which the view is complete. It lists the kind first
+// if that revision is zero, which means none, and again when the history is gone or too large to
+// transfer.
 func (w *watcher) follow(ctx context.Context, kind string, revision uint64, batchDelay time.Duration, onList func([]platform.Object, uint64), onChanges func([]platform.Object, uint64)) {
 	w.ages.begin(kind)
 	defer w.ages.end(kind)
@@ -146,8 +149,8 @@
 			w.log.Info("store history compacted, listing again", "kind", kind, "revision", revision)
 			known = false
 			if answered {
-				// Else the revision that this watch began with was old, and tells nothing of
-				// a compaction while the others watched.
+				// Otherwise the revision that this watch started with was old, and says nothing
+				// about a compaction while the other watches were running.
 				w.cancelWatches()
 			}
 		case known && answerTooLarge(err):
@@ -160,13 +163,13 @@
 	}
 }
 
-// tooMuch reports whether a call failed for the size of its answer, which would be as
+// answerTooLarge reports whether a call failed because of the size of its answer, which would be as
 // large the next time.
 func answerTooLarge(err error) bool {
 	return errors.Is(err, errCallTooLong) || errors.Is(err, pool.ErrTooLarge)
 }
 
-// watch waits for changes, until another watch learns of a compaction.
+// watch waits for changes, or until another watch learns of a compaction.
 func (w *watcher) watch(ctx context.Context, kind string, after uint64) ([]platform.Object, uint64, error) {
 	w.mu.Lock()
 	compacted := w.compacted
@@ -183,7 +186,7 @@
 	return w.store.Watch(ctx, kind, after, watchWait)
 }
 
-// wake ends the watches under way.
+// cancelWatches ends the watches in progress.
 func (w *watcher) cancelWatches() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -191,10 +194,10 @@
 	w.compacted = make(chan struct{})
 }
 
-// advance returns the revision to watch from after changes were received. It
-// is that of the last change and not the one the store names: a watch that hears
-// nothing while changes are made names a revision beyond them. When the store
-// has dropped that history it says so, and the kind is listed anew.
+// nextRevision returns the revision to watch from after changes were received. It is that of the
+// last change and not the one that the store reports: a watch that misses changes while they are
+// made reports a revision beyond them. If the store has dropped that history, it says so and the
+// kind is listed again.
 func nextRevision(revision uint64, changes []platform.Object, named uint64) uint64 {
 	last := uint64(0)
 	for _, o := range changes {
@@ -203,11 +206,11 @@
 	if last > revision {
 		return last
 	}
-	// A removal may bear the revision of the object's last change.
+	// A removal may carry the revision of the object's last change.
 	return max(revision, named)
 }
 
-// pause sleeps until ctx ends at the latest.
+// pause sleeps for a duration, or until ctx ends if that is sooner.
 func pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -223,8 +226,8 @@
 	}
 }
 
-// configurationEvents takes the newest configuration of several that can be taken; those
-// before it are not decoded.
+// configurationChanged applies the newest of several configurations that is valid; older ones are
+// not decoded.
 func (w *watcher) configurationChanged(changes []platform.Object, _ uint64) {
 	known := w.view.configuration().revision
 	for _, o := range slices.Backward(changes) {
@@ -237,8 +240,8 @@
 	}
 }
 
-// takeConfiguration puts a configuration in force, and reports whether it is newer than
-// the one that was.
+// applyConfiguration puts a configuration in force, and reports whether it is newer than the
+// previous one.
 func (w *watcher) applyConfiguration(o platform.Object) bool {
 	if o.Name != platform.ConfigName {
 		return false
@@ -247,7 +250,7 @@
 	if err != nil {
 		if w.badRevision != o.Revision {
 			w.badRevision = o.Revision
-			w.log.Error("configuration cannot be read, the last one stays in force", "revision", o.Revision, "error", err)
+			w.log.Error("invalid configuration ignored, the previous one stays in force", "revision", o.Revision, "error", err)
 		}
 		return false
 	}
@@ -277,7 +280,7 @@
 	defer w.mu.Unlock()
 	for _, o := range changes {
 		if o.Removed {
-			w.log.Info("upstream entry gone", "upstream", o.Name)
+			w.log.Info("upstream entry removed", "upstream", o.Name)
 			w.tracker.Remove(w.now(), o.Name)
 			continue
 		}
@@ -286,7 +289,7 @@
 			w.tracker.Remove(w.now(), o.Name)
 			continue
 		}
-		w.log.Info("upstream entry", "upstream", inst.ID, "service", inst.Service, "address", inst.Address, "leaving", inst.Leaving, "born_ms", inst.BornMs)
+		w.log.Info("upstream entry changed", "upstream", inst.ID, "service", inst.Service, "address", inst.Address, "leaving", inst.Leaving, "born_ms", inst.BornMs)
 		w.tracker.Put(inst)
 	}
 	w.tracker.Advance(revision)
@@ -294,9 +297,9 @@
 	w.publish()
 }
 
-// publish gives the tracker's view to this process. Upstreams that an operator
-// drains, and those that say with their answers that they leave, are shown as leaving, as those
-// whose entries say so. The lock is held.
+// publish passes the tracker's view to the rest of this process. Upstreams that an operator drains,
+// and those that announce in their answers that they are leaving, are marked as leaving, like those
+// whose entries say so. The caller holds the lock.
 func (w *watcher) publish() {
 	v, version := w.tracker.View()
 	announced := w.announcedLeaving()
@@ -313,8 +316,8 @@
 	w.view.setInstances(version, v)
 }
 
-// leaversChanged reports whether operators drain other upstreams than in the last view, or others
-// have told that they leave. The lock is held.
+// leavingChanged reports whether the set of upstreams that operators drain or that have announced
+// that they are leaving differs from that in the last view. The caller holds the lock.
 func (w *watcher) leavingChanged() bool {
 	changed := false
 	v := w.view.inst.Load()
@@ -331,8 +334,8 @@
 	return changed
 }
 
-// decode reads one entry. One that is not sound names no upstream: it counts as gone
-// until it is sound, and is counted and logged once.
+// decode decodes one entry. An invalid entry describes no upstream: the upstream counts as removed
+// until its entry is valid, and the invalid revision is counted and logged once.
 func (w *watcher) decode(o platform.Object) (instances.Instance, bool) {
 	inst, err := platform.DecodeInstance(o)
 	if err == nil && !instances.Believable(inst.BornMs, w.now()) {
@@ -344,12 +347,12 @@
 	if w.badEntries[o.Name] != o.Revision {
 		w.badEntries[o.Name] = o.Revision
 		w.meters.inc(fill(upstreamsUnsound, unsoundEntry))
-		w.log.Error("upstream entry is not sound, it names none", "upstream", o.Name, "error", err)
+		w.log.Error("invalid upstream entry ignored", "upstream", o.Name, "error", err)
 	}
 	return instances.Instance{}, false
 }
 
-// settle turns upstreams whose entries stay away into leaving ones.
+// settle marks upstreams whose entries stay missing as leaving.
 func (w *watcher) settle(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, settleInterval)
@@ -362,7 +365,7 @@
 	}
 }
 
-// returned tells the watcher that the store was away and is back.
+// storeRecovered tells the watcher that the store is reachable again after an outage.
 func (w *watcher) storeRecovered() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -15,9 +15,9 @@
 	"github.com/rockcroft/rockcroft/standin/metastore"
 )
 
-// This file tests what a watcher asks the store for and takes over.
+// This file tests what a watcher requests from the store and applies to the view.
 
-// callRecord counts calls to the store by kind and operation.
+// callCounter counts calls to the store by kind and operation.
 type callCounter struct {
 	mu    sync.Mutex
 	calls map[string]int
@@ -25,7 +25,7 @@
 
 func newCallCounter() *callCounter { return &callCounter{calls: make(map[string]int)} }
 
-// at counts what goes to a handler.
+// counting returns a handler that counts the calls to h.
 func (r *callCounter) counting(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		kind, operation := platform.Call{Method: q.Method, Target: q.URL.RequestURI()}.Describe()
@@ -36,15 +36,15 @@
 	})
 }
 
-// of returns the number of calls of one kind and operation.
+// count returns the number of calls of one kind and operation.
 func (r *callCounter) count(what string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls[what]
 }
 
-// TestNextLeaderDoesNotListTheConfiguration: one that has the newest goes on from its
-// revision, and hears of the next change.
+// TestNextLeaderResumesConfigurationWatch checks that a new leader which has the newest
+// configuration watches from its revision, without listing it, and receives the next change.
 func TestNextLeaderResumesConfigurationWatch(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
@@ -52,16 +52,16 @@
 	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, counter.counting(h) }
 	b.fill()
 	b.configure(9)
-	b.eventually("version 9 everywhere", func() bool { return b.inForce(9) })
+	b.eventually("version 9 in force on all gateways", func() bool { return b.inForce(9) })
 	lists, watches := counter.count("config.list"), counter.count("config.watch")
 	b.leader().kill()
 	b.eventually("another leader", func() bool { return b.leader() != nil })
-	b.eventually("watches", func() bool { return counter.count("config.watch") > watches+1 })
+	b.eventually("configuration watched by the next leader", func() bool { return counter.count("config.watch") > watches+1 })
 	if n := counter.count("config.list") - lists; n != 0 {
-		t.Errorf("listed %d times again", n)
+		t.Errorf("the next leader listed the configuration %d times", n)
 	}
 	b.configure(10)
-	b.eventually("the next version", func() bool {
+	b.eventually("version 10 in force on all gateways", func() bool {
 		for _, g := range b.gateways {
 			if g.running() && g.view.table.Load().Version != 10 {
 				return false
@@ -71,7 +71,7 @@
 	})
 }
 
-// handlerTransport carries calls to a handler in this process.
+// handlerTransport passes calls to a handler in this process.
 type handlerTransport struct{ http.Handler }
 
 // Call implements platform.Transport.
@@ -81,17 +81,17 @@
 	return w.Code, w.Body.Bytes(), ctx.Err()
 }
 
-// watched is a store and a view that is kept up to date from it.
+// watcherFixture holds a store and a view that a watcher updates from it.
 type watcherFixture struct {
 	store   *metastore.Store
 	counter *callCounter
 	view    *view
 	lines   *logCounter
-	// wrap, if set, stands before the store.
+	// wrap, if set, wraps the transport to the store.
 	wrap func(platform.Transport) platform.Transport
 }
 
-// lineRecord counts log lines by message.
+// logCounter counts log lines by message.
 type logCounter struct {
 	slog.Handler
 	mu    sync.Mutex
@@ -113,8 +113,8 @@
 	return r.lines[message]
 }
 
-// newWatched returns a store with version 2 of the configuration and a view that
-// has it.
+// newWatcherFixture returns a fixture whose store holds version 2 of the configuration and whose
+// view has it in force.
 func newWatcherFixture(t *testing.T) *watcherFixture {
 	t.Helper()
 	w := &watcherFixture{
@@ -135,7 +135,7 @@
 	return w.store.Put(platform.ConfigKind, platform.ConfigName, spec)
 }
 
-// watcher returns a watcher of the store that has not begun.
+// watcher returns a watcher of the store that is not started.
 func (w *watcherFixture) watcher() *watcher {
 	var transport platform.Transport = handlerTransport{w.counter.counting(w.store.Door("g"))}
 	if w.wrap != nil {
@@ -148,8 +148,8 @@
 	return watcher
 }
 
-// run watches until the version is in force, and longer until the store has been
-// asked for changes again. The limit only ends a test that hangs.
+// run watches until the version is in force and the store has been watched more than once. The time
+// limit only ends a test that hangs.
 func (w *watcherFixture) run(t *testing.T, version uint64) {
 	t.Helper()
 	watcher := w.watcher()
@@ -163,23 +163,25 @@
 			return
 		}
 		if time.Now().After(limit) {
-			t.Fatalf("version %d never in force", version)
+			t.Fatalf("version %d did not take effect", version)
 		}
 	}
 }
 
-// TestWatcherGoesOnFromTheViewsRevision, and what it has missed comes by the watch.
+// TestWatcherResumesFromViewRevision checks that a watcher starts from the view's revision, and
+// that the watch delivers the changes since then.
 func TestWatcherResumesFromViewRevision(t *testing.T) {
 	t.Parallel()
 	w := newWatcherFixture(t)
 	w.put(config(3))
 	w.run(t, 3)
 	if n := w.counter.count("config.list"); n != 0 {
-		t.Errorf("listed %d times", n)
+		t.Errorf("the configuration was listed %d times", n)
 	}
 }
 
-// TestWatcherListsAfterCompaction: the history after the view's revision is gone.
+// TestWatcherListsAfterCompaction checks that the configuration is listed if the history after the
+// view's revision is gone.
 func TestWatcherListsAfterCompaction(t *testing.T) {
 	t.Parallel()
 	w := newWatcherFixture(t)
@@ -187,11 +189,12 @@
 	w.store.Compact()
 	w.run(t, 3)
 	if n := w.counter.count("config.list"); n != 1 {
-		t.Errorf("listed %d times", n)
+		t.Errorf("the configuration was listed %d times", n)
 	}
 }
 
-// TestWatcherDecodesTheNewestStep of several.
+// TestWatcherDecodesOnlyNewestConfiguration checks that only the newest of several changes is
+// decoded.
 func TestWatcherDecodesOnlyNewestConfiguration(t *testing.T) {
 	t.Parallel()
 	w := newWatcherFixture(t)
@@ -202,15 +205,16 @@
 	watcher := w.watcher()
 	changes, next, err := watcher.store.Watch(t.Context(), platform.ConfigKind, known, 0)
 	if err != nil || len(changes) != 4 {
-		t.Fatalf("%d changes, %v", len(changes), err)
+		t.Fatalf("%d changes, error %v", len(changes), err)
 	}
 	watcher.configurationChanged(changes, next)
 	if n, version := w.lines.count("configuration in force"), w.view.table.Load().Version; n != 1 || version != 6 {
-		t.Errorf("%d versions came in force, the last is %d", n, version)
+		t.Errorf("%d versions took effect, the last is %d", n, version)
 	}
 }
 
-// TestWatcherTakesTheLastGoodStep: what cannot be read and what is older stands aside.
+// TestWatcherAppliesNewestValidConfiguration checks that invalid and older configurations are
+// skipped.
 func TestWatcherAppliesNewestValidConfiguration(t *testing.T) {
 	t.Parallel()
 	w := newWatcherFixture(t)
@@ -220,8 +224,8 @@
 	w.run(t, 7)
 }
 
-// endlessWatch carries calls, and fails the first watch of the configuration for the
-// size of its answer.
+// tooLargeWatch passes calls on, but fails the first watch of the configuration as if its answer
+// were too large.
 type tooLargeWatch struct {
 	platform.Transport
 	once sync.Once
@@ -238,8 +242,8 @@
 	return e.Transport.Call(ctx, c)
 }
 
-// TestWatcherListsWhatIsTooMuchForAWatch: all steps since the view's revision do not
-// arrive in time, the newest alone does.
+// TestWatcherListsAfterTooLargeWatch checks that the configuration is listed if all changes since
+// the view's revision do not arrive in time: the newest alone does.
 func TestWatcherListsAfterTooLargeWatch(t *testing.T) {
 	t.Parallel()
 	w := newWatcherFixture(t)
@@ -247,6 +251,6 @@
 	w.wrap = func(inner platform.Transport) platform.Transport { return &tooLargeWatch{Transport: inner} }
 	w.run(t, 3)
 	if n := w.counter.count("config.list"); n != 1 {
-		t.Errorf("listed %d times", n)
+		t.Errorf("the configuration was listed %d times", n)
 	}
 }
--- a/gateway/watchages.go
+++ b/gateway/watchages.go
@@ -12,21 +12,23 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// This file tells how old what the store said last is, by kind of objects. That the store can be
-// reached by other calls tells nothing of a watch.
+// This file tracks how long ago the store last answered a list or a watch, by kind of object. That
+// other calls reach the store says nothing about a watch.
 
-// watchSilent is how long a watch hears nothing before that is logged: longer than one that ends
-// without changes, and shorter than the time within which changes are to be in force.
+// watchSilenceThreshold is how long a watch may receive nothing before that is logged. It is longer
+// than a watch that ends without changes and shorter than the time within which changes must be in
+// force.
 const watchSilenceThreshold = 1500 * time.Millisecond
 
-// watchAges keeps when the store last answered a list or a watch, for concurrent use.
+// watchAges records when the store last answered a list or a watch. It is safe for concurrent use.
 type watchAges struct {
 	now func() time.Time
 	log *slog.Logger
 
 	mu         sync.Mutex
 	lastAnswer map[string]time.Time
-	// watched is since when this gateway watches a kind; those that it does not are not listed.
+	// watched holds since when this gateway has watched each kind; kinds that it does not watch are
+	// absent.
 	watched map[string]time.Time
 	silent  map[string]bool
 }
@@ -35,7 +37,7 @@
 	return &watchAges{now: now, log: log, lastAnswer: make(map[string]time.Time), watched: make(map[string]time.Time), silent: make(map[string]bool)}
 }
 
-// begin and end note from when until when a kind is watched.
+// begin and end record when watching a kind starts and ends.
 func (a *watchAges) begin(kind string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,23 +51,24 @@
 	delete(a.silent, kind)
 }
 
-// note notes an answer of the store to a list or a watch.
+// noteAnswer records an answer of the store to a list or a watch.
 func (a *watchAges) noteAnswer(kind string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.silent[kind] {
-		a.log.Info("watch hears again", "kind", kind, "heard_ms_ago", a.now().Sub(a.silentSince(kind)).Milliseconds())
+		a.log.Info("watch resumed", "kind", kind, "heard_ms_ago", a.now().Sub(a.silentSince(kind)).Milliseconds())
 		delete(a.silent, kind)
 	}
 	a.lastAnswer[kind] = a.now()
 }
 
-// since returns from when on nothing was heard of a kind that is watched. The lock is held.
+// silentSince returns the time since which nothing has been received for a watched kind. The caller
+// holds the lock.
 func (a *watchAges) silentSince(kind string) time.Time {
 	return later(a.lastAnswer[kind], a.watched[kind])
 }
 
-// check logs the kinds whose watches have come to hear nothing.
+// check logs the kinds whose watches have become silent.
 func (a *watchAges) check() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -75,18 +78,18 @@
 			continue
 		}
 		a.silent[kind] = true
-		a.log.Warn("watch hears nothing", "kind", kind, "heard_ms_ago", age.Milliseconds())
+		a.log.Warn("watch silent", "kind", kind, "heard_ms_ago", age.Milliseconds())
 	}
 }
 
-// of returns when the store last answered for a kind, zero if it never did.
+// lastHeard returns when the store last answered for a kind, or zero if it never did.
 func (a *watchAges) lastHeard(kind string) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lastAnswer[kind]
 }
 
-// last returns when the store last answered for any kind.
+// lastHeardAny returns when the store last answered for any kind.
 func (a *watchAges) lastHeardAny() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -97,7 +100,7 @@
 	return last
 }
 
-// all returns how long ago the store last answered, by kind.
+// agesByKind returns how long ago the store last answered, by kind.
 func (a *watchAges) agesByKind() map[string]time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -108,7 +111,7 @@
 	return out
 }
 
-// state returns what operators are shown, in the order of kinds.
+// state returns the state reported to operators, sorted by kind.
 func (a *watchAges) state() []*placementpb.WatchState {
 	ages := a.agesByKind()
 	a.mu.Lock()
@@ -123,11 +126,11 @@
 	return out
 }
 
-// configurationHeard returns when the store last answered a list or a watch of the
-// configuration.
+// configurationHeard returns when the store last answered a list or a watch of the configuration.
 func (w *watcher) configurationHeard() time.Time { return w.ages.lastHeard(platform.ConfigKind) }
 
-// Watches implements placementpb.Placement: what the gateway that is asked has heard itself.
+// Watches implements placementpb.Placement. It reports what the asked gateway has received from the
+// store itself.
 func (p *placements) Watches(context.Context, *placementpb.WatchesRequest) (*placementpb.WatchesState, error) {
 	return &placementpb.WatchesState{Watches: p.watches.state()}, nil
 }
--- a/gateway/watchages_test.go
+++ b/gateway/watchages_test.go
@@ -8,9 +8,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestSilentWatchIsSaid guards against a watch that hears nothing unseen while other calls to the
-// store are answered: one line when its silence passes the bound and one when it hears again, for
-// kinds that are watched, counted from when they are.
+// TestSilentWatchIsLogged guards against a watch that receives nothing without being noticed,
+// because other calls to the store are answered. One line is logged when the silence exceeds the
+// threshold and one when the watch resumes, only for watched kinds, and the silence counts from
+// when they are watched.
 func TestSilentWatchIsLogged(t *testing.T) {
 	now := time.Unix(1000, 0)
 	lines := &logCounter{lines: make(map[string]int)}
@@ -22,7 +23,7 @@
 	}
 	expectLogged := func(what string, silent, resumed int) {
 		t.Helper()
-		got := []int{lines.count("watch hears nothing"), lines.count("watch hears again")}
+		got := []int{lines.count("watch silent"), lines.count("watch resumed")}
 		if d := cmp.Diff([]int{silent, resumed}, got); d != "" {
 			t.Errorf("%s: %s", what, d)
 		}
@@ -47,9 +48,9 @@
 		t.Errorf("state: %v", s)
 	}
 	a.noteAnswer("servers")
-	expectLogged("it hears again", 1, 1)
+	expectLogged("watch resumed", 1, 1)
 	a.end("servers")
 	a.end("config")
 	elapse(time.Minute)
-	expectLogged("not watched any more", 1, 1)
+	expectLogged("no longer watched", 1, 1)
 }
--- a/gateway/watchpath_test.go
+++ b/gateway/watchpath_test.go
@@ -12,17 +12,17 @@
 // have it in force.
 const inForceWithin = 2 * time.Second
 
-// TestConfigurationByTheOnlyPath is a regression test.
+// TestConfigurationByTheOnlyPath guards against configurations that take effect seconds late while
+// the store serves only one gateway.
 //
-// What users saw: requests went by a configuration that had been replaced 2.5 s before and more; all
-// gateways took the new one at the same moment, up to 5.6 s late, from the leader.
-// Order of events: the store falls silent for the leader and most other gateways and serves the
-// rest; an operator changes the configuration; the leader reaches the store now and then by way of
-// others and goes on to lead; its watch waits on one path after the other that hears nothing.
-// Cause: a call that gets through vouches for the store, and nobody asks how old the watch's last
-// word is; a watch that hears nothing costs its whole wait, and the next one may hear nothing, too.
-// Evidence: the leader's lines of a played day; with a door to the store at one of twelve gateways
-// alone versions arrive seconds late.
+// The store becomes silent for the leader and most other gateways, and an operator changes the
+// configuration. The leader still reaches the store through other gateways now and then, and stays
+// the leader, but its watch waits on one path after the other that delivers nothing. Each silent
+// watch costs its whole wait, and the next one may be silent too. Requests were then routed by a
+// configuration replaced more than 2.5 s before, and all gateways received the new one from the
+// leader at the same moment, up to 5.6 s late. A successful call on another path must not count as
+// evidence that the watch is up to date. The test reproduces this situation with three and with
+// twelve gateways, of which the store serves one.
 func TestConfigurationByTheOnlyPath(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -53,7 +53,7 @@
 			for version := uint64(first); version < first+versions; version++ {
 				changed := time.Now()
 				b.configure(version)
-				b.eventually("the configuration in force", func() bool {
+				b.eventually("configuration in force on all gateways", func() bool {
 					for _, g := range b.gateways {
 						if g.view.table.Load().Version < version {
 							return false
@@ -62,7 +62,7 @@
 					return true
 				})
 				if took := time.Since(changed); took > inForceWithin {
-					t.Errorf("version %d in force everywhere after %s", version, took.Round(time.Millisecond))
+					t.Errorf("version %d took %s to be in force on all gateways", version, took.Round(time.Millisecond))
 				}
 			}
 		})
