--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -10,11 +10,12 @@
 	"github.com/rockcroft/rockcroft/state/evacuation"
 )
 
-// This file brings evacuations of failure domains from the store to all gateways. Whoever
-// tells what, a gateway keeps the newest of each domain; so it makes no difference by which
-// way and in which order it hears.
+// This file distributes evacuations of failure domains from the store to all gateways. A gateway
+// keeps the newest mark of each domain, whoever sent it, so the path and the order in which marks
+// arrive do not matter.
 
-// evacuations takes over what is told of evacuations, for concurrent use.
+// evacuations applies the evacuation marks that this gateway receives. It is safe for concurrent
+// use.
 type evacuations struct {
 	view   *view
 	now    func() time.Time
@@ -22,7 +23,7 @@
 	meters *meters
 
 	mu sync.Mutex
-	// since is when this gateway heard that a failure domain is evacuated.
+	// since holds when this gateway learned that a failure domain is evacuated.
 	since map[string]time.Time
 }
 
@@ -30,8 +31,8 @@
 	return &evacuations{view: v, now: now, log: log, meters: m, since: make(map[string]time.Time)}
 }
 
-// take takes over what is newer, and logs which failure domains have changed. from tells in
-// the log who said it.
+// apply applies the marks that are newer than the known ones, and logs which failure domains have
+// changed. from names the source in the log.
 func (e *evacuations) apply(marks []evacuation.Mark, from string) {
 	before := e.view.evac.Load()
 	if before.Covers(marks) {
@@ -47,7 +48,7 @@
 	e.recordChanges(before, e.view.evac.Load(), from)
 }
 
-// note notes and logs which failure domains have changed.
+// recordChanges records and logs which failure domains have changed.
 func (e *evacuations) recordChanges(before, now *evacuation.Set, from string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -74,17 +75,17 @@
 	return e.now().Sub(since)
 }
 
-// told takes over what another gateway tells.
+// applyFromPeer applies marks that another gateway sent.
 func (e *evacuations) applyFromPeer(list []*syncpb.Evacuation) {
 	e.apply(evacuationMarks(list), "gateway")
 }
 
-// listed takes over all entries of the store, as of a revision.
+// applyList applies a list of all entries in the store, as of a revision.
 func (e *evacuations) applyList(objects []platform.Object, at uint64) {
 	e.apply(e.view.evac.Load().Listed(decodeEvacuations(objects), at), "store")
 }
 
-// changed takes over entries of the store that have changed.
+// applyChanges applies entries of the store that have changed.
 func (e *evacuations) applyChanges(objects []platform.Object, _ uint64) {
 	e.apply(decodeEvacuations(objects), "store")
 }
--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -18,7 +18,7 @@
 
 // This file tests evacuations of failure domains.
 
-// twoDomains returns a bed with upstreams in the failure domains a and b and three gateways.
+// twoDomainBed returns a bed with upstreams in the failure domains a and b and three gateways.
 func twoDomainBed(t *testing.T) *bed {
 	t.Helper()
 	b := newBed(t)
@@ -39,8 +39,8 @@
 	b.store.Put(platform.EvacuationsKind, domain, struct{}{})
 }
 
-// knowEvacuated reports whether all gateways that run know that the domain is evacuated, or
-// that it is not.
+// allKnowEvacuated reports whether all running gateways know that the domain is evacuated, or that
+// it is not.
 func (b *bed) allKnowEvacuated(domain string, evacuated bool) bool {
 	for _, g := range b.gateways {
 		if g.running() && g.view.evacuated(domain) != evacuated {
@@ -50,8 +50,8 @@
 	return true
 }
 
-// keysIn returns how many keys upstreams in the domain own or are being given, as the
-// gateway knows.
+// keysIn returns how many keys upstreams in the domain own or are about to own, according to the
+// gateway.
 func (b *bed) keysIn(g *testGateway, domain string) int {
 	keys := 0
 	for _, s := range g.view.spansOf("status").Spans {
@@ -64,8 +64,8 @@
 	return keys
 }
 
-// mustServeOutside asks all gateways for both services and wants answers from upstreams
-// outside of the domain only.
+// mustServeOutside sends requests for both services to all gateways and requires that only
+// upstreams outside the domain answer.
 func (b *bed) mustServeOutside(domain string) {
 	b.t.Helper()
 	for _, g := range b.gateways {
@@ -77,15 +77,15 @@
 			other := b.mustAsk(g, http.MethodPost, "/pay/x", -1)
 			for _, a := range []reply{keyed, other} {
 				if strings.HasSuffix(strings.TrimSpace(a.body), domain) {
-					b.t.Fatalf("ran in the evacuated domain: %s", a.body)
+					b.t.Fatalf("request ran in the evacuated domain: %s", a.body)
 				}
 			}
 		}
 	}
 }
 
-// seesEvacuated reports whether operators are told that the domain is evacuated, owns no key
-// any more and is known to be so by all gateways.
+// operatorSeesEvacuated reports whether the operator interface shows that the domain is evacuated,
+// owns no keys any more and is known to be evacuated by all gateways.
 func (b *bed) operatorSeesEvacuated(domain string) bool {
 	state, err := b.operator().Evacuations(context.Background(), &placementpb.EvacuationsRequest{})
 	if err != nil || len(state.Domains) != 1 || len(state.Gateways) != len(b.gateways) {
@@ -100,18 +100,18 @@
 	return d.Domain == domain && d.Upstreams == 4 && d.Keys == 0 && d.KnownMs > 0
 }
 
-// TestEvacuatedDomainGetsNothing: all gateways hear of it, keys that are owned there are
-// handed over, and they return when the evacuation has ended. What the entry holds does not
-// matter.
+// TestEvacuatedDomainReceivesNoRequests checks that all gateways learn of an evacuation, that keys
+// owned in the domain are handed over, and that they return when the evacuation ends. The content
+// of the entry does not matter.
 func TestEvacuatedDomainReceivesNoRequests(t *testing.T) {
 	t.Parallel()
 	b := twoDomainBed(t)
 	if b.keysIn(b.gateways[1], "a") == 0 {
-		t.Fatal("no key is owned in the domain")
+		t.Fatal("no keys are owned in the domain")
 	}
 	b.store.Put(platform.EvacuationsKind, "a", "no object")
-	b.eventually("known everywhere", func() bool { return b.allKnowEvacuated("a", true) })
-	b.eventually("its keys elsewhere", func() bool {
+	b.eventually("evacuation known to all gateways", func() bool { return b.allKnowEvacuated("a", true) })
+	b.eventually("keys owned outside the domain", func() bool {
 		return b.keysIn(b.gateways[1], "a") == 0 && b.gateways[1].allOwned()
 	})
 	for _, s := range b.gateways[1].view.spansOf("status").Spans {
@@ -120,34 +120,34 @@
 		}
 	}
 	b.mustServeOutside("a")
-	b.eventually("operators see it", func() bool { return b.operatorSeesEvacuated("a") })
+	b.eventually("evacuation shown to operators", func() bool { return b.operatorSeesEvacuated("a") })
 	b.store.Remove(platform.EvacuationsKind, "a")
-	b.eventually("ended everywhere", func() bool { return b.allKnowEvacuated("a", false) })
-	b.eventually("keys there again", func() bool { return b.keysIn(b.gateways[1], "a") > 0 })
+	b.eventually("end of the evacuation known to all gateways", func() bool { return b.allKnowEvacuated("a", false) })
+	b.eventually("keys owned in the domain again", func() bool { return b.keysIn(b.gateways[1], "a") > 0 })
 }
 
-// TestEvacuationOutlivesItsLeader: the next leader and a gateway that starts while the store
-// is away know of it, and the next leader gives the keys away.
+// TestEvacuationSurvivesLeaderLoss checks that the next leader, and a gateway that starts while the
+// store is unavailable, know of the evacuation, and that the next leader moves the keys.
 func TestEvacuationSurvivesLeaderLoss(t *testing.T) {
 	t.Parallel()
 	b := twoDomainBed(t)
 	b.evacuate("a")
-	b.eventually("known everywhere", func() bool { return b.allKnowEvacuated("a", true) })
+	b.eventually("evacuation known to all gateways", func() bool { return b.allKnowEvacuated("a", true) })
 	b.leader().kill()
 	b.eventually("another leader", func() bool { return b.leader() != nil })
-	b.eventually("its keys elsewhere", func() bool {
+	b.eventually("keys owned outside the domain", func() bool {
 		g := b.leader()
 		return g != nil && b.keysIn(g, "a") == 0 && g.allOwned()
 	})
 	b.store.SetAll(metastore.Silent)
 	started := b.gateway("g9")
 	started.door.Set(metastore.Silent)
-	b.eventually("the new gateway is ready", func() bool { return started.Gateway.ready() })
+	b.eventually("new gateway ready", func() bool { return started.Gateway.ready() })
 	if !started.view.evacuated("a") {
-		t.Error("a gateway serves that does not know of the evacuation")
+		t.Error("the new gateway is ready but does not know of the evacuation")
 	}
 	b.store.SetAll(metastore.Open)
-	b.eventually("all know the owners", func() bool {
+	b.eventually("owners known to all gateways", func() bool {
 		for _, g := range b.gateways {
 			if g.running() && (b.keysIn(g, "a") > 0 || !g.allOwned()) {
 				return false
@@ -158,30 +158,30 @@
 	b.mustServeOutside("a")
 }
 
-// TestAllDomainsEvacuated: nothing is sent anywhere, and what cannot be served is refused at
-// once as not run.
+// TestAllDomainsEvacuated checks that no requests are sent to any upstream, and that they are
+// refused at once as not executed.
 func TestAllDomainsEvacuated(t *testing.T) {
 	t.Parallel()
 	b := twoDomainBed(t)
 	b.evacuate("a")
 	b.evacuate("b")
 	b.evacuate("of another deployment")
-	b.eventually("known everywhere", func() bool { return b.allKnowEvacuated("a", true) && b.allKnowEvacuated("b", true) })
+	b.eventually("evacuation known to all gateways", func() bool { return b.allKnowEvacuated("a", true) && b.allKnowEvacuated("b", true) })
 	g := b.gateways[2]
-	b.eventually("owners get nothing", func() bool {
+	b.eventually("keyed requests refused", func() bool {
 		return b.ask(g, http.MethodGet, "/status/x", 7).status == http.StatusServiceUnavailable
 	})
 	if a := b.ask(g, http.MethodPost, "/pay/x", -1); a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" {
 		t.Errorf("status %d, header %v", a.status, a.header)
 	}
 	b.store.Remove(platform.EvacuationsKind, "a")
-	b.eventually("served again", func() bool {
+	b.eventually("requests served again", func() bool {
 		return b.ask(g, http.MethodPost, "/pay/x", -1).status == http.StatusOK && b.ask(g, http.MethodGet, "/status/x", 7).status == http.StatusOK
 	})
 }
 
-// TestEvacuationsAfterCompaction: one that ended and one that began while the watch heard
-// nothing are known from the next list.
+// TestEvacuationsAfterCompaction checks that an evacuation that ended and one that began while the
+// watch received nothing are learned from the next list.
 func TestEvacuationsAfterCompaction(t *testing.T) {
 	w := newWatcherFixture(t)
 	w.store.Put(platform.EvacuationsKind, "a", struct{}{})
@@ -195,7 +195,7 @@
 		t.Helper()
 		for limit := time.Now().Add(time.Minute); w.view.evacuated(domain) != evacuated; time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(limit) {
-				t.Fatalf("never: %s evacuated %v", domain, evacuated)
+				t.Fatalf("domain %s: evacuated %v never known", domain, evacuated)
 			}
 		}
 	}
@@ -211,17 +211,17 @@
 	known("a", true)
 }
 
-// TestEvacuationsThatCannotBe: what another gateway tells and cannot be is dropped and
-// counted, and a late word of an ended evacuation changes nothing.
+// TestInvalidEvacuationsAreDropped checks that invalid evacuations from another gateway are dropped
+// and counted, and that outdated information about an ended evacuation changes nothing.
 func TestInvalidEvacuationsAreDropped(t *testing.T) {
 	m := newMeters()
 	e := newEvacuations(newView(), time.Now, slog.New(slog.DiscardHandler), m)
 	e.applyFromPeer([]*syncpb.Evacuation{{Domain: "a", Revision: 5, Ended: true}, {Domain: "b", Revision: 9}, {Revision: 3}, {Domain: "c"}})
 	if n := m.counter(evacuationsUnsound).Count(); n != 2 {
-		t.Errorf("%d dropped", n)
+		t.Errorf("%d invalid evacuations dropped", n)
 	}
 	e.applyFromPeer([]*syncpb.Evacuation{{Domain: "a", Revision: 5}, {Domain: "b", Revision: 8, Ended: true}})
 	if e.view.evacuated("a") || !e.view.evacuated("b") {
-		t.Errorf("a %v, b %v", e.view.evacuated("a"), e.view.evacuated("b"))
+		t.Errorf("evacuated: a %v, b %v", e.view.evacuated("a"), e.view.evacuated("b"))
 	}
 }
--- a/gateway/evacuationstate.go
+++ b/gateway/evacuationstate.go
@@ -10,7 +10,7 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// This file tells operators how far evacuations are.
+// This file reports the progress of evacuations to operators.
 
 // Evacuations implements placementpb.Placement.
 func (p *placements) Evacuations(ctx context.Context, r *placementpb.EvacuationsRequest) (*placementpb.EvacuationsState, error) {
@@ -36,7 +36,7 @@
 	return state, nil
 }
 
-// evacuated tells how far the evacuation of one failure domain is.
+// domainState returns the progress of the evacuation of one failure domain.
 func (p *placements) domainState(m evacuation.Mark) *placementpb.EvacuatedDomain {
 	out := &placementpb.EvacuatedDomain{
 		Domain: m.Domain, Revision: m.Revision, KnownMs: uint64(p.evac.knownFor(m.Domain).Milliseconds()),
@@ -59,7 +59,7 @@
 	return out
 }
 
-// keysOf returns how many keys have an owner of the kind.
+// countKeys returns how many keys have an owner that satisfies ownedBy.
 func countKeys(t *spans.Table, ownedBy func(owner string) bool) int {
 	keys := 0
 	for _, s := range t.Spans {
--- a/gateway/publish_test.go
+++ b/gateway/publish_test.go
@@ -12,8 +12,8 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// TestManyEndsOfMovesAreFewVersions: moves that end one after the other within some
-// milliseconds are told together, the first at once and the last soon.
+// TestMoveCompletionsAreBatched checks that moves which complete one after the other within some
+// milliseconds are published together, the first at once and the last soon after.
 func TestMoveCompletionsAreBatched(t *testing.T) {
 	now := time.Now()
 	clock := func() time.Time { return now }
@@ -30,22 +30,23 @@
 	for _, s := range moves {
 		k.settle(s, s.Next, 0, false)
 		if versions == 0 {
-			t.Fatal("the first end is not told at once")
+			t.Fatal("the first completed move is not published at once")
 		}
 		now = now.Add(time.Millisecond)
 	}
 	if most := len(moves)/int(publishInterval/time.Millisecond) + 1; versions > most {
-		t.Errorf("%d versions of %d ends within %d ms", versions, len(moves), len(moves))
+		t.Errorf("%d versions for %d completed moves within %d ms", versions, len(moves), len(moves))
 	}
 	now = now.Add(publishInterval)
 	k.publishPending()
 	if n := v.spansOf("s").Unowned(); n != 0 {
-		t.Errorf("%d keys without an owner as told", n)
+		t.Errorf("%d keys without an owner in the published version", n)
 	}
 }
 
-// TestVersionsOfOwnersForManyGateways: each version is an answer to each of 300 gateways; ten
-// a second are told where one gateway would be told fifty.
+// TestOwnerVersionRateWithManyGateways checks that the publishing rate falls with the number of
+// gateways, as each version is an answer to each of them: about ten a second for 300 gateways,
+// where one gateway would be sent fifty.
 func TestOwnerVersionRateWithManyGateways(t *testing.T) {
 	now := time.Now()
 	clock := func() time.Time { return now }
@@ -63,11 +64,12 @@
 		now = now.Add(time.Millisecond)
 	}
 	if versions < 10 || versions > 13 {
-		t.Errorf("%d versions in a second", versions)
+		t.Errorf("%d versions published in a second", versions)
 	}
 }
 
-// TestDifferencesAreMadeOnce for all gateways that have the same version.
+// TestDifferencesAreBuiltOnce checks that a difference is built once for all gateways that have the
+// same version.
 func TestDifferencesAreBuiltOnce(t *testing.T) {
 	var d differences[*syncpb.Spans]
 	made := 0
@@ -77,12 +79,12 @@
 	}
 	first := d.get(5, 4, build)
 	if d.get(5, 4, build) != first || made != 1 {
-		t.Errorf("made %d times for one base", made)
+		t.Errorf("built %d times for one base", made)
 	}
 	if d.get(5, 3, build); made != 2 {
-		t.Errorf("made %d times for two bases", made)
+		t.Errorf("built %d times for two bases", made)
 	}
 	if d.get(6, 4, build); made != 3 {
-		t.Errorf("made %d times after a new version", made)
+		t.Errorf("built %d times after a new version", made)
 	}
 }
--- a/gateway/suspectnews.go
+++ b/gateway/suspectnews.go
@@ -8,17 +8,18 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// This file tells other gateways of requests that end upstreams: such a request comes to one
-// gateway after the other, and each sees one of its crashes.
+// This file exchanges information about requests that crash upstreams with other gateways: such a
+// request is sent to one gateway after the other, and each sees only one of the crashes.
 
-// suspectsAgain is how long a message is used again: a leader answers hundreds of reports a second,
-// and the crashes of a lost failure domain are hundreds of requests.
+// suspectsCacheTime is how long a message is reused: a leader answers hundreds of reports a second,
+// and the loss of a failure domain can produce crashes for hundreds of requests.
 const suspectsCacheTime = 50 * time.Millisecond
 
-// mostSuspectsTold bounds what is taken over from one message, of each kind.
+// maxSuspectsPerMessage bounds what is accepted from one message, for each kind of item.
 const maxSuspectsPerMessage = 512
 
-// messages tells what was seen of late and what is refused. The message is not to be changed.
+// message returns the recent crashes, clearings and ends of upstreams, and the refused requests.
+// The caller must not change the message.
 func (s *suspects) message() *syncpb.Suspects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,7 +30,8 @@
 	return s.cached
 }
 
-// pack makes the message; nil when there is nothing to be told. The lock is held.
+// buildMessage builds the message, or returns nil if there is nothing to send. The caller holds the
+// lock.
 func (s *suspects) buildMessage(now time.Time) *syncpb.Suspects {
 	crashes, clearings := s.book.Tell(now)
 	ends := s.book.EndsOfLate(now)
@@ -49,7 +51,8 @@
 	return m
 }
 
-// told takes over what another gateway tells. What is beyond the bound is counted and dropped.
+// applyMessage applies a message of another gateway. A message that exceeds the bound is counted
+// and dropped.
 func (s *suspects) applyMessage(m *syncpb.Suspects) {
 	if m == nil {
 		return
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -17,23 +17,23 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// This file keeps requests from upstreams that end the upstreams which run them.
+// This file protects upstreams from requests that crash the upstreams which run them.
 
-// suspects is what this gateway knows of such requests, for concurrent use.
+// suspects holds what this gateway knows of such requests. It is safe for concurrent use.
 type suspects struct {
 	view   *view
 	now    func() time.Time
 	log    *slog.Logger
 	meters *meters
-	// gateways returns how many gateways there are.
+	// gateways returns the number of gateways.
 	gateways func() int
 
 	mu   sync.Mutex
 	book *poison.Book
-	// runs are those of suspects that this gateway has sent.
+	// runs are the suspected requests that this gateway has sent and that are still running.
 	runs *poison.Runs
 	rng  *rand.Rand
-	// packed is the message that was made at packedAt.
+	// cached is the message that was built at cachedAt.
 	cached   *syncpb.Suspects
 	cachedAt time.Time
 }
@@ -42,8 +42,7 @@
 	return &suspects{view: v, now: now, log: log, meters: m, gateways: gateways, book: poison.NewBook(), runs: poison.NewRuns(), rng: rng}
 }
 
-// digest tells the request again when it comes another time, by path, caller and body. It is
-// worked out when it is first asked for.
+// digest identifies a repeated request by path, caller and body. It is computed on first use.
 func (q *request) digest() poison.Digest {
 	if q.known == 0 {
 		path, _, _ := strings.Cut(q.target, "?")
@@ -56,8 +55,8 @@
 	return q.known
 }
 
-// check refuses a request that has ended too many upstreams. One that may not run twice has an
-// unknown outcome: it came before, and an upstream began to run it.
+// check refuses a request that has crashed too many upstreams. If the request must not run twice,
+// its outcome is reported as unknown: it was sent before, and an upstream began to run it.
 func (s *suspects) check(q *request) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,22 +68,24 @@
 	if !q.route.Idempotent {
 		kind = answer.HarmfulOnce
 	}
-	err := answer.New(kind, "%d upstreams have ended with this request on them, digest %s", s.book.Crashes(q.digest()), digestText(q.digest()))
-	// Not the short time of a refusal for want of room: it is refused for a minute at least.
+	err := answer.New(kind, "%d upstreams crashed while running this request (digest %s)", s.book.Crashes(q.digest()), digestText(q.digest()))
+	// Not the short default for a refusal for lack of capacity: this request is refused for at
+	// least a minute.
 	err.RetryAfter = kind.Row().RetryAfter
 	return err
 }
 
-// suspected reports whether an upstream has ended with the request on it: then it is not sent again
-// by itself.
+// isSuspected reports whether an upstream has crashed while running the request. Such a request is
+// not retried by the gateway.
 func (s *suspects) isSuspected(q *request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.book.Empty() && s.book.Crashes(q.digest()) > 0
 }
 
-// avoid returns the upstreams at which a suspect is not to run, as others do. Where that would be
-// half of the service's and more it runs beside others, as they would wait for each other.
+// upstreamsToAvoid returns the upstreams to which a suspected request must not be sent because
+// other suspected requests run there. If these are at least half of the service's upstreams, it
+// returns none, because the suspected requests would otherwise wait for each other.
 func (s *suspects) upstreamsToAvoid(q *request) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +99,7 @@
 	return occupied
 }
 
-// began notes that a request is sent to an upstream, and reports whether it is suspected.
+// noteStarted records that a request is sent to an upstream, and reports whether it is suspected.
 func (s *suspects) noteStarted(q *request, g dispatch.Grant) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +110,7 @@
 	return true
 }
 
-// ended notes how a try ended, which was suspected when it began or not.
+// noteEnded records the outcome of a try. suspected is what noteStarted returned for it.
 func (s *suspects) noteEnded(q *request, g dispatch.Grant, suspected bool, o dispatch.Outcome) {
 	inst := &g.Instance
 	s.mu.Lock()
@@ -132,7 +133,8 @@
 	s.logCrashes(crashes, inst.ID, "try")
 }
 
-// viewChanged compares the starts of upstreams at which runs broke off with the present ones.
+// onViewChanged compares the incarnations of upstreams on which runs were cut off with the current
+// ones.
 func (s *suspects) onViewChanged(v *instances.View) {
 	var crashes []poison.Crash
 	s.mu.Lock()
@@ -146,24 +148,25 @@
 	s.logCrashes(crashes, "", "entry")
 }
 
-// logCrashes logs and counts upstreams' ends with requests on them. from tells what showed them.
+// logCrashes logs and counts crashes of upstreams with requests on them. from names what revealed
+// the crash.
 func (s *suspects) logCrashes(crashes []poison.Crash, upstream, from string) {
 	for _, c := range crashes {
 		s.meters.inc(suspectsCrashes)
 		s.mu.Lock()
 		count := s.book.Crashes(c.Digest)
 		s.mu.Unlock()
-		s.log.Warn("upstream ended with a request on it", "digest", digestText(c.Digest), "crashes", count,
+		s.log.Warn("upstream crashed while running a request", "digest", digestText(c.Digest), "crashes", count,
 			"upstream", upstream, "from", from, "after_ms", s.now().Sub(c.At).Milliseconds())
 	}
 }
 
-// clear lets a request through again, as an operator says.
+// clear lets a request through again at an operator's request.
 func (s *suspects) clear(d poison.Digest, by string) {
 	s.mu.Lock()
 	s.book.Clear(poison.Clearing{Digest: d, At: s.now()})
 	s.mu.Unlock()
-	s.log.Info("request is sent again", "digest", digestText(d), "by", by)
+	s.log.Info("suspected request cleared", "digest", digestText(d), "by", by)
 }
 
 // list returns the suspected requests.
@@ -174,7 +177,7 @@
 	return s.book.Suspects()
 }
 
-// gauges tells how many requests are suspected.
+// updateGauges updates the gauges for suspected and refused requests.
 func (s *suspects) updateGauges() {
 	list := s.list()
 	refused := 0
@@ -187,10 +190,10 @@
 	s.meters.gauge(suspectsStopped, int64(refused))
 }
 
-// digestText and parseDigest are the form of digests for people.
+// digestText and parseDigest convert digests to and from the form shown to operators.
 func digestText(d poison.Digest) string { return fmt.Sprintf("%016x", uint64(d)) }
 
-var errInvalidDigest = errors.New("not a digest of 16 hexadecimal digits")
+var errInvalidDigest = errors.New("a digest must have 16 hexadecimal digits")
 
 func parseDigest(text string) (poison.Digest, error) {
 	var d uint64
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -21,8 +21,8 @@
 	"github.com/rockcroft/rockcroft/state/routing"
 )
 
-// harmful lets upstreams end by marked requests, and be back after a time. It returns how many such
-// requests they began to run.
+// crashOnHarmful makes upstreams crash on marked requests and restart after the duration back. It
+// returns the number of such requests that they began to run.
 func (b *bed) crashOnHarmful(back time.Duration) *atomic.Int64 {
 	var runs atomic.Int64
 	var arm func(u *upstream)
@@ -40,7 +40,8 @@
 	return &runs
 }
 
-// harm sends a request that ends the upstream which runs it, the same each time but for its id.
+// sendHarmful sends a request that crashes the upstream which runs it. Every call sends the same
+// request except for its id.
 func (b *bed) sendHarmful(g *testGateway, method, path string, key int) reply {
 	id := fmt.Sprintf("h%d", b.next.Add(1))
 	var body *strings.Reader
@@ -64,8 +65,9 @@
 	return reply{id: id, status: resp.StatusCode, header: resp.Header}
 }
 
-// TestHarmfulRequestIsStopped: a request that ends each upstream which runs it, and comes again at
-// one gateway after the other, is sent to few more after the third. Others of the same kind go on.
+// TestHarmfulRequestIsStopped checks that a request which crashes every upstream that runs it, and
+// is repeated at one gateway after the other, is sent to few more upstreams after the third crash.
+// Other requests of the same kind are still served.
 func TestHarmfulRequestIsStopped(t *testing.T) {
 	for _, kind := range []struct {
 		method, path string
@@ -84,34 +86,34 @@
 				}
 				return true
 			}
-			b.eventually("all gateways refuse it", func() bool {
+			b.eventually("request refused by all gateways", func() bool {
 				time.Sleep(100 * time.Millisecond)
 				return stopped()
 			})
 			after := runs.Load()
 			if after > 6 {
-				t.Errorf("%d upstreams ended, three are needed to know", after)
+				t.Errorf("%d upstreams crashed, three are needed to identify the request", after)
 			}
 			for range 5 {
 				for _, g := range b.gateways {
 					a := b.sendHarmful(g, kind.method, kind.path, 7)
 					if again := a.header.Get("Retry-After"); kind.status == http.StatusServiceUnavailable && again != "60.000" {
-						t.Errorf("it may come back in %s s", again)
+						t.Errorf("Retry-After %s, want 60.000", again)
 					}
 				}
 			}
 			if n := runs.Load(); n != after {
-				t.Errorf("it ended %d upstreams more after all refused it", n-after)
+				t.Errorf("%d more upstreams crashed after all gateways refused the request", n-after)
 			}
-			b.eventually("others are served", func() bool {
+			b.eventually("other requests served", func() bool {
 				return b.ask(b.gateways[0], kind.method, strings.Replace(kind.path, "harm", "other", 1), 7).status == http.StatusOK
 			})
 		})
 	}
 }
 
-// TestInnocentRequestsAreNotStopped: upstreams that break connections, refuse, fail or end by
-// themselves make no request suspected enough to be refused for it.
+// TestInnocentRequestsAreNotStopped checks that no request is refused because upstreams break
+// connections, refuse, fail or restart for other reasons.
 func TestInnocentRequestsAreNotStopped(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
@@ -133,8 +135,9 @@
 	}
 }
 
-// TestSuspectsDoNotMeet guards against ends of upstreams that do not tell which of two suspects was
-// their cause: while one runs others go elsewhere, unless hardly an upstream were left.
+// TestSuspectsRunOnSeparateUpstreams guards against crashes that do not show which of two suspected
+// requests caused them: while one runs, others go to different upstreams, unless hardly an upstream
+// would remain.
 func TestSuspectsRunOnSeparateUpstreams(t *testing.T) {
 	s := noSuspects()
 	s.view.setInstances(1, instances.NewView(1, []instances.Instance{
@@ -145,17 +148,17 @@
 	}
 	sent := func(u string) dispatch.Grant { return dispatch.Grant{Instance: instances.Instance{ID: u}} }
 	if s.noteStarted(ask(1, "read"), sent("u1")) {
-		t.Error("a request is watched that nothing is known of")
+		t.Error("a request without crashes is suspected")
 	}
 	for i, d := range []poison.Digest{1, 2, 2} {
 		s.book.Told([]poison.Crash{{Digest: d, Event: poison.Event(i), At: s.now()}})
 	}
 	first := s.noteStarted(ask(1, "read"), sent("u1"))
 	if got := s.upstreamsToAvoid(ask(2, "read")); !slices.Equal(got, []string{"u1"}) {
-		t.Errorf("another suspect avoids %v", got)
+		t.Errorf("another suspected request avoids %v", got)
 	}
 	for what, q := range map[string]*request{
-		"itself": ask(1, "read"), "one that is not suspected": ask(3, "read"), "one for two upstreams": ask(2, "pair"),
+		"the same request": ask(1, "read"), "an unsuspected request": ask(3, "read"), "a request for a service with two upstreams": ask(2, "pair"),
 	} {
 		if got := s.upstreamsToAvoid(q); len(got) > 0 {
 			t.Errorf("%s avoids %v", what, got)
@@ -163,12 +166,13 @@
 	}
 	s.noteEnded(ask(1, "read"), sent("u1"), first, dispatch.Broken)
 	if got := s.upstreamsToAvoid(ask(2, "read")); len(got) > 0 {
-		t.Errorf("%v avoided after the run has ended", got)
+		t.Errorf("%v still avoided after the run ended", got)
 	}
 }
 
-// TestHarmfulWhileItWaits guards against a harmful request that is let through since nothing was
-// known of it when it came: it waited for an upstream while the word went round.
+// TestHarmfulRequestRefusedWhileQueued guards against a harmful request that is sent because
+// nothing was known of it when it arrived: the crashes became known while it waited for an
+// upstream.
 func TestHarmfulRequestRefusedWhileQueued(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
@@ -197,20 +201,20 @@
 	}
 }
 
-// TestDigestText is what operators read and write.
+// TestDigestText checks the form of digests that operators read and write.
 func TestDigestText(t *testing.T) {
 	if d, err := parseDigest(digestText(0xab12)); err != nil || d != 0xab12 {
 		t.Errorf("%x, %v", d, err)
 	}
 	for _, text := range []string{"", "ab12", "zzzzzzzzzzzzzzzz", "000000000000ab12f"} {
 		if _, err := parseDigest(text); err == nil {
-			t.Errorf("%q is taken for a digest", text)
+			t.Errorf("%q is accepted as a digest", text)
 		}
 	}
 }
 
-// TestSuspectIsLifted: operators see a request that is sent no more, with the digest of the refused
-// ones' log lines, and let it through at all gateways.
+// TestSuspectIsLifted checks that operators see a refused request, under the digest in the log
+// lines of its refusals, and can let it through again at all gateways.
 func TestSuspectIsLifted(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
@@ -223,8 +227,9 @@
 		first.book.Ended(first.now(), "i-p0", instances.Incarnation(i+1))
 	}
 	first.mu.Unlock()
-	// Not asked for before all know: answered well meanwhile, it would be cleared.
-	b.eventually("all know it", func() bool {
+	// Send the request only once all gateways know of it: a successful answer before that would
+	// clear it.
+	b.eventually("suspect known to all gateways", func() bool {
 		for _, g := range b.gateways {
 			if metricsOf(g)["suspects.stopped"] != "1" {
 				return false
@@ -234,21 +239,21 @@
 	})
 	for _, g := range b.gateways {
 		if a := b.ask(g, http.MethodGet, "/read/same", -1); a.status != http.StatusServiceUnavailable {
-			t.Errorf("status %d", a.status)
+			t.Errorf("status %d, want 503", a.status)
 		}
 	}
 	operator := placementpb.NewPlacementProtobufClient("http://"+b.gateways[1].open.Peers.Addr().String(), b.client)
 	state, err := operator.Suspects(context.Background(), &placementpb.SuspectsRequest{})
 	if err != nil || len(state.List) != 1 || state.List[0].Digest != digestText(d) || !state.List[0].Refused {
-		t.Fatalf("suspects %v, %v", state, err)
+		t.Fatalf("suspects %v, error %v", state, err)
 	}
 	if _, err := operator.LiftSuspect(context.Background(), &placementpb.Lift{Digest: "nonsense"}); err == nil {
-		t.Error("nonsense is lifted")
+		t.Error("an invalid digest is accepted")
 	}
 	if _, err := operator.LiftSuspect(context.Background(), &placementpb.Lift{Digest: digestText(d), By: "test"}); err != nil {
 		t.Fatal(err)
 	}
-	b.eventually("all send it", func() bool {
+	b.eventually("request served by all gateways", func() bool {
 		for _, g := range b.gateways {
 			if b.ask(g, http.MethodGet, "/read/same", -1).status != http.StatusOK {
 				return false
--- a/gateway/suspectstate.go
+++ b/gateway/suspectstate.go
@@ -7,7 +7,7 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// This file lets operators see requests that end upstreams, and let them through.
+// This file lets operators list requests that crash upstreams, and let them through again.
 
 // Suspects implements placementpb.Placement.
 func (p *placements) Suspects(ctx context.Context, r *placementpb.SuspectsRequest) (*placementpb.SuspectsState, error) {
