--- a/gateway/evacuationstate.go
+++ b/gateway/evacuationstate.go
@@ -10,7 +10,7 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// This file tells operators how far evacuations are.
+// This file reports the progress of evacuations to operators.
 
 // Evacuations implements placementpb.Placement.
 func (p *placements) Evacuations(ctx context.Context, r *placementpb.EvacuationsRequest) (*placementpb.EvacuationsState, error) {
@@ -21,7 +21,7 @@
 	state := &placementpb.EvacuationsState{Revision: set.Revision()}
 	for _, m := range set.Marks() {
 		if !m.Ended {
-			state.Domains = append(state.Domains, p.evacuated(m))
+			state.Domains = append(state.Domains, p.domainState(m))
 		}
 	}
 	members, _ := p.cluster.allMembers()
@@ -36,8 +36,8 @@
 	return state, nil
 }
 
-// evacuated tells how far the evacuation of one failure domain is.
-func (p *placements) evacuated(m evacuation.Mark) *placementpb.EvacuatedDomain {
+// domainState returns the progress of the evacuation of one failure domain.
+func (p *placements) domainState(m evacuation.Mark) *placementpb.EvacuatedDomain {
 	out := &placementpb.EvacuatedDomain{
 		Domain: m.Domain, Revision: m.Revision, KnownMs: uint64(p.evac.knownFor(m.Domain).Milliseconds()),
 	}
@@ -45,25 +45,25 @@
 	if upstreams == nil {
 		return out
 	}
-	for _, one := range upstreams.All() {
-		if one.Domain == m.Domain {
+	for _, inst := range upstreams.All() {
+		if inst.Domain == m.Domain {
 			out.Upstreams++
 		}
 	}
 	for _, table := range *p.steward.view.owners.Load() {
-		out.Keys += uint32(keysOf(table, func(owner string) bool {
-			one := upstreams.Get(owner)
-			return one != nil && one.Domain == m.Domain
+		out.Keys += uint32(countKeys(table, func(owner string) bool {
+			inst := upstreams.Get(owner)
+			return inst != nil && inst.Domain == m.Domain
 		}))
 	}
 	return out
 }
 
-// keysOf returns how many keys have an owner of the kind.
-func keysOf(t *spans.Table, is func(owner string) bool) int {
+// countKeys returns how many keys have an owner that satisfies ownedBy.
+func countKeys(t *spans.Table, ownedBy func(owner string) bool) int {
 	keys := 0
 	for _, s := range t.Spans {
-		if is(s.Owner) {
+		if ownedBy(s.Owner) {
 			keys += s.Count()
 		}
 	}
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -157,7 +157,7 @@
 	resp.Limits = f.sieve.validLimits(invalidUpdate, resp.Limits)
 	f.cluster.setParentWanted(resp.Limits)
 	f.limits.recordFromGateway(resp.Limits)
-	f.suspects.told(resp.Suspects)
+	f.suspects.applyMessage(resp.Suspects)
 	f.cluster.setParentRights(decodeRights(resp.Rights), f.now().Add(-time.Duration(resp.RightsMs)*time.Millisecond))
 	f.shareLoads(int(resp.Gateways))
 	if f.now().Sub(began) < newsAtOnce {
@@ -220,7 +220,7 @@
 	f.setOwn(own)
 	r.Demands = encodeDemands(f.cluster.subtreeDemand(own.demand))
 	r.Limits = f.limits.encode(func(upstream string) float64 { return f.cluster.subtreeWanted(own.wanted, upstream) })
-	r.Suspects = f.suspects.messages()
+	r.Suspects = f.suspects.message()
 	r.Followers = f.cluster.followers()
 	f.cluster.addRuns(own.loads)
 	r.Loads = mergeRuns(f.cluster.subtreeLoads(own.loads), f.cluster.takeRuns())
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -186,19 +186,19 @@
 	}}}
 	g.cluster = newCluster(self, client, g.now, mathrand.New(mathrand.NewPCG(seeds[1], seeds[0])))
 	g.calls = &storeCaller{
-		conns: pool.New(storeLimits, g.now), address: conf.Store.String(), relays: g.cluster.relayCandidates, leads: g.cluster.isLeading,
-		now: g.now, log: log, meters: g.meters, lastOK: g.now(),
+		conns: pool.New(storeLimits, g.now), address: conf.Store.String(), relayPeers: g.cluster.relayCandidates, isLeader: g.cluster.isLeading,
+		now: g.now, log: log, meters: g.meters, lastSuccess: g.now(),
 	}
 	g.suspects = newSuspects(g.view, g.cluster.gatewayCount, g.now, log, g.meters, mathrand.New(mathrand.NewPCG(seeds[0], seeds[1]+1)))
 	g.view.onInstances = func(v *instances.View) {
 		g.traffic.setUpstreams(v)
-		g.suspects.viewChanged(v)
+		g.suspects.onViewChanged(v)
 	}
 	unread := newUnreadHeaders(g.now, log, g.meters)
 	store := platform.NewStore(g.calls)
 	evac := newEvacuations(g.view, g.now, log, g.meters)
 	g.watcher = newWatcher(store, g.view, evac, g.now, log, g.meters, seeds[0])
-	g.calls.onReturn = g.watcher.returned
+	g.calls.onRecovery = g.watcher.storeRecovered
 	g.follower = &follower{
 		view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now, log: log, meters: g.meters,
 		began: g.now(), evac: evac, limits: g.limits, suspects: g.suspects,
@@ -226,7 +226,7 @@
 		store: store, steward: g.steward, leading: g.leading, cluster: g.cluster, evac: evac, suspects: g.suspects, unread: unread,
 		watches: g.watcher.ages, now: g.now, log: log,
 	}
-	g.watcher.draining, g.watcher.toldLeaving = g.steward.placements.draining, g.steward.reportedLeaving
+	g.watcher.isDraining, g.watcher.announcedLeaving = g.steward.placements.draining, g.steward.reportedLeaving
 	g.follower.setOwn = g.steward.setOwn
 	g.front = &front{
 		view: g.view, traffic: g.traffic, splitter: routing.NewSplitter(), conns: g.conns, now: g.now,
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -15,13 +15,13 @@
 	m.gauge(leaderLeading, boolGauge(g.cluster.isLeading()))
 	m.gauge(leaderMayAct, boolGauge(g.leading.mayAct()))
 	m.gauge(clusterSize, int64(g.cluster.gatewayCount()))
-	m.gauge(storeAway, boolGauge(g.calls.away()))
+	m.gauge(storeAway, boolGauge(g.calls.unavailable()))
 	g.viewGauges()
 	g.serviceGauges()
 	g.gaps.gauges()
 	g.limits.updateGauges()
 	g.traffic.updateNoticeGauges(g.meters)
-	g.suspects.gauges()
+	g.suspects.updateGauges()
 	g.steward.updateOwnerGauges()
 	stats := g.conns.Stats()
 	m.gauge(connOpened, int64(stats.Opened))
@@ -37,7 +37,7 @@
 	lost, age := time.Duration(0), time.Duration(0)
 	if !g.cluster.isLeading() {
 		lost, _, _ = g.follower.lostFor()
-		age = g.follower.newsAge(g.watcher.ages.last())
+		age = g.follower.newsAge(g.watcher.ages.lastHeardAny())
 	}
 	m.gauge(leaderHeard, lost.Milliseconds())
 	m.gauge(viewAge, age.Milliseconds())
@@ -45,7 +45,7 @@
 		m.gauge(viewVersion, int64(t.Version))
 		m.gauge(viewConfigurationAge, g.configurationAge().Milliseconds())
 	}
-	for kind, age := range g.watcher.ages.all() {
+	for kind, age := range g.watcher.ages.agesByKind() {
 		m.gauge(fill(watchHeard, kind), age.Milliseconds())
 	}
 	evacuated := g.view.evac.Load()
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -20,7 +20,7 @@
 	}
 	// Apply evacuations before upstreams, so that no upstream is used that is known to be in an
 	// evacuated failure domain.
-	f.evac.told(resp.Evacuations)
+	f.evac.applyFromPeer(resp.Evacuations)
 	// Record the announcement before the parts are handled, because an offered part may come into
 	// force at once.
 	f.recordAnnouncement(resp)
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -45,12 +45,12 @@
 	if r.Member == nil || r.Member.Node == "" || r.Member.Address == "" {
 		return nil, twirp.RequiredArgumentError("member")
 	}
-	p.evac.told(r.Evacuations)
+	p.evac.applyFromPeer(r.Evacuations)
 	if r.WaitMs > 0 {
 		r.Loads = p.validator.filterLoads(r.Loads)
 		r.Limits = p.validator.validLimits(invalidReport, r.Limits)
 		p.limits.recordFromGateway(r.Limits)
-		p.suspects.told(r.Suspects)
+		p.suspects.applyMessage(r.Suspects)
 		p.cluster.handleReport(r, p.leaderAge() < orphanAfter)
 		if p.cluster.isLeading() {
 			p.steward.asked(r.Keys)
@@ -108,7 +108,7 @@
 	if p.cluster.isLeading() {
 		return 0
 	}
-	return p.follower.newsAge(p.watcher.ages.last())
+	return p.follower.newsAge(p.watcher.ages.lastHeardAny())
 }
 
 // milliseconds converts a duration for messages, capped at an hour.
@@ -170,7 +170,7 @@
 	resp.Gateways = uint32(p.cluster.gatewayCount())
 	resp.HotKeys = p.hotKeyMessages()
 	resp.Limits = p.namedLimitMessages(r.Member.Node)
-	resp.Suspects = p.suspects.messages()
+	resp.Suspects = p.suspects.message()
 	resp.Rights, resp.RightsMs = p.rightsFor(r)
 	resp.MembersVersion = r.MembersVersion
 	if p.cluster.membersVersion() != r.MembersVersion {
@@ -238,11 +238,11 @@
 // Relay implements syncpb.Peer. It answers only after the complete response has arrived from the
 // store.
 func (p *peerServer) Relay(ctx context.Context, r *syncpb.RelayRequest) (*syncpb.RelayResponse, error) {
-	c, ok := relayed(r)
+	c, ok := relayedCall(r)
 	if !ok {
 		return nil, twirp.InvalidArgumentError("target", "is no path of the store")
 	}
-	status, body, err := p.store.direct(ctx, c)
+	status, body, err := p.store.callDirect(ctx, c)
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
--- a/gateway/storecall.go
+++ b/gateway/storecall.go
@@ -16,105 +16,103 @@
 )
 
 const (
-	// storeTimeout bounds the silence of the store in a call that does not wait for
-	// changes, from its begin and from each piece of the answer: the store answers
-	// in milliseconds, and in some hundred when it is slow, but its answers may be
-	// large and the link narrow.
+	// storeTimeout bounds the silence of the store during a call that does not wait for changes,
+	// measured from the start of the call and again from each piece of the answer. It bounds the
+	// silence rather than the whole call because the store answers within milliseconds, or a few
+	// hundred when it is slow, but its answers may be large and the link narrow.
 	storeTimeout = 700 * time.Millisecond
-	// longestCall bounds such a call as a whole: six times what the smallest link,
-	// 10 Mbit/s, needs for the largest page of a list, 1 MB.
-	longestCall = 5 * time.Second
-	// relayTimeout bounds the silence of another gateway by way of which a call goes,
-	// until the first bytes of its answer: it hands the store's answer on when it has
-	// the whole. From then on storeTimeout does.
+	// maxCallDuration bounds such a call as a whole. It is six times what the narrowest link, 10
+	// Mbit/s, needs for the largest page of a list, 1 MB.
+	maxCallDuration = 5 * time.Second
+	// relayTimeout bounds the silence of another gateway that relays a call, until the first bytes
+	// of its answer: a relay passes the store's answer on only once it has received all of it.
+	// After the first bytes storeTimeout applies.
 	relayTimeout = 900 * time.Millisecond
-	// callPatience is how long one way is waited for, while nothing of the answer
-	// arrives, before another is tried beside it: longer than the store's answers
-	// take when it is slow.
-	callPatience = 450 * time.Millisecond
-	// directPause is how long calls go by way of other gateways first after a
-	// direct one failed.
-	directPause = 1500 * time.Millisecond
-	// mostRelays bounds the gateways that are asked for one call.
-	mostRelays = 2
-	// awayAfter is how long every call must have failed for the store to
-	// count as away.
-	awayAfter = 900 * time.Millisecond
+	// fallbackDelay is how long a call may go without receiving any part of the answer before the
+	// next path is tried in parallel. It is longer than the store takes to answer when it is slow.
+	fallbackDelay = 450 * time.Millisecond
+	// directRetryDelay is how long calls prefer other gateways after a direct call failed.
+	directRetryDelay = 1500 * time.Millisecond
+	// maxRelays bounds the number of gateways asked to relay one call that does not wait for
+	// changes.
+	maxRelays = 2
+	// outageThreshold is how long every call must have failed before the store counts as
+	// unavailable.
+	outageThreshold = 900 * time.Millisecond
 )
 
-// exchanger sends one request to an address and returns the whole answer.
-type exchanger interface {
+// requestSender sends one request to an address and returns the complete answer.
+type requestSender interface {
 	Do(ctx context.Context, addr string, r *pool.Request) (*pool.Response, error)
 	// Forget closes the idle connections.
 	Forget()
 }
 
-// storeCaller carries calls to the platform's store: directly, or by way of
-// other gateways when the store does not serve this machine.
+// storeCaller sends calls to the platform's store: directly, or through other gateways when the
+// store does not serve this machine.
 type storeCaller struct {
-	conns   exchanger
+	conns   requestSender
 	address string
-	// leads reports whether this gateway leads, and the others go by what it hears.
-	leads func() bool
-	// relays returns gateways to ask, the best first.
-	relays func(most int) []syncpb.Peer
-	now    func() time.Time
-	log    *slog.Logger
-	meters *meters
-
-	mu          sync.Mutex
-	directUntil time.Time
-	lastOK      time.Time
-	failingFrom time.Time
-	// directFailing says that the last direct call failed, good is the gateway by way of which
-	// one has succeeded last.
+	// isLeader reports whether this gateway is the leader, whose view the other gateways follow.
+	isLeader func() bool
+	// relayPeers returns up to most gateways that can relay a call, the best first.
+	relayPeers func(most int) []syncpb.Peer
+	now        func() time.Time
+	log        *slog.Logger
+	meters     *meters
+
+	mu               sync.Mutex
+	avoidDirectUntil time.Time
+	lastSuccess      time.Time
+	failingSince     time.Time
+	// directFailing is true if the last direct call failed; lastRelay is the gateway that relayed
+	// the last successful call.
 	directFailing bool
-	good          syncpb.Peer
-	// sought is when all gateways were last asked in vain, latency the mean time of a call that
-	// does not wait.
-	sought  time.Time
-	latency time.Duration
-	// onReturn is called when the store is reached again after an outage.
-	onReturn func()
+	lastRelay     syncpb.Peer
+	// searchFailedAt is when all gateways were last asked without success; meanLatency is the
+	// smoothed latency of calls that do not wait for changes.
+	searchFailedAt time.Time
+	meanLatency    time.Duration
+	// onRecovery is called when the store is reached again after an outage.
+	onRecovery func()
 }
 
 var (
-	errNoWay = errors.New("the store is reached neither directly nor by way of other gateways")
-	// errTooLong: the answer was still arriving when longestCall had passed.
-	errTooLong = errors.New("the store's answer takes too long")
+	errStoreUnreachable = errors.New("the store cannot be reached, neither directly nor through other gateways")
+	// errCallTooLong is returned when the answer was still arriving after maxCallDuration.
+	errCallTooLong = errors.New("the store's answer exceeded the time limit of the call")
 )
 
-// Call implements platform.Transport. The call is made directly, and by way of
-// other gateways as well when that fails or nothing arrives for long; the other way
-// round when it has failed directly a moment ago. A call whose answer is arriving is not
-// made another way beside: that would take the same link. Reads, whose answers may be
-// large, go by way of one other gateway after the other; writes by way of all at once,
-// as the lease must be renewed in time. All calls that write are
-// conditional, so that one that is made twice takes effect once.
+// Call implements platform.Transport. The call is made directly, and through other gateways as well
+// if the direct call fails or nothing arrives for fallbackDelay. If a direct call failed a moment
+// ago, the order is reversed. A call whose answer is arriving is not repeated on another path,
+// because both would share the same link. Reads, whose answers may be large, use one relay after
+// the other; writes use all relays at once, because the lease must be renewed in time. All writes
+// are conditional, so a write that is sent twice takes effect once.
 func (s *storeCaller) Call(ctx context.Context, c platform.Call) (int, []byte, error) {
-	return s.ways(c).run(ctx)
+	return s.paths(c).run(ctx)
 }
 
-// served reports whether the store itself took the call. What it turns away is
-// tried another way.
-func served(status int, err error) bool {
+// servedByStore reports whether the store itself served the call. A call that the store rejects as
+// overloaded or unavailable is tried on another path.
+func servedByStore(status int, err error) bool {
 	return err == nil && status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests
 }
 
-// direct makes the call from here.
-func (s *storeCaller) direct(ctx context.Context, c platform.Call) (int, []byte, error) {
-	return s.directly(ctx, c, func() {})
+// callDirect makes the call from this gateway.
+func (s *storeCaller) callDirect(ctx context.Context, c platform.Call) (int, []byte, error) {
+	return s.callDirectWithProgress(ctx, c, func() {})
 }
 
-// directly makes the call from here, and calls arrived whenever bytes of the answer
-// have arrived.
-func (s *storeCaller) directly(ctx context.Context, c platform.Call, arrived func()) (int, []byte, error) {
-	ctx, heard, end := untilSilent(ctx, storeTimeout, c.Wait)
+// callDirectWithProgress makes the call from this gateway and calls onProgress whenever bytes of
+// the answer arrive.
+func (s *storeCaller) callDirectWithProgress(ctx context.Context, c platform.Call, onProgress func()) (int, []byte, error) {
+	ctx, noteArrival, end := withSilenceTimeout(ctx, storeTimeout, c.Wait)
 	defer end()
 	resp, err := s.conns.Do(ctx, s.address, &pool.Request{
 		Method: c.Method, Target: c.Target, Host: s.address, Body: c.Body,
 		Header:  http.Header{"Content-Type": {"application/json"}},
-		Arrived: func(int) { heard(); arrived() },
+		Arrived: func(int) { noteArrival(); onProgress() },
 	})
 	kind, operation := c.Describe()
 	if err != nil {
@@ -126,30 +124,31 @@
 	return resp.Status, resp.Body, nil
 }
 
-// untilSilent returns a context for a call to the store that may wait for changes. It
-// ends with the cause context.DeadlineExceeded when nothing has been heard for first, or
-// for storeTimeout since heard was last called; neither counts while the store may wait.
-// It ends with errTooLong after longestCall.
-func untilSilent(ctx context.Context, first, wait time.Duration) (_ context.Context, heard, end func()) {
+// withSilenceTimeout returns a context for a call to the store that may wait for changes for the
+// duration wait. The context ends with the cause context.DeadlineExceeded when nothing has arrived
+// for the duration first, or for storeTimeout since noteArrival was last called; the time during
+// which the store may wait does not count. It ends with errCallTooLong after maxCallDuration plus
+// wait.
+func withSilenceTimeout(ctx context.Context, first, wait time.Duration) (_ context.Context, noteArrival, end func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	silence := time.AfterFunc(first+wait, func() { cancel(context.DeadlineExceeded) })
-	whole := time.AfterFunc(longestCall+wait, func() { cancel(errTooLong) })
-	waits := time.Now().Add(wait)
-	heard = func() { silence.Reset(storeTimeout + max(time.Until(waits), 0)) }
+	silenceTimer := time.AfterFunc(first+wait, func() { cancel(context.DeadlineExceeded) })
+	totalTimer := time.AfterFunc(maxCallDuration+wait, func() { cancel(errCallTooLong) })
+	waitEnd := time.Now().Add(wait)
+	noteArrival = func() { silenceTimer.Reset(storeTimeout + max(time.Until(waitEnd), 0)) }
 	end = func() {
-		silence.Stop()
-		whole.Stop()
+		silenceTimer.Stop()
+		totalTimer.Stop()
 		cancel(nil)
 	}
-	return ctx, heard, end
+	return ctx, noteArrival, end
 }
 
-// relay makes the call by way of another gateway, and calls arrived whenever bytes of
-// the answer have arrived.
-func (s *storeCaller) relay(ctx context.Context, peer syncpb.Peer, c platform.Call, arrived func()) (int, []byte, error) {
-	ctx, heard, end := untilSilent(ctx, relayTimeout, c.Wait)
+// callViaRelay makes the call through another gateway and calls onProgress whenever bytes of the
+// answer arrive.
+func (s *storeCaller) callViaRelay(ctx context.Context, peer syncpb.Peer, c platform.Call, onProgress func()) (int, []byte, error) {
+	ctx, noteArrival, end := withSilenceTimeout(ctx, relayTimeout, c.Wait)
 	defer end()
-	ctx = withProgress(ctx, func() { heard(); arrived() })
+	ctx = withProgress(ctx, func() { noteArrival(); onProgress() })
 	s.meters.inc(storeRelayed)
 	resp, err := peer.Relay(ctx, &syncpb.RelayRequest{
 		Method: c.Method, Target: c.Target, Body: c.Body, WaitMs: uint32(c.Wait.Milliseconds()),
@@ -163,57 +162,57 @@
 func (s *storeCaller) avoidsDirect() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now().Before(s.directUntil)
+	return s.now().Before(s.avoidDirectUntil)
 }
 
-func (s *storeCaller) directFailed() {
+func (s *storeCaller) noteDirectFailure() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.directUntil = s.now().Add(directPause)
+	s.avoidDirectUntil = s.now().Add(directRetryDelay)
 	s.directFailing = true
 }
 
-// succeeded notes a call that the store has served.
-func (s *storeCaller) succeeded(direct bool) {
+// noteSuccess records a call that the store has served.
+func (s *storeCaller) noteSuccess(direct bool) {
 	s.mu.Lock()
 	if direct {
-		s.directUntil = time.Time{}
+		s.avoidDirectUntil = time.Time{}
 		s.directFailing = false
 	}
 	now := s.now()
-	returned := s.awayAt(now)
-	s.lastOK = now
-	s.failingFrom = time.Time{}
+	recovered := s.unavailableAt(now)
+	s.lastSuccess = now
+	s.failingSince = time.Time{}
 	s.mu.Unlock()
-	if returned {
+	if recovered {
 		s.log.Info("store reached again")
-		s.onReturn()
+		s.onRecovery()
 	}
 }
 
-func (s *storeCaller) failed() {
+func (s *storeCaller) noteFailure() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.failingFrom.IsZero() {
-		s.failingFrom = s.now()
-		s.log.Warn("store not reached", "last_reached_ms_ago", s.now().Sub(s.lastOK).Milliseconds())
+	if s.failingSince.IsZero() {
+		s.failingSince = s.now()
+		s.log.Warn("store not reached", "last_reached_ms_ago", s.now().Sub(s.lastSuccess).Milliseconds())
 	}
 }
 
-func (s *storeCaller) awayAt(now time.Time) bool {
-	return !s.failingFrom.IsZero() && now.Sub(s.failingFrom) > awayAfter
+func (s *storeCaller) unavailableAt(now time.Time) bool {
+	return !s.failingSince.IsZero() && now.Sub(s.failingSince) > outageThreshold
 }
 
-// away reports whether no call has succeeded for a while.
-func (s *storeCaller) away() bool {
+// unavailable reports whether every call has failed for longer than outageThreshold.
+func (s *storeCaller) unavailable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.awayAt(s.now())
+	return s.unavailableAt(s.now())
 }
 
-// relayed checks a call that another gateway asks for: only calls on objects
-// are passed on.
-func relayed(r *syncpb.RelayRequest) (platform.Call, bool) {
+// relayedCall decodes a call that another gateway asks this one to relay. It reports false unless
+// the call is for objects; nothing else is relayed.
+func relayedCall(r *syncpb.RelayRequest) (platform.Call, bool) {
 	c := platform.Call{
 		Method: r.Method, Target: r.Target, Body: r.Body,
 		Wait: time.Duration(r.WaitMs) * time.Millisecond,
--- a/gateway/storeways.go
+++ b/gateway/storeways.go
@@ -10,182 +10,185 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// callResult is how one way of making a call ended.
+// callResult is the result of a call on one path.
 type callResult struct {
 	direct bool
-	// peer is the gateway by way of which it was made.
-	peer   syncpb.Peer
-	began  time.Time
-	waited bool
-	status int
-	body   []byte
-	err    error
+	// peer is the gateway that relayed the call.
+	peer    syncpb.Peer
+	started time.Time
+	waited  bool
+	status  int
+	body    []byte
+	err     error
 }
 
-// callWays are the ways of making one call to the store, and those under way.
-type callWays struct {
+// callPaths makes one call to the store on several paths and tracks the attempts in progress.
+type callPaths struct {
 	store *storeCaller
 	call  platform.Call
-	// left begin the ways not tried yet and return how many calls they have begun.
-	left []func(context.Context) int
-	// running counts the calls under way. Each gives one result.
-	running int
+	// remaining holds functions that start the paths not tried yet; each returns how many calls it
+	// has started.
+	remaining []func(context.Context) int
+	// pending counts the calls in progress. Each delivers one result.
+	pending int
 	results chan callResult
-	// peers are the gateways left to ask one after the other, once chosen says so.
-	peers  []syncpb.Peer
-	chosen bool
-	// rounds counts those in which a call that waits was made without a wait.
+	// peers are the gateways not asked yet. It is valid once peersChosen is set.
+	peers       []syncpb.Peer
+	peersChosen bool
+	// rounds counts the search rounds, in which a call that waits is repeated without a wait.
 	rounds int
-	// arriving tells that bytes of an answer have arrived.
-	arriving chan struct{}
+	// progress signals that bytes of an answer have arrived.
+	progress chan struct{}
 }
 
-// ways returns the ways of making a call, the one to be tried first in front.
-func (s *storeCaller) ways(c platform.Call) *callWays {
-	w := &callWays{store: s, call: c, results: make(chan callResult, 1+mostRelays), arriving: make(chan struct{}, 1)}
+// paths returns the paths of a call, the first one to try in front.
+func (s *storeCaller) paths(c platform.Call) *callPaths {
+	w := &callPaths{store: s, call: c, results: make(chan callResult, 1+maxRelays), progress: make(chan struct{}, 1)}
 	if c.Wait > 0 {
-		w.left = w.watchWays()
+		w.remaining = w.watchPaths()
 		return w
 	}
-	relays := []func(context.Context) int{w.relayedAtOnce}
+	relays := []func(context.Context) int{w.startAllRelays}
 	if c.Method == http.MethodGet {
-		relays = slices.Repeat([]func(context.Context) int{w.relayedNext}, mostRelays)
+		relays = slices.Repeat([]func(context.Context) int{w.startNextRelay}, maxRelays)
 	}
 	if s.avoidsDirect() {
-		w.left = append(relays, w.direct)
+		w.remaining = append(relays, w.startDirect)
 	} else {
-		w.left = append([]func(context.Context) int{w.direct}, relays...)
+		w.remaining = append([]func(context.Context) int{w.startDirect}, relays...)
 	}
 	return w
 }
 
-// direct begins the call from here.
-func (w *callWays) direct(ctx context.Context) int { return w.directly(ctx, w.call) }
+// startDirect starts the call from this gateway.
+func (w *callPaths) startDirect(ctx context.Context) int { return w.startDirectCall(ctx, w.call) }
 
-// directly begins a form of the call from here.
-func (w *callWays) directly(ctx context.Context, c platform.Call) int {
-	began := time.Now()
+// startDirectCall starts the given variant of the call from this gateway.
+func (w *callPaths) startDirectCall(ctx context.Context, c platform.Call) int {
+	started := time.Now()
 	go func() {
-		status, body, err := w.store.directly(ctx, c, w.noteArriving)
-		w.give(ctx, callResult{direct: true, began: began, waited: c.Wait > 0, status: status, body: body, err: err})
+		status, body, err := w.store.callDirectWithProgress(ctx, c, w.noteProgress)
+		w.deliver(ctx, callResult{direct: true, started: started, waited: c.Wait > 0, status: status, body: body, err: err})
 	}()
 	return 1
 }
 
-// give hands a result over, unless nobody wants it any more.
-func (w *callWays) give(ctx context.Context, r callResult) {
+// deliver passes a result to run, unless run has already returned.
+func (w *callPaths) deliver(ctx context.Context, r callResult) {
 	select {
 	case w.results <- r:
 	case <-ctx.Done():
 	}
 }
 
-// noteArriving tells that the answer is on its way. One note waits at most.
-func (w *callWays) noteArriving() {
+// noteProgress signals that part of an answer has arrived. At most one signal is buffered.
+func (w *callPaths) noteProgress() {
 	select {
-	case w.arriving <- struct{}{}:
+	case w.progress <- struct{}{}:
 	default:
 	}
 }
 
-// relayedAtOnce begins the call by way of several other gateways.
-func (w *callWays) relayedAtOnce(ctx context.Context) int {
-	peers := w.store.relays(mostRelays)
+// startAllRelays starts the call through several gateways at once.
+func (w *callPaths) startAllRelays(ctx context.Context) int {
+	peers := w.store.relayPeers(maxRelays)
 	for _, peer := range peers {
-		w.relayed(ctx, w.call, peer)
+		w.startRelay(ctx, w.call, peer)
 	}
 	return len(peers)
 }
 
-// relayedNext begins the call by way of the best gateway that was not asked yet.
-func (w *callWays) relayedNext(ctx context.Context) int {
-	if !w.chosen {
-		w.peers, w.chosen = w.store.relays(mostRelays), true
+// startNextRelay starts the call through the best gateway that has not been asked yet.
+func (w *callPaths) startNextRelay(ctx context.Context) int {
+	if !w.peersChosen {
+		w.peers, w.peersChosen = w.store.relayPeers(maxRelays), true
 	}
 	if len(w.peers) == 0 {
 		return 0
 	}
-	w.relayed(ctx, w.call, w.peers[0])
+	w.startRelay(ctx, w.call, w.peers[0])
 	w.peers = w.peers[1:]
 	return 1
 }
 
-// relayed begins a form of the call by way of one other gateway.
-func (w *callWays) relayed(ctx context.Context, c platform.Call, peer syncpb.Peer) {
-	began := time.Now()
+// startRelay starts the given variant of the call through one other gateway.
+func (w *callPaths) startRelay(ctx context.Context, c platform.Call, peer syncpb.Peer) {
+	started := time.Now()
 	go func() {
-		status, body, err := w.store.relay(ctx, peer, c, w.noteArriving)
-		w.give(ctx, callResult{peer: peer, began: began, waited: c.Wait > 0, status: status, body: body, err: err})
+		status, body, err := w.store.callViaRelay(ctx, peer, c, w.noteProgress)
+		w.deliver(ctx, callResult{peer: peer, started: started, waited: c.Wait > 0, status: status, body: body, err: err})
 	}()
 }
 
-// next begins the next way that is open, if one is left.
-func (w *callWays) next(ctx context.Context) {
-	for begun := 0; begun == 0 && len(w.left) > 0; w.left = w.left[1:] {
-		begun = w.left[0](ctx)
-		w.running += begun
+// startNext starts the next path on which a call can be made, if one remains.
+func (w *callPaths) startNext(ctx context.Context) {
+	for started := 0; started == 0 && len(w.remaining) > 0; w.remaining = w.remaining[1:] {
+		started = w.remaining[0](ctx)
+		w.pending += started
 	}
 }
 
-// goesOn reports whether a call is under way, and begins the next way if none is.
-func (w *callWays) goesOn(ctx context.Context) bool {
-	if w.running == 0 {
-		w.next(ctx)
+// ensurePending starts the next path if no call is in progress, and reports whether one is in
+// progress then.
+func (w *callPaths) ensurePending(ctx context.Context) bool {
+	if w.pending == 0 {
+		w.startNext(ctx)
 	}
-	return w.running > 0
+	return w.pending > 0
 }
 
 // run makes the call and returns the first result that the store has served.
-func (w *callWays) run(ctx context.Context) (int, []byte, error) {
+func (w *callPaths) run(ctx context.Context) (int, []byte, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	waits := time.Now().Add(w.call.Wait)
-	patience := time.NewTimer(w.patience(waits))
-	defer patience.Stop()
-	for w.goesOn(ctx) {
+	waitEnd := time.Now().Add(w.call.Wait)
+	nextPath := time.NewTimer(w.nextPathDelay(waitEnd))
+	defer nextPath.Stop()
+	for w.ensurePending(ctx) {
 		select {
 		case r := <-w.results:
-			w.running--
+			w.pending--
 			switch {
-			case served(r.status, r.err):
-				w.succeeded(r)
+			case servedByStore(r.status, r.err):
+				w.noteSuccess(r)
 				return r.status, r.body, nil
-			case r.direct && tooMuch(r.err):
-				// The store is reached. Another way's answer would be as large.
+			case r.direct && answerTooLarge(r.err):
+				// The store is reachable. The answer would be as large on another path.
 				return 0, nil, r.err
 			case r.direct && ctx.Err() == nil:
-				w.store.directFailed()
+				w.store.noteDirectFailure()
 			}
-			patience.Reset(w.patience(waits))
-		case <-w.arriving:
-			patience.Reset(callPatience + max(time.Until(waits), 0))
-		case <-patience.C:
-			w.next(ctx)
-			patience.Reset(w.patience(waits))
+			nextPath.Reset(w.nextPathDelay(waitEnd))
+		case <-w.progress:
+			nextPath.Reset(fallbackDelay + max(time.Until(waitEnd), 0))
+		case <-nextPath.C:
+			w.startNext(ctx)
+			nextPath.Reset(w.nextPathDelay(waitEnd))
 		case <-ctx.Done():
 			return 0, nil, context.Cause(ctx)
 		}
 	}
 	if w.rounds > 0 && len(w.peers) == 0 {
-		w.store.soughtAll()
+		w.store.noteSearchFailed()
 	}
-	w.store.failed()
-	return 0, nil, errNoWay
+	w.store.noteFailure()
+	return 0, nil, errStoreUnreachable
 }
 
-// succeeded notes what a result that the store has served says of its way. A call that waits from
-// here and was passed by one from elsewhere has been silent.
-func (w *callWays) succeeded(r callResult) {
-	w.store.succeeded(r.direct)
+// noteSuccess records what a result that the store has served says about its path. If a relay
+// answered a search first, the path on which the call waited was silent, so the direct path counts
+// as failed.
+func (w *callPaths) noteSuccess(r callResult) {
+	w.store.noteSuccess(r.direct)
 	if !r.waited {
-		w.store.noteLatency(time.Since(r.began))
+		w.store.noteLatency(time.Since(r.started))
 	}
 	if r.direct {
 		return
 	}
 	w.store.noteRelay(r.peer)
 	if w.rounds > 0 {
-		w.store.log.Info("changes asked for by other gateways, a call that waits heard nothing", "rounds", w.rounds)
-		w.store.directFailed()
+		w.store.log.Info("watch silent, changes fetched through other gateways", "rounds", w.rounds)
+		w.store.noteDirectFailure()
 	}
 }
--- a/gateway/suspectnews.go
+++ b/gateway/suspectnews.go
@@ -8,29 +8,31 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// This file tells other gateways of requests that end upstreams: such a request comes to one
-// gateway after the other, and each sees one of its crashes.
+// This file exchanges information about requests that crash upstreams with other gateways: such a
+// request is sent to one gateway after the other, and each sees only one of the crashes.
 
-// suspectsAgain is how long a message is used again: a leader answers hundreds of reports a second,
-// and the crashes of a lost failure domain are hundreds of requests.
-const suspectsAgain = 50 * time.Millisecond
+// suspectsCacheTime is how long a message is reused: a leader answers hundreds of reports a second,
+// and the loss of a failure domain can produce crashes for hundreds of requests.
+const suspectsCacheTime = 50 * time.Millisecond
 
-// mostSuspectsTold bounds what is taken over from one message, of each kind.
-const mostSuspectsTold = 512
+// maxSuspectsPerMessage bounds what is accepted from one message, for each kind of item.
+const maxSuspectsPerMessage = 512
 
-// messages tells what was seen of late and what is refused. The message is not to be changed.
-func (s *suspects) messages() *syncpb.Suspects {
+// message returns the recent crashes, clearings and ends of upstreams, and the refused requests.
+// The caller must not change the message.
+func (s *suspects) message() *syncpb.Suspects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if now.Sub(s.packedAt) >= suspectsAgain {
-		s.packed, s.packedAt = s.pack(now), now
+	if now.Sub(s.cachedAt) >= suspectsCacheTime {
+		s.cached, s.cachedAt = s.buildMessage(now), now
 	}
-	return s.packed
+	return s.cached
 }
 
-// pack makes the message; nil when there is nothing to be told. The lock is held.
-func (s *suspects) pack(now time.Time) *syncpb.Suspects {
+// buildMessage builds the message, or returns nil if there is nothing to send. The caller holds the
+// lock.
+func (s *suspects) buildMessage(now time.Time) *syncpb.Suspects {
 	crashes, clearings := s.book.Export(now)
 	ends := s.book.RecentEnds(now)
 	if len(crashes) == 0 && len(clearings) == 0 && len(ends) == 0 {
@@ -49,18 +51,19 @@
 	return m
 }
 
-// told takes over what another gateway tells. What is beyond the bound is counted and dropped.
-func (s *suspects) told(m *syncpb.Suspects) {
+// applyMessage applies a message of another gateway. A message that exceeds the bound is counted
+// and dropped.
+func (s *suspects) applyMessage(m *syncpb.Suspects) {
 	if m == nil {
 		return
 	}
-	if len(m.Crashes) > mostSuspectsTold || len(m.Clearings) > mostSuspectsTold || len(m.Ends) > mostSuspectsTold {
+	if len(m.Crashes) > maxSuspectsPerMessage || len(m.Clearings) > maxSuspectsPerMessage || len(m.Ends) > maxSuspectsPerMessage {
 		s.meters.inc(suspectsUnsound)
 		return
 	}
 	now := s.now()
 	ago := func(ms uint32) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
-	var own []poison.Crash
+	var ownCrashes []poison.Crash
 	s.mu.Lock()
 	for _, c := range m.Clearings {
 		s.book.Clear(poison.Clearing{Digest: poison.Digest(c.Digest), At: ago(c.AgeMs)})
@@ -71,8 +74,8 @@
 	}
 	s.book.Merge(crashes)
 	for _, e := range m.Ends {
-		own = append(own, s.book.UpstreamEnded(ago(e.AgeMs), e.Upstream, instances.Incarnation(e.Incarnation))...)
+		ownCrashes = append(ownCrashes, s.book.UpstreamEnded(ago(e.AgeMs), e.Upstream, instances.Incarnation(e.Incarnation))...)
 	}
 	s.mu.Unlock()
-	s.logCrashes(own, "", "gateway")
+	s.logCrashes(ownCrashes, "", "gateway")
 }
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -17,33 +17,32 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// This file keeps requests from upstreams that end the upstreams which run them.
+// This file protects upstreams from requests that crash the upstreams which run them.
 
-// suspects is what this gateway knows of such requests, for concurrent use.
+// suspects holds what this gateway knows of such requests. It is safe for concurrent use.
 type suspects struct {
 	view   *view
 	now    func() time.Time
 	log    *slog.Logger
 	meters *meters
-	// gateways returns how many gateways there are.
+	// gateways returns the number of gateways.
 	gateways func() int
 
 	mu   sync.Mutex
 	book *poison.Tracker
-	// runs are those of suspects that this gateway has sent.
+	// runs are the suspected requests that this gateway has sent and that are still running.
 	runs *poison.ActiveRuns
 	rng  *rand.Rand
-	// packed is the message that was made at packedAt.
-	packed   *syncpb.Suspects
-	packedAt time.Time
+	// cached is the message that was built at cachedAt.
+	cached   *syncpb.Suspects
+	cachedAt time.Time
 }
 
 func newSuspects(v *view, gateways func() int, now func() time.Time, log *slog.Logger, m *meters, rng *rand.Rand) *suspects {
 	return &suspects{view: v, now: now, log: log, meters: m, gateways: gateways, book: poison.NewTracker(), runs: poison.NewActiveRuns(), rng: rng}
 }
 
-// digest tells the request again when it comes another time, by path, caller and body. It is
-// worked out when it is first asked for.
+// digest identifies a repeated request by path, caller and body. It is computed on first use.
 func (q *request) digest() poison.Digest {
 	if q.known == 0 {
 		path, _, _ := strings.Cut(q.target, "?")
@@ -56,8 +55,8 @@
 	return q.known
 }
 
-// check refuses a request that has ended too many upstreams. One that may not run twice has an
-// unknown outcome: it came before, and an upstream began to run it.
+// check refuses a request that has crashed too many upstreams. If the request must not run twice,
+// its outcome is reported as unknown: it was sent before, and an upstream began to run it.
 func (s *suspects) check(q *request) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,23 +68,25 @@
 	if !q.route.Idempotent {
 		kind = answer.HarmfulOnce
 	}
-	err := answer.New(kind, "%d upstreams have ended with this request on them, digest %s", s.book.CrashCount(q.digest()), digestText(q.digest()))
-	// Not the short time of a refusal for want of room: it is refused for a minute at least.
+	err := answer.New(kind, "%d upstreams crashed while running this request (digest %s)", s.book.CrashCount(q.digest()), digestText(q.digest()))
+	// Not the short default for a refusal for lack of capacity: this request is refused for at
+	// least a minute.
 	err.RetryAfter = kind.Row().RetryAfter
 	return err
 }
 
-// suspected reports whether an upstream has ended with the request on it: then it is not sent again
-// by itself.
-func (s *suspects) suspected(q *request) bool {
+// isSuspected reports whether an upstream has crashed while running the request. Such a request is
+// not retried by the gateway.
+func (s *suspects) isSuspected(q *request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.book.Empty() && s.book.CrashCount(q.digest()) > 0
 }
 
-// avoid returns the upstreams at which a suspect is not to run, as others do. Where that would be
-// half of the service's and more it runs beside others, as they would wait for each other.
-func (s *suspects) avoid(q *request) []string {
+// upstreamsToAvoid returns the upstreams to which a suspected request must not be sent because
+// other suspected requests run there. If these are at least half of the service's upstreams, it
+// returns none, because the suspected requests would otherwise wait for each other.
+func (s *suspects) upstreamsToAvoid(q *request) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() {
@@ -98,8 +99,8 @@
 	return occupied
 }
 
-// began notes that a request is sent to an upstream, and reports whether it is suspected.
-func (s *suspects) began(q *request, g dispatch.Grant) bool {
+// noteStarted records that a request is sent to an upstream, and reports whether it is suspected.
+func (s *suspects) noteStarted(q *request, g dispatch.Grant) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() || s.book.CrashCount(q.digest()) == 0 {
@@ -109,35 +110,36 @@
 	return true
 }
 
-// ended notes how a try ended, which was suspected when it began or not.
-func (s *suspects) ended(q *request, g dispatch.Grant, suspected bool, o dispatch.Outcome) {
-	one := &g.Instance
+// noteEnded records the outcome of a try. suspected is what noteStarted returned for it.
+func (s *suspects) noteEnded(q *request, g dispatch.Grant, suspected bool, o dispatch.Outcome) {
+	inst := &g.Instance
 	s.mu.Lock()
 	var crashes []poison.Crash
 	if suspected {
-		s.runs.End(one.ID, q.digest())
+		s.runs.End(inst.ID, q.digest())
 	}
 	switch o {
 	case dispatch.ConnectionBroken:
-		crashes = s.book.RequestAborted(s.now(), q.digest(), one.ID, one.Incarnation())
+		crashes = s.book.RequestAborted(s.now(), q.digest(), inst.ID, inst.Incarnation())
 	case dispatch.ConnectionRefused:
-		crashes = s.book.UpstreamEnded(s.now(), one.ID, one.Incarnation())
+		crashes = s.book.UpstreamEnded(s.now(), inst.ID, inst.Incarnation())
 	case dispatch.Answered, dispatch.Failed, dispatch.Overloaded:
-		s.book.RequestAnswered(one.ID, one.Incarnation(), g.GrantedAt)
+		s.book.RequestAnswered(inst.ID, inst.Incarnation(), g.GrantedAt)
 		if o == dispatch.Answered && !s.book.Empty() && s.book.CrashCount(q.digest()) > 0 {
 			s.book.Clear(poison.Clearing{Digest: q.digest(), At: s.now()})
 		}
 	}
 	s.mu.Unlock()
-	s.logCrashes(crashes, one.ID, "try")
+	s.logCrashes(crashes, inst.ID, "try")
 }
 
-// viewChanged compares the starts of upstreams at which runs broke off with the present ones.
-func (s *suspects) viewChanged(v *instances.View) {
+// onViewChanged compares the incarnations of upstreams on which runs were cut off with the current
+// ones.
+func (s *suspects) onViewChanged(v *instances.View) {
 	var crashes []poison.Crash
 	s.mu.Lock()
 	for _, end := range s.book.UnconfirmedEnds() {
-		if one := v.Get(end.Upstream); one == nil || one.Incarnation().Other(end.Incarnation) {
+		if inst := v.Get(end.Upstream); inst == nil || inst.Incarnation().Other(end.Incarnation) {
 			crashes = append(crashes, s.book.UpstreamEnded(s.now(), end.Upstream, end.Incarnation)...)
 		}
 	}
@@ -146,24 +148,25 @@
 	s.logCrashes(crashes, "", "entry")
 }
 
-// logCrashes logs and counts upstreams' ends with requests on them. from tells what showed them.
+// logCrashes logs and counts crashes of upstreams with requests on them. from names what revealed
+// the crash.
 func (s *suspects) logCrashes(crashes []poison.Crash, upstream, from string) {
 	for _, c := range crashes {
 		s.meters.inc(suspectsCrashes)
 		s.mu.Lock()
 		count := s.book.CrashCount(c.Digest)
 		s.mu.Unlock()
-		s.log.Warn("upstream ended with a request on it", "digest", digestText(c.Digest), "crashes", count,
+		s.log.Warn("upstream crashed while running a request", "digest", digestText(c.Digest), "crashes", count,
 			"upstream", upstream, "from", from, "after_ms", s.now().Sub(c.At).Milliseconds())
 	}
 }
 
-// clear lets a request through again, as an operator says.
+// clear lets a request through again at an operator's request.
 func (s *suspects) clear(d poison.Digest, by string) {
 	s.mu.Lock()
 	s.book.Clear(poison.Clearing{Digest: d, At: s.now()})
 	s.mu.Unlock()
-	s.log.Info("request is sent again", "digest", digestText(d), "by", by)
+	s.log.Info("suspected request cleared", "digest", digestText(d), "by", by)
 }
 
 // list returns the suspected requests.
@@ -174,12 +177,12 @@
 	return s.book.Suspects()
 }
 
-// gauges tells how many requests are suspected.
-func (s *suspects) gauges() {
+// updateGauges updates the gauges for suspected and refused requests.
+func (s *suspects) updateGauges() {
 	list := s.list()
 	refused := 0
-	for _, one := range list {
-		if one.Refused {
+	for _, suspect := range list {
+		if suspect.Refused {
 			refused++
 		}
 	}
@@ -187,15 +190,15 @@
 	s.meters.gauge(suspectsStopped, int64(refused))
 }
 
-// digestText and parseDigest are the form of digests for people.
+// digestText and parseDigest convert digests to and from the form shown to operators.
 func digestText(d poison.Digest) string { return fmt.Sprintf("%016x", uint64(d)) }
 
-var errDigest = errors.New("not a digest of 16 hexadecimal digits")
+var errInvalidDigest = errors.New("a digest must have 16 hexadecimal digits")
 
 func parseDigest(text string) (poison.Digest, error) {
 	var d uint64
 	if n, err := fmt.Sscanf(text, "%16x", &d); err != nil || n != 1 || len(text) != 16 {
-		return 0, errDigest
+		return 0, errInvalidDigest
 	}
 	return poison.Digest(d), nil
 }
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -14,62 +14,64 @@
 )
 
 const (
-	// watchWait is how long one watch waits for changes. Around a compaction a
-	// watch hears nothing and only the next one is told so, and a path may fall
-	// silent: changes are to be in force within two seconds all the same.
+	// watchWait is how long one watch waits for changes. It is kept short because changes must be
+	// in force within two seconds even in two cases: a watch around a compaction receives nothing
+	// and only the next one is told of it, and a path may become silent.
 	watchWait = 1200 * time.Millisecond
-	// leastWatch keeps watches apart that end at once without changes, as the way failed on which
-	// they were to wait.
-	leastWatch = 100 * time.Millisecond
-	// joinConfiguration and joinInstances are how long changes are collected before
-	// the next watch. Upstreams come and go by the dozen; the time of one that leaves
-	// is two seconds and more.
-	joinConfiguration = 100 * time.Millisecond
-	joinInstances     = 250 * time.Millisecond
-	// joinEvacuations is short: evacuations are rare, and each is to be in force everywhere
-	// within a second.
-	joinEvacuations = 20 * time.Millisecond
-	// firstBackoff and longestBackoff bound the pause after a failed call.
-	firstBackoff   = 100 * time.Millisecond
-	longestBackoff = 800 * time.Millisecond
-	// settleInterval is the time between looks at upstreams that are missing.
+	// minWatchInterval is the pause after a watch that ends at once without changes, which happens
+	// when the path on which it was to wait fails.
+	minWatchInterval = 100 * time.Millisecond
+	// configurationBatchDelay and instancesBatchDelay are how long changes are collected before the
+	// next watch. Upstreams start and stop by the dozen, and one that leaves takes two seconds or
+	// more to do so.
+	configurationBatchDelay = 100 * time.Millisecond
+	instancesBatchDelay     = 250 * time.Millisecond
+	// evacuationsBatchDelay is short because evacuations are rare and each must be in force
+	// everywhere within a second.
+	evacuationsBatchDelay = 20 * time.Millisecond
+	// initialBackoff and maxBackoff bound the pause after a failed call.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 800 * time.Millisecond
+	// settleInterval is the time between checks of upstreams whose entries are missing.
 	settleInterval = 100 * time.Millisecond
 )
 
-// watcher keeps the view up to date from the platform's store, while it is
-// wanted: in the leader, and in a gateway that hears from no leader.
+// watcher keeps the view up to date from the platform's store. It runs in the leader and in a
+// gateway that hears from no leader.
 type watcher struct {
 	store *platform.Store
 	view  *view
 	evac  *evacuations
 	now   func() time.Time
 	log   *slog.Logger
-	// draining reports whether an operator wants an upstream to be left alone.
-	draining func(upstream string) bool
-	// toldLeaving returns the upstreams that have told a gateway that they leave.
-	toldLeaving func() map[string]bool
-	// drained are the upstreams for which either was so in the last view.
-	drained map[string]bool
-	// salt tells versions of this process's view from those of others.
+	// isDraining reports whether an operator is draining an upstream.
+	isDraining func(upstream string) bool
+	// announcedLeaving returns the upstreams that have told a gateway that they are leaving.
+	announcedLeaving func() map[string]bool
+	// leavingShown are the upstreams that were draining or had announced that they are leaving in
+	// the last view.
+	leavingShown map[string]bool
+	// salt distinguishes versions of this process's view from those of other processes.
 	salt uint64
 
 	mu      sync.Mutex
 	tracker *instances.Tracker
-	// badVersion is the revision of a configuration that cannot be read.
-	badVersion uint64
-	badEntries map[string]uint64
-	meters     *meters
-	// compacted is closed when one watch learns that history is gone, which
-	// concerns the others as well.
+	// badRevision is the revision of the last configuration that could not be decoded; badEntries
+	// are those of upstream entries, by name.
+	badRevision uint64
+	badEntries  map[string]uint64
+	meters      *meters
+	// compacted is closed when one watch learns that history was compacted, which affects the other
+	// watches as well.
 	compacted chan struct{}
-	// ages tells how old what the store said last is.
+	// ages records when the store last answered for each kind.
 	ages *watchAges
 }
 
 func newWatcher(store *platform.Store, v *view, evac *evacuations, now func() time.Time, log *slog.Logger, m *meters, salt uint64) *watcher {
 	return &watcher{
-		drained: make(map[string]bool), salt: salt, store: store, view: v, evac: evac, now: now, log: log, meters: m,
-		ages: newWatchAges(now, log), badEntries: make(map[string]uint64), compacted: make(chan struct{}), toldLeaving: func() map[string]bool { return nil },
+		leavingShown: make(map[string]bool), salt: salt, store: store, view: v, evac: evac, now: now, log: log, meters: m,
+		ages: newWatchAges(now, log), badEntries: make(map[string]uint64), compacted: make(chan struct{}), announcedLeaving: func() map[string]bool { return nil },
 	}
 }
 
@@ -81,90 +83,93 @@
 	var all sync.WaitGroup
 	all.Go(func() {
 		known := w.view.configuration().revision
-		w.follow(ctx, platform.ConfigKind, known, joinConfiguration, w.listConfiguration, w.configurationEvents)
+		w.follow(ctx, platform.ConfigKind, known, configurationBatchDelay, w.configurationListed, w.configurationChanged)
 	})
 	listed := make(chan struct{})
 	var once sync.Once
-	list := func(objects []platform.Object, at uint64) {
-		w.evac.listed(objects, at)
+	onEvacuationList := func(objects []platform.Object, at uint64) {
+		w.evac.applyList(objects, at)
 		once.Do(func() { close(listed) })
 	}
-	all.Go(func() { w.follow(ctx, platform.EvacuationsKind, 0, joinEvacuations, list, w.evac.changed) })
 	all.Go(func() {
-		// No upstream is known before it is known which failure domains are evacuated.
+		w.follow(ctx, platform.EvacuationsKind, 0, evacuationsBatchDelay, onEvacuationList, w.evac.applyChanges)
+	})
+	all.Go(func() {
+		// Evacuations must be known before any upstream is: no upstream of an evacuated failure
+		// domain may be used.
 		select {
 		case <-listed:
 		case <-ctx.Done():
 			return
 		}
-		w.follow(ctx, platform.InstancesKind, 0, joinInstances, w.listInstances, w.instanceEvents)
+		w.follow(ctx, platform.InstancesKind, 0, instancesBatchDelay, w.instancesListed, w.instancesChanged)
 	})
 	all.Go(func() { w.settle(ctx) })
 	all.Wait()
 }
 
-// follow watches a kind from a revision of which the view has everything. It lists the
-// kind first if there is none, which is zero, and again when the history is gone or too
-// much of it would have to be told.
-func (w *watcher) follow(ctx context.Context, kind string, revision uint64, join time.Duration, list func([]platform.Object, uint64), events func([]platform.Object, uint64)) {
+// follow watches a kind from a revision up to which the view is complete. It lists the kind first
+// if that revision is zero, which means none, and again when the history is gone or too large to
+// transfer.
+func (w *watcher) follow(ctx context.Context, kind string, revision uint64, batchDelay time.Duration, onList func([]platform.Object, uint64), onChanges func([]platform.Object, uint64)) {
 	w.ages.begin(kind)
 	defer w.ages.end(kind)
-	backoff := firstBackoff
-	known, heard := revision > 0, false
+	backoff := initialBackoff
+	known, answered := revision > 0, false
 	for ctx.Err() == nil {
 		var err error
 		if !known {
 			var objects []platform.Object
 			if objects, revision, err = w.store.List(ctx, kind); err == nil {
 				known = true
-				w.ages.note(kind)
-				list(objects, revision)
+				w.ages.noteAnswer(kind)
+				onList(objects, revision)
 			}
 		} else {
 			var changes []platform.Object
 			var next uint64
-			began := w.now()
+			started := w.now()
 			if changes, next, err = w.watch(ctx, kind, revision); err == nil {
-				w.ages.note(kind)
+				w.ages.noteAnswer(kind)
 			}
-			if err == nil && len(changes) == 0 && w.now().Sub(began) < leastWatch {
-				pause(ctx, leastWatch)
+			if err == nil && len(changes) == 0 && w.now().Sub(started) < minWatchInterval {
+				pause(ctx, minWatchInterval)
 			}
 			if len(changes) > 0 {
-				revision = advance(revision, changes, next)
-				events(changes, revision)
-				pause(ctx, join)
+				revision = nextRevision(revision, changes, next)
+				onChanges(changes, revision)
+				pause(ctx, batchDelay)
 			}
 		}
 		switch {
 		case err == nil:
-			backoff = firstBackoff
-			heard = true
+			backoff = initialBackoff
+			answered = true
 		case errors.Is(err, platform.ErrCompacted):
 			w.log.Info("store history compacted, listing again", "kind", kind, "revision", revision)
 			known = false
-			if heard {
-				// Else the revision that this watch began with was old, and tells nothing of
-				// a compaction while the others watched.
-				w.wake()
+			if answered {
+				// Otherwise the revision that this watch started with was old, and says nothing
+				// about a compaction while the other watches were running.
+				w.cancelWatches()
 			}
-		case known && tooMuch(err):
+		case known && answerTooLarge(err):
 			w.log.Info("too many changes for one answer, listing again", "kind", kind, "revision", revision)
 			known = false
 		default:
 			pause(ctx, backoff)
-			backoff = min(2*backoff, longestBackoff)
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 }
 
-// tooMuch reports whether a call failed for the size of its answer, which would be as
+// answerTooLarge reports whether a call failed because of the size of its answer, which would be as
 // large the next time.
-func tooMuch(err error) bool {
-	return errors.Is(err, errTooLong) || errors.Is(err, pool.ErrTooLarge)
+func answerTooLarge(err error) bool {
+	return errors.Is(err, errCallTooLong) || errors.Is(err, pool.ErrTooLarge)
 }
 
-// watch waits for changes, until another watch learns of a compaction.
+// watch waits for changes, or until another watch learns of a compaction.
 func (w *watcher) watch(ctx context.Context, kind string, after uint64) ([]platform.Object, uint64, error) {
 	w.mu.Lock()
 	compacted := w.compacted
@@ -181,19 +186,19 @@
 	return w.store.Watch(ctx, kind, after, watchWait)
 }
 
-// wake ends the watches under way.
-func (w *watcher) wake() {
+// cancelWatches ends the watches in progress.
+func (w *watcher) cancelWatches() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	close(w.compacted)
 	w.compacted = make(chan struct{})
 }
 
-// advance returns the revision to watch from after changes were received. It
-// is that of the last change and not the one the store names: a watch that hears
-// nothing while changes are made names a revision beyond them. When the store
-// has dropped that history it says so, and the kind is listed anew.
-func advance(revision uint64, changes []platform.Object, named uint64) uint64 {
+// nextRevision returns the revision to watch from after changes were received. It is that of the
+// last change and not the one that the store reports: a watch that misses changes while they are
+// made reports a revision beyond them. If the store has dropped that history, it says so and the
+// kind is listed again.
+func nextRevision(revision uint64, changes []platform.Object, named uint64) uint64 {
 	last := uint64(0)
 	for _, o := range changes {
 		last = max(last, o.Revision)
@@ -201,11 +206,11 @@
 	if last > revision {
 		return last
 	}
-	// A removal may bear the revision of the object's last change.
+	// A removal may carry the revision of the object's last change.
 	return max(revision, named)
 }
 
-// pause sleeps until ctx ends at the latest.
+// pause sleeps for a duration, or until ctx ends if that is sooner.
 func pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -215,37 +220,37 @@
 	}
 }
 
-func (w *watcher) listConfiguration(objects []platform.Object, _ uint64) {
+func (w *watcher) configurationListed(objects []platform.Object, _ uint64) {
 	for _, o := range objects {
-		w.takeConfiguration(o)
+		w.applyConfiguration(o)
 	}
 }
 
-// configurationEvents takes the newest configuration of several that can be taken; those
-// before it are not decoded.
-func (w *watcher) configurationEvents(changes []platform.Object, _ uint64) {
+// configurationChanged applies the newest of several configurations that is valid; older ones are
+// not decoded.
+func (w *watcher) configurationChanged(changes []platform.Object, _ uint64) {
 	known := w.view.configuration().revision
 	for _, o := range slices.Backward(changes) {
 		if o.Removed || o.Name != platform.ConfigName {
 			continue
 		}
-		if o.Revision <= known || w.takeConfiguration(o) {
+		if o.Revision <= known || w.applyConfiguration(o) {
 			return
 		}
 	}
 }
 
-// takeConfiguration puts a configuration in force, and reports whether it is newer than
-// the one that was.
-func (w *watcher) takeConfiguration(o platform.Object) bool {
+// applyConfiguration puts a configuration in force, and reports whether it is newer than the
+// previous one.
+func (w *watcher) applyConfiguration(o platform.Object) bool {
 	if o.Name != platform.ConfigName {
 		return false
 	}
 	c, err := platform.DecodeConfiguration(o.Spec)
 	if err != nil {
-		if w.badVersion != o.Revision {
-			w.badVersion = o.Revision
-			w.log.Error("configuration cannot be read, the last one stays in force", "revision", o.Revision, "error", err)
+		if w.badRevision != o.Revision {
+			w.badRevision = o.Revision
+			w.log.Error("invalid configuration ignored, the previous one stays in force", "revision", o.Revision, "error", err)
 		}
 		return false
 	}
@@ -256,13 +261,13 @@
 	return true
 }
 
-func (w *watcher) listInstances(objects []platform.Object, _ uint64) {
+func (w *watcher) instancesListed(objects []platform.Object, _ uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	list := make([]instances.Instance, 0, len(objects))
 	for _, o := range objects {
-		if one, ok := w.decode(o); ok {
-			list = append(list, one)
+		if inst, ok := w.decode(o); ok {
+			list = append(list, inst)
 		}
 	}
 	w.tracker.List(w.now(), list)
@@ -270,98 +275,98 @@
 	w.publish()
 }
 
-func (w *watcher) instanceEvents(changes []platform.Object, revision uint64) {
+func (w *watcher) instancesChanged(changes []platform.Object, revision uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, o := range changes {
 		if o.Removed {
-			w.log.Info("upstream entry gone", "upstream", o.Name)
+			w.log.Info("upstream entry removed", "upstream", o.Name)
 			w.tracker.Remove(w.now(), o.Name)
 			continue
 		}
-		one, ok := w.decode(o)
+		inst, ok := w.decode(o)
 		if !ok {
 			w.tracker.Remove(w.now(), o.Name)
 			continue
 		}
-		w.log.Info("upstream entry", "upstream", one.ID, "service", one.Service, "address", one.Address, "leaving", one.Leaving, "born_ms", one.BornMs)
-		w.tracker.Put(one)
+		w.log.Info("upstream entry changed", "upstream", inst.ID, "service", inst.Service, "address", inst.Address, "leaving", inst.Leaving, "born_ms", inst.BornMs)
+		w.tracker.Put(inst)
 	}
 	w.tracker.Advance(revision)
 	w.tracker.Settle(w.now())
 	w.publish()
 }
 
-// publish gives the tracker's view to this process. Upstreams that an operator
-// drains, and those that say with their answers that they leave, are shown as leaving, as those
-// whose entries say so. The lock is held.
+// publish passes the tracker's view to the rest of this process. Upstreams that an operator drains,
+// and those that announce in their answers that they are leaving, are marked as leaving, like those
+// whose entries say so. The caller holds the lock.
 func (w *watcher) publish() {
 	v, version := w.tracker.View()
-	told := w.toldLeaving()
-	var drained []instances.Instance
-	for _, one := range v.All() {
-		if !one.Leaving && (told[one.ID] || w.draining(one.ID)) {
-			one.Leaving = true
-			drained = append(drained, one)
+	announced := w.announcedLeaving()
+	var leaving []instances.Instance
+	for _, inst := range v.All() {
+		if !inst.Leaving && (announced[inst.ID] || w.isDraining(inst.ID)) {
+			inst.Leaving = true
+			leaving = append(leaving, inst)
 		}
 	}
-	if len(drained) > 0 {
-		v = v.Apply(v.Revision, drained, nil)
+	if len(leaving) > 0 {
+		v = v.Apply(v.Revision, leaving, nil)
 	}
 	w.view.setInstances(version, v)
 }
 
-// leaversChanged reports whether operators drain other upstreams than in the last view, or others
-// have told that they leave. The lock is held.
-func (w *watcher) leaversChanged() bool {
+// leavingChanged reports whether the set of upstreams that operators drain or that have announced
+// that they are leaving differs from that in the last view. The caller holds the lock.
+func (w *watcher) leavingChanged() bool {
 	changed := false
 	v := w.view.inst.Load()
 	if v == nil {
 		return false
 	}
-	told := w.toldLeaving()
-	for _, one := range v.All() {
-		if now := told[one.ID] || w.draining(one.ID); now != w.drained[one.ID] {
-			w.drained[one.ID] = now
+	announced := w.announcedLeaving()
+	for _, inst := range v.All() {
+		if now := announced[inst.ID] || w.isDraining(inst.ID); now != w.leavingShown[inst.ID] {
+			w.leavingShown[inst.ID] = now
 			changed = true
 		}
 	}
 	return changed
 }
 
-// decode reads one entry. One that is not sound names no upstream: it counts as gone
-// until it is sound, and is counted and logged once.
+// decode decodes one entry. An invalid entry describes no upstream: the upstream counts as removed
+// until its entry is valid, and the invalid revision is counted and logged once.
 func (w *watcher) decode(o platform.Object) (instances.Instance, bool) {
-	one, err := platform.DecodeInstance(o)
-	if err == nil && !instances.Believable(one.BornMs, w.now()) {
+	inst, err := platform.DecodeInstance(o)
+	if err == nil && !instances.Believable(inst.BornMs, w.now()) {
 		err = errStartInFuture
 	}
 	if err == nil {
-		return one, true
+		return inst, true
 	}
 	if w.badEntries[o.Name] != o.Revision {
 		w.badEntries[o.Name] = o.Revision
 		w.meters.inc(fill(upstreamsUnsound, invalidEntry))
-		w.log.Error("upstream entry is not sound, it names none", "upstream", o.Name, "error", err)
+		w.log.Error("invalid upstream entry ignored", "upstream", o.Name, "error", err)
 	}
 	return instances.Instance{}, false
 }
 
-// settle turns upstreams whose entries stay away into leaving ones.
+// settle marks upstreams whose entries stay missing as leaving.
 func (w *watcher) settle(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, settleInterval)
 		w.ages.check()
 		w.mu.Lock()
-		if settled, drained := w.tracker.Settle(w.now()), w.leaversChanged(); settled || drained {
+		if settled, leaving := w.tracker.Settle(w.now()), w.leavingChanged(); settled || leaving {
 			w.publish()
 		}
 		w.mu.Unlock()
 	}
 }
 
-// returned tells the watcher that the store was away and is back.
-func (w *watcher) returned() {
+// storeRecovered tells the watcher that the store is reachable again after an outage.
+func (w *watcher) storeRecovered() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.tracker != nil {
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -15,18 +15,18 @@
 	"github.com/rockcroft/rockcroft/standin/metastore"
 )
 
-// This file tests what a watcher asks the store for and takes over.
+// This file tests what a watcher requests from the store and applies to the view.
 
-// callRecord counts calls to the store by kind and operation.
-type callRecord struct {
+// callCounter counts calls to the store by kind and operation.
+type callCounter struct {
 	mu    sync.Mutex
 	calls map[string]int
 }
 
-func newCallRecord() *callRecord { return &callRecord{calls: make(map[string]int)} }
+func newCallCounter() *callCounter { return &callCounter{calls: make(map[string]int)} }
 
-// at counts what goes to a handler.
-func (r *callRecord) at(h http.Handler) http.Handler {
+// counting returns a handler that counts the calls to h.
+func (r *callCounter) counting(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		kind, operation := platform.Call{Method: q.Method, Target: q.URL.RequestURI()}.Describe()
 		r.mu.Lock()
@@ -36,32 +36,32 @@
 	})
 }
 
-// of returns the number of calls of one kind and operation.
-func (r *callRecord) of(what string) int {
+// count returns the number of calls of one kind and operation.
+func (r *callCounter) count(what string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls[what]
 }
 
-// TestNextLeaderDoesNotListTheConfiguration: one that has the newest goes on from its
-// revision, and hears of the next change.
-func TestNextLeaderDoesNotListTheConfiguration(t *testing.T) {
+// TestNextLeaderResumesConfigurationWatch checks that a new leader which has the newest
+// configuration watches from its revision, without listing it, and receives the next change.
+func TestNextLeaderResumesConfigurationWatch(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
-	record := newCallRecord()
-	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, record.at(h) }
+	counter := newCallCounter()
+	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, counter.counting(h) }
 	b.fill()
 	b.configure(9)
-	b.eventually("version 9 everywhere", func() bool { return b.inForce(9) })
-	lists, watches := record.of("config.list"), record.of("config.watch")
+	b.eventually("version 9 in force on all gateways", func() bool { return b.inForce(9) })
+	lists, watches := counter.count("config.list"), counter.count("config.watch")
 	b.leader().kill()
 	b.eventually("another leader", func() bool { return b.leader() != nil })
-	b.eventually("watches", func() bool { return record.of("config.watch") > watches+1 })
-	if n := record.of("config.list") - lists; n != 0 {
-		t.Errorf("listed %d times again", n)
+	b.eventually("configuration watched by the next leader", func() bool { return counter.count("config.watch") > watches+1 })
+	if n := counter.count("config.list") - lists; n != 0 {
+		t.Errorf("the next leader listed the configuration %d times", n)
 	}
 	b.configure(10)
-	b.eventually("the next version", func() bool {
+	b.eventually("version 10 in force on all gateways", func() bool {
 		for _, g := range b.gateways {
 			if g.running() && g.view.table.Load().Version != 10 {
 				return false
@@ -71,7 +71,7 @@
 	})
 }
 
-// handlerTransport carries calls to a handler in this process.
+// handlerTransport passes calls to a handler in this process.
 type handlerTransport struct{ http.Handler }
 
 // Call implements platform.Transport.
@@ -81,45 +81,45 @@
 	return w.Code, w.Body.Bytes(), ctx.Err()
 }
 
-// watched is a store and a view that is kept up to date from it.
-type watched struct {
-	store  *metastore.Store
-	record *callRecord
-	view   *view
-	lines  *lineRecord
-	// wrap, if set, stands before the store.
+// watcherFixture holds a store and a view that a watcher updates from it.
+type watcherFixture struct {
+	store   *metastore.Store
+	counter *callCounter
+	view    *view
+	lines   *logCounter
+	// wrap, if set, wraps the transport to the store.
 	wrap func(platform.Transport) platform.Transport
 }
 
-// lineRecord counts log lines by message.
-type lineRecord struct {
+// logCounter counts log lines by message.
+type logCounter struct {
 	slog.Handler
 	mu    sync.Mutex
 	lines map[string]int
 }
 
-func (r *lineRecord) Handle(_ context.Context, line slog.Record) error {
+func (r *logCounter) Handle(_ context.Context, line slog.Record) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lines[line.Message]++
 	return nil
 }
 
-func (r *lineRecord) Enabled(context.Context, slog.Level) bool { return true }
+func (r *logCounter) Enabled(context.Context, slog.Level) bool { return true }
 
-func (r *lineRecord) of(message string) int {
+func (r *logCounter) count(message string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lines[message]
 }
 
-// newWatched returns a store with version 2 of the configuration and a view that
-// has it.
-func newWatched(t *testing.T) *watched {
+// newWatcherFixture returns a fixture whose store holds version 2 of the configuration and whose
+// view has it in force.
+func newWatcherFixture(t *testing.T) *watcherFixture {
 	t.Helper()
-	w := &watched{
-		store: metastore.New(), record: newCallRecord(), view: newView(),
-		lines: &lineRecord{Handler: slog.DiscardHandler, lines: make(map[string]int)},
+	w := &watcherFixture{
+		store: metastore.New(), counter: newCallCounter(), view: newView(),
+		lines: &logCounter{Handler: slog.DiscardHandler, lines: make(map[string]int)},
 	}
 	revision := w.put(config(2))
 	spec := w.store.Spec(platform.ConfigKind, platform.ConfigName)
@@ -131,106 +131,110 @@
 	return w
 }
 
-func (w *watched) put(spec any) uint64 {
+func (w *watcherFixture) put(spec any) uint64 {
 	return w.store.Put(platform.ConfigKind, platform.ConfigName, spec)
 }
 
-// watcher returns a watcher of the store that has not begun.
-func (w *watched) watcher() *watcher {
-	var way platform.Transport = handlerTransport{w.record.at(w.store.Door("g"))}
+// watcher returns a watcher of the store that is not started.
+func (w *watcherFixture) watcher() *watcher {
+	var transport platform.Transport = handlerTransport{w.counter.counting(w.store.Door("g"))}
 	if w.wrap != nil {
-		way = w.wrap(way)
+		transport = w.wrap(transport)
 	}
 	log, m := slog.New(w.lines), newMeters()
 	evac := newEvacuations(w.view, time.Now, log, m)
-	one := newWatcher(platform.NewStore(way), w.view, evac, time.Now, log, m, 1)
-	one.draining = func(string) bool { return false }
-	return one
+	watcher := newWatcher(platform.NewStore(transport), w.view, evac, time.Now, log, m, 1)
+	watcher.isDraining = func(string) bool { return false }
+	return watcher
 }
 
-// run watches until the version is in force, and longer until the store has been
-// asked for changes again. The limit only ends a test that hangs.
-func (w *watched) run(t *testing.T, version uint64) {
+// run watches until the version is in force and the store has been watched more than once. The time
+// limit only ends a test that hangs.
+func (w *watcherFixture) run(t *testing.T, version uint64) {
 	t.Helper()
-	one := w.watcher()
+	watcher := w.watcher()
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	running.Go(func() { one.run(ctx) })
+	running.Go(func() { watcher.run(ctx) })
 	defer running.Wait()
 	defer cancel()
 	for limit := time.Now().Add(time.Minute); ; time.Sleep(5 * time.Millisecond) {
-		if w.view.table.Load().Version == version && w.record.of("config.watch") > 1 {
+		if w.view.table.Load().Version == version && w.counter.count("config.watch") > 1 {
 			return
 		}
 		if time.Now().After(limit) {
-			t.Fatalf("version %d never in force", version)
+			t.Fatalf("version %d did not take effect", version)
 		}
 	}
 }
 
-// TestWatcherGoesOnFromTheViewsRevision, and what it has missed comes by the watch.
-func TestWatcherGoesOnFromTheViewsRevision(t *testing.T) {
+// TestWatcherResumesFromViewRevision checks that a watcher starts from the view's revision, and
+// that the watch delivers the changes since then.
+func TestWatcherResumesFromViewRevision(t *testing.T) {
 	t.Parallel()
-	w := newWatched(t)
+	w := newWatcherFixture(t)
 	w.put(config(3))
 	w.run(t, 3)
-	if n := w.record.of("config.list"); n != 0 {
-		t.Errorf("listed %d times", n)
+	if n := w.counter.count("config.list"); n != 0 {
+		t.Errorf("the configuration was listed %d times", n)
 	}
 }
 
-// TestWatcherListsAfterCompaction: the history after the view's revision is gone.
+// TestWatcherListsAfterCompaction checks that the configuration is listed if the history after the
+// view's revision is gone.
 func TestWatcherListsAfterCompaction(t *testing.T) {
 	t.Parallel()
-	w := newWatched(t)
+	w := newWatcherFixture(t)
 	w.put(config(3))
 	w.store.Compact()
 	w.run(t, 3)
-	if n := w.record.of("config.list"); n != 1 {
-		t.Errorf("listed %d times", n)
+	if n := w.counter.count("config.list"); n != 1 {
+		t.Errorf("the configuration was listed %d times", n)
 	}
 }
 
-// TestWatcherDecodesTheNewestStep of several.
-func TestWatcherDecodesTheNewestStep(t *testing.T) {
+// TestWatcherDecodesOnlyNewestConfiguration checks that only the newest of several changes is
+// decoded.
+func TestWatcherDecodesOnlyNewestConfiguration(t *testing.T) {
 	t.Parallel()
-	w := newWatched(t)
+	w := newWatcherFixture(t)
 	known := w.view.configuration().revision
 	for version := range uint64(4) {
 		w.put(config(3 + version))
 	}
-	one := w.watcher()
-	changes, next, err := one.store.Watch(t.Context(), platform.ConfigKind, known, 0)
+	watcher := w.watcher()
+	changes, next, err := watcher.store.Watch(t.Context(), platform.ConfigKind, known, 0)
 	if err != nil || len(changes) != 4 {
-		t.Fatalf("%d changes, %v", len(changes), err)
+		t.Fatalf("%d changes, error %v", len(changes), err)
 	}
-	one.configurationEvents(changes, next)
-	if n, version := w.lines.of("configuration in force"), w.view.table.Load().Version; n != 1 || version != 6 {
-		t.Errorf("%d versions came in force, the last is %d", n, version)
+	watcher.configurationChanged(changes, next)
+	if n, version := w.lines.count("configuration in force"), w.view.table.Load().Version; n != 1 || version != 6 {
+		t.Errorf("%d versions took effect, the last is %d", n, version)
 	}
 }
 
-// TestWatcherTakesTheLastGoodStep: what cannot be read and what is older stands aside.
-func TestWatcherTakesTheLastGoodStep(t *testing.T) {
+// TestWatcherAppliesNewestValidConfiguration checks that invalid and older configurations are
+// skipped.
+func TestWatcherAppliesNewestValidConfiguration(t *testing.T) {
 	t.Parallel()
-	w := newWatched(t)
+	w := newWatcherFixture(t)
 	w.put(config(7))
 	w.put(rawJSON(`{"version":"x"}`))
 	w.put(config(1))
 	w.run(t, 7)
 }
 
-// endlessWatch carries calls, and fails the first watch of the configuration for the
-// size of its answer.
-type endlessWatch struct {
+// tooLargeWatch passes calls on, but fails the first watch of the configuration as if its answer
+// were too large.
+type tooLargeWatch struct {
 	platform.Transport
 	once sync.Once
 }
 
 // Call implements platform.Transport.
-func (e *endlessWatch) Call(ctx context.Context, c platform.Call) (status int, body []byte, err error) {
+func (e *tooLargeWatch) Call(ctx context.Context, c platform.Call) (status int, body []byte, err error) {
 	if kind, operation := c.Describe(); kind == platform.ConfigKind && operation == "watch" {
-		e.once.Do(func() { err = errTooLong })
+		e.once.Do(func() { err = errCallTooLong })
 	}
 	if err != nil {
 		return 0, nil, err
@@ -238,15 +242,15 @@
 	return e.Transport.Call(ctx, c)
 }
 
-// TestWatcherListsWhatIsTooMuchForAWatch: all steps since the view's revision do not
-// arrive in time, the newest alone does.
-func TestWatcherListsWhatIsTooMuchForAWatch(t *testing.T) {
+// TestWatcherListsAfterTooLargeWatch checks that the configuration is listed if all changes since
+// the view's revision do not arrive in time: the newest alone does.
+func TestWatcherListsAfterTooLargeWatch(t *testing.T) {
 	t.Parallel()
-	w := newWatched(t)
+	w := newWatcherFixture(t)
 	w.put(config(3))
-	w.wrap = func(inner platform.Transport) platform.Transport { return &endlessWatch{Transport: inner} }
+	w.wrap = func(inner platform.Transport) platform.Transport { return &tooLargeWatch{Transport: inner} }
 	w.run(t, 3)
-	if n := w.record.of("config.list"); n != 1 {
-		t.Errorf("listed %d times", n)
+	if n := w.counter.count("config.list"); n != 1 {
+		t.Errorf("the configuration was listed %d times", n)
 	}
 }
--- a/gateway/watchages.go
+++ b/gateway/watchages.go
@@ -12,30 +12,32 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// This file tells how old what the store said last is, by kind of objects. That the store can be
-// reached by other calls tells nothing of a watch.
+// This file tracks how long ago the store last answered a list or a watch, by kind of object. That
+// other calls reach the store says nothing about a watch.
 
-// watchSilent is how long a watch hears nothing before that is logged: longer than one that ends
-// without changes, and shorter than the time within which changes are to be in force.
-const watchSilent = 1500 * time.Millisecond
+// watchSilenceThreshold is how long a watch may receive nothing before that is logged. It is longer
+// than a watch that ends without changes and shorter than the time within which changes must be in
+// force.
+const watchSilenceThreshold = 1500 * time.Millisecond
 
-// watchAges keeps when the store last answered a list or a watch, for concurrent use.
+// watchAges records when the store last answered a list or a watch. It is safe for concurrent use.
 type watchAges struct {
 	now func() time.Time
 	log *slog.Logger
 
-	mu    sync.Mutex
-	heard map[string]time.Time
-	// watched is since when this gateway watches a kind; those that it does not are not listed.
+	mu         sync.Mutex
+	lastAnswer map[string]time.Time
+	// watched holds since when this gateway has watched each kind; kinds that it does not watch are
+	// absent.
 	watched map[string]time.Time
 	silent  map[string]bool
 }
 
 func newWatchAges(now func() time.Time, log *slog.Logger) *watchAges {
-	return &watchAges{now: now, log: log, heard: make(map[string]time.Time), watched: make(map[string]time.Time), silent: make(map[string]bool)}
+	return &watchAges{now: now, log: log, lastAnswer: make(map[string]time.Time), watched: make(map[string]time.Time), silent: make(map[string]bool)}
 }
 
-// begin and end note from when until when a kind is watched.
+// begin and end record when watching a kind starts and ends.
 func (a *watchAges) begin(kind string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,66 +51,69 @@
 	delete(a.silent, kind)
 }
 
-// note notes an answer of the store to a list or a watch.
-func (a *watchAges) note(kind string) {
+// noteAnswer records an answer of the store to a list or a watch.
+func (a *watchAges) noteAnswer(kind string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.silent[kind] {
-		a.log.Info("watch hears again", "kind", kind, "heard_ms_ago", a.now().Sub(a.since(kind)).Milliseconds())
+		a.log.Info("watch resumed", "kind", kind, "heard_ms_ago", a.now().Sub(a.silentSince(kind)).Milliseconds())
 		delete(a.silent, kind)
 	}
-	a.heard[kind] = a.now()
+	a.lastAnswer[kind] = a.now()
 }
 
-// since returns from when on nothing was heard of a kind that is watched. The lock is held.
-func (a *watchAges) since(kind string) time.Time { return later(a.heard[kind], a.watched[kind]) }
+// silentSince returns the time since which nothing has been received for a watched kind. The caller
+// holds the lock.
+func (a *watchAges) silentSince(kind string) time.Time {
+	return later(a.lastAnswer[kind], a.watched[kind])
+}
 
-// check logs the kinds whose watches have come to hear nothing.
+// check logs the kinds whose watches have become silent.
 func (a *watchAges) check() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for kind := range a.watched {
-		age := a.now().Sub(a.since(kind))
-		if age < watchSilent || a.silent[kind] {
+		age := a.now().Sub(a.silentSince(kind))
+		if age < watchSilenceThreshold || a.silent[kind] {
 			continue
 		}
 		a.silent[kind] = true
-		a.log.Warn("watch hears nothing", "kind", kind, "heard_ms_ago", age.Milliseconds())
+		a.log.Warn("watch silent", "kind", kind, "heard_ms_ago", age.Milliseconds())
 	}
 }
 
-// of returns when the store last answered for a kind, zero if it never did.
-func (a *watchAges) of(kind string) time.Time {
+// lastHeard returns when the store last answered for a kind, or zero if it never did.
+func (a *watchAges) lastHeard(kind string) time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.heard[kind]
+	return a.lastAnswer[kind]
 }
 
-// last returns when the store last answered for any kind.
-func (a *watchAges) last() time.Time {
+// lastHeardAny returns when the store last answered for any kind.
+func (a *watchAges) lastHeardAny() time.Time {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var last time.Time
-	for _, at := range a.heard {
+	for _, at := range a.lastAnswer {
 		last = later(last, at)
 	}
 	return last
 }
 
-// all returns how long ago the store last answered, by kind.
-func (a *watchAges) all() map[string]time.Duration {
+// agesByKind returns how long ago the store last answered, by kind.
+func (a *watchAges) agesByKind() map[string]time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := make(map[string]time.Duration, len(a.heard))
-	for kind, at := range a.heard {
+	out := make(map[string]time.Duration, len(a.lastAnswer))
+	for kind, at := range a.lastAnswer {
 		out[kind] = a.now().Sub(at)
 	}
 	return out
 }
 
-// state returns what operators are shown, in the order of kinds.
+// state returns the state reported to operators, sorted by kind.
 func (a *watchAges) state() []*placementpb.WatchState {
-	ages := a.all()
+	ages := a.agesByKind()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var out []*placementpb.WatchState
@@ -121,11 +126,11 @@
 	return out
 }
 
-// configurationHeard returns when the store last answered a list or a watch of the
-// configuration.
-func (w *watcher) configurationHeard() time.Time { return w.ages.of(platform.ConfigKind) }
+// configurationHeard returns when the store last answered a list or a watch of the configuration.
+func (w *watcher) configurationHeard() time.Time { return w.ages.lastHeard(platform.ConfigKind) }
 
-// Watches implements placementpb.Placement: what the gateway that is asked has heard itself.
+// Watches implements placementpb.Placement. It reports what the asked gateway has received from the
+// store itself.
 func (p *placements) Watches(context.Context, *placementpb.WatchesRequest) (*placementpb.WatchesState, error) {
 	return &placementpb.WatchesState{Watches: p.watches.state()}, nil
 }
