--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -363,7 +363,7 @@
 func (g *Gateway) frontServer(ctx context.Context) *http.Server {
 	limit := g.now().Add(configurationWait)
 	for g.view.table.Load() == nil && g.now().Before(limit) && ctx.Err() == nil {
-		pause(ctx, keepInterval)
+		pause(ctx, assignerTick)
 	}
 	limits := routing.Limits{HeaderTimeout: headerWait, IdleTimeout: defaultIdle}
 	if t := g.view.table.Load(); t != nil {
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -19,14 +19,14 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, s := range k.table.Spans {
-		if !s.Moving() || k.moving[s.NextFence] {
+		if !s.Moving() || k.activeMoves[s.NextFence] {
 			continue
 		}
-		k.moving[s.NextFence] = true
-		k.moves.Go(func() {
+		k.activeMoves[s.NextFence] = true
+		k.tasks.Go(func() {
 			k.move(ctx, s)
 			k.mu.Lock()
-			delete(k.moving, s.NextFence)
+			delete(k.activeMoves, s.NextFence)
 			k.mu.Unlock()
 		})
 	}
@@ -53,13 +53,13 @@
 	verdict, err := k.give(ctx, s, next, token)
 	switch {
 	case err == nil && verdict == platform.Granted:
-		k.works(s.Next)
+		k.clearFailure(s.Next)
 		k.settle(s, s.Next, next.Incarnation(), cold)
 		k.log.Info("keys granted", "first", s.First, "last", s.Last, "upstream", s.Next, "fence", s.NextFence,
 			"from", s.Owner, "warm", token != "", "release_ms", taken.Sub(began).Milliseconds(), "took_ms", k.now().Sub(began).Milliseconds())
 	case err == nil && verdict == platform.Fenced:
 		k.log.Warn("keys refused, a higher fence was seen", "first", s.First, "upstream", s.Next, "fence", s.NextFence)
-		k.raise(fenceLeap)
+		k.raise(fenceIncrement)
 		k.settle(s, "", 0, false)
 	case errors.Is(err, errNoRight):
 		k.log.Info("move left to the next leader", "first", s.First, "upstream", s.Next, "fence", s.NextFence)
@@ -79,7 +79,7 @@
 func (k *keeper) perhaps(s spans.Span) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.inherited[s.NextFence] {
+	if k.inheritedMoves[s.NextFence] {
 		return s.Next
 	}
 	return ""
@@ -101,10 +101,10 @@
 				return token, true
 			}
 			if err != nil {
-				k.fails(s.Owner)
+				k.recordFailure(s.Owner)
 			}
 			if err == nil && verdict == platform.Elsewhere {
-				k.ended(owner)
+				k.markTerminated(owner)
 				return "", true
 			}
 		}
@@ -115,7 +115,7 @@
 		if !k.leading.mayAct() {
 			return "", false
 		}
-		pause(ctx, callPause)
+		pause(ctx, controlRetryInterval)
 	}
 	return "", false
 }
@@ -138,7 +138,7 @@
 // leader or of former ones. known is false while a former leader's are not known.
 func (k *keeper) holdEnds(s spans.Span) (ends time.Time, known bool) {
 	k.mu.Lock()
-	own, sole := k.holds[owned(s)], k.sole
+	own, sole := k.holdDeadlines[ownerGrant(s)], k.onlyGranter
 	k.mu.Unlock()
 	if sole {
 		return own, true
@@ -161,14 +161,14 @@
 			return 0, err
 		}
 		arrived = arrived || !errors.Is(err, pool.ErrNotSent)
-		k.fails(next.ID)
+		k.recordFailure(next.ID)
 		if ctx.Err() != nil || !k.leading.mayAct() || k.failingFor(next.ID) >= ownership.SilentOwnerTimeout {
 			if arrived {
 				err = errPerhapsGranted
 			}
 			return 0, err
 		}
-		pause(ctx, callPause)
+		pause(ctx, controlRetryInterval)
 	}
 }
 
@@ -189,12 +189,12 @@
 	// Asked again after the connection was opened: that may have taken longer than the right.
 	verdict, err := k.owners.Grant(call, to.ID, to.Address, keys, fence, hold, token, k.leading.stillMayAct)
 	if err == nil && verdict == platform.Granted || err != nil && !errors.Is(err, pool.ErrNotSent) {
-		until := k.now().Add(heldFor(hold))
+		until := k.now().Add(holdWithMargin(hold))
 		k.mu.Lock()
 		id := grantID{first: keys.First, fence: fence}
-		k.holds[id] = later(k.holds[id], until)
+		k.holdDeadlines[id] = later(k.holdDeadlines[id], until)
 		if err == nil {
-			k.renewed[keys.First], k.granted[to.ID] = k.now(), k.now()
+			k.grantRenewedAt[keys.First], k.lastGranted[to.ID] = k.now(), k.now()
 		}
 		k.mu.Unlock()
 	}
@@ -212,7 +212,7 @@
 	if k.leading.byPromises() {
 		return k.longest
 	}
-	return min(holdTime, k.longest)
+	return min(holdDuration, k.longest)
 }
 
 func (k *keeper) instance(id string) *instances.Instance {
@@ -235,8 +235,8 @@
 			t.Next, t.NextFence = "", 0
 		}
 	}
-	k.settled[s.First] = k.now()
-	k.coldAt[s.First] = k.now()
+	k.movedAt[s.First] = k.now()
+	k.coldSince[s.First] = k.now()
 	k.unsaved = true
 	k.publish()
 }
@@ -253,7 +253,7 @@
 	changed := false
 	for i := range k.table.Spans {
 		s := &k.table.Spans[i]
-		if s.Cold && k.now().Sub(later(k.began, k.coldAt[s.First])) >= coldTime {
+		if s.Cold && k.now().Sub(later(k.tookOverAt, k.coldSince[s.First])) >= coldTime {
 			s.Cold, changed = false, true
 		}
 	}
@@ -280,22 +280,22 @@
 	due := make(map[string][]spans.Span)
 	for _, s := range k.table.Spans {
 		_, failing := k.failing[s.Owner]
-		if s.Owner == "" || s.Moving() || k.renewing[s.Owner] || failing && !k.controlLocked(s.Owner).MayRenew() {
+		if s.Owner == "" || s.Moving() || k.callsInFlight[s.Owner] || failing && !k.controlHealthLocked(s.Owner).MayRenew() {
 			continue
 		}
-		late := now.Sub(k.renewed[s.First]) >= renewInterval
+		late := now.Sub(k.grantRenewedAt[s.First]) >= renewInterval
 		// By promises each grant is made longer at once.
-		stretch := long && k.holds[owned(s)].Sub(now) < k.longest-renewInterval
+		stretch := long && k.holdDeadlines[ownerGrant(s)].Sub(now) < k.longest-renewInterval
 		if late || stretch {
 			due[s.Owner] = append(due[s.Owner], s)
 		}
 	}
 	for id, list := range due {
-		k.renewing[id] = true
-		k.moves.Go(func() {
+		k.callsInFlight[id] = true
+		k.tasks.Go(func() {
 			k.renew(ctx, id, list)
 			k.mu.Lock()
-			delete(k.renewing, id)
+			delete(k.callsInFlight, id)
 			k.mu.Unlock()
 		})
 	}
@@ -309,10 +309,10 @@
 func (k *keeper) renew(ctx context.Context, id string, list []spans.Span) {
 	owner := k.instance(id)
 	if owner == nil {
-		k.fails(id)
+		k.recordFailure(id)
 		return
 	}
-	if !k.control(id).Failing() {
+	if !k.controlHealth(id).Failing() {
 		for _, s := range list {
 			if !k.renewOne(ctx, owner, s) {
 				return
@@ -338,16 +338,16 @@
 	case errors.Is(err, errNoRight) || ctx.Err() != nil:
 		return false
 	case err != nil:
-		k.fails(owner.ID)
+		k.recordFailure(owner.ID)
 		return false
 	case verdict == platform.Elsewhere:
-		k.ended(owner)
+		k.markTerminated(owner)
 		return false
 	case verdict == platform.Fenced:
 		k.log.Warn("renewal refused, a higher fence was seen", "first", s.First, "upstream", owner.ID, "fence", s.Fence)
 		k.lose(s)
 	default:
-		k.works(owner.ID)
+		k.clearFailure(owner.ID)
 	}
 	return true
 }
@@ -367,21 +367,21 @@
 			delete(k.failing, id)
 			continue
 		}
-		if f.reached && !k.owns(id) {
+		if f.probeAnswered && !k.ownsKeys(id) {
 			// No grant is due that would show that it takes them, so nothing else would end this,
 			// and it would never be given keys again.
-			k.worksLocked(id)
+			k.clearFailureLocked(id)
 			continue
 		}
-		if k.renewing[id] || one.Leaving || f.reached || k.now().Sub(f.last) < trialInterval {
+		if k.callsInFlight[id] || one.Leaving || f.probeAnswered || k.now().Sub(f.lastFailed) < probeInterval {
 			continue
 		}
-		k.renewing[id] = true
+		k.callsInFlight[id] = true
 		keys := k.foreignKey(id)
-		k.moves.Go(func() {
+		k.tasks.Go(func() {
 			k.trial(ctx, one, keys)
 			k.mu.Lock()
-			delete(k.renewing, id)
+			delete(k.callsInFlight, id)
 			k.mu.Unlock()
 		})
 	}
@@ -406,10 +406,10 @@
 	call, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	if _, _, err := k.owners.Release(call, to.ID, to.Address, keys, trialFence); err != nil {
-		k.fails(to.ID)
+		k.recordFailure(to.ID)
 		return
 	}
-	k.reaches(to.ID)
+	k.recordProbeAnswer(to.ID)
 }
 
 // stillOwns reports whether the span is as it was and does not move.
@@ -426,7 +426,7 @@
 	i := k.table.At(s.First)
 	if k.table.Spans[i] == s {
 		k.table.Spans[i].Owner = ""
-		k.table.LastFence += fenceLeap
+		k.table.LastFence += fenceIncrement
 		k.unsaved = true
 		k.publish()
 	}
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -19,54 +19,54 @@
 	// It must outlast the loss of a leader: a renewal interval, the term of its
 	// lease and the time to take over. Shorter ones cost more renewals, and keys taken sooner
 	// from owners that come back run cold for longer.
-	holdTime = 4 * time.Second
+	holdDuration = 4 * time.Second
 	// renewInterval is the time between renewals of a grant.
 	renewInterval = 1000 * time.Millisecond
 	// clockSlowness is how much slower than ours an upstream's clock may run
 	// that measures a grant.
-	clockSlowness = 1.02
+	maxClockSlowdown = 1.02
 	// arrivalMargin is added to the end of a grant for calls on their way.
-	arrivalMargin = 200 * time.Millisecond
+	grantTransitMargin = 200 * time.Millisecond
 	// planInterval is the time between plans.
 	planInterval = 250 * time.Millisecond
 	// balanceInterval is the time between plans that even loads out, where nothing is
 	// urgent. Each plan with moves is a write to the store and news to all gateways.
-	balanceInterval = time.Second
+	rebalanceInterval = time.Second
 	// saveInterval is how long moves that have ended are collected for one write. If
 	// the leader is lost before that, its successor goes by what the other gateways
 	// were told; a move whose end it was not told it makes again.
 	saveInterval = time.Second
 	// keepInterval is the time between looks at what is due.
-	keepInterval = 25 * time.Millisecond
+	assignerTick = 25 * time.Millisecond
 	// publishInterval is the least time between versions of the assignment. Each is copied,
 	// kept for differences and told to all gateways at once: of a hundred moves of one plan
 	// many end within a few milliseconds.
 	publishInterval = 20 * time.Millisecond
 	// publishPause is the same for each gateway: each version is an answer to each of them.
-	publishPause = 300 * time.Microsecond
+	publishIntervalPerGateway = 300 * time.Microsecond
 	// gatherTime is how long the set of upstreams must be unchanged before the
 	// first assignment, gatherMost the longest wait for that.
-	gatherTime = 1200 * time.Millisecond
-	gatherMost = 4 * time.Second
+	registrationQuietTime = 1200 * time.Millisecond
+	registrationMaxWait   = 4 * time.Second
 	// grantTimeout bounds one grant, which takes a millisecond or two, also on a
 	// machine that runs some times slower; releaseTimeout one release, which is
 	// answered when the work on the keys has ended.
 	grantTimeout   = 250 * time.Millisecond
 	releaseTimeout = 2500 * time.Millisecond
 	// callPause is the time between tries of a call.
-	callPause = 80 * time.Millisecond
+	controlRetryInterval = 80 * time.Millisecond
 	// restTime is how long a span that has moved is not moved again for
 	// balance: its load on the new owner must show first.
-	restTime = 2 * time.Second
+	moveCooldown = 2 * time.Second
 	// trialInterval is the time between trial calls to an upstream whose calls fail:
 	// with a timeout of 250 ms each two are made before its keys are given to others.
-	trialInterval = 200 * time.Millisecond
+	probeInterval = 200 * time.Millisecond
 	// defaultRate is the assumed number of requests a second that one slot
 	// runs, before any were seen.
-	defaultRate = 15
+	defaultSlotRate = 15
 	// fenceLeap is how far the fence is raised beyond one that an upstream
 	// has seen from elsewhere.
-	fenceLeap = 64
+	fenceIncrement = 64
 )
 
 // keeper keeps the assignment of one service.
@@ -76,8 +76,8 @@
 	term    uint64
 	log     *slog.Logger
 
-	heatMu sync.Mutex
-	heat   *ownership.RateEstimator
+	rateMu        sync.Mutex
+	rateEstimator *ownership.RateEstimator
 
 	mu    sync.Mutex
 	table *spans.Table
@@ -85,44 +85,44 @@
 	revision uint64
 	unsaved  bool
 	// deposed says that a later leader keeps the service.
-	deposed bool
-	savedAt time.Time
+	superseded bool
+	savedAt    time.Time
 	// published is when the table was last given to the view, pending that it has changed
 	// since.
-	published time.Time
-	pending   bool
+	publishedAt time.Time
+	unpublished bool
 	// balanced is when a plan last evened loads out.
-	balanced time.Time
-	writes   int
+	rebalancedAt time.Time
+	writeCount   int
 	// holds is until when an upstream may hold keys by the grants known here.
-	holds map[grantID]time.Time
+	holdDeadlines map[grantID]time.Time
 	// sole says that no other leader has ever granted keys of the service.
-	sole bool
+	onlyGranter bool
 	// settled is when a span's last move ended.
-	settled map[uint16]time.Time
+	movedAt map[uint16]time.Time
 	// coldAt is the same for parts of it too, began when this leader took over the table.
-	coldAt map[uint16]time.Time
-	began  time.Time
+	coldSince  map[uint16]time.Time
+	tookOverAt time.Time
 	// renewed is when a span's grant was last renewed.
-	renewed map[uint16]time.Time
+	grantRenewedAt map[uint16]time.Time
 	// moving are the fences of moves under way here.
-	moving map[uint64]bool
+	activeMoves map[uint64]bool
 	// inherited are the fences of moves that a leader before began: their next
 	// owner may hold the keys already.
-	inherited map[uint64]bool
+	inheritedMoves map[uint64]bool
 	// renewing are owners whose grants are being renewed.
-	renewing map[string]bool
+	callsInFlight map[string]bool
 	// failing are upstreams to which calls fail, granted is when grants to upstreams were last
 	// answered.
-	failing map[string]failure
-	granted map[string]time.Time
+	failing     map[string]controlFailure
+	lastGranted map[string]time.Time
 	// dead are upstreams known to have ended, as they were then.
-	dead map[string]start
+	terminated map[string]upstreamStart
 	// starts are the upstreams as of the last plan.
-	starts map[string]start
+	lastStarts map[string]upstreamStart
 	// toldStuck is when it was last logged that keys stay on a busy owner.
-	toldStuck time.Time
-	moves     sync.WaitGroup
+	stuckLoggedAt time.Time
+	tasks         sync.WaitGroup
 }
 
 // grantID names the grants of a span to one owner: the next owner's have another fence.
@@ -132,38 +132,38 @@
 }
 
 // owned names the grants to the owner of a span.
-func owned(s spans.Span) grantID { return grantID{first: s.First, fence: s.Fence} }
+func ownerGrant(s spans.Span) grantID { return grantID{first: s.First, fence: s.Fence} }
 
 func newKeeper(s *steward, service string, term uint64) *keeper {
 	return &keeper{
 		steward: s, service: service, term: term, log: s.log.With("service", service),
-		heat: ownership.NewRateEstimator(s.now()), holds: make(map[grantID]time.Time), renewed: make(map[uint16]time.Time), settled: make(map[uint16]time.Time),
-		coldAt: make(map[uint16]time.Time),
-		moving: make(map[uint64]bool), inherited: make(map[uint64]bool), renewing: make(map[string]bool),
-		failing: make(map[string]failure), granted: make(map[string]time.Time), dead: make(map[string]start), starts: make(map[string]start),
+		rateEstimator: ownership.NewRateEstimator(s.now()), holdDeadlines: make(map[grantID]time.Time), grantRenewedAt: make(map[uint16]time.Time), movedAt: make(map[uint16]time.Time),
+		coldSince:   make(map[uint16]time.Time),
+		activeMoves: make(map[uint64]bool), inheritedMoves: make(map[uint64]bool), callsInFlight: make(map[string]bool),
+		failing: make(map[string]controlFailure), lastGranted: make(map[string]time.Time), terminated: make(map[string]upstreamStart), lastStarts: make(map[string]upstreamStart),
 	}
 }
 
 // asked counts one request for a key.
-func (k *keeper) asked(key uint16) {
-	k.heatMu.Lock()
-	defer k.heatMu.Unlock()
-	k.heat.Add(key)
+func (k *keeper) recordRequest(key uint16) {
+	k.rateMu.Lock()
+	defer k.rateMu.Unlock()
+	k.rateEstimator.Add(key)
 }
 
 func (k *keeper) rates() map[uint16]float64 {
-	k.heatMu.Lock()
-	defer k.heatMu.Unlock()
-	return k.heat.Rates(k.now())
+	k.rateMu.Lock()
+	defer k.rateMu.Unlock()
+	return k.rateEstimator.Rates(k.now())
 }
 
 // run keeps the service until ctx ends.
 func (k *keeper) run(ctx context.Context) {
-	if !k.begin(ctx) {
+	if !k.initialize(ctx) {
 		return
 	}
 	planned := time.Time{}
-	for ctx.Err() == nil && !k.isDeposed() {
+	for ctx.Err() == nil && !k.isSuperseded() {
 		if k.leading.mayAct() {
 			if k.now().Sub(planned) >= planInterval {
 				planned = k.now()
@@ -173,18 +173,18 @@
 			k.startMoves(ctx)
 			k.startRenewals(ctx)
 			k.startTrials(ctx)
-			k.saveDone(ctx)
+			k.saveEndedMoves(ctx)
 		}
 		k.publishPending()
-		pause(ctx, keepInterval)
+		pause(ctx, assignerTick)
 	}
 }
 
 // finish waits for the moves under way and saves what has ended.
 func (k *keeper) finish(ctx context.Context) {
-	k.moves.Wait()
+	k.tasks.Wait()
 	k.mu.Lock()
-	if k.pending {
+	if k.unpublished {
 		k.publishLocked()
 	}
 	unsaved := k.unsaved && k.revision > 0
@@ -199,7 +199,7 @@
 }
 
 // begin loads the assignment, or makes the first one.
-func (k *keeper) begin(ctx context.Context) bool {
+func (k *keeper) initialize(ctx context.Context) bool {
 	backoff := firstBackoff
 	for ctx.Err() == nil {
 		table, revision, err := k.load(ctx, k.service)
@@ -210,13 +210,13 @@
 			backoff = min(2*backoff, longestBackoff)
 			continue
 		case table == nil:
-			if table = k.first(ctx); table == nil {
+			if table = k.initialTable(ctx); table == nil {
 				return false
 			}
 		}
-		if k.claim(ctx, k.newest(table), revision) {
+		if k.claim(ctx, k.newestTable(table), revision) {
 			// Nobody grants keys before the assignment is in the store.
-			k.setSole(revision == 0)
+			k.setOnlyGranter(revision == 0)
 			return true
 		}
 		pause(ctx, firstBackoff)
@@ -227,7 +227,7 @@
 // newest returns what the former leader has told this gateway of its assignment, when
 // that is newer than the stored one: moves that have ended are saved some time later.
 // Whatever it told, its fences are reserved in the store.
-func (k *keeper) newest(stored *spans.Table) *spans.Table {
+func (k *keeper) newestTable(stored *spans.Table) *spans.Table {
 	told := k.view.spansOf(k.service)
 	if told == nil || told.Version <= stored.Version || told.Version>>termShift != stored.Version>>termShift {
 		return stored
@@ -262,9 +262,9 @@
 // process that leads again counts its writes anew: a write of its former term is not the
 // one whose answer was lost.
 func (k *keeper) stampLocked(t *spans.Table) {
-	k.writes++
-	t.Version = k.term<<termShift | uint64(k.writes)
-	t.Writer = fmt.Sprintf("%s/%d/%d", k.cluster.self.Incarnation, k.term, k.writes)
+	k.writeCount++
+	t.Version = k.term<<termShift | uint64(k.writeCount)
+	t.Writer = fmt.Sprintf("%s/%d/%d", k.cluster.self.Incarnation, k.term, k.writeCount)
 }
 
 // termShift is where the leader's term lies in the version of an assignment:
@@ -277,10 +277,10 @@
 	defer k.mu.Unlock()
 	k.table = table.Clone()
 	k.revision = revision
-	k.began = k.now()
+	k.tookOverAt = k.now()
 	for _, s := range k.table.Spans {
 		if s.Moving() {
-			k.inherited[s.NextFence] = true
+			k.inheritedMoves[s.NextFence] = true
 		}
 	}
 	k.publish()
@@ -289,12 +289,12 @@
 
 // heldFor is how long an upstream may hold keys after a grant for the time has
 // arrived, by this process's clock.
-func heldFor(hold time.Duration) time.Duration {
-	return time.Duration(float64(hold)*clockSlowness) + arrivalMargin
+func holdWithMargin(hold time.Duration) time.Duration {
+	return time.Duration(float64(hold)*maxClockSlowdown) + grantTransitMargin
 }
 
 // first waits until the upstreams have registered and assigns the keys to them.
-func (k *keeper) first(ctx context.Context) *spans.Table {
+func (k *keeper) initialTable(ctx context.Context) *spans.Table {
 	began := k.now()
 	count, since := 0, began
 	for ctx.Err() == nil {
@@ -303,10 +303,10 @@
 			count, since = len(owners), k.now()
 		}
 		now := k.now()
-		if count > 0 && (now.Sub(since) >= gatherTime || now.Sub(began) >= gatherMost) {
+		if count > 0 && (now.Sub(since) >= registrationQuietTime || now.Sub(began) >= registrationMaxWait) {
 			return ownership.InitialTable(k.service, owners)
 		}
-		pause(ctx, keepInterval)
+		pause(ctx, assignerTick)
 	}
 	return nil
 }
@@ -315,7 +315,7 @@
 // none was given for a while, else soon. The lock is held.
 func (k *keeper) publish() {
 	k.stampLocked(k.table)
-	k.pending = true
+	k.unpublished = true
 	if k.publishDue() {
 		k.publishLocked()
 	}
@@ -323,12 +323,12 @@
 
 // publishDue reports whether the last version was given long enough ago. The lock is held.
 func (k *keeper) publishDue() bool {
-	pause := max(publishInterval, time.Duration(k.cluster.gateways())*publishPause)
-	return k.now().Sub(k.published) >= pause
+	pause := max(publishInterval, time.Duration(k.cluster.gateways())*publishIntervalPerGateway)
+	return k.now().Sub(k.publishedAt) >= pause
 }
 
 func (k *keeper) publishLocked() {
-	k.published, k.pending = k.now(), false
+	k.publishedAt, k.unpublished = k.now(), false
 	k.view.setSpans(k.table.Clone())
 }
 
@@ -336,7 +336,7 @@
 func (k *keeper) publishPending() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.pending && k.publishDue() {
+	if k.unpublished && k.publishDue() {
 		k.publishLocked()
 	}
 }
@@ -351,14 +351,14 @@
 	var out []ownership.Owner
 	for _, one := range v.Service(k.service) {
 		o := ownership.Owner{ID: one.ID, Incarnation: one.Incarnation(), Capacity: k.capacity(one)}
-		k.noteStart(one)
-		control := k.control(one.ID)
-		o.MayKeep = !one.Leaving && !k.view.evacuated(one.Domain) && !k.isDead(one) && !k.rests(one.ID) && control.MayKeep(k.now(), k.hold())
+		k.recordStart(one)
+		control := k.controlHealth(one.ID)
+		o.MayKeep = !one.Leaving && !k.view.evacuated(one.Domain) && !k.hasTerminated(one) && !k.rests(one.ID) && control.MayKeep(k.now(), k.hold())
 		o.Usable = o.MayKeep && !control.Failing()
 		o.Warming = warming[one.ID]
 		out = append(out, o)
 	}
-	k.forgetStarts(v)
+	k.forgetRemovedUpstreams(v)
 	return ownership.PreferWarm(out)
 }
 
@@ -367,7 +367,7 @@
 func (k *keeper) capacity(one *instances.Instance) float64 {
 	work := k.workTimes.of(k.service, one.ID)
 	if work <= 0 {
-		work = time.Second / defaultRate
+		work = time.Second / defaultSlotRate
 	}
 	capacity := float64(one.Slots) / work.Seconds()
 	if limit, ok := k.limits.of(one); ok {
@@ -385,14 +385,14 @@
 	return out
 }
 
-func (k *keeper) setSole(sole bool) {
+func (k *keeper) setOnlyGranter(sole bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.sole = sole
+	k.onlyGranter = sole
 }
 
-func (k *keeper) isDeposed() bool {
+func (k *keeper) isSuperseded() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.deposed
+	return k.superseded
 }
--- a/gateway/keeperstore.go
+++ b/gateway/keeperstore.go
@@ -17,15 +17,15 @@
 // first: no grant carries a fence that is not reserved there.
 func (k *keeper) plan(ctx context.Context) {
 	owners, load := k.candidates(), k.rates()
-	pins, unreliable := k.placements.pins(k.service), k.unreliable(owners)
+	pins, unreliable := k.placements.pins(k.service), k.controlUnreliable(owners)
 	k.mu.Lock()
 	limits := ownership.Limits(k.table, owners, load)
-	balance := k.now().Sub(k.balanced) >= balanceInterval
+	balance := k.now().Sub(k.rebalancedAt) >= rebalanceInterval
 	if balance {
-		k.balanced = k.now()
+		k.rebalancedAt = k.now()
 	}
 	next := ownership.MakePlan(ownership.PlanInput{
-		BalanceDue: balance, Table: k.table, Owners: owners, Load: load, RecentlyMoved: k.resting(), Pins: pins,
+		BalanceDue: balance, Table: k.table, Owners: owners, Load: load, RecentlyMoved: k.recentlyMoved(), Pins: pins,
 		ControlUnreliable: unreliable,
 	})
 	k.mu.Unlock()
@@ -39,10 +39,10 @@
 
 // resting returns the first keys of spans that have moved lately. The lock is
 // held.
-func (k *keeper) resting() map[uint16]bool {
+func (k *keeper) recentlyMoved() map[uint16]bool {
 	out := make(map[uint16]bool)
-	for first, at := range k.settled {
-		if k.now().Sub(at) < restTime {
+	for first, at := range k.movedAt {
+		if k.now().Sub(at) < moveCooldown {
 			out[first] = true
 		}
 	}
@@ -62,22 +62,22 @@
 	k.mu.Unlock()
 	got, err := k.save(ctx, next, revision)
 	if err != nil {
-		k.saveFailed(ctx, err)
+		k.handleSaveError(ctx, err)
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.revision = got
-	k.inheritHolds(before, next)
-	k.forgetHolds()
-	k.table, k.unsaved = k.merge(next)
+	k.inheritSplitHolds(before, next)
+	k.dropExpiredHolds()
+	k.table, k.unsaved = k.mergeEndedMoves(next)
 	k.savedAt = k.now()
 	k.publish()
 }
 
 // merge brings the moves that ended while the table was being written into it, and
 // reports whether there were any: the store does not have them. The lock is held.
-func (k *keeper) merge(next *spans.Table) (merged *spans.Table, changed bool) {
+func (k *keeper) mergeEndedMoves(next *spans.Table) (merged *spans.Table, changed bool) {
 	for i := range next.Spans {
 		s := &next.Spans[i]
 		now := k.table.Find(s.First)
@@ -95,26 +95,26 @@
 
 // inheritHolds gives spans that were split what was known of the whole. The
 // lock is held.
-func (k *keeper) inheritHolds(before, next *spans.Table) {
+func (k *keeper) inheritSplitHolds(before, next *spans.Table) {
 	for _, s := range next.Spans {
 		from := before.Find(s.First)
 		if from.First == s.First {
 			continue
 		}
-		k.holds[owned(s)] = k.holds[owned(from)]
-		k.renewed[s.First] = k.renewed[from.First]
-		k.coldAt[s.First] = k.coldAt[from.First]
+		k.holdDeadlines[ownerGrant(s)] = k.holdDeadlines[ownerGrant(from)]
+		k.grantRenewedAt[s.First] = k.grantRenewedAt[from.First]
+		k.coldSince[s.First] = k.coldSince[from.First]
 	}
 }
 
 // forgetHolds drops those that have ended. The lock is held.
-func (k *keeper) forgetHolds() {
+func (k *keeper) dropExpiredHolds() {
 	now := k.now()
-	maps.DeleteFunc(k.holds, func(_ grantID, until time.Time) bool { return now.After(until) })
+	maps.DeleteFunc(k.holdDeadlines, func(_ grantID, until time.Time) bool { return now.After(until) })
 }
 
 // saveFailed handles a write that was not acknowledged.
-func (k *keeper) saveFailed(ctx context.Context, err error) {
+func (k *keeper) handleSaveError(ctx context.Context, err error) {
 	if !errors.Is(err, platform.ErrConflict) {
 		k.log.Warn("owners not saved", "error", err)
 		return
@@ -128,7 +128,7 @@
 	defer k.mu.Unlock()
 	if table.Version>>termShift > k.term {
 		k.log.Warn("owners are kept by a later leader", "writer", table.Writer)
-		k.deposed = true
+		k.superseded = true
 		return
 	}
 	// A write of this leader took effect late. None of its moves was begun.
@@ -138,7 +138,7 @@
 }
 
 // saveDone writes moves that have ended to the store, together.
-func (k *keeper) saveDone(ctx context.Context) {
+func (k *keeper) saveEndedMoves(ctx context.Context) {
 	k.mu.Lock()
 	due := k.unsaved && k.now().Sub(k.savedAt) > saveInterval
 	next := k.table.Clone()
@@ -149,7 +149,7 @@
 	}
 	got, err := k.save(ctx, next, revision)
 	if err != nil {
-		k.saveFailed(ctx, err)
+		k.handleSaveError(ctx, err)
 		pause(ctx, firstBackoff)
 		return
 	}
--- a/gateway/keeperupstreams.go
+++ b/gateway/keeperupstreams.go
@@ -14,85 +14,85 @@
 // about.
 
 // start is one start of an upstream: it may come back under its ID, at another address.
-type start struct {
+type upstreamStart struct {
 	address     string
 	incarnation instances.Incarnation
 }
 
-func startOf(one *instances.Instance) start {
-	return start{address: one.Address, incarnation: one.Incarnation()}
+func startOfUpstream(one *instances.Instance) upstreamStart {
+	return upstreamStart{address: one.Address, incarnation: one.Incarnation()}
 }
 
 // failure is a time in which the calls to an upstream fail.
-type failure struct {
-	since, last time.Time
+type controlFailure struct {
+	since, lastFailed time.Time
 	// reached says that the last call was a trial and was answered.
-	reached bool
+	probeAnswered bool
 }
 
 // isDead reports whether this start of the upstream is known to have ended.
-func (k *keeper) isDead(one *instances.Instance) bool {
+func (k *keeper) hasTerminated(one *instances.Instance) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	at, ok := k.dead[one.ID]
-	return ok && at == startOf(one)
+	at, ok := k.terminated[one.ID]
+	return ok && at == startOfUpstream(one)
 }
 
 // ended notes that an upstream has ended, as it was when it was called.
-func (k *keeper) ended(one *instances.Instance) {
+func (k *keeper) markTerminated(one *instances.Instance) {
 	k.log.Info("owner has ended, its address is another's", "upstream", one.ID, "address", one.Address)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.dead[one.ID] = startOf(one)
+	k.terminated[one.ID] = startOfUpstream(one)
 }
 
 // noteStart forgets what calls to an earlier start of the upstream have shown.
-func (k *keeper) noteStart(one *instances.Instance) {
+func (k *keeper) recordStart(one *instances.Instance) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	now := startOf(one)
-	if before, ok := k.starts[one.ID]; ok && before != now {
+	now := startOfUpstream(one)
+	if before, ok := k.lastStarts[one.ID]; ok && before != now {
 		k.log.Info("upstream has started again", "upstream", one.ID, "address", one.Address)
 		delete(k.failing, one.ID)
-		delete(k.granted, one.ID)
-		delete(k.dead, one.ID)
+		delete(k.lastGranted, one.ID)
+		delete(k.terminated, one.ID)
 		k.workTimes.forget(k.service, one.ID)
 	}
-	k.starts[one.ID] = now
+	k.lastStarts[one.ID] = now
 }
 
 // forgetStarts drops upstreams that are not known any more.
-func (k *keeper) forgetStarts(v *instances.View) {
+func (k *keeper) forgetRemovedUpstreams(v *instances.View) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	gone := func(id string, _ start) bool { return v.Get(id) == nil }
-	maps.DeleteFunc(k.starts, gone)
-	maps.DeleteFunc(k.dead, gone)
-	maps.DeleteFunc(k.granted, func(id string, _ time.Time) bool { return v.Get(id) == nil })
+	gone := func(id string, _ upstreamStart) bool { return v.Get(id) == nil }
+	maps.DeleteFunc(k.lastStarts, gone)
+	maps.DeleteFunc(k.terminated, gone)
+	maps.DeleteFunc(k.lastGranted, func(id string, _ time.Time) bool { return v.Get(id) == nil })
 }
 
 // control returns what control calls and requests have shown of an upstream.
-func (k *keeper) control(id string) ownership.ControlHealth {
+func (k *keeper) controlHealth(id string) ownership.ControlHealth {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.controlLocked(id)
+	return k.controlHealthLocked(id)
 }
 
 // controlLocked is control with the lock held.
-func (k *keeper) controlLocked(id string) ownership.ControlHealth {
+func (k *keeper) controlHealthLocked(id string) ownership.ControlHealth {
 	f := k.failing[id]
 	return ownership.ControlHealth{
-		FailingSince: f.since, LastFailed: f.last, ProbeAnswered: f.reached, LastGranted: k.granted[id], LastAnswered: k.workTimes.answeredAt(id),
+		FailingSince: f.since, LastFailed: f.lastFailed, ProbeAnswered: f.probeAnswered, LastGranted: k.lastGranted[id], LastAnswered: k.workTimes.answeredAt(id),
 	}
 }
 
 // unreliable reports whether control calls get no answers at upstreams that answer requests.
-func (k *keeper) unreliable(owners []ownership.Owner) bool {
+func (k *keeper) controlUnreliable(owners []ownership.Owner) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	all := make([]ownership.ControlHealth, 0, len(owners))
 	for _, o := range owners {
-		all = append(all, k.controlLocked(o.ID))
+		all = append(all, k.controlHealthLocked(o.ID))
 	}
 	return ownership.ControlUnreliable(k.now(), all)
 }
@@ -109,7 +109,7 @@
 }
 
 // fails notes that a call to an upstream failed, works that one succeeded.
-func (k *keeper) fails(id string) {
+func (k *keeper) recordFailure(id string) {
 	k.meters.inc(k.meters.service(ownersUnanswered, k.service))
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -118,39 +118,39 @@
 		f.since = k.now()
 		k.log.Warn("calls to an upstream fail", "upstream", id)
 	}
-	f.last, f.reached = k.now(), false
+	f.lastFailed, f.probeAnswered = k.now(), false
 	k.failing[id] = f
 }
 
 // reaches notes that a trial call to an upstream was answered. One with keys counts as
 // failing until a grant is answered too: some take no grants, but all else.
-func (k *keeper) reaches(id string) {
+func (k *keeper) recordProbeAnswer(id string) {
 	k.mu.Lock()
 	f, ok := k.failing[id]
-	owns := k.owns(id)
+	owns := k.ownsKeys(id)
 	if ok && owns {
-		f.reached = true
+		f.probeAnswered = true
 		k.failing[id] = f
 	}
 	k.mu.Unlock()
 	if !owns {
-		k.works(id)
+		k.clearFailure(id)
 	}
 }
 
 // owns reports whether the upstream owns keys. The lock is held.
-func (k *keeper) owns(id string) bool {
+func (k *keeper) ownsKeys(id string) bool {
 	return slices.ContainsFunc(k.table.Spans, func(s spans.Span) bool { return s.Owner == id })
 }
 
-func (k *keeper) works(id string) {
+func (k *keeper) clearFailure(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.worksLocked(id)
+	k.clearFailureLocked(id)
 }
 
 // worksLocked is works with the lock held.
-func (k *keeper) worksLocked(id string) {
+func (k *keeper) clearFailureLocked(id string) {
 	if f, ok := k.failing[id]; ok {
 		delete(k.failing, id)
 		k.log.Info("calls to an upstream succeed again", "upstream", id, "after_ms", k.now().Sub(f.since).Milliseconds())
--- a/gateway/latecalls_test.go
+++ b/gateway/latecalls_test.go
@@ -93,13 +93,13 @@
 	const id = "i-s0"
 	k := b.leader().steward.keeper("status")
 	k.mu.Lock()
-	k.failing[id] = failure{since: k.now().Add(-ownership.SilentOwnerTimeout), last: k.now(), reached: true}
+	k.failing[id] = controlFailure{since: k.now().Add(-ownership.SilentOwnerTimeout), lastFailed: k.now(), probeAnswered: true}
 	// No renewal clears it while its keys move.
-	k.renewing[id] = true
+	k.callsInFlight[id] = true
 	k.mu.Unlock()
 	b.eventually("its keys have gone to others", func() bool { return b.owned()[id] == 0 })
 	k.mu.Lock()
-	delete(k.renewing, id)
+	delete(k.callsInFlight, id)
 	k.mu.Unlock()
 	b.eventually("it is given keys again", func() bool { return b.owned()[id] > 0 })
 }
--- a/gateway/loss_test.go
+++ b/gateway/loss_test.go
@@ -27,7 +27,7 @@
 	holds := make(map[uint64]time.Time)
 	for _, s := range k.table.Spans {
 		if s.Owner == "i-s0" {
-			holds[s.Fence] = k.holds[owned(s)]
+			holds[s.Fence] = k.holdDeadlines[ownerGrant(s)]
 		}
 	}
 	k.mu.Unlock()
@@ -35,8 +35,8 @@
 		k.mu.Lock()
 		for _, s := range k.table.Spans {
 			before, known := holds[s.Fence]
-			if s.Owner == "i-s0" && known && k.holds[owned(s)].After(before) {
-				t.Errorf("span %d is held for %s longer", s.First, k.holds[owned(s)].Sub(before))
+			if s.Owner == "i-s0" && known && k.holdDeadlines[ownerGrant(s)].After(before) {
+				t.Errorf("span %d is held for %s longer", s.First, k.holdDeadlines[ownerGrant(s)].Sub(before))
 			}
 		}
 		k.mu.Unlock()
@@ -55,7 +55,7 @@
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		s := k.table.Spans[0]
-		return s, k.holds[owned(s)]
+		return s, k.holdDeadlines[ownerGrant(s)]
 	}
 	s, before := granted()
 	ends, known := k.holdEnds(s)
@@ -72,15 +72,15 @@
 	k := b.leader().steward.keeper("status")
 	k.mu.Lock()
 	s := k.table.Spans[0]
-	before := k.holds[owned(s)]
+	before := k.holdDeadlines[ownerGrant(s)]
 	k.mu.Unlock()
 	b.ups["i-s1"].Set(instance.Silent)
-	if _, err := k.grant(t.Context(), s.Keys, k.instance("i-s1"), s.Fence+fenceLeap, ""); err == nil {
+	if _, err := k.grant(t.Context(), s.Keys, k.instance("i-s1"), s.Fence+fenceIncrement, ""); err == nil {
 		t.Fatal("a silent upstream answered")
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if after := k.holds[owned(s)]; after.Sub(before) > heldFor(holdTime)-renewInterval {
+	if after := k.holdDeadlines[ownerGrant(s)]; after.Sub(before) > holdWithMargin(holdDuration)-renewInterval {
 		t.Errorf("the owner's hold grew by %s with a grant to another", after.Sub(before))
 	}
 }
--- a/gateway/ownerstate.go
+++ b/gateway/ownerstate.go
@@ -25,10 +25,10 @@
 func (k *keeper) logStuck(owners []ownership.Owner, load map[uint16]float64) {
 	k.mu.Lock()
 	u, uneven := ownership.Busiest(k.table, owners, load)
-	moving, failing := len(k.moving), len(k.failing)
-	due := uneven && k.now().Sub(k.toldStuck) >= stuckInterval
+	moving, failing := len(k.activeMoves), len(k.failing)
+	due := uneven && k.now().Sub(k.stuckLoggedAt) >= stuckInterval
 	if due {
-		k.toldStuck = k.now()
+		k.stuckLoggedAt = k.now()
 	}
 	k.mu.Unlock()
 	if !due {
@@ -55,7 +55,7 @@
 	u, _ := ownership.Busiest(k.table, owners, load)
 	k.meters.gauge(k.meters.service(ownersBusiest, k.service), int64(percent*u.Utilization))
 	k.meters.gauge(k.meters.service(ownersMean, k.service), int64(percent*u.Mean))
-	k.meters.gauge(k.meters.service(ownersMoving, k.service), int64(len(k.moving)))
+	k.meters.gauge(k.meters.service(ownersMoving, k.service), int64(len(k.activeMoves)))
 	k.meters.gauge(k.meters.service(ownersFailing, k.service), int64(len(k.failing)))
 }
 
@@ -92,7 +92,7 @@
 	owners, load := k.candidates(), k.rates()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	out := &placementpb.ServiceOwners{Service: k.service, Moving: uint32(len(k.moving))}
+	out := &placementpb.ServiceOwners{Service: k.service, Moving: uint32(len(k.activeMoves))}
 	if k.table == nil {
 		return out
 	}
@@ -100,7 +100,7 @@
 	for _, o := range owners {
 		one := &placementpb.OwnerState{Upstream: o.ID, Capacity: float32(o.Capacity), Usable: o.Usable, Keeps: o.MayKeep, Warming: o.Warming}
 		if f, ok := k.failing[o.ID]; ok {
-			one.FailingMs, one.Reached = uint64(k.now().Sub(f.since).Milliseconds()), f.reached
+			one.FailingMs, one.Reached = uint64(k.now().Sub(f.since).Milliseconds()), f.probeAnswered
 		}
 		byID[o.ID] = one
 		out.Owners = append(out.Owners, one)
--- a/gateway/promises.go
+++ b/gateway/promises.go
@@ -112,13 +112,13 @@
 func (l *leading) inquire(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) {
 	term := former.Term + 1
 	if former.Term == 0 {
-		l.setFormerHolds(term, l.now().Add(heldFor(longest)), false)
+		l.setFormerHolds(term, l.now().Add(holdWithMargin(longest)), false)
 		return
 	}
 	for ctx.Err() == nil && l.cluster.isLeading() {
 		if until, ok := l.formerHoldsEnd(ctx, former, ends, longest); ok {
 			l.log.Info("grants of the former leader end", "term", former.Term, "in_ms", until.Sub(l.now()).Milliseconds())
-			l.setFormerHolds(term, until, until.After(ends.Add(heldFor(holdTime))))
+			l.setFormerHolds(term, until, until.After(ends.Add(holdWithMargin(holdDuration))))
 			return
 		}
 		pause(ctx, inquiryPause)
@@ -130,13 +130,13 @@
 func (l *leading) formerHoldsEnd(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) (time.Time, bool) {
 	answers := l.askVoters(ctx, former.Voters, &syncpb.PromiseRequest{Term: former.Term + 1, Inquire: true})
 	now := l.now()
-	normal := ends.Add(heldFor(holdTime))
+	normal := ends.Add(holdWithMargin(holdDuration))
 	var until []time.Time
 	for _, a := range answers {
 		end := normal
 		if a.Asked {
 			age := time.Duration(a.AgeMs) * time.Millisecond
-			end = later(end, now.Add(-age).Add(leadership.Term).Add(heldFor(longest)))
+			end = later(end, now.Add(-age).Add(leadership.Term).Add(holdWithMargin(longest)))
 		}
 		until = append(until, end)
 	}
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -62,11 +62,11 @@
 	owners, load := k.candidates(), k.rates()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.table == nil || len(k.moving) > 0 || len(k.failing) > 0 {
+	if k.table == nil || len(k.activeMoves) > 0 || len(k.failing) > 0 {
 		return false
 	}
 	for _, o := range owners {
-		if !o.Usable || !k.owns(o.ID) {
+		if !o.Usable || !k.ownsKeys(o.ID) {
 			return false
 		}
 	}
--- a/gateway/steward.go
+++ b/gateway/steward.go
@@ -112,7 +112,7 @@
 		table := s.view.table.Load()
 		if table == nil {
 			// It leads before it has any view: nothing is served until it has.
-			pause(ctx, keepInterval)
+			pause(ctx, assignerTick)
 			continue
 		}
 		for name, service := range table.Services {
@@ -145,7 +145,7 @@
 	for name, list := range own.keys {
 		if k := s.keepers[name]; k != nil {
 			for _, key := range list {
-				k.asked(key)
+				k.recordRequest(key)
 			}
 		}
 	}
@@ -185,7 +185,7 @@
 			continue
 		}
 		for _, key := range c.Keys {
-			k.asked(uint16(min(key, spans.MaxKey)))
+			k.recordRequest(uint16(min(key, spans.MaxKey)))
 		}
 	}
 }
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -42,7 +42,7 @@
 	l := b.leader()
 	b.eventually("promises", l.leading.byPromises)
 	stop := b.load(b.gateways, http.MethodGet, "/status/x", true)
-	time.Sleep(3 * holdTime)
+	time.Sleep(3 * holdDuration)
 	if b.leader() != l {
 		t.Error("the leader does not go on")
 	}
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -94,7 +94,7 @@
 	keeper := l.steward.keepers["status"]
 	l.steward.mu.Unlock()
 	b.upstream("i-s9", "status")
-	b.eventually("the former leader's keeper has stopped", keeper.isDeposed)
+	b.eventually("the former leader's keeper has stopped", keeper.isSuperseded)
 }
 
 // TestLeaderStoppedWhileStoreAway: nobody can take the lease then, so the leader goes
@@ -111,7 +111,7 @@
 	for _, u := range b.ups {
 		held = max(held, u.HeldFor(0))
 	}
-	if held <= holdTime {
+	if held <= holdDuration {
 		t.Errorf("the owner of key 0 holds it for %s after the leader's stop", held)
 	}
 	b.store.SetAll(metastore.Open)
@@ -137,15 +137,15 @@
 	if l.votersMayChange() {
 		t.Error("the voters change before they were asked for promises to the former leader")
 	}
-	l.setFormerHolds(8, now.Add(heldFor(holdTime)), false)
+	l.setFormerHolds(8, now.Add(holdWithMargin(holdDuration)), false)
 	if !l.votersMayChange() {
 		t.Error("the voters do not change although nobody promised anything")
 	}
-	l.setFormerHolds(8, now.Add(heldFor(holdTime)), true)
+	l.setFormerHolds(8, now.Add(holdWithMargin(holdDuration)), true)
 	if l.votersMayChange() {
 		t.Error("the voters change while grants by promises to the former leader last")
 	}
-	now = now.Add(heldFor(holdTime) + time.Millisecond)
+	now = now.Add(holdWithMargin(holdDuration) + time.Millisecond)
 	l.right.Renewed(now)
 	if !l.votersMayChange() {
 		t.Error("the voters never change")
@@ -187,7 +187,7 @@
 		}
 		k := &keeper{steward: &steward{view: v}, service: "status"}
 		stored := table(term, 5, "stored")
-		got := k.newest(stored)
+		got := k.newestTable(stored)
 		if got.Spans[0].Owner != c.want || got.LastFence < stored.LastFence {
 			t.Errorf("%s: owner %s, last fence %d", name, got.Spans[0].Owner, got.LastFence)
 		}
