--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -343,7 +343,7 @@
 func (f *follower) lostFor() (lost time.Duration, refused, resigned bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now().Sub(later(f.began, f.heard)), f.refused, f.resigned
+	return f.now().Sub(laterOf(f.began, f.heard)), f.refused, f.resigned
 }
 
 // heardAgo returns how long ago this process heard from a leader; long when it
@@ -372,7 +372,7 @@
 		// It has begun: go on until the leader is heard again.
 		return now.Sub(f.heard) > orphanAfter
 	}
-	return now.Sub(later(f.began, later(f.heard, f.news))) > wait
+	return now.Sub(laterOf(f.began, laterOf(f.heard, f.news))) > wait
 }
 
 const (
@@ -412,5 +412,5 @@
 func (f *follower) newsAge(watched time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now().Sub(later(later(f.heard, f.news), watched))
+	return f.now().Sub(laterOf(laterOf(f.heard, f.news), watched))
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -212,22 +212,22 @@
 	g.conns = pool.New(upstreamLimits, g.now)
 	g.steward = &steward{
 		view: g.view, cluster: g.cluster, traffic: g.traffic, store: store, calls: g.calls,
-		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newTurns(mostGrantCalls), longest: conf.LongestHold.D(),
+		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newTurns(mostGrantCalls), maxHold: conf.LongestHold.D(),
 		now: g.now, log: log, meters: g.meters, workTimes: newWorkTimes(g.view, g.now), limits: g.limits,
 		rights: &rights{view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now},
 	}
 	g.leading = &leading{
 		store: store, calls: g.calls, cluster: g.cluster, follower: g.follower, watcher: g.watcher,
-		steward: g.steward, now: g.now, log: log, firstRank: firstRank(conf),
-		promises: newPromises(g.now), longest: conf.LongestHold.D(),
+		assignments: g.steward, now: g.now, log: log, initialRank: firstRank(conf),
+		promises: newPromises(g.now), maxHold: conf.LongestHold.D(),
 	}
-	g.steward.leading = g.leading
+	g.steward.elector = g.leading
 	g.steward.placements = &placements{
 		store: store, steward: g.steward, leading: g.leading, cluster: g.cluster, evac: evac, suspects: g.suspects, unread: unread,
 		watches: g.watcher.ages, now: g.now, log: log,
 	}
 	g.watcher.draining, g.watcher.toldLeaving = g.steward.placements.draining, g.steward.toldLeaving
-	g.follower.setOwn = g.steward.setOwn
+	g.follower.setOwn = g.steward.setOwnReport
 	g.front = &front{
 		view: g.view, traffic: g.traffic, splitter: routing.NewSplitter(), conns: g.conns, now: g.now,
 		log: log, meters: g.meters, domain: conf.Domain, gaps: g.gaps, limits: g.limits, suspects: g.suspects, unread: unread, open: newOpenRequests(),
@@ -324,7 +324,7 @@
 	}
 	stopWork()
 	loops.Wait()
-	g.steward.end()
+	g.steward.stopAndWait()
 	return err
 }
 
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -40,7 +40,7 @@
 		// Else the owner has started again: nobody holds the keys.
 		token, free = k.takeBack(ctx, s)
 	}
-	if !free || !k.leading.mayAct() {
+	if !free || !k.elector.mayAct() {
 		return
 	}
 	taken := k.now()
@@ -112,7 +112,7 @@
 			k.log.Info("hold of a lost owner has ended", "upstream", s.Owner, "first", s.First, "last", s.Last)
 			return "", true
 		}
-		if !k.leading.mayAct() {
+		if !k.elector.mayAct() {
 			return "", false
 		}
 		pause(ctx, controlRetryInterval)
@@ -143,8 +143,8 @@
 	if sole {
 		return own, true
 	}
-	former, known := k.leading.formerHoldsUntil()
-	return later(own, former), known
+	former, known := k.elector.latestFormerHold()
+	return laterOf(own, former), known
 }
 
 // give grants the keys of a move to their next owner. The same call may be made
@@ -162,7 +162,7 @@
 		}
 		arrived = arrived || !errors.Is(err, pool.ErrNotSent)
 		k.recordFailure(next.ID)
-		if ctx.Err() != nil || !k.leading.mayAct() || k.failingFor(next.ID) >= ownership.SilentOwnerTimeout {
+		if ctx.Err() != nil || !k.elector.mayAct() || k.failingFor(next.ID) >= ownership.SilentOwnerTimeout {
 			if arrived {
 				err = errPerhapsGranted
 			}
@@ -187,12 +187,12 @@
 	call, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	// Asked again after the connection was opened: that may have taken longer than the right.
-	verdict, err := k.owners.Grant(call, to.ID, to.Address, keys, fence, hold, token, k.leading.stillMayAct)
+	verdict, err := k.owners.Grant(call, to.ID, to.Address, keys, fence, hold, token, k.elector.checkMayAct)
 	if err == nil && verdict == platform.Granted || err != nil && !errors.Is(err, pool.ErrNotSent) {
 		until := k.now().Add(holdWithMargin(hold))
 		k.mu.Lock()
 		id := grantID{first: keys.First, fence: fence}
-		k.holdDeadlines[id] = later(k.holdDeadlines[id], until)
+		k.holdDeadlines[id] = laterOf(k.holdDeadlines[id], until)
 		if err == nil {
 			k.grantRenewedAt[keys.First], k.lastGranted[to.ID] = k.now(), k.now()
 		}
@@ -209,10 +209,10 @@
 // hold is how long grants last: longer while this leader acts by promises, so
 // that owners serve on if it is lost before the store returns.
 func (k *keeper) hold() time.Duration {
-	if k.leading.byPromises() {
-		return k.longest
+	if k.elector.actsByPromises() {
+		return k.maxHold
 	}
-	return min(holdDuration, k.longest)
+	return min(holdDuration, k.maxHold)
 }
 
 func (k *keeper) instance(id string) *instances.Instance {
@@ -253,7 +253,7 @@
 	changed := false
 	for i := range k.table.Spans {
 		s := &k.table.Spans[i]
-		if s.Cold && k.now().Sub(later(k.tookOverAt, k.coldSince[s.First])) >= coldTime {
+		if s.Cold && k.now().Sub(laterOf(k.tookOverAt, k.coldSince[s.First])) >= coldTime {
 			s.Cold, changed = false, true
 		}
 	}
@@ -274,7 +274,7 @@
 // each owner.
 func (k *keeper) startRenewals(ctx context.Context) {
 	now := k.now()
-	long := k.leading.byPromises()
+	long := k.elector.actsByPromises()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	due := make(map[string][]spans.Span)
@@ -285,7 +285,7 @@
 		}
 		late := now.Sub(k.grantRenewedAt[s.First]) >= renewInterval
 		// By promises each grant is made longer at once.
-		stretch := long && k.holdDeadlines[ownerGrant(s)].Sub(now) < k.longest-renewInterval
+		stretch := long && k.holdDeadlines[ownerGrant(s)].Sub(now) < k.maxHold-renewInterval
 		if late || stretch {
 			due[s.Owner] = append(due[s.Owner], s)
 		}
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -164,7 +164,7 @@
 	}
 	planned := time.Time{}
 	for ctx.Err() == nil && !k.isSuperseded() {
-		if k.leading.mayAct() {
+		if k.elector.mayAct() {
 			if k.now().Sub(planned) >= planInterval {
 				planned = k.now()
 				k.plan(ctx)
@@ -190,7 +190,7 @@
 	unsaved := k.unsaved && k.revision > 0
 	next, revision := k.table.Clone(), k.revision
 	k.mu.Unlock()
-	if !unsaved || !k.leading.mayAct() {
+	if !unsaved || !k.elector.mayAct() {
 		return
 	}
 	if _, err := k.save(ctx, next, revision); err != nil {
--- a/gateway/latecalls_test.go
+++ b/gateway/latecalls_test.go
@@ -91,7 +91,7 @@
 	asking := b.askForKeys(b.inTurn)
 	defer asking.end()
 	const id = "i-s0"
-	k := b.leader().steward.keeper("status")
+	k := b.leader().steward.assigner("status")
 	k.mu.Lock()
 	k.failing[id] = controlFailure{since: k.now().Add(-ownership.SilentOwnerTimeout), lastFailed: k.now(), probeAnswered: true}
 	// No renewal clears it while its keys move.
--- a/gateway/lead.go
+++ b/gateway/lead.go
@@ -23,38 +23,38 @@
 const (
 	// rankPause keeps gateways from reaching for the lease at the same moment:
 	// each waits this much longer than the one before it.
-	rankPause = 120 * time.Millisecond
+	rankDelay = 120 * time.Millisecond
 	// leadInterval is the time between looks at the lease's state.
-	leadInterval = 50 * time.Millisecond
+	leaseCheckInterval = 50 * time.Millisecond
 	// claimInterval is the time between readings of the lease by a gateway that
 	// would take it.
-	claimInterval = 500 * time.Millisecond
+	leaseReadInterval = 500 * time.Millisecond
 	// lateRenewal is how late a renewal of the lease must be for this leader to
 	// ask for promises: enough of its right is left to do so.
-	lateRenewal = 400 * time.Millisecond
+	renewalGrace = 400 * time.Millisecond
 )
 
 // leading runs the part of this process in leadership.
 type leading struct {
-	store    *platform.Store
-	calls    *storeCaller
-	cluster  *cluster
-	follower *follower
-	watcher  *watcher
-	steward  *steward
-	now      func() time.Time
-	log      *slog.Logger
+	store       *platform.Store
+	calls       *storeCaller
+	cluster     *cluster
+	follower    *follower
+	watcher     *watcher
+	assignments *steward
+	now         func() time.Time
+	log         *slog.Logger
 	// firstRank is this gateway's place while no members are known.
-	firstRank int
+	initialRank int
 	// started is when the process began to look for a leader.
-	started  time.Time
-	promises *promises
-	longest  time.Duration
+	startedAt time.Time
+	promises  *promises
+	maxHold   time.Duration
 
 	mu    sync.Mutex
 	right leadership.Right
 	// extended is the right by promises, without the store.
-	extended leadership.Right
+	promisedRight leadership.Right
 	// voterLists are the lists of voters that may be in force: one, or two
 	// while a renewal that changed the list has no answer.
 	voterLists [][]string
@@ -63,27 +63,27 @@
 	revision   uint64
 	// formerHolds is until when upstreams may hold keys by grants of a former
 	// leader, once that is known.
-	formerHolds time.Time
-	formerKnown bool
+	formerHoldDeadline time.Time
+	formerHoldKnown    bool
 	// formerByPromises says that this is so by promises to the former leader.
-	formerByPromises bool
-	renewedAt        time.Time
+	formerActedByPromises bool
+	renewedAt             time.Time
 
 	// resigned is set when this process stops: it takes no lease any more.
-	resigned atomic.Bool
+	resigning atomic.Bool
 	// writing is held over each write of the lease.
-	writing sync.Mutex
+	leaseWriteMu sync.Mutex
 }
 
 // mayAct reports whether this process leads and its right has not run out.
 func (l *leading) mayAct() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.right.Valid(l.now()) || l.extended.Valid(l.now())
+	return l.right.Valid(l.now()) || l.promisedRight.Valid(l.now())
 }
 
 // stillMayAct returns an error when this process may not act any more.
-func (l *leading) stillMayAct() error {
+func (l *leading) checkMayAct() error {
 	if !l.mayAct() {
 		return errNoRight
 	}
@@ -92,10 +92,10 @@
 
 // byPromises reports whether this leader acts by promises: then its grants may
 // last longer, as its successor will ask for these.
-func (l *leading) byPromises() bool {
+func (l *leading) actsByPromises() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.extended.Valid(l.now())
+	return l.promisedRight.Valid(l.now())
 }
 
 // run takes the lease when it is due, keeps it, and watches the store while
@@ -103,7 +103,7 @@
 func (l *leading) run(ctx context.Context) {
 	var stopWatch context.CancelFunc
 	var watch sync.WaitGroup
-	l.started = l.now()
+	l.startedAt = l.now()
 	lastClaim := time.Time{}
 	for ctx.Err() == nil {
 		lost, refused, resigned := l.follower.lostFor()
@@ -120,14 +120,14 @@
 		}
 		if l.cluster.isLeading() {
 			// In a stop it is renewed by the stop, within the time that this has.
-			if !l.resigned.Load() {
-				l.keep(ctx)
+			if !l.resigning.Load() {
+				l.renewIfDue(ctx)
 			}
-		} else if l.due(lost, refused || resigned) && l.now().Sub(lastClaim) > claimInterval {
+		} else if l.acquireDue(lost, refused || resigned) && l.now().Sub(lastClaim) > leaseReadInterval {
 			lastClaim = l.now()
-			l.reach(ctx, refused)
+			l.tryAcquire(ctx, refused)
 		}
-		pause(ctx, leadInterval)
+		pause(ctx, leaseCheckInterval)
 	}
 	if stopWatch != nil {
 		stopWatch()
@@ -138,19 +138,19 @@
 // runExtensions asks for promises while the lease is not renewed, until ctx ends.
 func (l *leading) runExtensions(ctx context.Context) {
 	for ctx.Err() == nil {
-		if l.cluster.isLeading() && l.doubtful() {
+		if l.cluster.isLeading() && l.renewalOverdue() {
 			l.extend(ctx)
 			pause(ctx, leadership.Renewal)
 			continue
 		}
-		pause(ctx, leadInterval)
+		pause(ctx, leaseCheckInterval)
 	}
 }
 
 // due reports whether this gateway should look whether it can lead.
 // ended says that the leader's process or role seems to have ended.
-func (l *leading) due(lost time.Duration, ended bool) bool {
-	if l.resigned.Load() {
+func (l *leading) acquireDue(lost time.Duration, ended bool) bool {
+	if l.resigning.Load() {
 		return false
 	}
 	if l.cluster.knownLeader() == nil {
@@ -161,18 +161,18 @@
 	if ended {
 		wait = 0
 	}
-	return lost > wait+time.Duration(l.cluster.rank())*rankPause
+	return lost > wait+time.Duration(l.cluster.rank())*rankDelay
 }
 
 // reach reads the lease and takes it if it may.
-func (l *leading) reach(ctx context.Context, refused bool) {
+func (l *leading) tryAcquire(ctx context.Context, refused bool) {
 	ctx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 	defer cancel()
 	object, err := l.store.Get(ctx, leaseKind, leaseName)
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
-		if l.now().Sub(l.started) > time.Duration(l.firstRank)*2*rankPause {
-			l.take(ctx, leadership.Lease{}, 0, l.now())
+		if l.now().Sub(l.startedAt) > time.Duration(l.initialRank)*2*rankDelay {
+			l.acquire(ctx, leadership.Lease{}, 0, l.now())
 		}
 		return
 	case err != nil:
@@ -193,23 +193,23 @@
 		ends = now
 	}
 	if may {
-		l.take(ctx, lease, object.Revision, ends)
+		l.acquire(ctx, lease, object.Revision, ends)
 		return
 	}
 	l.cluster.setLeader(leaderMessage(lease, object.Revision))
 }
 
 // take writes the lease in this gateway's name.
-func (l *leading) take(ctx context.Context, former leadership.Lease, revision uint64, ends time.Time) {
-	l.writing.Lock()
-	defer l.writing.Unlock()
-	if l.resigned.Load() {
+func (l *leading) acquire(ctx context.Context, former leadership.Lease, revision uint64, ends time.Time) {
+	l.leaseWriteMu.Lock()
+	defer l.leaseWriteMu.Unlock()
+	if l.resigning.Load() {
 		return
 	}
 	self := l.cluster.self
 	mine := leadership.Lease{
 		Node: self.Node, Address: self.Address, Domain: self.Domain, Incarnation: self.Incarnation,
-		Term: former.Term + 1, Voters: l.firstVoters(former), Gateways: max(former.Gateways, l.cluster.gateways()),
+		Term: former.Term + 1, Voters: l.initialVoters(former), Gateways: max(former.Gateways, l.cluster.gateways()),
 	}
 	sent := l.now()
 	var object platform.Object
@@ -219,28 +219,28 @@
 	} else {
 		object, err = l.store.Replace(ctx, leaseKind, leaseName, revision, mine)
 	}
-	if err != nil && !l.isMine(object, mine) {
+	if err != nil && !l.isOwnWrite(object, mine) {
 		l.log.Info("lease not taken", "term", mine.Term, "error", err)
 		return
 	}
 	l.mu.Lock()
 	l.lease, l.revision = mine, object.Revision
 	l.right.Renewed(sent)
-	l.extended.Drop()
+	l.promisedRight.Drop()
 	l.voterLists = [][]string{mine.Voters}
 	l.renewedAt = sent
-	l.formerKnown = false
+	l.formerHoldKnown = false
 	l.mu.Unlock()
 	l.log.Info("leading", "term", mine.Term, "former", former.Node, "released", former.Released)
 	l.cluster.expect(former.Gateways)
 	l.cluster.setLeader(leaderMessage(mine, object.Revision))
 	l.cluster.setLeading(true)
-	l.steward.start(mine.Term, func(ctx context.Context) { l.inquire(ctx, former, ends, l.longest) })
+	l.assignments.start(mine.Term, func(ctx context.Context) { l.inquire(ctx, former, ends, l.maxHold) })
 }
 
 // isMine reports whether the object that a refused write returned is what was
 // to be written: its answer was lost.
-func (l *leading) isMine(o platform.Object, mine leadership.Lease) bool {
+func (l *leading) isOwnWrite(o platform.Object, mine leadership.Lease) bool {
 	var there leadership.Lease
 	if len(o.Spec) == 0 || platform.Decode(o, &there) != nil {
 		return false
@@ -249,9 +249,9 @@
 }
 
 // keep renews the lease when it is due, and stops leading when it is lost.
-func (l *leading) keep(ctx context.Context) {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+func (l *leading) renewIfDue(ctx context.Context) {
+	l.leaseWriteMu.Lock()
+	defer l.leaseWriteMu.Unlock()
 	if !l.cluster.isLeading() {
 		return
 	}
@@ -266,7 +266,7 @@
 	}
 	next.Renewals++
 	next.Gateways = l.cluster.gateways()
-	if voters := l.voters(next.Voters); l.votersMayChange() && !slices.Equal(voters, next.Voters) {
+	if voters := l.chooseVoters(next.Voters); l.votersMayChange() && !slices.Equal(voters, next.Voters) {
 		next.Voters = voters
 		l.mu.Lock()
 		l.voterLists = append(l.voterLists, voters)
@@ -276,17 +276,17 @@
 	object, err := l.store.Replace(call, leaseKind, leaseName, revision, next)
 	cancel()
 	switch {
-	case err == nil || l.isMine(object, next):
+	case err == nil || l.isOwnWrite(object, next):
 		l.mu.Lock()
 		l.lease, l.revision = next, object.Revision
 		l.voterLists = [][]string{next.Voters}
 		l.right.Renewed(now)
-		l.extended.Drop()
+		l.promisedRight.Drop()
 		l.renewedAt = now
 		l.mu.Unlock()
 		l.cluster.setLeader(leaderMessage(next, object.Revision))
 	case errors.Is(err, platform.ErrConflict):
-		l.conflict(object)
+		l.handleConflict(object)
 	case ctx.Err() == nil:
 		l.log.Warn("lease not renewed", "error", err, "right_left_ms", l.rightLeft().Milliseconds())
 	}
@@ -294,8 +294,8 @@
 }
 
 // doubtful reports whether the lease was not renewed when it was due.
-func (l *leading) doubtful() bool {
-	return l.rightLeft() < leadership.Term-leadership.Renewal-lateRenewal
+func (l *leading) renewalOverdue() bool {
+	return l.rightLeft() < leadership.Term-leadership.Renewal-renewalGrace
 }
 
 func (l *leading) rightLeft() time.Duration {
@@ -306,7 +306,7 @@
 
 // conflict handles a lease that is not as this leader left it. An own renewal
 // that took effect late is taken over; another holder ends the role.
-func (l *leading) conflict(o platform.Object) {
+func (l *leading) handleConflict(o platform.Object) {
 	var there leadership.Lease
 	if err := platform.Decode(o, &there); err != nil {
 		l.log.Error("the leader's lease cannot be read", "error", err)
@@ -320,16 +320,16 @@
 		return
 	}
 	l.right.Drop()
-	l.extended.Drop()
+	l.promisedRight.Drop()
 	l.mu.Unlock()
 	l.log.Info("no longer leading", "leader", there.Node, "term", there.Term)
-	l.stop()
+	l.stepDown()
 	l.cluster.setLeader(leaderMessage(there, o.Revision))
 }
 
-func (l *leading) stop() {
+func (l *leading) stepDown() {
 	l.cluster.setLeading(false)
-	l.steward.stop()
+	l.assignments.stop()
 }
 
 func leaderMessage(l leadership.Lease, revision uint64) *syncpb.Leader {
--- a/gateway/loss_test.go
+++ b/gateway/loss_test.go
@@ -19,7 +19,7 @@
 func TestFailingOwnerIsNotHeldLonger(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	k := b.leader().steward.keeper("status")
+	k := b.leader().steward.assigner("status")
 	b.ups["i-s0"].Set(instance.Silent)
 	b.eventually("calls fail", func() bool { return k.failingFor("i-s0") > 0 })
 	k.mu.Lock()
@@ -50,7 +50,7 @@
 func TestFirstLeaderWaitsForItsOwnGrantsOnly(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	k := b.leader().steward.keeper("status")
+	k := b.leader().steward.assigner("status")
 	granted := func() (spans.Span, time.Time) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
@@ -69,7 +69,7 @@
 func TestNextOwnersGrantIsNotTheOwners(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	k := b.leader().steward.keeper("status")
+	k := b.leader().steward.assigner("status")
 	k.mu.Lock()
 	s := k.table.Spans[0]
 	before := k.holdDeadlines[ownerGrant(s)]
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -119,7 +119,7 @@
 	at := f.now().Add(-time.Duration(resp.ConfigMs) * time.Millisecond)
 	switch {
 	case f.view.configuration().revision >= resp.ConfigRevision:
-		f.newest = later(f.newest, at)
+		f.newest = laterOf(f.newest, at)
 	case resp.ConfigRevision >= f.told.revision:
 		f.told = toldConfiguration{revision: resp.ConfigRevision, at: at}
 	}
@@ -131,9 +131,9 @@
 func (f *follower) configurationAge(watched time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	newest := later(f.newest, watched)
+	newest := laterOf(f.newest, watched)
 	if f.told.revision > 0 && f.view.configuration().revision >= f.told.revision {
-		newest = later(newest, f.told.at)
+		newest = laterOf(newest, f.told.at)
 	}
 	return min(f.now().Sub(newest), time.Hour)
 }
--- a/gateway/noticenews.go
+++ b/gateway/noticenews.go
@@ -21,13 +21,13 @@
 // told returns what this gateway and those that report to it have at the upstream, and what it has
 // told them; nil for nothing.
 func (s *steward) told(upstream string) *syncpb.Load {
-	return s.cluster.sum(s.lastOwn().loads).loads[upstream]
+	return s.cluster.sum(s.lastOwnReport().loads).loads[upstream]
 }
 
 // toldLeaving returns the upstreams that have told a gateway that they leave.
 func (s *steward) toldLeaving() map[string]bool {
 	var out map[string]bool
-	for id, l := range s.cluster.sum(s.lastOwn().loads).loads {
+	for id, l := range s.cluster.sum(s.lastOwnReport().loads).loads {
 		if !l.Leaving {
 			continue
 		}
--- a/gateway/ownerstate.go
+++ b/gateway/ownerstate.go
@@ -63,7 +63,7 @@
 func (s *steward) allKeepers() []*keeper {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := slices.Collect(maps.Values(s.keepers))
+	out := slices.Collect(maps.Values(s.assigners))
 	slices.SortFunc(out, func(a, b *keeper) int { return strings.Compare(a.service, b.service) })
 	return out
 }
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -53,7 +53,7 @@
 		p.suspects.told(r.Suspects)
 		p.cluster.reported(r, p.heardAgo() < orphanAfter)
 		if p.cluster.isLeading() {
-			p.steward.asked(r.Keys)
+			p.steward.recordRequests(r.Keys)
 			p.steward.workTimes.note(r.Loads)
 		} else {
 			p.passOn(r.Keys)
@@ -165,7 +165,7 @@
 		return resp
 	}
 	resp.Fleet = p.fleet(r)
-	resp.Demands = demandMessages(p.cluster.demandElsewhere(r.Member.Node, p.steward.lastOwn().demand))
+	resp.Demands = demandMessages(p.cluster.demandElsewhere(r.Member.Node, p.steward.lastOwnReport().demand))
 	resp.Gateways = uint32(p.cluster.gateways())
 	resp.HotKeys = p.hotKeys()
 	resp.Limits = p.namedLimits(r.Member.Node)
@@ -189,7 +189,7 @@
 	if !fleet {
 		return nil
 	}
-	return p.packer.pack(p.cluster.sum(p.steward.lastOwn().loads), r.Member.Node, v, r.InstancesVersion, p.works(), works)
+	return p.packer.pack(p.cluster.sum(p.steward.lastOwnReport().loads), r.Member.Node, v, r.InstancesVersion, p.works(), works)
 }
 
 // works returns the mean times of a run as all gateways have seen them.
@@ -203,7 +203,7 @@
 // namedLimits tells the limits that upstreams name, and what all gateways but the node and those
 // behind it are asked for.
 func (p *peerServer) namedLimits(node string) []*syncpb.NamedLimit {
-	own := p.steward.lastOwn().wanted
+	own := p.steward.lastOwnReport().wanted
 	return p.limits.messages(func(upstream string) float64 {
 		wanted, _ := p.cluster.wantedElsewhere(node, own, upstream)
 		return wanted
--- a/gateway/placements.go
+++ b/gateway/placements.go
@@ -185,7 +185,7 @@
 	if v == nil || v.Get(i.Upstream) == nil || v.Get(i.Upstream).Service != i.Service {
 		return nil, rpcError(answer.NotFound, "service "+i.Service+" has no upstream "+i.Upstream)
 	}
-	k := p.steward.keeper(i.Service)
+	k := p.steward.assigner(i.Service)
 	if k == nil {
 		if i.Kind == placement.Pin {
 			return nil, rpcError(answer.BadRequest, "service "+i.Service+" has no keys")
--- a/gateway/promises.go
+++ b/gateway/promises.go
@@ -101,10 +101,10 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.extended.Valid(sent) {
+	if !l.promisedRight.Valid(sent) {
 		l.log.Info("going on without the store, by promises", "term", term, "answers", len(answers))
 	}
-	l.extended.Renewed(sent)
+	l.promisedRight.Renewed(sent)
 }
 
 // inquire learns from the voters of the former lease until when upstreams may
@@ -112,13 +112,13 @@
 func (l *leading) inquire(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) {
 	term := former.Term + 1
 	if former.Term == 0 {
-		l.setFormerHolds(term, l.now().Add(holdWithMargin(longest)), false)
+		l.setFormerHoldDeadline(term, l.now().Add(holdWithMargin(longest)), false)
 		return
 	}
 	for ctx.Err() == nil && l.cluster.isLeading() {
-		if until, ok := l.formerHoldsEnd(ctx, former, ends, longest); ok {
+		if until, ok := l.inquireFormerHolds(ctx, former, ends, longest); ok {
 			l.log.Info("grants of the former leader end", "term", former.Term, "in_ms", until.Sub(l.now()).Milliseconds())
-			l.setFormerHolds(term, until, until.After(ends.Add(holdWithMargin(holdDuration))))
+			l.setFormerHoldDeadline(term, until, until.After(ends.Add(holdWithMargin(holdDuration))))
 			return
 		}
 		pause(ctx, inquiryPause)
@@ -127,7 +127,7 @@
 
 // formerHoldsEnd asks once. Any majority may be believed, so that of the voters
 // with the earliest ends is.
-func (l *leading) formerHoldsEnd(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) (time.Time, bool) {
+func (l *leading) inquireFormerHolds(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) (time.Time, bool) {
 	answers := l.askVoters(ctx, former.Voters, &syncpb.PromiseRequest{Term: former.Term + 1, Inquire: true})
 	now := l.now()
 	normal := ends.Add(holdWithMargin(holdDuration))
@@ -136,7 +136,7 @@
 		end := normal
 		if a.Asked {
 			age := time.Duration(a.AgeMs) * time.Millisecond
-			end = later(end, now.Add(-age).Add(leadership.Term).Add(holdWithMargin(longest)))
+			end = laterOf(end, now.Add(-age).Add(leadership.Term).Add(holdWithMargin(longest)))
 		}
 		until = append(until, end)
 	}
@@ -148,7 +148,7 @@
 	return until[need-1], true
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
@@ -158,37 +158,37 @@
 // setFormerHolds notes until when upstreams may hold keys by a former leader's grants,
 // and whether that is by promises: then a successor learns of it from the present voters
 // only.
-func (l *leading) setFormerHolds(term uint64, until time.Time, byPromises bool) {
+func (l *leading) setFormerHoldDeadline(term uint64, until time.Time, byPromises bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.lease.Term == term {
-		l.formerHolds, l.formerKnown, l.formerByPromises = until, true, byPromises
+		l.formerHoldDeadline, l.formerHoldKnown, l.formerActedByPromises = until, true, byPromises
 	}
 }
 
 // formerHoldsUntil returns until when upstreams may hold keys by grants of former
 // leaders, once that is known.
-func (l *leading) formerHoldsUntil() (until time.Time, known bool) {
+func (l *leading) latestFormerHold() (until time.Time, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.formerHolds, l.formerKnown
+	return l.formerHoldDeadline, l.formerHoldKnown
 }
 
 // formerHoldsEnded reports whether no upstream holds keys by a grant of a former
 // leader any more.
 func (l *leading) formerHoldsEnded() bool {
-	until, known := l.formerHoldsUntil()
+	until, known := l.latestFormerHold()
 	return known && l.now().After(until)
 }
 
 // firstVoters are the voters of a lease that is taken over: those of the former one. A
 // leader that is lost in turn, before the grants of its former have ended, leaves a
 // list to its successor that knows of the promises to both.
-func (l *leading) firstVoters(former leadership.Lease) []string {
+func (l *leading) initialVoters(former leadership.Lease) []string {
 	if len(former.Voters) > 0 {
 		return former.Voters
 	}
-	return l.voters(nil)
+	return l.chooseVoters(nil)
 }
 
 // votersMayChange reports whether the lease may name other voters than before: when
@@ -197,17 +197,17 @@
 // as soon as that is known, so that gateways which leave one after the other do not
 // leave a list of lost voters behind.
 func (l *leading) votersMayChange() bool {
-	if l.doubtful() {
+	if l.renewalOverdue() {
 		return false
 	}
 	l.mu.Lock()
-	known := l.formerKnown && !l.formerByPromises
+	known := l.formerHoldKnown && !l.formerActedByPromises
 	l.mu.Unlock()
 	return known || l.formerHoldsEnded()
 }
 
 // voters chooses the voters among the gateways that report.
-func (l *leading) voters(former []string) []string {
+func (l *leading) chooseVoters(former []string) []string {
 	list, _ := l.cluster.list()
 	var live []leadership.Voter
 	for _, m := range list {
--- a/gateway/resign.go
+++ b/gateway/resign.go
@@ -9,22 +9,22 @@
 	// resignTimeout bounds giving the lease up at the end.
 	resignTimeout = 1000 * time.Millisecond
 	// resignPause is the time between tries to give it up while the store is away.
-	resignPause = 200 * time.Millisecond
+	resignRetryInterval = 200 * time.Millisecond
 )
 
 // resign gives the lease up, so that another gateway can take it at once. While the
 // store is away nobody could take it: this process then leads on until the store is
 // back or ctx is about to end, so that owners have the longest grants when it ends.
 func (l *leading) resign(ctx context.Context) {
-	l.resigned.Store(true)
-	for l.cluster.isLeading() && !l.renewNow(ctx) && untilEnd(ctx) > resignTimeout {
-		pause(ctx, resignPause)
+	l.resigning.Store(true)
+	for l.cluster.isLeading() && !l.renewNow(ctx) && timeLeft(ctx) > resignTimeout {
+		pause(ctx, resignRetryInterval)
 	}
-	l.giveUp(ctx)
+	l.releaseLease(ctx)
 }
 
 // untilEnd returns the time until the deadline of ctx; zero when it has ended.
-func untilEnd(ctx context.Context) time.Duration {
+func timeLeft(ctx context.Context) time.Duration {
 	end, ok := ctx.Deadline()
 	if !ok || ctx.Err() != nil {
 		return 0
@@ -39,26 +39,26 @@
 	l.mu.Lock()
 	l.renewedAt = time.Time{}
 	l.mu.Unlock()
-	l.keep(ctx)
+	l.renewIfDue(ctx)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.renewedAt.Before(asked)
 }
 
 // giveUp ends the role and tells the store so.
-func (l *leading) giveUp(ctx context.Context) {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+func (l *leading) releaseLease(ctx context.Context) {
+	l.leaseWriteMu.Lock()
+	defer l.leaseWriteMu.Unlock()
 	if !l.cluster.isLeading() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, resignTimeout)
 	defer cancel()
-	l.steward.finish(ctx)
+	l.assignments.finish(ctx)
 	l.cluster.setLeading(false)
 	l.mu.Lock()
 	l.right.Drop()
-	l.extended.Drop()
+	l.promisedRight.Drop()
 	next, revision := l.lease, l.revision
 	l.mu.Unlock()
 	next.Released = true
--- a/gateway/resign_test.go
+++ b/gateway/resign_test.go
@@ -22,11 +22,11 @@
 	const renewals = leaseKind + ".replace"
 	before := record.of(renewals)
 	b.eventually("it renews", func() bool { return record.of(renewals) > before })
-	g.leading.resigned.Store(true)
+	g.leading.resigning.Store(true)
 	// One that has begun ends.
-	g.leading.writing.Lock()
+	g.leading.leaseWriteMu.Lock()
 	before = record.of(renewals)
-	g.leading.writing.Unlock()
+	g.leading.leaseWriteMu.Unlock()
 	time.Sleep(3 * leadership.Renewal)
 	if n := record.of(renewals) - before; n > 0 {
 		t.Errorf("the loop renewed the lease %d times in a stop", n)
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -55,7 +55,7 @@
 	if leader == nil {
 		return false
 	}
-	k := leader.steward.keeper("status")
+	k := leader.steward.assigner("status")
 	if k == nil {
 		return false
 	}
--- a/gateway/steward.go
+++ b/gateway/steward.go
@@ -27,20 +27,20 @@
 	owners  *platform.Owners
 	// turns bounds the grants under way.
 	turns   turns
-	leading *leading
-	longest time.Duration
+	elector *leading
+	maxHold time.Duration
 	now     func() time.Time
 	log     *slog.Logger
 	meters  *meters
 	// placements are the operators' intents.
 	placements *placements
 
-	mu      sync.Mutex
-	cancel  context.CancelFunc
-	running sync.WaitGroup
-	keepers map[string]*keeper
+	mu        sync.Mutex
+	cancel    context.CancelFunc
+	workers   sync.WaitGroup
+	assigners map[string]*keeper
 	// own is this process's last report.
-	own *ownReport
+	lastReport *ownReport
 	// hotKeys are those of the services that this process keeps.
 	hotKeys hotKeys
 	// rights are those to send to upstreams that warm up.
@@ -58,12 +58,12 @@
 	defer s.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	s.keepers = make(map[string]*keeper)
+	s.assigners = make(map[string]*keeper)
 	s.workTimes.begin(s.cluster.worksAbove())
 	s.rights.begin()
-	s.running.Go(func() { s.run(ctx, term) })
-	s.running.Go(func() { inquire(ctx) })
-	s.running.Go(func() { s.placements.load(ctx) })
+	s.workers.Go(func() { s.run(ctx, term) })
+	s.workers.Go(func() { inquire(ctx) })
+	s.workers.Go(func() { s.placements.load(ctx) })
 }
 
 // stop ends the work. It does not wait for it.
@@ -74,30 +74,30 @@
 		s.cancel()
 		s.cancel = nil
 	}
-	s.keepers = nil
+	s.assigners = nil
 	s.hotKeys.clear()
 	s.placements.forget()
 }
 
 // keeper returns the keeper of a service, or nil.
-func (s *steward) keeper(service string) *keeper {
+func (s *steward) assigner(service string) *keeper {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.keepers[service]
+	return s.assigners[service]
 }
 
 // end stops and waits until all work has ended.
-func (s *steward) end() {
+func (s *steward) stopAndWait() {
 	s.stop()
-	s.running.Wait()
+	s.workers.Wait()
 }
 
 // finish ends the work and saves what it changed.
 func (s *steward) finish(ctx context.Context) {
 	s.mu.Lock()
-	keepers := s.keepers
+	keepers := s.assigners
 	s.mu.Unlock()
-	s.end()
+	s.stopAndWait()
 	for _, k := range keepers {
 		if k.table != nil {
 			k.finish(ctx)
@@ -117,33 +117,33 @@
 		}
 		for name, service := range table.Services {
 			if service.Keyed {
-				s.keep(ctx, name, term)
+				s.startAssigner(ctx, name, term)
 			}
 		}
-		s.noteOwn()
+		s.recordOwnReport()
 		pause(ctx, reportInterval(s.cluster.gateways()))
 	}
 }
 
-func (s *steward) keep(ctx context.Context, service string, term uint64) {
+func (s *steward) startAssigner(ctx context.Context, service string, term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.keepers == nil || s.keepers[service] != nil {
+	if s.assigners == nil || s.assigners[service] != nil {
 		return
 	}
 	k := newKeeper(s, service, term)
-	s.keepers[service] = k
-	s.running.Go(func() { k.run(ctx) })
+	s.assigners[service] = k
+	s.workers.Go(func() { k.run(ctx) })
 }
 
-func (s *steward) noteOwn() {
+func (s *steward) recordOwnReport() {
 	own := s.traffic.report()
-	s.setOwn(own)
+	s.setOwnReport(own)
 	s.workTimes.note(own.loads)
 	s.workTimes.refresh()
 	s.mu.Lock()
 	for name, list := range own.keys {
-		if k := s.keepers[name]; k != nil {
+		if k := s.assigners[name]; k != nil {
 			for _, key := range list {
 				k.recordRequest(key)
 			}
@@ -159,28 +159,28 @@
 }
 
 // setOwn keeps this process's last report.
-func (s *steward) setOwn(own *ownReport) {
+func (s *steward) setOwnReport(own *ownReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.own = own
+	s.lastReport = own
 }
 
 // lastOwn returns this process's last report. It is not changed any more.
-func (s *steward) lastOwn() *ownReport {
+func (s *steward) lastOwnReport() *ownReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.own == nil {
+	if s.lastReport == nil {
 		return &ownReport{}
 	}
-	return s.own
+	return s.lastReport
 }
 
 // asked notes the keys that another gateway was asked for.
-func (s *steward) asked(counts []*syncpb.KeyCounts) {
+func (s *steward) recordRequests(counts []*syncpb.KeyCounts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range counts {
-		k := s.keepers[c.Service]
+		k := s.assigners[c.Service]
 		if k == nil {
 			continue
 		}
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -40,7 +40,7 @@
 	b := standard(t)
 	b.store.SetAll(metastore.Silent)
 	l := b.leader()
-	b.eventually("promises", l.leading.byPromises)
+	b.eventually("promises", l.leading.actsByPromises)
 	stop := b.load(b.gateways, http.MethodGet, "/status/x", true)
 	time.Sleep(3 * holdDuration)
 	if b.leader() != l {
@@ -62,7 +62,7 @@
 	b := standard(t)
 	b.store.SetAll(metastore.Busy)
 	l := b.leader()
-	b.eventually("promises", l.leading.byPromises)
+	b.eventually("promises", l.leading.actsByPromises)
 	time.Sleep(renewInterval)
 	l.kill()
 	b.ups["i-s0"].Set(instance.Silent)
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -91,7 +91,7 @@
 		t.Error("a write from before the claim is taken")
 	}
 	l.steward.mu.Lock()
-	keeper := l.steward.keepers["status"]
+	keeper := l.steward.assigners["status"]
 	l.steward.mu.Unlock()
 	b.upstream("i-s9", "status")
 	b.eventually("the former leader's keeper has stopped", keeper.isSuperseded)
@@ -129,7 +129,7 @@
 	self := &syncpb.Member{Node: "fresh", Address: "10.0.0.9:1", Domain: "a"}
 	l := &leading{now: clock, cluster: newCluster(self, nil, clock, nil)}
 	former := leadership.Lease{Term: 7, Voters: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}}
-	if diff := cmp.Diff(former.Voters, l.firstVoters(former)); diff != "" {
+	if diff := cmp.Diff(former.Voters, l.initialVoters(former)); diff != "" {
 		t.Error(diff)
 	}
 	l.lease = leadership.Lease{Term: 8, Voters: former.Voters}
@@ -137,11 +137,11 @@
 	if l.votersMayChange() {
 		t.Error("the voters change before they were asked for promises to the former leader")
 	}
-	l.setFormerHolds(8, now.Add(holdWithMargin(holdDuration)), false)
+	l.setFormerHoldDeadline(8, now.Add(holdWithMargin(holdDuration)), false)
 	if !l.votersMayChange() {
 		t.Error("the voters do not change although nobody promised anything")
 	}
-	l.setFormerHolds(8, now.Add(holdWithMargin(holdDuration)), true)
+	l.setFormerHoldDeadline(8, now.Add(holdWithMargin(holdDuration)), true)
 	if l.votersMayChange() {
 		t.Error("the voters change while grants by promises to the former leader last")
 	}
@@ -151,7 +151,7 @@
 		t.Error("the voters never change")
 	}
 	first := &leading{now: clock, cluster: l.cluster}
-	if diff := cmp.Diff([]string{self.Address}, first.firstVoters(leadership.Lease{})); diff != "" {
+	if diff := cmp.Diff([]string{self.Address}, first.initialVoters(leadership.Lease{})); diff != "" {
 		t.Error(diff)
 	}
 	first.lease = leadership.Lease{Term: 1}
@@ -206,14 +206,14 @@
 			t.Parallel()
 			b := standard(t)
 			l := b.leader()
-			if l.steward.keeper("status") == nil {
+			if l.steward.assigner("status") == nil {
 				t.Fatal("the leader keeps nothing")
 			}
 			end(l)
-			if l.steward.keeper("status") != nil {
+			if l.steward.assigner("status") != nil {
 				t.Fatal("it goes on keeping keys")
 			}
-			l.steward.running.Wait()
+			l.steward.workers.Wait()
 		})
 	}
 }
--- a/gateway/turns_test.go
+++ b/gateway/turns_test.go
@@ -34,7 +34,7 @@
 	lead := &leading{now: time.Now, cluster: c}
 	lead.right.Renewed(time.Now().Add(time.Hour - leadership.Term))
 	s := &steward{
-		view: newView(), cluster: c, now: time.Now, log: slog.New(slog.DiscardHandler), leading: lead,
+		view: newView(), cluster: c, now: time.Now, log: slog.New(slog.DiscardHandler), elector: lead,
 		owners: platform.NewOwners(pool.New(upstreamLimits, time.Now)), turns: newTurns(mostGrantCalls),
 	}
 	k := newKeeper(s, "s", 1)
--- a/gateway/wake_test.go
+++ b/gateway/wake_test.go
@@ -23,12 +23,12 @@
 			b := standard(t)
 			leader := b.leader()
 			// It renews its lease as soon as it has woken up; until then it must not act.
-			leader.leading.writing.Lock()
+			leader.leading.leaseWriteMu.Lock()
 			leader.suspend(length)
-			if leader.leading.mayAct() || leader.leading.stillMayAct() == nil {
+			if leader.leading.mayAct() || leader.leading.checkMayAct() == nil {
 				t.Error("it may act by a lease that has run out meanwhile")
 			}
-			leader.leading.writing.Unlock()
+			leader.leading.leaseWriteMu.Unlock()
 			b.eventually("one leads", func() bool { return b.leader() != nil })
 			b.eventually("keys are served", func() bool { return b.ask(leader, http.MethodGet, "/status/x", 7).status == http.StatusOK })
 			b.eventually("it is counted", func() bool { return metricsOf(leader)["clock.suspensions"] == "1" })
--- a/gateway/watchages.go
+++ b/gateway/watchages.go
@@ -61,7 +61,7 @@
 }
 
 // since returns from when on nothing was heard of a kind that is watched. The lock is held.
-func (a *watchAges) since(kind string) time.Time { return later(a.heard[kind], a.watched[kind]) }
+func (a *watchAges) since(kind string) time.Time { return laterOf(a.heard[kind], a.watched[kind]) }
 
 // check logs the kinds whose watches have come to hear nothing.
 func (a *watchAges) check() {
@@ -90,7 +90,7 @@
 	defer a.mu.Unlock()
 	var last time.Time
 	for _, at := range a.heard {
-		last = later(last, at)
+		last = laterOf(last, at)
 	}
 	return last
 }
