--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -18,22 +18,22 @@
 	// waits that long for changes before it answers; between them it grows with the gateways
 	// by reportPause, as the leader answers all. Younger reports tell better what others
 	// have in flight.
-	shortestReport = 100 * time.Millisecond
-	longestReport  = 250 * time.Millisecond
-	reportPause    = time.Millisecond
+	minReportInterval        = 100 * time.Millisecond
+	maxReportInterval        = 250 * time.Millisecond
+	reportIntervalPerGateway = time.Millisecond
 	// reportTimeout is how long the answer to a report may take beyond that.
 	reportTimeout = 400 * time.Millisecond
 	// newsAtOnce is within what time an answer with news came at once, newsPause the time to
 	// the next report then.
-	newsAtOnce = 50 * time.Millisecond
-	newsPause  = 25 * time.Millisecond
+	immediateAnswer      = 50 * time.Millisecond
+	immediateAnswerPause = 25 * time.Millisecond
 	// orphanAfter is how long a gateway hears from no leader before it watches
 	// the store by itself.
-	orphanAfter = 700 * time.Millisecond
+	leaderSilenceTimeout = 700 * time.Millisecond
 	// orphanPause is the time between looks for a leader, seekLook between looks
 	// whether one has become known meanwhile.
-	orphanPause = 100 * time.Millisecond
-	seekLook    = 20 * time.Millisecond
+	seekRetryInterval = 100 * time.Millisecond
+	seekPollInterval  = 20 * time.Millisecond
 )
 
 // follower keeps in touch with the leader: it reports what this gateway sees
@@ -44,7 +44,7 @@
 	traffic *traffic
 	seeds   []string
 	// seed says that this gateway is itself among the seeds.
-	seed   bool
+	isSeed bool
 	now    func() time.Time
 	log    *slog.Logger
 	meters *meters
@@ -54,7 +54,7 @@
 	// fetcher fetches what is too large for an answer to a report.
 	fetcher *fetcher
 	// setOwn keeps this process's own report, for those that report to it.
-	setOwn func(*ownReport)
+	setOwnReport func(*ownReport)
 	// limits are those that upstreams name.
 	limits *namedLimits
 	// suspects are requests that end upstreams.
@@ -63,30 +63,30 @@
 	mu sync.Mutex
 	// began is when this process began to follow, heard when it last heard from a
 	// leader; zero before.
-	began time.Time
-	heard time.Time
+	startedAt     time.Time
+	leaderHeardAt time.Time
 	// news is when this gateway last had news by way of another one.
-	news time.Time
+	newsAt time.Time
 	// ahead is the number of gateways of the own failure domain that come before
 	// this one: all, or those that answered the last look for a leader.
-	ahead int
+	domainPeersAhead int
 	// refused says that the leader's address refuses connections.
-	refused bool
+	leaderRefused bool
 	// resigned says that the known leader answers and leads no more.
-	resigned bool
+	leaderResigned bool
 	// failing is the run of reports to parents without success.
 	failing failedReports
 	// newest is when the configuration was known to be the newest, by another gateway, and
 	// told is the newest one that was told and was not in force then.
-	newest time.Time
-	told   toldConfiguration
+	configNewestAt time.Time
+	toldConfig     toldConfiguration
 	// wantWhole says that the last difference of the configuration could not be decoded.
-	wantWhole bool
+	wantFullConfig bool
 }
 
 // reportInterval is the time between reports where there are so many gateways.
 func reportInterval(gateways int) time.Duration {
-	return min(max(shortestReport, time.Duration(gateways)*reportPause), longestReport)
+	return min(max(minReportInterval, time.Duration(gateways)*reportIntervalPerGateway), maxReportInterval)
 }
 
 // run follows until ctx ends.
@@ -94,7 +94,7 @@
 	for ctx.Err() == nil {
 		interval := reportInterval(f.cluster.gateways())
 		if f.cluster.isLeading() {
-			f.noteHeard()
+			f.recordLeaderHeard()
 			pause(ctx, interval)
 			continue
 		}
@@ -110,8 +110,8 @@
 				}
 			}
 		}
-		if !f.seek(ctx) {
-			pause(ctx, orphanPause)
+		if !f.seekLeader(ctx) {
+			pause(ctx, seekRetryInterval)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 	}
 	if err != nil {
 		f.mu.Lock()
-		f.refused = errors.Is(err, syscall.ECONNREFUSED)
+		f.leaderRefused = errors.Is(err, syscall.ECONNREFUSED)
 		f.mu.Unlock()
 		if errors.Is(err, context.DeadlineExceeded) {
 			// Connections can fall silent together without a reset; others to that
@@ -141,14 +141,14 @@
 	f.take(address, resp)
 	age := time.Duration(resp.HeardMs) * time.Millisecond
 	f.mu.Lock()
-	f.refused, f.resigned = false, resp.Leader != nil && resp.Leader.Member.Address == address && !resp.Leading
-	if at := f.now().Add(-age); age < orphanAfter && at.After(f.heard) {
-		f.heard = at
-		f.ahead = f.cluster.ahead()
+	f.leaderRefused, f.leaderResigned = false, resp.Leader != nil && resp.Leader.Member.Address == address && !resp.Leading
+	if at := f.now().Add(-age); age < leaderSilenceTimeout && at.After(f.leaderHeardAt) {
+		f.leaderHeardAt = at
+		f.domainPeersAhead = f.cluster.ahead()
 	}
 	f.mu.Unlock()
-	f.noteNews(resp)
-	if age >= orphanAfter {
+	f.recordNews(resp)
+	if age >= leaderSilenceTimeout {
 		return false, true
 	}
 	f.takeFleet(resp.Fleet)
@@ -160,9 +160,9 @@
 	f.suspects.told(resp.Suspects)
 	f.cluster.setRights(toldRights(resp.Rights), f.now().Add(-time.Duration(resp.RightsMs)*time.Millisecond))
 	f.shareLoads(int(resp.Gateways))
-	if f.now().Sub(began) < newsAtOnce {
+	if f.now().Sub(began) < immediateAnswer {
 		// The next report can wait a little.
-		pause(ctx, newsPause)
+		pause(ctx, immediateAnswerPause)
 	}
 	return true, true
 }
@@ -178,10 +178,10 @@
 }
 
 // needsWhole reports whether the next configuration is to be told whole.
-func (f *follower) needsWhole() bool {
+func (f *follower) needsFullConfig() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.wantWhole
+	return f.wantFullConfig
 }
 
 // shareLoads tells the decisions about requests what all other gateways have in
@@ -205,7 +205,7 @@
 	config := f.view.configuration()
 	r.ConfigRevision = config.revision
 	r.InstancesRevision, r.InstancesVersion = f.view.upstreamsKnown()
-	if !f.needsWhole() {
+	if !f.needsFullConfig() {
 		r.ConfigDigest = config.digest
 	}
 	r.Fetching = f.fetcher.fetching()
@@ -217,7 +217,7 @@
 		return r
 	}
 	own := f.traffic.report()
-	f.setOwn(own)
+	f.setOwnReport(own)
 	r.Demands = demandMessages(f.cluster.demandBelow(own.demand))
 	r.Limits = f.limits.messages(func(upstream string) float64 { return f.cluster.wantedBelow(own.wanted, upstream) })
 	r.Suspects = f.suspects.messages()
@@ -235,12 +235,12 @@
 }
 
 // noteNews notes how fresh the view is that another gateway has told.
-func (f *follower) noteNews(resp *syncpb.SyncResponse) {
+func (f *follower) recordNews(resp *syncpb.SyncResponse) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	age := time.Duration(resp.NewsMs) * time.Millisecond
-	if at := f.now().Add(-age); age < orphanAfter && at.After(f.news) {
-		f.news = at
+	if at := f.now().Add(-age); age < leaderSilenceTimeout && at.After(f.newsAt) {
+		f.newsAt = at
 	}
 }
 
@@ -248,14 +248,14 @@
 // domain first, then the seeds and all others. It ends early, and reports so, when
 // another gateway to report to has become known: after a loss of power some of those
 // asked are dark yet.
-func (f *follower) seek(ctx context.Context) (found bool) {
+func (f *follower) seekLeader(ctx context.Context) (found bool) {
 	former := f.cluster.parent()
 	asked := make(chan struct{})
 	go func() {
 		defer close(asked)
-		f.askAll(ctx)
+		f.askCandidates(ctx)
 	}()
-	look := time.NewTicker(seekLook)
+	look := time.NewTicker(seekPollInterval)
 	defer look.Stop()
 	for ended := false; !ended; {
 		select {
@@ -271,7 +271,7 @@
 }
 
 // askAll asks all candidates and waits for their answers.
-func (f *follower) askAll(ctx context.Context) {
+func (f *follower) askCandidates(ctx context.Context) {
 	var ahead atomic.Int64
 	var all sync.WaitGroup
 	for _, m := range f.candidates() {
@@ -286,7 +286,7 @@
 				return
 			}
 			f.take(m.Address, resp)
-			f.noteNews(resp)
+			f.recordNews(resp)
 			if m.Domain == f.cluster.self.Domain && before(m, f.cluster.self) {
 				ahead.Add(1)
 			}
@@ -295,7 +295,7 @@
 	all.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ahead = int(ahead.Load())
+	f.domainPeersAhead = int(ahead.Load())
 }
 
 // candidates returns the gateways that are asked in a look for a leader.
@@ -314,11 +314,11 @@
 	for _, s := range f.seeds {
 		others = append([]*syncpb.Member{{Address: s}}, others...)
 	}
-	list := append(mates[:min(mostMates, len(mates))], others...)
+	list := append(mates[:min(maxDomainPeersAsked, len(mates))], others...)
 	asked := map[string]bool{f.cluster.self.Address: true}
 	var out []*syncpb.Member
 	for _, m := range list {
-		if !asked[m.Address] && len(out) < mostAsked {
+		if !asked[m.Address] && len(out) < maxPeersAsked {
 			asked[m.Address] = true
 			out = append(out, m)
 		}
@@ -327,31 +327,31 @@
 }
 
 // mostMates bounds the gateways of the own failure domain among those asked.
-const mostMates = 2
+const maxDomainPeersAsked = 2
 
 // mostAsked bounds the gateways that are asked for the leader at once.
-const mostAsked = 5
+const maxPeersAsked = 5
 
-func (f *follower) noteHeard() {
+func (f *follower) recordLeaderHeard() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heard = f.now()
+	f.leaderHeardAt = f.now()
 }
 
 // lostFor returns how long no leader has answered, whether the address of the
 // known one refuses connections, and whether it answers and leads no more.
-func (f *follower) lostFor() (lost time.Duration, refused, resigned bool) {
+func (f *follower) leaderSilence() (lost time.Duration, refused, resigned bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now().Sub(laterOf(f.began, f.heard)), f.refused, f.resigned
+	return f.now().Sub(laterOf(f.startedAt, f.leaderHeardAt)), f.leaderRefused, f.leaderResigned
 }
 
 // heardAgo returns how long ago this process heard from a leader; long when it
 // never did.
-func (f *follower) heardAgo() time.Duration {
+func (f *follower) sinceLeaderHeard() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now().Sub(f.heard)
+	return f.now().Sub(f.leaderHeardAt)
 }
 
 // needsStore reports whether this gateway should watch the store itself: it has
@@ -363,54 +363,54 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
-	wait := orphanAfter + time.Duration(min(f.ahead, mostMates))*headStart
-	if f.view.table.Load() == nil && f.news.IsZero() {
+	wait := leaderSilenceTimeout + time.Duration(min(f.domainPeersAhead, maxDomainPeersAsked))*headStartPerPeer
+	if f.view.table.Load() == nil && f.newsAt.IsZero() {
 		// It has just started, and nobody that it asked has news.
-		wait = f.startWait()
+		wait = f.startupWait()
 	}
-	if !watched.IsZero() && now.Sub(watched) < watchKept {
+	if !watched.IsZero() && now.Sub(watched) < watchActiveTime {
 		// It has begun: go on until the leader is heard again.
-		return now.Sub(f.heard) > orphanAfter
+		return now.Sub(f.leaderHeardAt) > leaderSilenceTimeout
 	}
-	return now.Sub(laterOf(f.began, laterOf(f.heard, f.news))) > wait
+	return now.Sub(laterOf(f.startedAt, laterOf(f.leaderHeardAt, f.newsAt))) > wait
 }
 
 const (
 	// headStart is how much longer a gateway waits for each that is before it:
 	// the time for a list of everything and for its news.
-	headStart = 400 * time.Millisecond
+	headStartPerPeer = 400 * time.Millisecond
 	// seedWait is how long a gateway that has just started, and is a seed, asks
 	// others before it goes to the store; any gateway asks so long before it looks at
 	// the lease, which may be that of the process before it.
-	seedWait = 100 * time.Millisecond
+	startupPeerWait = 100 * time.Millisecond
 	// seedHeadStart is how much longer the others wait: they ask the seeds. It is the
 	// time to list some hundred upstreams in pages of fifty, and to be asked again.
 	seedHeadStart = 300 * time.Millisecond
 	// watchKept is how long after its last answer a watch counts as going on.
-	watchKept = watchWait + storeTimeout
+	watchActiveTime = watchWait + storeTimeout
 )
 
 // startWait is how long this gateway asks others after its start before it goes to
 // the store for its view. After all were killed at once the seeds go first and the
 // rest learns from them: else each of a hundred would list all upstreams.
-func (f *follower) startWait() time.Duration {
-	if f.seed || len(f.seeds) == 0 {
-		return seedWait
+func (f *follower) startupWait() time.Duration {
+	if f.isSeed || len(f.seeds) == 0 {
+		return startupPeerWait
 	}
-	return seedWait + seedHeadStart
+	return startupPeerWait + seedHeadStart
 }
 
 // alone reports whether this gateway has just started and nobody that it asked
 // has news.
-func (f *follower) alone() bool {
+func (f *follower) startedAlone() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.news.IsZero() && f.heard.IsZero() && f.now().Sub(f.began) > seedWait
+	return f.newsAt.IsZero() && f.leaderHeardAt.IsZero() && f.now().Sub(f.startedAt) > startupPeerWait
 }
 
 // newsAge returns how old the view is at most.
-func (f *follower) newsAge(watched time.Time) time.Duration {
+func (f *follower) maxViewAge(watched time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.now().Sub(laterOf(laterOf(f.heard, f.news), watched))
+	return f.now().Sub(laterOf(laterOf(f.leaderHeardAt, f.newsAt), watched))
 }
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -20,17 +20,17 @@
 // 0.7 s: trouble-3 and scale-2 on Merrimack.)
 func TestStartGoesToTheStore(t *testing.T) {
 	now := time.Now()
-	f := &follower{view: newView(), now: func() time.Time { return now }, began: now}
-	if f.needsStore(time.Time{}) || f.alone() {
+	f := &follower{view: newView(), now: func() time.Time { return now }, startedAt: now}
+	if f.needsStore(time.Time{}) || f.startedAlone() {
 		t.Error("to the store before others were asked")
 	}
-	f.noteNews(&syncpb.SyncResponse{NewsMs: milliseconds(f.newsAge(time.Time{}))})
-	now = now.Add(seedWait + time.Millisecond)
-	if !f.needsStore(time.Time{}) || !f.alone() {
+	f.recordNews(&syncpb.SyncResponse{NewsMs: milliseconds(f.maxViewAge(time.Time{}))})
+	now = now.Add(startupPeerWait + time.Millisecond)
+	if !f.needsStore(time.Time{}) || !f.startedAlone() {
 		t.Error("an answer without news holds it back")
 	}
-	f.noteNews(&syncpb.SyncResponse{NewsMs: 50})
-	if f.needsStore(time.Time{}) || f.alone() {
+	f.recordNews(&syncpb.SyncResponse{NewsMs: 50})
+	if f.needsStore(time.Time{}) || f.startedAlone() {
 		t.Error("to the store although another has news")
 	}
 }
@@ -39,19 +39,19 @@
 // once it watches it goes on until it hears from a leader.
 func TestHeadStart(t *testing.T) {
 	now := time.Now()
-	f := &follower{view: newView(), now: func() time.Time { return now }, began: now, heard: now, ahead: 2}
+	f := &follower{view: newView(), now: func() time.Time { return now }, startedAt: now, leaderHeardAt: now, domainPeersAhead: 2}
 	f.view.table.Store(&routing.Table{})
-	now = now.Add(orphanAfter + headStart)
+	now = now.Add(leaderSilenceTimeout + headStartPerPeer)
 	if f.needsStore(time.Time{}) {
 		t.Error("no head start for those before it")
 	}
-	now = now.Add(headStart + time.Millisecond)
+	now = now.Add(headStartPerPeer + time.Millisecond)
 	if !f.needsStore(time.Time{}) {
 		t.Error("never to the store")
 	}
 	watched := now
 	now = now.Add(time.Second)
-	f.noteNews(&syncpb.SyncResponse{})
+	f.recordNews(&syncpb.SyncResponse{})
 	if !f.needsStore(watched) {
 		t.Error("the watch ends although no leader was heard")
 	}
@@ -62,16 +62,16 @@
 // of power: 3,700 store calls on mvmss-gw-grown trouble-2.)
 func TestSeedsStartFirst(t *testing.T) {
 	now := time.Now()
-	f := &follower{view: newView(), now: func() time.Time { return now }, began: now, seeds: []string{"10.0.0.1:1"}}
-	now = now.Add(seedWait + time.Millisecond)
-	if f.needsStore(time.Time{}) || !f.alone() {
+	f := &follower{view: newView(), now: func() time.Time { return now }, startedAt: now, seeds: []string{"10.0.0.1:1"}}
+	now = now.Add(startupPeerWait + time.Millisecond)
+	if f.needsStore(time.Time{}) || !f.startedAlone() {
 		t.Error("no head start for the seeds, or the lease waits for them")
 	}
 	now = now.Add(seedHeadStart)
 	if !f.needsStore(time.Time{}) {
 		t.Error("never to the store when no seed has news")
 	}
-	f.seed, f.began = true, now.Add(-seedWait-time.Millisecond)
+	f.isSeed, f.startedAt = true, now.Add(-startupPeerWait-time.Millisecond)
 	if !f.needsStore(time.Time{}) {
 		t.Error("a seed waits")
 	}
@@ -123,7 +123,7 @@
 	}
 	defer func() { _ = dark.Close() }()
 	f := &follower{
-		view: newView(), cluster: c, now: now, log: slog.New(slog.DiscardHandler), meters: newMeters(), began: now(),
+		view: newView(), cluster: c, now: now, log: slog.New(slog.DiscardHandler), meters: newMeters(), startedAt: now(),
 		sieve: newSieve(newView(), now, slog.New(slog.DiscardHandler), newMeters()), evac: &evacuations{view: newView()},
 		seeds: []string{dark.Addr().String()}, fetcher: newFetcher(c.client, nil, now, slog.New(slog.DiscardHandler), newMeters()),
 	}
@@ -135,10 +135,10 @@
 			<-t.Context().Done()
 		}
 	}()
-	if !f.seek(t.Context()) {
+	if !f.seekLeader(t.Context()) {
 		t.Error("the leader is not found")
 	}
-	if f.seek(t.Context()) {
+	if f.seekLeader(t.Context()) {
 		t.Error("a leader that was known before is found again")
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -201,13 +201,13 @@
 	g.calls.onReturn = g.watcher.returned
 	g.follower = &follower{
 		view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now, log: log, meters: g.meters,
-		began: g.now(), evac: evac, limits: g.limits, suspects: g.suspects,
+		startedAt: g.now(), evac: evac, limits: g.limits, suspects: g.suspects,
 	}
 	g.follower.sieve = newSieve(g.view, g.now, log, g.meters)
 	g.follower.fetcher = newFetcher(g.cluster.client, g.follower.takePart, g.now, log, g.meters)
 	for _, s := range conf.Seeds {
 		g.follower.seeds = append(g.follower.seeds, s.String())
-		g.follower.seed = g.follower.seed || s == conf.Peers
+		g.follower.isSeed = g.follower.isSeed || s == conf.Peers
 	}
 	g.conns = pool.New(upstreamLimits, g.now)
 	g.steward = &steward{
@@ -227,7 +227,7 @@
 		watches: g.watcher.ages, now: g.now, log: log,
 	}
 	g.watcher.draining, g.watcher.toldLeaving = g.steward.placements.draining, g.steward.toldLeaving
-	g.follower.setOwn = g.steward.setOwnReport
+	g.follower.setOwnReport = g.steward.setOwnReport
 	g.front = &front{
 		view: g.view, traffic: g.traffic, splitter: routing.NewSplitter(), conns: g.conns, now: g.now,
 		log: log, meters: g.meters, domain: conf.Domain, gaps: g.gaps, limits: g.limits, suspects: g.suspects, unread: unread, open: newOpenRequests(),
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -36,8 +36,8 @@
 	m := g.meters
 	lost, age := time.Duration(0), time.Duration(0)
 	if !g.cluster.isLeading() {
-		lost, _, _ = g.follower.lostFor()
-		age = g.follower.newsAge(g.watcher.ages.last())
+		lost, _, _ = g.follower.leaderSilence()
+		age = g.follower.maxViewAge(g.watcher.ages.last())
 	}
 	m.gauge(leaderHeard, lost.Milliseconds())
 	m.gauge(viewAge, age.Milliseconds())
--- a/gateway/lead.go
+++ b/gateway/lead.go
@@ -106,7 +106,7 @@
 	l.startedAt = l.now()
 	lastClaim := time.Time{}
 	for ctx.Err() == nil {
-		lost, refused, resigned := l.follower.lostFor()
+		lost, refused, resigned := l.follower.leaderSilence()
 		wantWatch := l.cluster.isLeading() || l.follower.needsStore(l.watcher.ages.last())
 		switch {
 		case wantWatch && stopWatch == nil:
@@ -155,9 +155,9 @@
 	}
 	if l.cluster.knownLeader() == nil {
 		// The lease may be that of the process before this one.
-		return l.follower.alone() || lost > orphanAfter
+		return l.follower.startedAlone() || lost > leaderSilenceTimeout
 	}
-	wait := orphanAfter
+	wait := leaderSilenceTimeout
 	if ended {
 		wait = 0
 	}
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -15,7 +15,7 @@
 
 // take takes over what is newer than this gateway's own view.
 func (f *follower) take(address string, resp *syncpb.SyncResponse) {
-	if f.cluster.setLeader(resp.Leader) && resp.HeardMs < milliseconds(orphanAfter) && len(resp.Members) > 0 {
+	if f.cluster.setLeader(resp.Leader) && resp.HeardMs < milliseconds(leaderSilenceTimeout) && len(resp.Members) > 0 {
 		f.cluster.setMembers(resp.MembersVersion, resp.Members)
 	}
 	// Before upstreams: none is used that is known to be in an evacuated failure domain.
@@ -87,7 +87,7 @@
 	}
 	spec, err := delta.Decode(f.view.configurationSpec(part.Base), data)
 	f.mu.Lock()
-	f.wantWhole = err != nil
+	f.wantFullConfig = err != nil
 	f.mu.Unlock()
 	if err != nil {
 		return err
@@ -119,9 +119,9 @@
 	at := f.now().Add(-time.Duration(resp.ConfigMs) * time.Millisecond)
 	switch {
 	case f.view.configuration().revision >= resp.ConfigRevision:
-		f.newest = laterOf(f.newest, at)
-	case resp.ConfigRevision >= f.told.revision:
-		f.told = toldConfiguration{revision: resp.ConfigRevision, at: at}
+		f.configNewestAt = laterOf(f.configNewestAt, at)
+	case resp.ConfigRevision >= f.toldConfig.revision:
+		f.toldConfig = toldConfiguration{revision: resp.ConfigRevision, at: at}
 	}
 }
 
@@ -131,9 +131,9 @@
 func (f *follower) configurationAge(watched time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	newest := laterOf(f.newest, watched)
-	if f.told.revision > 0 && f.view.configuration().revision >= f.told.revision {
-		newest = laterOf(newest, f.told.at)
+	newest := laterOf(f.configNewestAt, watched)
+	if f.toldConfig.revision > 0 && f.view.configuration().revision >= f.toldConfig.revision {
+		newest = laterOf(newest, f.toldConfig.at)
 	}
 	return min(f.now().Sub(newest), time.Hour)
 }
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -304,7 +304,7 @@
 	})
 	leader.peersLink.SetRate(relay.Wide)
 	b.eventually("the other has the leader's view", func() bool {
-		return other.follower.heardAgo() < orphanAfter && sameUpstreams(other, leader)
+		return other.follower.sinceLeaderHeard() < leaderSilenceTimeout && sameUpstreams(other, leader)
 	})
 }
 
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -51,7 +51,7 @@
 		r.Limits = p.sieve.soundLimits(unsoundReport, r.Limits)
 		p.limits.told(r.Limits)
 		p.suspects.told(r.Suspects)
-		p.cluster.reported(r, p.heardAgo() < orphanAfter)
+		p.cluster.reported(r, p.heardAgo() < leaderSilenceTimeout)
 		if p.cluster.isLeading() {
 			p.steward.recordRequests(r.Keys)
 			p.steward.workTimes.note(r.Loads)
@@ -80,7 +80,7 @@
 	defer timer.Stop()
 	for {
 		changed := p.view.wait()
-		if p.heardAgo() > orphanAfter || p.knowsMore(r) {
+		if p.heardAgo() > leaderSilenceTimeout || p.knowsMore(r) {
 			return
 		}
 		select {
@@ -98,7 +98,7 @@
 	if p.cluster.isLeading() {
 		return 0
 	}
-	return p.follower.heardAgo()
+	return p.follower.sinceLeaderHeard()
 }
 
 // newsAgo returns how long ago this process had news from the leader or the
@@ -107,7 +107,7 @@
 	if p.cluster.isLeading() {
 		return 0
 	}
-	return p.follower.newsAge(p.watcher.ages.last())
+	return p.follower.maxViewAge(p.watcher.ages.last())
 }
 
 // milliseconds is a time as it is told, at most an hour.
--- a/gateway/reports.go
+++ b/gateway/reports.go
@@ -36,7 +36,7 @@
 // reportError returns why a report is no success: its error, or errStale; nil for a
 // success.
 func reportError(resp *syncpb.SyncResponse, err error) error {
-	if err == nil && time.Duration(resp.HeardMs)*time.Millisecond >= orphanAfter {
+	if err == nil && time.Duration(resp.HeardMs)*time.Millisecond >= leaderSilenceTimeout {
 		return errStale
 	}
 	return err
@@ -68,7 +68,7 @@
 		if f.failing.count == 0 {
 			f.failing.since = now
 			f.log.Warn("reports to other gateways fail", "to", to, "cause", err.Error(),
-				"took_ms", took.Milliseconds(), "heard_ms_ago", milliseconds(now.Sub(f.heard)))
+				"took_ms", took.Milliseconds(), "heard_ms_ago", milliseconds(now.Sub(f.leaderHeardAt)))
 		}
 		f.failing.count++
 		return
--- a/gateway/sight_test.go
+++ b/gateway/sight_test.go
@@ -85,8 +85,8 @@
 		sieve: newSieve(newView(), now, slog.New(slog.DiscardHandler), m), evac: &evacuations{view: newView()},
 		view: newView(), cluster: c, fetcher: newFetcher(c.client, nil, now, slog.New(slog.DiscardHandler), m),
 		traffic: newTraffic(settings.DefaultGateway(), now, rng), now: now,
-		log: slog.New(slog.NewJSONHandler(log, nil)), meters: m, began: now(),
-		setOwn: func(*ownReport) {}, limits: noLimits(), suspects: noSuspects(),
+		log: slog.New(slog.NewJSONHandler(log, nil)), meters: m, startedAt: now(),
+		setOwnReport: func(*ownReport) {}, limits: noLimits(), suspects: noSuspects(),
 	}, server.Listener.Addr().String(), log
 }
 
@@ -130,7 +130,7 @@
 	p := &fakeParent{}
 	f, parent, log := reporter(t, p)
 	dark := refusing(t)
-	const long = 2 * uint32(orphanAfter/time.Millisecond)
+	const long = 2 * uint32(leaderSilenceTimeout/time.Millisecond)
 	for _, c := range []struct {
 		name, to string
 		handler  http.HandlerFunc
@@ -200,7 +200,7 @@
 	p := &fakeParent{}
 	f, parent, log := reporter(t, p)
 	f.seeds = []string{parent, refusing(t)}
-	f.askAll(t.Context())
+	f.askCandidates(t.Context())
 	for _, end := range []string{reportOK, reportRefused} {
 		if n := f.meters.counter(fill(reportAnswer, end)).Count(); n != 1 {
 			t.Errorf("%s: %d", end, n)
@@ -208,7 +208,7 @@
 	}
 	stopped, stop := context.WithCancel(t.Context())
 	stop()
-	f.askAll(stopped)
+	f.askCandidates(stopped)
 	f.report(stopped, parent, 0)
 	if n := reportCount(f.meters); n != 2 {
 		t.Errorf("%d counted", n)
