--- a/gateway/evacuationstate.go
+++ b/gateway/evacuationstate.go
@@ -14,10 +14,10 @@
 
 // Evacuations implements placementpb.Placement.
 func (p *placements) Evacuations(ctx context.Context, r *placementpb.EvacuationsRequest) (*placementpb.EvacuationsState, error) {
-	if other, err := p.lead(); err != nil || other != nil {
-		return passOn(ctx, err, r, other, placementpb.Placement.Evacuations)
+	if other, err := p.leaderClient(); err != nil || other != nil {
+		return forwardToLeader(ctx, err, r, other, placementpb.Placement.Evacuations)
 	}
-	set := p.steward.view.evac.Load()
+	set := p.assignments.view.evac.Load()
 	state := &placementpb.EvacuationsState{Revision: set.Revision()}
 	for _, m := range set.Marks() {
 		if !m.Ended {
@@ -41,7 +41,7 @@
 	out := &placementpb.EvacuatedDomain{
 		Domain: m.Domain, Revision: m.Revision, KnownMs: uint64(p.evac.knownFor(m.Domain).Milliseconds()),
 	}
-	upstreams := p.steward.view.inst.Load()
+	upstreams := p.assignments.view.inst.Load()
 	if upstreams == nil {
 		return out
 	}
@@ -50,7 +50,7 @@
 			out.Upstreams++
 		}
 	}
-	for _, table := range *p.steward.view.owners.Load() {
+	for _, table := range *p.assignments.view.owners.Load() {
 		out.Keys += uint32(keysOf(table, func(owner string) bool {
 			one := upstreams.Get(owner)
 			return one != nil && one.Domain == m.Domain
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -223,7 +223,7 @@
 	}
 	g.steward.elector = g.leading
 	g.steward.placements = &placements{
-		store: store, steward: g.steward, leading: g.leading, cluster: g.cluster, evac: evac, suspects: g.suspects, unread: unread,
+		store: store, assignments: g.steward, elector: g.leading, cluster: g.cluster, evac: evac, suspects: g.suspects, unread: unread,
 		watches: g.watcher.ages, now: g.now, log: log,
 	}
 	g.watcher.draining, g.watcher.toldLeaving = g.steward.placements.draining, g.steward.toldLeaving
--- a/gateway/ownerstate.go
+++ b/gateway/ownerstate.go
@@ -77,11 +77,11 @@
 
 // Owners implements placementpb.Placement.
 func (p *placements) Owners(ctx context.Context, r *placementpb.OwnersRequest) (*placementpb.OwnersState, error) {
-	if other, err := p.lead(); err != nil || other != nil {
-		return passOn(ctx, err, r, other, placementpb.Placement.Owners)
+	if other, err := p.leaderClient(); err != nil || other != nil {
+		return forwardToLeader(ctx, err, r, other, placementpb.Placement.Owners)
 	}
 	out := &placementpb.OwnersState{}
-	for _, k := range p.steward.allKeepers() {
+	for _, k := range p.assignments.allKeepers() {
 		out.Services = append(out.Services, k.state())
 	}
 	return out, nil
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -263,5 +263,5 @@
 
 // Promise implements syncpb.Peer.
 func (p *peerServer) Promise(_ context.Context, r *syncpb.PromiseRequest) (*syncpb.PromiseResponse, error) {
-	return p.promises.answer(r), nil
+	return p.promises.handle(r), nil
 }
--- a/gateway/placements.go
+++ b/gateway/placements.go
@@ -24,11 +24,11 @@
 // placements keeps the operators' intents. Only the leader writes them; it reads
 // them when it takes the lead.
 type placements struct {
-	store   *platform.Store
-	steward *steward
-	leading *leading
-	cluster *cluster
-	evac    *evacuations
+	store       *platform.Store
+	assignments *steward
+	elector     *leading
+	cluster     *cluster
+	evac        *evacuations
 	// suspects are requests that end upstreams.
 	suspects *suspects
 	// unread are headers of answers that no code reads.
@@ -40,11 +40,11 @@
 
 	mu      sync.Mutex
 	loaded  bool
-	intents map[string]*stored
+	intents map[string]*storedIntent
 }
 
 // stored is an intent with its revision in the store.
-type stored struct {
+type storedIntent struct {
 	placement.Intent
 	revision uint64
 }
@@ -64,9 +64,9 @@
 func (p *placements) adopt(objects []platform.Object) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.intents = make(map[string]*stored, len(objects))
+	p.intents = make(map[string]*storedIntent, len(objects))
 	for _, o := range objects {
-		s := &stored{revision: o.Revision}
+		s := &storedIntent{revision: o.Revision}
 		if err := platform.Decode(o, &s.Intent); err != nil || s.Check() != nil {
 			p.log.Error("intent cannot be read, it is left alone", "intent", o.Name, "error", err)
 			continue
@@ -77,7 +77,7 @@
 }
 
 // forget drops what was loaded, when this process leads no more.
-func (p *placements) forget() {
+func (p *placements) unload() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.intents, p.loaded = nil, false
@@ -116,8 +116,8 @@
 
 // lead passes a call on when another gateway leads: it returns that one's
 // client, or nil when this process leads.
-func (p *placements) lead() (placementpb.Placement, error) {
-	if p.leading.mayAct() && p.cluster.isLeading() {
+func (p *placements) leaderClient() (placementpb.Placement, error) {
+	if p.elector.mayAct() && p.cluster.isLeading() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if !p.loaded {
@@ -148,8 +148,8 @@
 
 // State implements placementpb.Placement.
 func (p *placements) State(ctx context.Context, r *placementpb.Intent) (*placementpb.Intent, error) {
-	if other, err := p.lead(); err != nil || other != nil {
-		return passOn(ctx, err, r, other, placementpb.Placement.State)
+	if other, err := p.leaderClient(); err != nil || other != nil {
+		return forwardToLeader(ctx, err, r, other, placementpb.Placement.State)
 	}
 	i := placement.Intent{
 		ID: incarnation(), Kind: placement.Kind(r.Kind), Service: r.Service, Upstream: r.Upstream, By: r.By,
@@ -167,11 +167,11 @@
 	if err != nil {
 		return nil, rpcError(answer.PlatformDown, err.Error())
 	}
-	return p.keep(i, object.Revision), nil
+	return p.remember(i, object.Revision), nil
 }
 
 // passOn makes a call at the leader.
-func passOn[T, R any](ctx context.Context, err error, r T, other placementpb.Placement, call func(placementpb.Placement, context.Context, T) (R, error)) (R, error) {
+func forwardToLeader[T, R any](ctx context.Context, err error, r T, other placementpb.Placement, call func(placementpb.Placement, context.Context, T) (R, error)) (R, error) {
 	if err != nil {
 		var none R
 		return none, err
@@ -181,11 +181,11 @@
 
 // plan computes the moves that an intent causes now.
 func (p *placements) plan(i placement.Intent) ([]placement.Step, error) {
-	v := p.steward.view.inst.Load()
+	v := p.assignments.view.inst.Load()
 	if v == nil || v.Get(i.Upstream) == nil || v.Get(i.Upstream).Service != i.Service {
 		return nil, rpcError(answer.NotFound, "service "+i.Service+" has no upstream "+i.Upstream)
 	}
-	k := p.steward.assigner(i.Service)
+	k := p.assignments.assigner(i.Service)
 	if k == nil {
 		if i.Kind == placement.Pin {
 			return nil, rpcError(answer.BadRequest, "service "+i.Service+" has no keys")
@@ -196,18 +196,18 @@
 }
 
 // keep remembers an intent as it is stored.
-func (p *placements) keep(i placement.Intent, revision uint64) *placementpb.Intent {
+func (p *placements) remember(i placement.Intent, revision uint64) *placementpb.Intent {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.intents[i.ID] = &stored{Intent: i, revision: revision}
+	p.intents[i.ID] = &storedIntent{Intent: i, revision: revision}
 	p.log.Info("intent", "intent", i.ID, "kind", i.Kind, "state", i.State, "service", i.Service, "upstream", i.Upstream, "moves", len(i.Plan), "by", i.By)
 	return intentMessage(i)
 }
 
 // Confirm implements placementpb.Placement.
 func (p *placements) Confirm(ctx context.Context, r *placementpb.Reference) (*placementpb.Intent, error) {
-	if other, err := p.lead(); err != nil || other != nil {
-		return passOn(ctx, err, r, other, placementpb.Placement.Confirm)
+	if other, err := p.leaderClient(); err != nil || other != nil {
+		return forwardToLeader(ctx, err, r, other, placementpb.Placement.Confirm)
 	}
 	s, err := p.get(r.Id)
 	if err != nil {
@@ -234,8 +234,8 @@
 
 // Cancel implements placementpb.Placement.
 func (p *placements) Cancel(ctx context.Context, r *placementpb.Reference) (*placementpb.Intent, error) {
-	if other, err := p.lead(); err != nil || other != nil {
-		return passOn(ctx, err, r, other, placementpb.Placement.Cancel)
+	if other, err := p.leaderClient(); err != nil || other != nil {
+		return forwardToLeader(ctx, err, r, other, placementpb.Placement.Cancel)
 	}
 	s, err := p.get(r.Id)
 	if err != nil {
@@ -245,19 +245,19 @@
 	return p.replace(ctx, s)
 }
 
-func (p *placements) get(id string) (stored, error) {
+func (p *placements) get(id string) (storedIntent, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.intents[id]
 	if s == nil {
-		return stored{}, rpcError(answer.NotFound, "no intent "+id)
+		return storedIntent{}, rpcError(answer.NotFound, "no intent "+id)
 	}
 	return *s, nil
 }
 
 // replace writes a changed intent. Of two operators that change it at once, one
 // is refused.
-func (p *placements) replace(ctx context.Context, s stored) (*placementpb.Intent, error) {
+func (p *placements) replace(ctx context.Context, s storedIntent) (*placementpb.Intent, error) {
 	object, err := p.store.Replace(ctx, placementsKind, s.ID, s.revision, s.Intent)
 	if errors.Is(err, platform.ErrConflict) {
 		return nil, rpcError(answer.Conflict, "the intent was changed by someone else")
@@ -265,13 +265,13 @@
 	if err != nil {
 		return nil, rpcError(answer.PlatformDown, err.Error())
 	}
-	return p.keep(s.Intent, object.Revision), nil
+	return p.remember(s.Intent, object.Revision), nil
 }
 
 // List implements placementpb.Placement.
 func (p *placements) List(ctx context.Context, r *placementpb.ListRequest) (*placementpb.Intents, error) {
-	if other, err := p.lead(); err != nil || other != nil {
-		return passOn(ctx, err, r, other, placementpb.Placement.List)
+	if other, err := p.leaderClient(); err != nil || other != nil {
+		return forwardToLeader(ctx, err, r, other, placementpb.Placement.List)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gateway/promises.go
+++ b/gateway/promises.go
@@ -15,27 +15,27 @@
 	promiseTimeout = 300 * time.Millisecond
 	// inquiryPause is the time between rounds of asking for promises to a
 	// former leader.
-	inquiryPause = 300 * time.Millisecond
+	inquiryRetryInterval = 300 * time.Millisecond
 )
 
 // promises is what this process has promised, for concurrent use.
 type promises struct {
-	mu  sync.Mutex
-	own *leadership.Promises
-	now func() time.Time
+	mu    sync.Mutex
+	state *leadership.Promises
+	now   func() time.Time
 }
 
 func newPromises(now func() time.Time) *promises {
-	return &promises{own: leadership.NewPromises(now()), now: now}
+	return &promises{state: leadership.NewPromises(now()), now: now}
 }
 
-func (p *promises) answer(r *syncpb.PromiseRequest) *syncpb.PromiseResponse {
+func (p *promises) handle(r *syncpb.PromiseRequest) *syncpb.PromiseResponse {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !r.Inquire {
-		return &syncpb.PromiseResponse{Given: p.own.Give(p.now(), r.Term)}
+		return &syncpb.PromiseResponse{Given: p.state.Give(p.now(), r.Term)}
 	}
-	given, age := p.own.Inquire(p.now(), r.Term)
+	given, age := p.state.Inquire(p.now(), r.Term)
 	return &syncpb.PromiseResponse{Asked: given, AgeMs: uint64(age.Milliseconds())}
 }
 
@@ -53,7 +53,7 @@
 	var all sync.WaitGroup
 	for _, address := range voters {
 		if address == l.cluster.self.Address {
-			note(address, l.promises.answer(r))
+			note(address, l.promises.handle(r))
 			continue
 		}
 		all.Go(func() {
@@ -121,7 +121,7 @@
 			l.setFormerHoldDeadline(term, until, until.After(ends.Add(holdWithMargin(holdDuration))))
 			return
 		}
-		pause(ctx, inquiryPause)
+		pause(ctx, inquiryRetryInterval)
 	}
 }
 
--- a/gateway/steward.go
+++ b/gateway/steward.go
@@ -76,7 +76,7 @@
 	}
 	s.assigners = nil
 	s.hotKeys.clear()
-	s.placements.forget()
+	s.placements.unload()
 }
 
 // keeper returns the keeper of a service, or nil.
--- a/gateway/suspectstate.go
+++ b/gateway/suspectstate.go
@@ -11,8 +11,8 @@
 
 // Suspects implements placementpb.Placement.
 func (p *placements) Suspects(ctx context.Context, r *placementpb.SuspectsRequest) (*placementpb.SuspectsState, error) {
-	if other, err := p.lead(); err != nil || other != nil {
-		return passOn(ctx, err, r, other, placementpb.Placement.Suspects)
+	if other, err := p.leaderClient(); err != nil || other != nil {
+		return forwardToLeader(ctx, err, r, other, placementpb.Placement.Suspects)
 	}
 	out := &placementpb.SuspectsState{}
 	for _, s := range p.suspects.list() {
@@ -29,8 +29,8 @@
 	if err != nil {
 		return nil, rpcError(answer.BadRequest, err.Error())
 	}
-	if other, err := p.lead(); err != nil || other != nil {
-		return passOn(ctx, err, r, other, placementpb.Placement.LiftSuspect)
+	if other, err := p.leaderClient(); err != nil || other != nil {
+		return forwardToLeader(ctx, err, r, other, placementpb.Placement.LiftSuspect)
 	}
 	p.suspects.clear(d, r.By)
 	return p.Suspects(ctx, &placementpb.SuspectsRequest{})
