--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -87,7 +87,7 @@
 // seesEvacuated reports whether operators are told that the domain is evacuated, owns no key
 // any more and is known to be so by all gateways.
 func (b *bed) seesEvacuated(domain string) bool {
-	state, err := b.operator().Evacuations(context.Background(), &placementpb.EvacuationsRequest{})
+	state, err := b.operatorClient().Evacuations(context.Background(), &placementpb.EvacuationsRequest{})
 	if err != nil || len(state.Domains) != 1 || len(state.Gateways) != len(b.gateways) {
 		return false
 	}
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -18,7 +18,7 @@
 // fresh news goes to the store at once, for its view and for the lease. What others
 // that have just started answer is no news. (After all were killed each waited
 // 0.7 s: trouble-3 and scale-2 on Merrimack.)
-func TestStartGoesToTheStore(t *testing.T) {
+func TestStartWithoutNewsReadsTheStore(t *testing.T) {
 	now := time.Now()
 	f := &follower{view: newView(), now: func() time.Time { return now }, startedAt: now}
 	if f.needsStore(time.Time{}) || f.startedAlone() {
@@ -37,7 +37,7 @@
 
 // TestHeadStart: without news a gateway waits longer the more come before it, and
 // once it watches it goes on until it hears from a leader.
-func TestHeadStart(t *testing.T) {
+func TestStoreWatchWaitsForPeersAhead(t *testing.T) {
 	now := time.Now()
 	f := &follower{view: newView(), now: func() time.Time { return now }, startedAt: now, leaderHeardAt: now, domainPeersAhead: 2}
 	f.view.table.Store(&routing.Table{})
@@ -60,7 +60,7 @@
 // TestSeedsStartFirst: of gateways that all start at once the seeds go to the store
 // and the others wait for their news. (All of 90 listed the upstreams after each loss
 // of power: 3,700 store calls on mvmss-gw-grown trouble-2.)
-func TestSeedsStartFirst(t *testing.T) {
+func TestSeedsReadTheStoreFirst(t *testing.T) {
 	now := time.Now()
 	f := &follower{view: newView(), now: func() time.Time { return now }, startedAt: now, seeds: []string{"10.0.0.1:1"}}
 	now = now.Add(startupPeerWait + time.Millisecond)
@@ -79,7 +79,7 @@
 
 // TestSilentPeers: when a report gets no answer, the other connections to gateways are
 // not used any more: they may have fallen silent with that one.
-func TestSilentPeers(t *testing.T) {
+func TestReportTimeoutClosesIdleConnections(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
 	b.keepIdle = true
@@ -112,7 +112,7 @@
 // TestSeekFindsALeader: a look for a leader ends when one becomes known, also while
 // others that are asked do not answer. (After a loss of power each gateway waited 0.4 s
 // for dark machines: mvmss-gw trouble-1.)
-func TestSeekFindsALeader(t *testing.T) {
+func TestSeekEndsWhenALeaderIsFound(t *testing.T) {
 	t.Parallel()
 	now := time.Now
 	self := &syncpb.Member{Node: "g", Address: "127.0.0.1:1", Domain: "a"}
--- a/gateway/loss_test.go
+++ b/gateway/loss_test.go
@@ -16,7 +16,7 @@
 // it that could hold its keys for longer. (Renewals that were tried again each 250 ms
 // counted as perhaps taken: keys of silent owners were free 4.3 s after the last of them,
 // up to 0.9 s later than need be.)
-func TestFailingOwnerIsNotHeldLonger(t *testing.T) {
+func TestFailingOwnerGetsNoLongerHold(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	k := b.leader().steward.assigner("status")
@@ -66,7 +66,7 @@
 
 // TestNextOwnersGrantIsNotTheOwners: the grant of a move is noted beside that of the owner
 // from whom the keys are taken.
-func TestNextOwnersGrantIsNotTheOwners(t *testing.T) {
+func TestGrantToNextOwnerIsRecordedSeparately(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	k := b.leader().steward.assigner("status")
@@ -87,24 +87,24 @@
 
 // TestKeysOfLostOwnersAreCold: all gateways hear that keys came to their owner without a
 // handover; those of a planned move are not marked.
-func TestKeysOfLostOwnersAreCold(t *testing.T) {
+func TestKeysOfLostOwnersAreMarkedCold(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.register(b.ups["i-s1"], "draining")
 	b.eventually("nothing owned by the leaving one", func() bool { return b.ownedBy("i-s1") == 0 })
 	b.ready()
-	if n := cold(b.gateways[0]); n > 0 {
+	if n := coldSpans(b.gateways[0]); n > 0 {
 		t.Errorf("%d spans cold after a planned move", n)
 	}
 	b.ups["i-s0"].Set(instance.Silent)
 	for _, g := range b.gateways {
-		b.eventually("cold keys are known", func() bool { return cold(g) > 0 })
+		b.eventually("cold keys are known", func() bool { return coldSpans(g) > 0 })
 	}
 	b.ready()
 	b.mustAsk(b.gateways[0], http.MethodGet, "/status/x", 1)
 }
 
-func cold(g *testGateway) int {
+func coldSpans(g *testGateway) int {
 	n := 0
 	for _, s := range g.view.spansOf("status").Spans {
 		if s.Cold {
@@ -115,7 +115,7 @@
 }
 
 // TestMarksOfColdKeysAreTold: a difference between two versions carries them.
-func TestMarksOfColdKeysAreTold(t *testing.T) {
+func TestColdMarksArePartOfTableDifferences(t *testing.T) {
 	v := newView()
 	keys := spans.Keys{Last: spans.MaxKey}
 	before := &spans.Table{Service: "a", Version: 1, LastFence: 2, Spans: []spans.Span{{Keys: keys, Owner: "i", Fence: 2, Cold: true}}}
@@ -136,7 +136,7 @@
 
 // TestNewLeaderCountsWithAll: right after all have started again few have reported, and
 // each of those would take the room and the retries of all.
-func TestNewLeaderCountsWithAll(t *testing.T) {
+func TestNewLeaderAssumesFormerGatewayCount(t *testing.T) {
 	now := time.Now()
 	c := newCluster(&syncpb.Member{Node: "g0"}, http.DefaultClient, func() time.Time { return now }, nil)
 	c.expect(12)
--- a/gateway/placements_test.go
+++ b/gateway/placements_test.go
@@ -12,7 +12,7 @@
 )
 
 // operator returns a client of a gateway that does not lead.
-func (b *bed) operator() placementpb.Placement {
+func (b *bed) operatorClient() placementpb.Placement {
 	for _, g := range b.gateways {
 		if g.running() && !g.cluster.isLeading() {
 			return placementpb.NewPlacementProtobufClient("http://"+g.open.Peers.Addr().String(), b.client)
@@ -23,7 +23,7 @@
 }
 
 // stated states an intent, also while the leader has just begun.
-func (b *bed) stated(o placementpb.Placement, i *placementpb.Intent) *placementpb.Intent {
+func (b *bed) stateIntent(o placementpb.Placement, i *placementpb.Intent) *placementpb.Intent {
 	b.t.Helper()
 	var out *placementpb.Intent
 	b.eventually("stated", func() bool {
@@ -36,7 +36,7 @@
 
 // confirmed confirms an intent; a plan that has changed meanwhile is confirmed as
 // it is now.
-func (b *bed) confirmed(o placementpb.Placement, id string) {
+func (b *bed) confirmIntent(o placementpb.Placement, id string) {
 	b.t.Helper()
 	b.eventually("confirmed", func() bool {
 		_, err := o.Confirm(context.Background(), &placementpb.Reference{Id: id})
@@ -44,7 +44,7 @@
 	})
 }
 
-func kindOf(err error) answer.Kind {
+func errorKind(err error) answer.Kind {
 	if rpc, ok := err.(twirp.Error); ok {
 		return answer.Kind(rpc.Meta("kind"))
 	}
@@ -53,15 +53,15 @@
 
 // TestDrainByOperator: a confirmed drain moves all keys and keeps new requests
 // away, and survives the loss of the leader; cancelled, the upstream is used again.
-func TestDrainByOperator(t *testing.T) {
+func TestOperatorDrainSurvivesLeaderLoss(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	o := b.operator()
-	i := b.stated(o, &placementpb.Intent{Kind: "drain", Service: "status", Upstream: "i-s1", By: "ops"})
+	o := b.operatorClient()
+	i := b.stateIntent(o, &placementpb.Intent{Kind: "drain", Service: "status", Upstream: "i-s1", By: "ops"})
 	if i.State != "planned" || len(i.Plan) == 0 || b.ownedBy("i-s1") == 0 {
 		t.Fatalf("intent %v", i)
 	}
-	b.confirmed(o, i.Id)
+	b.confirmIntent(o, i.Id)
 	b.eventually("nothing owned by the drained one", func() bool { return b.ownedBy("i-s1") == 0 })
 	b.leader().kill()
 	b.eventually("another leader that drains", func() bool {
@@ -73,19 +73,19 @@
 	if b.ownedBy("i-s1") != 0 {
 		t.Error("the next leader gives the drained upstream keys")
 	}
-	o = b.operator()
+	o = b.operatorClient()
 	if _, err := o.Cancel(context.Background(), &placementpb.Reference{Id: i.Id}); err != nil {
 		t.Fatal(err)
 	}
 	b.eventually("keys for the upstream again", func() bool { return b.ownedBy("i-s1") > 0 })
 }
 
-func TestPinByOperator(t *testing.T) {
+func TestOperatorPinMovesKeys(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	o := b.operator()
-	i := b.stated(o, &placementpb.Intent{Kind: "pin", Service: "status", Upstream: "i-s2", First: 0, Last: 9999, By: "ops"})
-	b.confirmed(o, i.Id)
+	o := b.operatorClient()
+	i := b.stateIntent(o, &placementpb.Intent{Kind: "pin", Service: "status", Upstream: "i-s2", First: 0, Last: 9999, By: "ops"})
+	b.confirmIntent(o, i.Id)
 	b.eventually("the keys where they are wanted", func() bool {
 		for key := 0; key <= 9999; key += 111 {
 			if l := b.leader(); l == nil || l.view.spansOf("status").Find(uint16(key)).Owner != "i-s2" {
@@ -97,28 +97,28 @@
 }
 
 // TestConfirmOfAStalePlan is refused, and the new plan waits for a confirm.
-func TestConfirmOfAStalePlan(t *testing.T) {
+func TestConfirmOfStalePlanIsRefused(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	o := b.operator()
-	i := b.stated(o, &placementpb.Intent{Kind: "drain", Service: "status", Upstream: "i-s1", By: "ops"})
+	o := b.operatorClient()
+	i := b.stateIntent(o, &placementpb.Intent{Kind: "drain", Service: "status", Upstream: "i-s1", By: "ops"})
 	b.register(b.ups["i-s0"], "draining")
 	b.eventually("other owners", func() bool { return b.ownedBy("i-s0") == 0 })
 	b.ready()
-	if _, err := o.Confirm(context.Background(), &placementpb.Reference{Id: i.Id}); kindOf(err) != answer.StalePlan {
+	if _, err := o.Confirm(context.Background(), &placementpb.Reference{Id: i.Id}); errorKind(err) != answer.StalePlan {
 		t.Errorf("error %v", err)
 	}
-	b.confirmed(o, i.Id)
-	if _, err := o.Confirm(context.Background(), &placementpb.Reference{Id: i.Id}); kindOf(err) != answer.Conflict {
+	b.confirmIntent(o, i.Id)
+	if _, err := o.Confirm(context.Background(), &placementpb.Reference{Id: i.Id}); errorKind(err) != answer.Conflict {
 		t.Errorf("second confirm: %v", err)
 	}
 }
 
-func TestIntentsAreChecked(t *testing.T) {
+func TestInvalidIntentsAreRefused(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	o := b.operator()
-	b.stated(o, &placementpb.Intent{Kind: "drain", Service: "pay", Upstream: "i-p0"})
+	o := b.operatorClient()
+	b.stateIntent(o, &placementpb.Intent{Kind: "drain", Service: "pay", Upstream: "i-p0"})
 	for _, bad := range []*placementpb.Intent{
 		{Kind: "odd", Service: "status", Upstream: "i-s1"},
 		{Kind: "drain", Service: "status"},
@@ -126,11 +126,11 @@
 		{Kind: "pin", Service: "pay", Upstream: "i-p0", First: 1, Last: 2},
 		{Kind: "pin", Service: "status", Upstream: "i-s1", First: 9, Last: 2},
 	} {
-		if _, err := o.State(context.Background(), bad); kindOf(err) != answer.BadRequest && kindOf(err) != answer.NotFound {
+		if _, err := o.State(context.Background(), bad); errorKind(err) != answer.BadRequest && errorKind(err) != answer.NotFound {
 			t.Errorf("%v: %v", bad, err)
 		}
 	}
-	if _, err := o.Confirm(context.Background(), &placementpb.Reference{Id: "none"}); kindOf(err) != answer.NotFound {
+	if _, err := o.Confirm(context.Background(), &placementpb.Reference{Id: "none"}); errorKind(err) != answer.NotFound {
 		t.Errorf("error %v", err)
 	}
 }
--- a/gateway/resign_test.go
+++ b/gateway/resign_test.go
@@ -11,7 +11,7 @@
 
 // TestStoppingLeaderRenewsInItsStopOnly: a renewal by the ordinary loop, which may wait for a
 // silent store for longer than the stop has left, would keep the stop from ending in time.
-func TestStoppingLeaderRenewsInItsStopOnly(t *testing.T) {
+func TestStoppingLeaderRenewsOnlyDuringResign(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
 	record := newCallRecord()
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -19,12 +19,12 @@
 	for _, seed := range []uint64{4, 7, 8} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			settles(t, rand.New(rand.NewPCG(seed, 31)))
+			runUntilSettled(t, rand.New(rand.NewPCG(seed, 31)))
 		})
 	}
 }
 
-func settles(t *testing.T, rng *rand.Rand) {
+func runUntilSettled(t *testing.T, rng *rand.Rand) {
 	const (
 		steps      = 12
 		longestGap = 1200 * time.Millisecond
@@ -44,13 +44,13 @@
 		time.Sleep(time.Duration(rng.Int64N(int64(longestGap))))
 	}
 	p.heal()
-	p.eventually("placement has settled", p.settled)
+	p.eventually("placement has settled", p.placementSettled)
 	clients.end()
 }
 
 // settled reports whether nothing is pending, every upstream with keys may be given some, and no
 // owner is far over its share.
-func (p *troubles) settled() bool {
+func (p *troubles) placementSettled() bool {
 	leader := p.leader()
 	if leader == nil {
 		return false
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -21,7 +21,7 @@
 // and before it had written that. The upstream then leaves. The next leader takes
 // the keys from it before it gives them to another. (abyconnect-sim scale-2: two
 // owners for two seconds.)
-func TestInheritedMove(t *testing.T) {
+func TestSuccessorFinishesAMoveInProgress(t *testing.T) {
 	t.Parallel()
 	for name, silent := range map[string]bool{"reachable": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
@@ -55,7 +55,7 @@
 // TestWritersOfTwoTerms: a process that leads for a second time does not take a write of
 // its first term for one of its own. (A write from before a claim was taken for a write whose
 // answer was lost, as both were the first of their keepers.)
-func TestWritersOfTwoTerms(t *testing.T) {
+func TestWriterNamesDifferBetweenTerms(t *testing.T) {
 	s := &steward{cluster: newCluster(&syncpb.Member{Node: "g", Incarnation: "i"}, nil, time.Now, nil), log: slog.New(slog.DiscardHandler), now: time.Now}
 	writers := make(map[string]bool)
 	for term := range uint64(3) {
@@ -71,7 +71,7 @@
 // TestFormerLeaderIsRefused: once a leader has claimed the stored owners, what a
 // former one writes from an older reading is refused, and it stops. (mvmss-gw
 // scale-1: two owners after a zone was cut off.)
-func TestFormerLeaderIsRefused(t *testing.T) {
+func TestStaleWriteOfFormerLeaderIsRefused(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	l := b.leader()
@@ -100,7 +100,7 @@
 // TestLeaderStoppedWhileStoreAway: nobody can take the lease then, so the leader goes
 // on to the end of its stop and leaves the longest grants behind. (Owners lapsed 4 s
 // after the stop: BUDGET and 3,000 refusals on abyconnect-sim hunt-1770-35.)
-func TestLeaderStoppedWhileStoreAway(t *testing.T) {
+func TestLeaderStoppedWithoutStoreLeavesLongGrants(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.store.SetAll(metastore.Busy)
@@ -164,7 +164,7 @@
 
 // TestSuccessorKnowsWhatWasTold: moves that had ended and were not saved yet are no
 // moves for a successor that has heard of their end.
-func TestSuccessorKnowsWhatWasTold(t *testing.T) {
+func TestSuccessorUsesNewerPublishedTable(t *testing.T) {
 	const term = 3
 	table := func(term, write uint64, owner string) *spans.Table {
 		return &spans.Table{
@@ -196,7 +196,7 @@
 
 // TestEndedLeaderKeepsNothing: a leader whose run has ended, as asked or abruptly, no
 // longer calls upstreams, the store or other gateways for the keys that it kept.
-func TestEndedLeaderKeepsNothing(t *testing.T) {
+func TestStoppedLeaderStopsAssigning(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(*testGateway){
 		"stopped": func(g *testGateway) { g.stop(); <-g.done },
