--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -40,7 +40,7 @@
 	c.setLeading(true)
 	v, log := newView(), slog.New(slog.DiscardHandler)
 	p := &peerServer{
-		view: v, cluster: c, steward: &steward{workTimes: newWorkTimes(v, time.Now), rights: &rights{view: v, now: time.Now}}, parts: &parts{}, log: log,
+		view: v, cluster: c, steward: &assignmentSupervisor{workTimes: newWorkTimes(v, time.Now), rights: &rights{view: v, now: time.Now}}, parts: &parts{}, log: log,
 		follower: &follower{now: time.Now}, watcher: &watcher{ages: newWatchAges(time.Now, log)}, sieve: newSieve(v, time.Now, log, newMeters()), evac: &evacuations{view: v},
 		limits: newNamedLimits(v, time.Now, log, newMeters()), suspects: noSuspects(),
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -108,8 +108,8 @@
 	follower *follower
 	watcher  *watcher
 	calls    *storeCaller
-	steward  *steward
-	leading  *leading
+	steward  *assignmentSupervisor
+	leading  *leaderElector
 	front    *front
 	conns    *pool.Pool
 	gaps     *ownerGaps
@@ -210,13 +210,13 @@
 		g.follower.isSeed = g.follower.isSeed || s == conf.Peers
 	}
 	g.conns = pool.New(upstreamLimits, g.now)
-	g.steward = &steward{
+	g.steward = &assignmentSupervisor{
 		view: g.view, cluster: g.cluster, traffic: g.traffic, store: store, calls: g.calls,
 		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newTurns(mostGrantCalls), maxHold: conf.LongestHold.D(),
 		now: g.now, log: log, meters: g.meters, workTimes: newWorkTimes(g.view, g.now), limits: g.limits,
 		rights: &rights{view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now},
 	}
-	g.leading = &leading{
+	g.leading = &leaderElector{
 		store: store, calls: g.calls, cluster: g.cluster, follower: g.follower, watcher: g.watcher,
 		assignments: g.steward, now: g.now, log: log, initialRank: firstRank(conf),
 		promises: newPromises(g.now), maxHold: conf.LongestHold.D(),
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -15,7 +15,7 @@
 )
 
 // startMoves begins the moves of the table that are not under way.
-func (k *keeper) startMoves(ctx context.Context) {
+func (k *keyAssigner) startMoves(ctx context.Context) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, s := range k.table.Spans {
@@ -33,7 +33,7 @@
 }
 
 // move takes keys from their owner and gives them to the next one.
-func (k *keeper) move(ctx context.Context, s spans.Span) {
+func (k *keyAssigner) move(ctx context.Context, s spans.Span) {
 	began := k.now()
 	token, free := "", true
 	if s.Next != s.Owner {
@@ -76,7 +76,7 @@
 
 // perhaps returns the next owner of a move whose grant was not sent here, if it
 // may have been sent by the leader before: it then counts as the owner.
-func (k *keeper) perhaps(s spans.Span) string {
+func (k *keyAssigner) perhaps(s spans.Span) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.inheritedMoves[s.NextFence] {
@@ -87,7 +87,7 @@
 
 // takeBack releases keys from their owner, or waits until its hold has ended.
 // It reports whether nobody holds them any more.
-func (k *keeper) takeBack(ctx context.Context, s spans.Span) (token string, free bool) {
+func (k *keyAssigner) takeBack(ctx context.Context, s spans.Span) (token string, free bool) {
 	if s.Owner == "" {
 		return "", true
 	}
@@ -121,7 +121,7 @@
 }
 
 // releaseLimit bounds one call for a release.
-func (k *keeper) releaseLimit(s spans.Span) time.Duration {
+func (k *keyAssigner) releaseLimit(s spans.Span) time.Duration {
 	ends, known := k.holdEnds(s)
 	if !known {
 		return releaseTimeout
@@ -129,14 +129,14 @@
 	return ownership.ReleaseTimeout(releaseTimeout, ends.Sub(k.now()), k.failingFor(s.Owner) > 0)
 }
 
-func (k *keeper) holdEnded(s spans.Span) bool {
+func (k *keyAssigner) holdEnded(s spans.Span) bool {
 	ends, known := k.holdEnds(s)
 	return known && k.now().After(ends)
 }
 
 // holdEnds returns until when the owner of the span may hold its keys, by grants of this
 // leader or of former ones. known is false while a former leader's are not known.
-func (k *keeper) holdEnds(s spans.Span) (ends time.Time, known bool) {
+func (k *keyAssigner) holdEnds(s spans.Span) (ends time.Time, known bool) {
 	k.mu.Lock()
 	own, sole := k.holdDeadlines[ownerGrant(s)], k.onlyGranter
 	k.mu.Unlock()
@@ -150,7 +150,7 @@
 // give grants the keys of a move to their next owner. The same call may be made
 // again: it renews what an earlier one granted. It is given up when calls to the
 // upstream have failed for so long that an owner would be given up.
-func (k *keeper) give(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.Verdict, error) {
+func (k *keyAssigner) give(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.Verdict, error) {
 	arrived := false
 	for {
 		verdict, err := k.grant(ctx, s.Keys, next, s.NextFence, token)
@@ -177,7 +177,7 @@
 
 // grant makes one call and notes until when its keys may be held. The right to
 // lead is checked last, right before the call is sent.
-func (k *keeper) grant(ctx context.Context, keys spans.Keys, to *instances.Instance, fence uint64, token string) (platform.Verdict, error) {
+func (k *keyAssigner) grant(ctx context.Context, keys spans.Keys, to *instances.Instance, fence uint64, token string) (platform.Verdict, error) {
 	giveBack, ok := k.turns.take(ctx)
 	if !ok {
 		return 0, errNoTurn
@@ -208,14 +208,14 @@
 
 // hold is how long grants last: longer while this leader acts by promises, so
 // that owners serve on if it is lost before the store returns.
-func (k *keeper) hold() time.Duration {
+func (k *keyAssigner) hold() time.Duration {
 	if k.elector.actsByPromises() {
 		return k.maxHold
 	}
 	return min(holdDuration, k.maxHold)
 }
 
-func (k *keeper) instance(id string) *instances.Instance {
+func (k *keyAssigner) instance(id string) *instances.Instance {
 	v := k.view.inst.Load()
 	if v == nil {
 		return nil
@@ -225,7 +225,7 @@
 
 // settle ends a move: the keys have the owner, the start of it that is named, or none.
 // cold says that they came to it without a handover.
-func (k *keeper) settle(s spans.Span, owner string, granted instances.Incarnation, cold bool) {
+func (k *keyAssigner) settle(s spans.Span, owner string, granted instances.Incarnation, cold bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for i := range k.table.Spans {
@@ -247,7 +247,7 @@
 
 // warmUp takes the mark off keys that have been at their owner for long enough. Those
 // marked by a leader before count from the beginning of this lead.
-func (k *keeper) warmUp() {
+func (k *keyAssigner) warmUp() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	changed := false
@@ -264,7 +264,7 @@
 }
 
 // raise lifts the fence counter.
-func (k *keeper) raise(by uint64) {
+func (k *keyAssigner) raise(by uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.table.LastFence += by
@@ -272,7 +272,7 @@
 
 // startRenewals renews the grants that are due, one call after the other for
 // each owner.
-func (k *keeper) startRenewals(ctx context.Context) {
+func (k *keyAssigner) startRenewals(ctx context.Context) {
 	now := k.now()
 	long := k.elector.actsByPromises()
 	k.mu.Lock()
@@ -306,7 +306,7 @@
 // calls that change nothing until one is answered. An owner that answers requests meanwhile
 // is not lost: its grants are renewed all at once, as each call that gets no answer takes a
 // quarter of a second of the four for which they hold.
-func (k *keeper) renew(ctx context.Context, id string, list []spans.Span) {
+func (k *keyAssigner) renew(ctx context.Context, id string, list []spans.Span) {
 	owner := k.instance(id)
 	if owner == nil {
 		k.recordFailure(id)
@@ -328,7 +328,7 @@
 }
 
 // renewOne renews one grant and reports whether the owner's others may be renewed after it.
-func (k *keeper) renewOne(ctx context.Context, owner *instances.Instance, s spans.Span) bool {
+func (k *keyAssigner) renewOne(ctx context.Context, owner *instances.Instance, s spans.Span) bool {
 	if !k.stillOwns(s) || owner.Incarnation().Other(s.Incarnation) {
 		// It has other keys by now, or has started again and holds none.
 		return true
@@ -355,7 +355,7 @@
 // startTrials calls upstreams to which calls fail with what changes nothing: a grant
 // without an answer would count as one that holds, and keep the keys of a lost owner
 // away from others for longer.
-func (k *keeper) startTrials(ctx context.Context) {
+func (k *keyAssigner) startTrials(ctx context.Context) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.failing) == 0 {
@@ -388,7 +388,7 @@
 }
 
 // foreignKey returns a key that the upstream neither has nor gets. The lock is held.
-func (k *keeper) foreignKey(id string) spans.Keys {
+func (k *keyAssigner) foreignKey(id string) spans.Keys {
 	for _, s := range k.table.Spans {
 		if s.Owner != id && s.Next != id {
 			return spans.Keys{First: s.First, Last: s.First}
@@ -402,7 +402,7 @@
 const trialFence = 1
 
 // trial makes a call that changes nothing.
-func (k *keeper) trial(ctx context.Context, to *instances.Instance, keys spans.Keys) {
+func (k *keyAssigner) trial(ctx context.Context, to *instances.Instance, keys spans.Keys) {
 	call, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	if _, _, err := k.owners.Release(call, to.ID, to.Address, keys, trialFence); err != nil {
@@ -413,14 +413,14 @@
 }
 
 // stillOwns reports whether the span is as it was and does not move.
-func (k *keeper) stillOwns(s spans.Span) bool {
+func (k *keyAssigner) stillOwns(s spans.Span) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Find(s.First) == s
 }
 
 // lose notes that the owner does not hold the keys of the span any more.
-func (k *keeper) lose(s spans.Span) {
+func (k *keyAssigner) lose(s spans.Span) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	i := k.table.At(s.First)
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -70,8 +70,8 @@
 )
 
 // keeper keeps the assignment of one service.
-type keeper struct {
-	*steward
+type keyAssigner struct {
+	*assignmentSupervisor
 	service string
 	term    uint64
 	log     *slog.Logger
@@ -134,9 +134,9 @@
 // owned names the grants to the owner of a span.
 func ownerGrant(s spans.Span) grantID { return grantID{first: s.First, fence: s.Fence} }
 
-func newKeeper(s *steward, service string, term uint64) *keeper {
-	return &keeper{
-		steward: s, service: service, term: term, log: s.log.With("service", service),
+func newKeyAssigner(s *assignmentSupervisor, service string, term uint64) *keyAssigner {
+	return &keyAssigner{
+		assignmentSupervisor: s, service: service, term: term, log: s.log.With("service", service),
 		rateEstimator: ownership.NewRateEstimator(s.now()), holdDeadlines: make(map[grantID]time.Time), grantRenewedAt: make(map[uint16]time.Time), movedAt: make(map[uint16]time.Time),
 		coldSince:   make(map[uint16]time.Time),
 		activeMoves: make(map[uint64]bool), inheritedMoves: make(map[uint64]bool), callsInFlight: make(map[string]bool),
@@ -145,20 +145,20 @@
 }
 
 // asked counts one request for a key.
-func (k *keeper) recordRequest(key uint16) {
+func (k *keyAssigner) recordRequest(key uint16) {
 	k.rateMu.Lock()
 	defer k.rateMu.Unlock()
 	k.rateEstimator.Add(key)
 }
 
-func (k *keeper) rates() map[uint16]float64 {
+func (k *keyAssigner) rates() map[uint16]float64 {
 	k.rateMu.Lock()
 	defer k.rateMu.Unlock()
 	return k.rateEstimator.Rates(k.now())
 }
 
 // run keeps the service until ctx ends.
-func (k *keeper) run(ctx context.Context) {
+func (k *keyAssigner) run(ctx context.Context) {
 	if !k.initialize(ctx) {
 		return
 	}
@@ -181,7 +181,7 @@
 }
 
 // finish waits for the moves under way and saves what has ended.
-func (k *keeper) finish(ctx context.Context) {
+func (k *keyAssigner) finish(ctx context.Context) {
 	k.tasks.Wait()
 	k.mu.Lock()
 	if k.unpublished {
@@ -199,7 +199,7 @@
 }
 
 // begin loads the assignment, or makes the first one.
-func (k *keeper) initialize(ctx context.Context) bool {
+func (k *keyAssigner) initialize(ctx context.Context) bool {
 	backoff := firstBackoff
 	for ctx.Err() == nil {
 		table, revision, err := k.load(ctx, k.service)
@@ -227,7 +227,7 @@
 // newest returns what the former leader has told this gateway of its assignment, when
 // that is newer than the stored one: moves that have ended are saved some time later.
 // Whatever it told, its fences are reserved in the store.
-func (k *keeper) newestTable(stored *spans.Table) *spans.Table {
+func (k *keyAssigner) newestTable(stored *spans.Table) *spans.Table {
 	told := k.view.spansOf(k.service)
 	if told == nil || told.Version <= stored.Version || told.Version>>termShift != stored.Version>>termShift {
 		return stored
@@ -240,7 +240,7 @@
 // claim writes the assignment in this leader's name before anything else is
 // done with it: what a former leader writes later is refused by the store, and
 // what it wrote before is in this table.
-func (k *keeper) claim(ctx context.Context, table *spans.Table, revision uint64) bool {
+func (k *keyAssigner) claim(ctx context.Context, table *spans.Table, revision uint64) bool {
 	k.stamp(table)
 	got, err := k.save(ctx, table, revision)
 	if err != nil {
@@ -252,7 +252,7 @@
 }
 
 // stamp gives a table the next version and writer of this leader.
-func (k *keeper) stamp(t *spans.Table) {
+func (k *keyAssigner) stamp(t *spans.Table) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.stampLocked(t)
@@ -261,7 +261,7 @@
 // stampLocked is stamp with the lock held. The term is in the name of the writer, as a
 // process that leads again counts its writes anew: a write of its former term is not the
 // one whose answer was lost.
-func (k *keeper) stampLocked(t *spans.Table) {
+func (k *keyAssigner) stampLocked(t *spans.Table) {
 	k.writeCount++
 	t.Version = k.term<<termShift | uint64(k.writeCount)
 	t.Writer = fmt.Sprintf("%s/%d/%d", k.cluster.self.Incarnation, k.term, k.writeCount)
@@ -272,7 +272,7 @@
 const termShift = 32
 
 // adopt takes over an assignment at the begin of this leader's term.
-func (k *keeper) adopt(table *spans.Table, revision uint64) {
+func (k *keyAssigner) adopt(table *spans.Table, revision uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.table = table.Clone()
@@ -294,7 +294,7 @@
 }
 
 // first waits until the upstreams have registered and assigns the keys to them.
-func (k *keeper) initialTable(ctx context.Context) *spans.Table {
+func (k *keyAssigner) initialTable(ctx context.Context) *spans.Table {
 	began := k.now()
 	count, since := 0, began
 	for ctx.Err() == nil {
@@ -313,7 +313,7 @@
 
 // publish gives the present table to the view, and so to the other gateways, at once if
 // none was given for a while, else soon. The lock is held.
-func (k *keeper) publish() {
+func (k *keyAssigner) publish() {
 	k.stampLocked(k.table)
 	k.unpublished = true
 	if k.publishDue() {
@@ -322,18 +322,18 @@
 }
 
 // publishDue reports whether the last version was given long enough ago. The lock is held.
-func (k *keeper) publishDue() bool {
+func (k *keyAssigner) publishDue() bool {
 	pause := max(publishInterval, time.Duration(k.cluster.gateways())*publishIntervalPerGateway)
 	return k.now().Sub(k.publishedAt) >= pause
 }
 
-func (k *keeper) publishLocked() {
+func (k *keyAssigner) publishLocked() {
 	k.publishedAt, k.unpublished = k.now(), false
 	k.view.setSpans(k.table.Clone())
 }
 
 // publishPending gives the table to the view if it has changed since and it is time.
-func (k *keeper) publishPending() {
+func (k *keyAssigner) publishPending() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.unpublished && k.publishDue() {
@@ -342,7 +342,7 @@
 }
 
 // candidates describes the upstreams of the service for a plan.
-func (k *keeper) candidates() []ownership.Owner {
+func (k *keyAssigner) candidates() []ownership.Owner {
 	v := k.view.inst.Load()
 	if v == nil {
 		return nil
@@ -364,7 +364,7 @@
 
 // capacity is how many requests a second the upstream can run, by what was seen of its runs and
 // by the limit that it may name: else its keys stay where most of their requests are refused.
-func (k *keeper) capacity(one *instances.Instance) float64 {
+func (k *keyAssigner) capacity(one *instances.Instance) float64 {
 	work := k.workTimes.of(k.service, one.ID)
 	if work <= 0 {
 		work = time.Second / defaultSlotRate
@@ -377,7 +377,7 @@
 }
 
 // warming returns the upstreams that warm up and whose requests are bounded, by ID.
-func (k *keeper) warming() map[string]bool {
+func (k *keyAssigner) warming() map[string]bool {
 	out := make(map[string]bool)
 	for _, one := range k.traffic.get(k.service).warming(k.now()) {
 		out[one.ID] = true
@@ -385,13 +385,13 @@
 	return out
 }
 
-func (k *keeper) setOnlyGranter(sole bool) {
+func (k *keyAssigner) setOnlyGranter(sole bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.onlyGranter = sole
 }
 
-func (k *keeper) isSuperseded() bool {
+func (k *keyAssigner) isSuperseded() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.superseded
--- a/gateway/keeperstore.go
+++ b/gateway/keeperstore.go
@@ -15,7 +15,7 @@
 
 // plan makes the moves that are due part of the assignment, in the store
 // first: no grant carries a fence that is not reserved there.
-func (k *keeper) plan(ctx context.Context) {
+func (k *keyAssigner) plan(ctx context.Context) {
 	owners, load := k.candidates(), k.rates()
 	pins, unreliable := k.placements.pins(k.service), k.controlUnreliable(owners)
 	k.mu.Lock()
@@ -39,7 +39,7 @@
 
 // resting returns the first keys of spans that have moved lately. The lock is
 // held.
-func (k *keeper) recentlyMoved() map[uint16]bool {
+func (k *keyAssigner) recentlyMoved() map[uint16]bool {
 	out := make(map[uint16]bool)
 	for first, at := range k.movedAt {
 		if k.now().Sub(at) < moveCooldown {
@@ -50,7 +50,7 @@
 }
 
 // commit writes a table with new moves and adopts it when it is stored.
-func (k *keeper) commit(ctx context.Context, next *spans.Table) {
+func (k *keyAssigner) commit(ctx context.Context, next *spans.Table) {
 	if err := next.Check(); err != nil {
 		k.log.Error("plan dropped", "error", err)
 		return
@@ -77,7 +77,7 @@
 
 // merge brings the moves that ended while the table was being written into it, and
 // reports whether there were any: the store does not have them. The lock is held.
-func (k *keeper) mergeEndedMoves(next *spans.Table) (merged *spans.Table, changed bool) {
+func (k *keyAssigner) mergeEndedMoves(next *spans.Table) (merged *spans.Table, changed bool) {
 	for i := range next.Spans {
 		s := &next.Spans[i]
 		now := k.table.Find(s.First)
@@ -95,7 +95,7 @@
 
 // inheritHolds gives spans that were split what was known of the whole. The
 // lock is held.
-func (k *keeper) inheritSplitHolds(before, next *spans.Table) {
+func (k *keyAssigner) inheritSplitHolds(before, next *spans.Table) {
 	for _, s := range next.Spans {
 		from := before.Find(s.First)
 		if from.First == s.First {
@@ -108,13 +108,13 @@
 }
 
 // forgetHolds drops those that have ended. The lock is held.
-func (k *keeper) dropExpiredHolds() {
+func (k *keyAssigner) dropExpiredHolds() {
 	now := k.now()
 	maps.DeleteFunc(k.holdDeadlines, func(_ grantID, until time.Time) bool { return now.After(until) })
 }
 
 // saveFailed handles a write that was not acknowledged.
-func (k *keeper) handleSaveError(ctx context.Context, err error) {
+func (k *keyAssigner) handleSaveError(ctx context.Context, err error) {
 	if !errors.Is(err, platform.ErrConflict) {
 		k.log.Warn("owners not saved", "error", err)
 		return
@@ -138,7 +138,7 @@
 }
 
 // saveDone writes moves that have ended to the store, together.
-func (k *keeper) saveEndedMoves(ctx context.Context) {
+func (k *keyAssigner) saveEndedMoves(ctx context.Context) {
 	k.mu.Lock()
 	due := k.unsaved && k.now().Sub(k.savedAt) > saveInterval
 	next := k.table.Clone()
--- a/gateway/keeperupstreams.go
+++ b/gateway/keeperupstreams.go
@@ -31,7 +31,7 @@
 }
 
 // isDead reports whether this start of the upstream is known to have ended.
-func (k *keeper) hasTerminated(one *instances.Instance) bool {
+func (k *keyAssigner) hasTerminated(one *instances.Instance) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	at, ok := k.terminated[one.ID]
@@ -39,7 +39,7 @@
 }
 
 // ended notes that an upstream has ended, as it was when it was called.
-func (k *keeper) markTerminated(one *instances.Instance) {
+func (k *keyAssigner) markTerminated(one *instances.Instance) {
 	k.log.Info("owner has ended, its address is another's", "upstream", one.ID, "address", one.Address)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -47,7 +47,7 @@
 }
 
 // noteStart forgets what calls to an earlier start of the upstream have shown.
-func (k *keeper) recordStart(one *instances.Instance) {
+func (k *keyAssigner) recordStart(one *instances.Instance) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := startOfUpstream(one)
@@ -62,7 +62,7 @@
 }
 
 // forgetStarts drops upstreams that are not known any more.
-func (k *keeper) forgetRemovedUpstreams(v *instances.View) {
+func (k *keyAssigner) forgetRemovedUpstreams(v *instances.View) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	gone := func(id string, _ upstreamStart) bool { return v.Get(id) == nil }
@@ -72,14 +72,14 @@
 }
 
 // control returns what control calls and requests have shown of an upstream.
-func (k *keeper) controlHealth(id string) ownership.ControlHealth {
+func (k *keyAssigner) controlHealth(id string) ownership.ControlHealth {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.controlHealthLocked(id)
 }
 
 // controlLocked is control with the lock held.
-func (k *keeper) controlHealthLocked(id string) ownership.ControlHealth {
+func (k *keyAssigner) controlHealthLocked(id string) ownership.ControlHealth {
 	f := k.failing[id]
 	return ownership.ControlHealth{
 		FailingSince: f.since, LastFailed: f.lastFailed, ProbeAnswered: f.probeAnswered, LastGranted: k.lastGranted[id], LastAnswered: k.workTimes.answeredAt(id),
@@ -87,7 +87,7 @@
 }
 
 // unreliable reports whether control calls get no answers at upstreams that answer requests.
-func (k *keeper) controlUnreliable(owners []ownership.Owner) bool {
+func (k *keyAssigner) controlUnreliable(owners []ownership.Owner) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	all := make([]ownership.ControlHealth, 0, len(owners))
@@ -98,7 +98,7 @@
 }
 
 // failingFor returns how long the calls to an upstream fail.
-func (k *keeper) failingFor(id string) time.Duration {
+func (k *keyAssigner) failingFor(id string) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	f, ok := k.failing[id]
@@ -109,7 +109,7 @@
 }
 
 // fails notes that a call to an upstream failed, works that one succeeded.
-func (k *keeper) recordFailure(id string) {
+func (k *keyAssigner) recordFailure(id string) {
 	k.meters.inc(k.meters.service(ownersUnanswered, k.service))
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -124,7 +124,7 @@
 
 // reaches notes that a trial call to an upstream was answered. One with keys counts as
 // failing until a grant is answered too: some take no grants, but all else.
-func (k *keeper) recordProbeAnswer(id string) {
+func (k *keyAssigner) recordProbeAnswer(id string) {
 	k.mu.Lock()
 	f, ok := k.failing[id]
 	owns := k.ownsKeys(id)
@@ -139,18 +139,18 @@
 }
 
 // owns reports whether the upstream owns keys. The lock is held.
-func (k *keeper) ownsKeys(id string) bool {
+func (k *keyAssigner) ownsKeys(id string) bool {
 	return slices.ContainsFunc(k.table.Spans, func(s spans.Span) bool { return s.Owner == id })
 }
 
-func (k *keeper) clearFailure(id string) {
+func (k *keyAssigner) clearFailure(id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.clearFailureLocked(id)
 }
 
 // worksLocked is works with the lock held.
-func (k *keeper) clearFailureLocked(id string) {
+func (k *keyAssigner) clearFailureLocked(id string) {
 	if f, ok := k.failing[id]; ok {
 		delete(k.failing, id)
 		k.log.Info("calls to an upstream succeed again", "upstream", id, "after_ms", k.now().Sub(f.since).Milliseconds())
--- a/gateway/lead.go
+++ b/gateway/lead.go
@@ -35,13 +35,13 @@
 )
 
 // leading runs the part of this process in leadership.
-type leading struct {
+type leaderElector struct {
 	store       *platform.Store
 	calls       *storeCaller
 	cluster     *cluster
 	follower    *follower
 	watcher     *watcher
-	assignments *steward
+	assignments *assignmentSupervisor
 	now         func() time.Time
 	log         *slog.Logger
 	// firstRank is this gateway's place while no members are known.
@@ -76,14 +76,14 @@
 }
 
 // mayAct reports whether this process leads and its right has not run out.
-func (l *leading) mayAct() bool {
+func (l *leaderElector) mayAct() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.right.Valid(l.now()) || l.promisedRight.Valid(l.now())
 }
 
 // stillMayAct returns an error when this process may not act any more.
-func (l *leading) checkMayAct() error {
+func (l *leaderElector) checkMayAct() error {
 	if !l.mayAct() {
 		return errNoRight
 	}
@@ -92,7 +92,7 @@
 
 // byPromises reports whether this leader acts by promises: then its grants may
 // last longer, as its successor will ask for these.
-func (l *leading) actsByPromises() bool {
+func (l *leaderElector) actsByPromises() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.promisedRight.Valid(l.now())
@@ -100,7 +100,7 @@
 
 // run takes the lease when it is due, keeps it, and watches the store while
 // this gateway leads or hears from no leader.
-func (l *leading) run(ctx context.Context) {
+func (l *leaderElector) run(ctx context.Context) {
 	var stopWatch context.CancelFunc
 	var watch sync.WaitGroup
 	l.startedAt = l.now()
@@ -136,7 +136,7 @@
 }
 
 // runExtensions asks for promises while the lease is not renewed, until ctx ends.
-func (l *leading) runExtensions(ctx context.Context) {
+func (l *leaderElector) runExtensions(ctx context.Context) {
 	for ctx.Err() == nil {
 		if l.cluster.isLeading() && l.renewalOverdue() {
 			l.extend(ctx)
@@ -149,7 +149,7 @@
 
 // due reports whether this gateway should look whether it can lead.
 // ended says that the leader's process or role seems to have ended.
-func (l *leading) acquireDue(lost time.Duration, ended bool) bool {
+func (l *leaderElector) acquireDue(lost time.Duration, ended bool) bool {
 	if l.resigning.Load() {
 		return false
 	}
@@ -165,7 +165,7 @@
 }
 
 // reach reads the lease and takes it if it may.
-func (l *leading) tryAcquire(ctx context.Context, refused bool) {
+func (l *leaderElector) tryAcquire(ctx context.Context, refused bool) {
 	ctx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 	defer cancel()
 	object, err := l.store.Get(ctx, leaseKind, leaseName)
@@ -200,7 +200,7 @@
 }
 
 // take writes the lease in this gateway's name.
-func (l *leading) acquire(ctx context.Context, former leadership.Lease, revision uint64, ends time.Time) {
+func (l *leaderElector) acquire(ctx context.Context, former leadership.Lease, revision uint64, ends time.Time) {
 	l.leaseWriteMu.Lock()
 	defer l.leaseWriteMu.Unlock()
 	if l.resigning.Load() {
@@ -240,7 +240,7 @@
 
 // isMine reports whether the object that a refused write returned is what was
 // to be written: its answer was lost.
-func (l *leading) isOwnWrite(o platform.Object, mine leadership.Lease) bool {
+func (l *leaderElector) isOwnWrite(o platform.Object, mine leadership.Lease) bool {
 	var there leadership.Lease
 	if len(o.Spec) == 0 || platform.Decode(o, &there) != nil {
 		return false
@@ -249,7 +249,7 @@
 }
 
 // keep renews the lease when it is due, and stops leading when it is lost.
-func (l *leading) renewIfDue(ctx context.Context) {
+func (l *leaderElector) renewIfDue(ctx context.Context) {
 	l.leaseWriteMu.Lock()
 	defer l.leaseWriteMu.Unlock()
 	if !l.cluster.isLeading() {
@@ -294,11 +294,11 @@
 }
 
 // doubtful reports whether the lease was not renewed when it was due.
-func (l *leading) renewalOverdue() bool {
+func (l *leaderElector) renewalOverdue() bool {
 	return l.rightLeft() < leadership.Term-leadership.Renewal-renewalGrace
 }
 
-func (l *leading) rightLeft() time.Duration {
+func (l *leaderElector) rightLeft() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.right.Left(l.now())
@@ -306,7 +306,7 @@
 
 // conflict handles a lease that is not as this leader left it. An own renewal
 // that took effect late is taken over; another holder ends the role.
-func (l *leading) handleConflict(o platform.Object) {
+func (l *leaderElector) handleConflict(o platform.Object) {
 	var there leadership.Lease
 	if err := platform.Decode(o, &there); err != nil {
 		l.log.Error("the leader's lease cannot be read", "error", err)
@@ -327,7 +327,7 @@
 	l.cluster.setLeader(leaderMessage(there, o.Revision))
 }
 
-func (l *leading) stepDown() {
+func (l *leaderElector) stepDown() {
 	l.cluster.setLeading(false)
 	l.assignments.stop()
 }
--- a/gateway/noticenews.go
+++ b/gateway/noticenews.go
@@ -20,12 +20,12 @@
 
 // told returns what this gateway and those that report to it have at the upstream, and what it has
 // told them; nil for nothing.
-func (s *steward) told(upstream string) *syncpb.Load {
+func (s *assignmentSupervisor) told(upstream string) *syncpb.Load {
 	return s.cluster.sum(s.lastOwnReport().loads).loads[upstream]
 }
 
 // toldLeaving returns the upstreams that have told a gateway that they leave.
-func (s *steward) toldLeaving() map[string]bool {
+func (s *assignmentSupervisor) toldLeaving() map[string]bool {
 	var out map[string]bool
 	for id, l := range s.cluster.sum(s.lastOwnReport().loads).loads {
 		if !l.Leaving {
@@ -41,7 +41,7 @@
 
 // rests reports whether the upstream has asked so many gateways for so long a rest that its keys
 // are better off elsewhere.
-func (s *steward) rests(upstream string) bool {
+func (s *assignmentSupervisor) rests(upstream string) bool {
 	l := s.told(upstream)
 	if l == nil || time.Duration(l.RestMs)*time.Millisecond < leastRest {
 		return false
--- a/gateway/ownerstate.go
+++ b/gateway/ownerstate.go
@@ -22,7 +22,7 @@
 )
 
 // logStuck logs, now and then, that an owner has far more than its share and no key moves.
-func (k *keeper) logStuck(owners []ownership.Owner, load map[uint16]float64) {
+func (k *keyAssigner) logStuck(owners []ownership.Owner, load map[uint16]float64) {
 	k.mu.Lock()
 	u, uneven := ownership.Busiest(k.table, owners, load)
 	moving, failing := len(k.activeMoves), len(k.failing)
@@ -45,7 +45,7 @@
 }
 
 // gauges tells, in the leader, how even the owners are and what is pending.
-func (k *keeper) gauges() {
+func (k *keyAssigner) gauges() {
 	owners, load := k.candidates(), k.rates()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -60,16 +60,16 @@
 }
 
 // allKeepers returns the keepers of the services that this process keeps, by their names.
-func (s *steward) allKeepers() []*keeper {
+func (s *assignmentSupervisor) allKeepers() []*keyAssigner {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := slices.Collect(maps.Values(s.assigners))
-	slices.SortFunc(out, func(a, b *keeper) int { return strings.Compare(a.service, b.service) })
+	slices.SortFunc(out, func(a, b *keyAssigner) int { return strings.Compare(a.service, b.service) })
 	return out
 }
 
 // ownerGauges tells the gauges of all services that this process keeps.
-func (s *steward) ownerGauges() {
+func (s *assignmentSupervisor) ownerGauges() {
 	for _, k := range s.allKeepers() {
 		k.gauges()
 	}
@@ -88,7 +88,7 @@
 }
 
 // state returns which upstream owns how much of the service.
-func (k *keeper) state() *placementpb.ServiceOwners {
+func (k *keyAssigner) state() *placementpb.ServiceOwners {
 	owners, load := k.candidates(), k.rates()
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -22,7 +22,7 @@
 	view    *view
 	cluster *cluster
 	store   *storeCaller
-	steward *steward
+	steward *assignmentSupervisor
 	traffic *traffic
 	// follower and watcher tell how fresh this process's view is.
 	follower *follower
--- a/gateway/placements.go
+++ b/gateway/placements.go
@@ -25,8 +25,8 @@
 // them when it takes the lead.
 type placements struct {
 	store       *platform.Store
-	assignments *steward
-	elector     *leading
+	assignments *assignmentSupervisor
+	elector     *leaderElector
 	cluster     *cluster
 	evac        *evacuations
 	// suspects are requests that end upstreams.
@@ -295,9 +295,9 @@
 }
 
 // preview returns the moves that an intent would cause now.
-func (k *keeper) preview(i placement.Intent) []placement.Step {
+func (k *keyAssigner) preview(i placement.Intent) []placement.Step {
 	owners := k.candidates()
-	in := ownership.PlanInput{Pins: k.steward.placements.pins(k.service), Owners: owners}
+	in := ownership.PlanInput{Pins: k.assignmentSupervisor.placements.pins(k.service), Owners: owners}
 	switch i.Kind {
 	case placement.Pin:
 		in.Pins = append(in.Pins, ownership.Pin{Keys: i.Keys, Owner: i.Upstream})
--- a/gateway/promises.go
+++ b/gateway/promises.go
@@ -40,7 +40,7 @@
 }
 
 // askVoters asks all voters at once and returns the answers by address.
-func (l *leading) askVoters(ctx context.Context, voters []string, r *syncpb.PromiseRequest) map[string]*syncpb.PromiseResponse {
+func (l *leaderElector) askVoters(ctx context.Context, voters []string, r *syncpb.PromiseRequest) map[string]*syncpb.PromiseResponse {
 	ctx, cancel := context.WithTimeout(ctx, promiseTimeout)
 	defer cancel()
 	var mu sync.Mutex
@@ -71,7 +71,7 @@
 
 // extend asks for the promises that let this leader go on without the store. It
 // needs a majority of each list of voters that may be in force.
-func (l *leading) extend(ctx context.Context) {
+func (l *leaderElector) extend(ctx context.Context) {
 	l.mu.Lock()
 	term, lists := l.lease.Term, l.voterLists
 	l.mu.Unlock()
@@ -109,7 +109,7 @@
 
 // inquire learns from the voters of the former lease until when upstreams may
 // hold keys by its leader's grants. It asks until a majority has answered.
-func (l *leading) inquire(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) {
+func (l *leaderElector) inquire(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) {
 	term := former.Term + 1
 	if former.Term == 0 {
 		l.setFormerHoldDeadline(term, l.now().Add(holdWithMargin(longest)), false)
@@ -127,7 +127,7 @@
 
 // formerHoldsEnd asks once. Any majority may be believed, so that of the voters
 // with the earliest ends is.
-func (l *leading) inquireFormerHolds(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) (time.Time, bool) {
+func (l *leaderElector) inquireFormerHolds(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) (time.Time, bool) {
 	answers := l.askVoters(ctx, former.Voters, &syncpb.PromiseRequest{Term: former.Term + 1, Inquire: true})
 	now := l.now()
 	normal := ends.Add(holdWithMargin(holdDuration))
@@ -158,7 +158,7 @@
 // setFormerHolds notes until when upstreams may hold keys by a former leader's grants,
 // and whether that is by promises: then a successor learns of it from the present voters
 // only.
-func (l *leading) setFormerHoldDeadline(term uint64, until time.Time, byPromises bool) {
+func (l *leaderElector) setFormerHoldDeadline(term uint64, until time.Time, byPromises bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.lease.Term == term {
@@ -168,7 +168,7 @@
 
 // formerHoldsUntil returns until when upstreams may hold keys by grants of former
 // leaders, once that is known.
-func (l *leading) latestFormerHold() (until time.Time, known bool) {
+func (l *leaderElector) latestFormerHold() (until time.Time, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.formerHoldDeadline, l.formerHoldKnown
@@ -176,7 +176,7 @@
 
 // formerHoldsEnded reports whether no upstream holds keys by a grant of a former
 // leader any more.
-func (l *leading) formerHoldsEnded() bool {
+func (l *leaderElector) formerHoldsEnded() bool {
 	until, known := l.latestFormerHold()
 	return known && l.now().After(until)
 }
@@ -184,7 +184,7 @@
 // firstVoters are the voters of a lease that is taken over: those of the former one. A
 // leader that is lost in turn, before the grants of its former have ended, leaves a
 // list to its successor that knows of the promises to both.
-func (l *leading) initialVoters(former leadership.Lease) []string {
+func (l *leaderElector) initialVoters(former leadership.Lease) []string {
 	if len(former.Voters) > 0 {
 		return former.Voters
 	}
@@ -196,7 +196,7 @@
 // leader that only the present voters know of. Without such promises they may change
 // as soon as that is known, so that gateways which leave one after the other do not
 // leave a list of lost voters behind.
-func (l *leading) votersMayChange() bool {
+func (l *leaderElector) votersMayChange() bool {
 	if l.renewalOverdue() {
 		return false
 	}
@@ -207,7 +207,7 @@
 }
 
 // voters chooses the voters among the gateways that report.
-func (l *leading) chooseVoters(former []string) []string {
+func (l *leaderElector) chooseVoters(former []string) []string {
 	list, _ := l.cluster.list()
 	var live []leadership.Voter
 	for _, m := range list {
--- a/gateway/publish_test.go
+++ b/gateway/publish_test.go
@@ -20,7 +20,7 @@
 	v, versions := newView(), 0
 	v.onSpans = func(*spans.Table) { versions++ }
 	c := newCluster(&syncpb.Member{Incarnation: "a"}, http.DefaultClient, clock, nil)
-	k := newKeeper(&steward{view: v, cluster: c, now: clock, log: slog.New(slog.DiscardHandler)}, "s", 1)
+	k := newKeyAssigner(&assignmentSupervisor{view: v, cluster: c, now: clock, log: slog.New(slog.DiscardHandler)}, "s", 1)
 	var owners []ownership.Owner
 	for i := range 40 {
 		owners = append(owners, ownership.Owner{ID: fmt.Sprint(i), Usable: true, MayKeep: true, Capacity: 1})
@@ -54,7 +54,7 @@
 	c := newCluster(&syncpb.Member{Incarnation: "a"}, http.DefaultClient, clock, nil)
 	c.expect(300)
 	c.expectedUntil = now.Add(time.Hour)
-	k := newKeeper(&steward{view: v, cluster: c, now: clock, log: slog.New(slog.DiscardHandler)}, "s", 1)
+	k := newKeyAssigner(&assignmentSupervisor{view: v, cluster: c, now: clock, log: slog.New(slog.DiscardHandler)}, "s", 1)
 	k.table = ownership.InitialTable("s", []ownership.Owner{{ID: "a", Usable: true, MayKeep: true, Capacity: 1}})
 	for range 1000 {
 		k.mu.Lock()
--- a/gateway/resign.go
+++ b/gateway/resign.go
@@ -15,7 +15,7 @@
 // resign gives the lease up, so that another gateway can take it at once. While the
 // store is away nobody could take it: this process then leads on until the store is
 // back or ctx is about to end, so that owners have the longest grants when it ends.
-func (l *leading) resign(ctx context.Context) {
+func (l *leaderElector) resign(ctx context.Context) {
 	l.resigning.Store(true)
 	for l.cluster.isLeading() && !l.renewNow(ctx) && timeLeft(ctx) > resignTimeout {
 		pause(ctx, resignRetryInterval)
@@ -34,7 +34,7 @@
 
 // renewNow renews the lease before that is due, and reports whether the store has
 // taken it.
-func (l *leading) renewNow(ctx context.Context) bool {
+func (l *leaderElector) renewNow(ctx context.Context) bool {
 	asked := l.now()
 	l.mu.Lock()
 	l.renewedAt = time.Time{}
@@ -46,7 +46,7 @@
 }
 
 // giveUp ends the role and tells the store so.
-func (l *leading) releaseLease(ctx context.Context) {
+func (l *leaderElector) releaseLease(ctx context.Context) {
 	l.leaseWriteMu.Lock()
 	defer l.leaseWriteMu.Unlock()
 	if !l.cluster.isLeading() {
--- a/gateway/steward.go
+++ b/gateway/steward.go
@@ -18,7 +18,7 @@
 
 // steward runs, in the leader, one keeper for each keyed service: it plans who
 // owns which keys, makes the moves and renews the grants.
-type steward struct {
+type assignmentSupervisor struct {
 	view    *view
 	cluster *cluster
 	traffic *traffic
@@ -27,7 +27,7 @@
 	owners  *platform.Owners
 	// turns bounds the grants under way.
 	turns   turns
-	elector *leading
+	elector *leaderElector
 	maxHold time.Duration
 	now     func() time.Time
 	log     *slog.Logger
@@ -38,7 +38,7 @@
 	mu        sync.Mutex
 	cancel    context.CancelFunc
 	workers   sync.WaitGroup
-	assigners map[string]*keeper
+	assigners map[string]*keyAssigner
 	// own is this process's last report.
 	lastReport *ownReport
 	// hotKeys are those of the services that this process keeps.
@@ -53,12 +53,12 @@
 
 // start begins to keep the services, and runs inquire beside that. It is called
 // when this process takes the lead.
-func (s *steward) start(term uint64, inquire func(context.Context)) {
+func (s *assignmentSupervisor) start(term uint64, inquire func(context.Context)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	s.assigners = make(map[string]*keeper)
+	s.assigners = make(map[string]*keyAssigner)
 	s.workTimes.begin(s.cluster.worksAbove())
 	s.rights.begin()
 	s.workers.Go(func() { s.run(ctx, term) })
@@ -67,7 +67,7 @@
 }
 
 // stop ends the work. It does not wait for it.
-func (s *steward) stop() {
+func (s *assignmentSupervisor) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cancel != nil {
@@ -80,20 +80,20 @@
 }
 
 // keeper returns the keeper of a service, or nil.
-func (s *steward) assigner(service string) *keeper {
+func (s *assignmentSupervisor) assigner(service string) *keyAssigner {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.assigners[service]
 }
 
 // end stops and waits until all work has ended.
-func (s *steward) stopAndWait() {
+func (s *assignmentSupervisor) stopAndWait() {
 	s.stop()
 	s.workers.Wait()
 }
 
 // finish ends the work and saves what it changed.
-func (s *steward) finish(ctx context.Context) {
+func (s *assignmentSupervisor) finish(ctx context.Context) {
 	s.mu.Lock()
 	keepers := s.assigners
 	s.mu.Unlock()
@@ -107,7 +107,7 @@
 
 // run starts a keeper for each keyed service of the configuration, and notes
 // this process's own load as the other gateways report theirs.
-func (s *steward) run(ctx context.Context, term uint64) {
+func (s *assignmentSupervisor) run(ctx context.Context, term uint64) {
 	for ctx.Err() == nil {
 		table := s.view.table.Load()
 		if table == nil {
@@ -125,18 +125,18 @@
 	}
 }
 
-func (s *steward) startAssigner(ctx context.Context, service string, term uint64) {
+func (s *assignmentSupervisor) startAssigner(ctx context.Context, service string, term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.assigners == nil || s.assigners[service] != nil {
 		return
 	}
-	k := newKeeper(s, service, term)
+	k := newKeyAssigner(s, service, term)
 	s.assigners[service] = k
 	s.workers.Go(func() { k.run(ctx) })
 }
 
-func (s *steward) recordOwnReport() {
+func (s *assignmentSupervisor) recordOwnReport() {
 	own := s.traffic.report()
 	s.setOwnReport(own)
 	s.workTimes.note(own.loads)
@@ -159,14 +159,14 @@
 }
 
 // setOwn keeps this process's last report.
-func (s *steward) setOwnReport(own *ownReport) {
+func (s *assignmentSupervisor) setOwnReport(own *ownReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastReport = own
 }
 
 // lastOwn returns this process's last report. It is not changed any more.
-func (s *steward) lastOwnReport() *ownReport {
+func (s *assignmentSupervisor) lastOwnReport() *ownReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lastReport == nil {
@@ -176,7 +176,7 @@
 }
 
 // asked notes the keys that another gateway was asked for.
-func (s *steward) recordRequests(counts []*syncpb.KeyCounts) {
+func (s *assignmentSupervisor) recordRequests(counts []*syncpb.KeyCounts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range counts {
@@ -191,7 +191,7 @@
 }
 
 // load reads the stored assignment of a service. Without one it returns nil.
-func (s *steward) load(ctx context.Context, service string) (*spans.Table, uint64, error) {
+func (s *assignmentSupervisor) load(ctx context.Context, service string) (*spans.Table, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout+relayTimeout)
 	defer cancel()
 	object, err := s.store.Get(ctx, spansKind, service)
@@ -210,7 +210,7 @@
 
 // save writes an assignment if the stored one still has the revision, and
 // returns the new revision. A write whose answer was lost is recognized.
-func (s *steward) save(ctx context.Context, t *spans.Table, revision uint64) (uint64, error) {
+func (s *assignmentSupervisor) save(ctx context.Context, t *spans.Table, revision uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout+relayTimeout)
 	defer cancel()
 	var object platform.Object
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -56,10 +56,10 @@
 // its first term for one of its own. (A write from before a claim was taken for a write whose
 // answer was lost, as both were the first of their keepers.)
 func TestWriterNamesDifferBetweenTerms(t *testing.T) {
-	s := &steward{cluster: newCluster(&syncpb.Member{Node: "g", Incarnation: "i"}, nil, time.Now, nil), log: slog.New(slog.DiscardHandler), now: time.Now}
+	s := &assignmentSupervisor{cluster: newCluster(&syncpb.Member{Node: "g", Incarnation: "i"}, nil, time.Now, nil), log: slog.New(slog.DiscardHandler), now: time.Now}
 	writers := make(map[string]bool)
 	for term := range uint64(3) {
-		k, table := newKeeper(s, "status", term), &spans.Table{}
+		k, table := newKeyAssigner(s, "status", term), &spans.Table{}
 		k.stamp(table)
 		writers[table.Writer] = true
 	}
@@ -76,7 +76,7 @@
 	b := standard(t)
 	l := b.leader()
 	ctx := context.Background()
-	later := newKeeper(l.steward, "status", l.cluster.knownLeader().Term+1)
+	later := newKeyAssigner(l.steward, "status", l.cluster.knownLeader().Term+1)
 	var old *spans.Table
 	var revision uint64
 	// The living leader may write in between; a claim is then tried again.
@@ -127,7 +127,7 @@
 	now := time.Now()
 	clock := func() time.Time { return now }
 	self := &syncpb.Member{Node: "fresh", Address: "10.0.0.9:1", Domain: "a"}
-	l := &leading{now: clock, cluster: newCluster(self, nil, clock, nil)}
+	l := &leaderElector{now: clock, cluster: newCluster(self, nil, clock, nil)}
 	former := leadership.Lease{Term: 7, Voters: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}}
 	if diff := cmp.Diff(former.Voters, l.initialVoters(former)); diff != "" {
 		t.Error(diff)
@@ -150,7 +150,7 @@
 	if !l.votersMayChange() {
 		t.Error("the voters never change")
 	}
-	first := &leading{now: clock, cluster: l.cluster}
+	first := &leaderElector{now: clock, cluster: l.cluster}
 	if diff := cmp.Diff([]string{self.Address}, first.initialVoters(leadership.Lease{})); diff != "" {
 		t.Error(diff)
 	}
@@ -185,7 +185,7 @@
 		if c.told != nil {
 			v.setSpans(c.told)
 		}
-		k := &keeper{steward: &steward{view: v}, service: "status"}
+		k := &keyAssigner{assignmentSupervisor: &assignmentSupervisor{view: v}, service: "status"}
 		stored := table(term, 5, "stored")
 		got := k.newestTable(stored)
 		if got.Spans[0].Owner != c.want || got.LastFence < stored.LastFence {
--- a/gateway/turns_test.go
+++ b/gateway/turns_test.go
@@ -31,13 +31,13 @@
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
 	c := newCluster(&syncpb.Member{Incarnation: "a"}, http.DefaultClient, time.Now, nil)
-	lead := &leading{now: time.Now, cluster: c}
+	lead := &leaderElector{now: time.Now, cluster: c}
 	lead.right.Renewed(time.Now().Add(time.Hour - leadership.Term))
-	s := &steward{
+	s := &assignmentSupervisor{
 		view: newView(), cluster: c, now: time.Now, log: slog.New(slog.DiscardHandler), elector: lead,
 		owners: platform.NewOwners(pool.New(upstreamLimits, time.Now)), turns: newTurns(mostGrantCalls),
 	}
-	k := newKeeper(s, "s", 1)
+	k := newKeyAssigner(s, "s", 1)
 	to := &instances.Instance{ID: "i-1", Address: l.Addr().String()}
 	const calls = 300
 	var running sync.WaitGroup
