--- a/gateway/assignmentsupervisor.go
+++ b/gateway/assignmentsupervisor.go
@@ -13,11 +13,10 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// spansKind is the kind under which assignments lie in the store, by service.
+// spansKind is the store kind of assignments, which are stored by service name.
 const spansKind = "rockcroft-spans"
 
-// steward runs, in the leader, one keeper for each keyed service: it plans who
-// owns which keys, makes the moves and renews the grants.
+// assignmentSupervisor runs one keyAssigner for each keyed service while this process leads.
 type assignmentSupervisor struct {
 	view    *view
 	cluster *cluster
@@ -25,34 +24,34 @@
 	store   *platform.Store
 	calls   *storeCaller
 	owners  *platform.Owners
-	// turns bounds the grants under way.
+	// turns limits how many grant calls begin at the same time.
 	turns   turns
 	elector *leaderElector
 	maxHold time.Duration
 	now     func() time.Time
 	log     *slog.Logger
 	meters  *meters
-	// placements are the operators' intents.
+	// placements are the operators' placement intents.
 	placements *placements
 
 	mu        sync.Mutex
 	cancel    context.CancelFunc
 	workers   sync.WaitGroup
 	assigners map[string]*keyAssigner
-	// own is this process's last report.
+	// lastReport is this process's last load report.
 	lastReport *ownReport
-	// hotKeys are those of the services that this process keeps.
+	// hotKeys are the hot keys of the services that this process assigns.
 	hotKeys hotKeys
-	// rights are those to send to upstreams that warm up.
+	// rights are the rights to send to upstreams that warm up.
 	rights *rights
-	// workTimes are the times of runs as all gateways see them.
+	// workTimes are the work times of requests, as seen by all gateways.
 	workTimes *workTimes
-	// limits are those that upstreams name.
+	// limits are the request limits that upstreams announce.
 	limits *namedLimits
 }
 
-// start begins to keep the services, and runs inquire beside that. It is called
-// when this process takes the lead.
+// start begins to assign the keys of all services, and runs inquire concurrently. It is called
+// when this process becomes the leader.
 func (s *assignmentSupervisor) start(term uint64, inquire func(context.Context)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +65,7 @@
 	s.workers.Go(func() { s.placements.load(ctx) })
 }
 
-// stop ends the work. It does not wait for it.
+// stop ends the work without waiting for it.
 func (s *assignmentSupervisor) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,20 +78,20 @@
 	s.placements.unload()
 }
 
-// keeper returns the keeper of a service, or nil.
+// assigner returns the keyAssigner of a service, or nil.
 func (s *assignmentSupervisor) assigner(service string) *keyAssigner {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.assigners[service]
 }
 
-// end stops and waits until all work has ended.
+// stopAndWait stops the work and waits until it has ended.
 func (s *assignmentSupervisor) stopAndWait() {
 	s.stop()
 	s.workers.Wait()
 }
 
-// finish ends the work and saves what it changed.
+// finish stops the work, waits until it has ended and saves the completed moves.
 func (s *assignmentSupervisor) finish(ctx context.Context) {
 	s.mu.Lock()
 	keepers := s.assigners
@@ -105,13 +104,13 @@
 	}
 }
 
-// run starts a keeper for each keyed service of the configuration, and notes
-// this process's own load as the other gateways report theirs.
+// run starts a keyAssigner for each keyed service of the configuration, and records this
+// process's own load in the same way as the reports of other gateways.
 func (s *assignmentSupervisor) run(ctx context.Context, term uint64) {
 	for ctx.Err() == nil {
 		table := s.view.table.Load()
 		if table == nil {
-			// It leads before it has any view: nothing is served until it has.
+			// This process leads before it has a view of the configuration. Nothing is served until then.
 			pause(ctx, assignerTick)
 			continue
 		}
@@ -158,14 +157,14 @@
 	}, elsewhere, admitted(s.hotKeys.messages()))
 }
 
-// setOwn keeps this process's last report.
+// setOwnReport stores this process's last load report.
 func (s *assignmentSupervisor) setOwnReport(own *ownReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastReport = own
 }
 
-// lastOwn returns this process's last report. It is not changed any more.
+// lastOwnReport returns this process's last load report, which is immutable.
 func (s *assignmentSupervisor) lastOwnReport() *ownReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,7 +174,7 @@
 	return s.lastReport
 }
 
-// asked notes the keys that another gateway was asked for.
+// recordRequests counts the requested keys that another gateway reported.
 func (s *assignmentSupervisor) recordRequests(counts []*syncpb.KeyCounts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,7 +189,7 @@
 	}
 }
 
-// load reads the stored assignment of a service. Without one it returns nil.
+// load reads the stored assignment of a service. It returns nil when none is stored.
 func (s *assignmentSupervisor) load(ctx context.Context, service string) (*spans.Table, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout+relayTimeout)
 	defer cancel()
@@ -208,8 +207,8 @@
 	return t, object.Revision, t.Check()
 }
 
-// save writes an assignment if the stored one still has the revision, and
-// returns the new revision. A write whose answer was lost is recognized.
+// save writes an assignment if the stored one still has the given revision, and returns the
+// new revision. It recognizes an earlier write of its own whose response was lost.
 func (s *assignmentSupervisor) save(ctx context.Context, t *spans.Table, revision uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout+relayTimeout)
 	defer cancel()
--- a/gateway/keyassigner.go
+++ b/gateway/keyassigner.go
@@ -14,62 +14,64 @@
 )
 
 const (
-	// holdTime is how long a grant lasts while the store is reached: keys of an
-	// upstream that is lost without a word are free after it.
-	// It must outlast the loss of a leader: a renewal interval, the term of its
-	// lease and the time to take over. Shorter ones cost more renewals, and keys taken sooner
-	// from owners that come back run cold for longer.
+	// holdDuration is how long a grant lasts while the store is reachable: when an upstream
+	// is lost without notice, its keys become free after this time. It must outlast the loss
+	// of a leader: a renewal interval, the term of the lease and the time for a successor to
+	// take over. A shorter hold costs more renewals and moves keys away sooner from owners
+	// that come back, whose keys then run cold for longer.
 	holdDuration = 4 * time.Second
 	// renewInterval is the time between renewals of a grant.
 	renewInterval = 1000 * time.Millisecond
-	// clockSlowness is how much slower than ours an upstream's clock may run
-	// that measures a grant.
+	// maxClockSlowdown is the factor by which the clock of an upstream that measures a grant
+	// may run slower than the local clock.
 	maxClockSlowdown = 1.02
-	// arrivalMargin is added to the end of a grant for calls on their way.
+	// grantTransitMargin is added to the end of a grant for the time that its call is in transit.
 	grantTransitMargin = 200 * time.Millisecond
 	// planInterval is the time between plans.
 	planInterval = 250 * time.Millisecond
-	// balanceInterval is the time between plans that even loads out, where nothing is
-	// urgent. Each plan with moves is a write to the store and news to all gateways.
+	// rebalanceInterval is the time between plans that rebalance load when nothing is urgent.
+	// Each plan with moves costs a store write and an update to all gateways.
 	rebalanceInterval = time.Second
-	// saveInterval is how long moves that have ended are collected for one write. If
-	// the leader is lost before that, its successor goes by what the other gateways
-	// were told; a move whose end it was not told it makes again.
+	// saveInterval is how long completed moves are collected for one write. If the leader is
+	// lost before the write, its successor uses the newest assignment that was published to it,
+	// and repeats every move whose completion it did not hear of.
 	saveInterval = time.Second
-	// keepInterval is the time between looks at what is due.
+	// assignerTick is the time between checks for due work.
 	assignerTick = 25 * time.Millisecond
-	// publishInterval is the least time between versions of the assignment. Each is copied,
-	// kept for differences and told to all gateways at once: of a hundred moves of one plan
-	// many end within a few milliseconds.
+	// publishInterval is the minimum time between versions of the assignment. Each version is
+	// copied, kept for computing differences and sent to all gateways at once. In a plan with a
+	// hundred moves many complete within a few milliseconds.
 	publishInterval = 20 * time.Millisecond
-	// publishPause is the same for each gateway: each version is an answer to each of them.
+	// publishIntervalPerGateway times the number of gateways is the minimum in a large cluster,
+	// because every gateway receives every version.
 	publishIntervalPerGateway = 300 * time.Microsecond
-	// gatherTime is how long the set of upstreams must be unchanged before the
-	// first assignment, gatherMost the longest wait for that.
+	// registrationQuietTime is how long the set of upstreams must be unchanged before the
+	// first assignment is made; registrationMaxWait is the longest wait for that.
 	registrationQuietTime = 1200 * time.Millisecond
 	registrationMaxWait   = 4 * time.Second
-	// grantTimeout bounds one grant, which takes a millisecond or two, also on a
-	// machine that runs some times slower; releaseTimeout one release, which is
-	// answered when the work on the keys has ended.
+	// grantTimeout bounds one grant call, which takes a millisecond or two; the margin covers
+	// machines that run several times slower. releaseTimeout bounds one release call, which is
+	// answered only when the work on the keys has ended.
 	grantTimeout   = 250 * time.Millisecond
 	releaseTimeout = 2500 * time.Millisecond
-	// callPause is the time between tries of a call.
+	// controlRetryInterval is the time between attempts of a control call.
 	controlRetryInterval = 80 * time.Millisecond
-	// restTime is how long a span that has moved is not moved again for
-	// balance: its load on the new owner must show first.
+	// moveCooldown is how long a span that has moved is not moved again to balance load: the
+	// load on its new owner must become visible first.
 	moveCooldown = 2 * time.Second
-	// trialInterval is the time between trial calls to an upstream whose calls fail:
-	// with a timeout of 250 ms each two are made before its keys are given to others.
+	// probeInterval is the time between probe calls to an upstream whose control calls fail.
+	// With timeouts of 250 ms, two probes are made before its keys are given to others.
 	probeInterval = 200 * time.Millisecond
-	// defaultRate is the assumed number of requests a second that one slot
-	// runs, before any were seen.
+	// defaultSlotRate is the number of requests per second that one slot is assumed to run
+	// before any were observed.
 	defaultSlotRate = 15
-	// fenceLeap is how far the fence is raised beyond one that an upstream
-	// has seen from elsewhere.
+	// fenceIncrement is how far the fence counter is raised when an upstream has seen a higher
+	// fence from another source.
 	fenceIncrement = 64
 )
 
-// keeper keeps the assignment of one service.
+// keyAssigner assigns the keys of one service to its upstreams: it plans moves, carries them
+// out, renews grants, and stores and publishes the assignment.
 type keyAssigner struct {
 	*assignmentSupervisor
 	service string
@@ -81,57 +83,58 @@
 
 	mu    sync.Mutex
 	table *spans.Table
-	// revision is that of the stored assignment; zero when there is none.
+	// revision is the store revision of the assignment; zero when none is stored.
 	revision uint64
 	unsaved  bool
-	// deposed says that a later leader keeps the service.
+	// superseded is set once a newer leader has taken over the assignment.
 	superseded bool
 	savedAt    time.Time
-	// published is when the table was last given to the view, pending that it has changed
-	// since.
+	// publishedAt is when the table was last published to the view; unpublished is set when it
+	// has changed since.
 	publishedAt time.Time
 	unpublished bool
-	// balanced is when a plan last evened loads out.
+	// rebalancedAt is when a plan last rebalanced load.
 	rebalancedAt time.Time
 	writeCount   int
-	// holds is until when an upstream may hold keys by the grants known here.
+	// holdDeadlines is until when an upstream may hold keys by the grants that this leader made.
 	holdDeadlines map[grantID]time.Time
-	// sole says that no other leader has ever granted keys of the service.
+	// onlyGranter is set when no other leader has ever granted keys of the service.
 	onlyGranter bool
-	// settled is when a span's last move ended.
+	// movedAt is when the last move of a span ended, by the span's first key.
 	movedAt map[uint16]time.Time
-	// coldAt is the same for parts of it too, began when this leader took over the table.
+	// coldSince is the same, but also copied to the parts of a span that was split. tookOverAt
+	// is when this leader took over the table.
 	coldSince  map[uint16]time.Time
 	tookOverAt time.Time
-	// renewed is when a span's grant was last renewed.
+	// grantRenewedAt is when the grant of a span was last renewed.
 	grantRenewedAt map[uint16]time.Time
-	// moving are the fences of moves under way here.
+	// activeMoves are the fences of the moves that this leader is carrying out.
 	activeMoves map[uint64]bool
-	// inherited are the fences of moves that a leader before began: their next
-	// owner may hold the keys already.
+	// inheritedMoves are the fences of moves that a former leader began: their next owner may
+	// already hold the keys.
 	inheritedMoves map[uint64]bool
-	// renewing are owners whose grants are being renewed.
+	// callsInFlight are the upstreams to which renewals or probes are under way.
 	callsInFlight map[string]bool
-	// failing are upstreams to which calls fail, granted is when grants to upstreams were last
-	// answered.
+	// failing are the upstreams whose control calls fail; lastGranted is when a grant was last
+	// answered by each upstream.
 	failing     map[string]controlFailure
 	lastGranted map[string]time.Time
-	// dead are upstreams known to have ended, as they were then.
+	// terminated are the starts of upstreams that are known to have ended, by upstream ID.
 	terminated map[string]upstreamStart
-	// starts are the upstreams as of the last plan.
+	// lastStarts are the starts of the upstreams as of the last plan, by upstream ID.
 	lastStarts map[string]upstreamStart
-	// toldStuck is when it was last logged that keys stay on a busy owner.
+	// stuckLoggedAt is when it was last logged that keys cannot leave a busy owner.
 	stuckLoggedAt time.Time
 	tasks         sync.WaitGroup
 }
 
-// grantID names the grants of a span to one owner: the next owner's have another fence.
+// grantID identifies the grants of a span to one owner. Every later owner has another fence.
 type grantID struct {
 	first uint16
 	fence uint64
 }
 
-// owned names the grants to the owner of a span.
+// ownerGrant identifies the grants to the current owner of a span.
 func ownerGrant(s spans.Span) grantID { return grantID{first: s.First, fence: s.Fence} }
 
 func newKeyAssigner(s *assignmentSupervisor, service string, term uint64) *keyAssigner {
@@ -144,7 +147,7 @@
 	}
 }
 
-// asked counts one request for a key.
+// recordRequest counts one request for a key.
 func (k *keyAssigner) recordRequest(key uint16) {
 	k.rateMu.Lock()
 	defer k.rateMu.Unlock()
@@ -157,7 +160,7 @@
 	return k.rateEstimator.Rates(k.now())
 }
 
-// run keeps the service until ctx ends.
+// run manages the assignment of the service until ctx ends or a newer leader takes over.
 func (k *keyAssigner) run(ctx context.Context) {
 	if !k.initialize(ctx) {
 		return
@@ -180,7 +183,7 @@
 	}
 }
 
-// finish waits for the moves under way and saves what has ended.
+// finish waits for the work under way and saves the moves that have completed.
 func (k *keyAssigner) finish(ctx context.Context) {
 	k.tasks.Wait()
 	k.mu.Lock()
@@ -194,18 +197,18 @@
 		return
 	}
 	if _, err := k.save(ctx, next, revision); err != nil {
-		k.log.Warn("owners not saved at the end of the lead", "error", err)
+		k.log.Warn("assignment not saved before leadership ended", "error", err)
 	}
 }
 
-// begin loads the assignment, or makes the first one.
+// initialize loads and claims the stored assignment, or creates the first one.
 func (k *keyAssigner) initialize(ctx context.Context) bool {
 	backoff := firstBackoff
 	for ctx.Err() == nil {
 		table, revision, err := k.load(ctx, k.service)
 		switch {
 		case err != nil:
-			k.log.Warn("owners not loaded", "error", err)
+			k.log.Warn("assignment could not be loaded", "error", err)
 			pause(ctx, backoff)
 			backoff = min(2*backoff, longestBackoff)
 			continue
@@ -215,7 +218,8 @@
 			}
 		}
 		if k.claim(ctx, k.newestTable(table), revision) {
-			// Nobody grants keys before the assignment is in the store.
+			// Keys are granted only after the assignment is stored, so without a stored one there
+			// are no earlier grants.
 			k.setOnlyGranter(revision == 0)
 			return true
 		}
@@ -224,9 +228,9 @@
 	return false
 }
 
-// newest returns what the former leader has told this gateway of its assignment, when
-// that is newer than the stored one: moves that have ended are saved some time later.
-// Whatever it told, its fences are reserved in the store.
+// newestTable returns the assignment that the former leader published to this gateway when
+// it is newer than the stored one, as completed moves are stored with a delay. Every fence
+// in a published table is already reserved in the store.
 func (k *keyAssigner) newestTable(stored *spans.Table) *spans.Table {
 	told := k.view.spansOf(k.service)
 	if told == nil || told.Version <= stored.Version || told.Version>>termShift != stored.Version>>termShift {
@@ -237,41 +241,41 @@
 	return next
 }
 
-// claim writes the assignment in this leader's name before anything else is
-// done with it: what a former leader writes later is refused by the store, and
-// what it wrote before is in this table.
+// claim writes the assignment in this leader's name before it is used in any other way.
+// Later writes of a former leader are then refused by the store, and its earlier writes are
+// contained in this table.
 func (k *keyAssigner) claim(ctx context.Context, table *spans.Table, revision uint64) bool {
 	k.stamp(table)
 	got, err := k.save(ctx, table, revision)
 	if err != nil {
-		k.log.Warn("owners not claimed", "error", err)
+		k.log.Warn("assignment could not be claimed", "error", err)
 		return false
 	}
 	k.adopt(table, got)
 	return true
 }
 
-// stamp gives a table the next version and writer of this leader.
+// stamp gives a table the next version and writer name of this leader.
 func (k *keyAssigner) stamp(t *spans.Table) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.stampLocked(t)
 }
 
-// stampLocked is stamp with the lock held. The term is in the name of the writer, as a
-// process that leads again counts its writes anew: a write of its former term is not the
-// one whose answer was lost.
+// stampLocked is stamp for callers that hold k.mu. The writer name contains the term because
+// a process that leads again restarts its write count: without the term, a write of its former
+// term could be taken for one of its own writes whose response was lost.
 func (k *keyAssigner) stampLocked(t *spans.Table) {
 	k.writeCount++
 	t.Version = k.term<<termShift | uint64(k.writeCount)
 	t.Writer = fmt.Sprintf("%s/%d/%d", k.cluster.self.Incarnation, k.term, k.writeCount)
 }
 
-// termShift is where the leader's term lies in the version of an assignment:
-// versions of a later leader are higher.
+// termShift is the position of the leader's term in the version of an assignment, so that
+// versions of later leaders are higher.
 const termShift = 32
 
-// adopt takes over an assignment at the begin of this leader's term.
+// adopt takes over a claimed assignment at the beginning of this leader's term.
 func (k *keyAssigner) adopt(table *spans.Table, revision uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -284,16 +288,16 @@
 		}
 	}
 	k.publish()
-	k.log.Info("owners known", "spans", len(table.Spans), "last_fence", table.LastFence)
+	k.log.Info("assignment claimed", "spans", len(table.Spans), "last_fence", table.LastFence)
 }
 
-// heldFor is how long an upstream may hold keys after a grant for the time has
-// arrived, by this process's clock.
+// holdWithMargin returns how long an upstream may hold keys after a grant of the given
+// duration has arrived, measured by the local clock.
 func holdWithMargin(hold time.Duration) time.Duration {
 	return time.Duration(float64(hold)*maxClockSlowdown) + grantTransitMargin
 }
 
-// first waits until the upstreams have registered and assigns the keys to them.
+// initialTable waits until the upstreams have registered and assigns the keys to them.
 func (k *keyAssigner) initialTable(ctx context.Context) *spans.Table {
 	began := k.now()
 	count, since := 0, began
@@ -311,8 +315,8 @@
 	return nil
 }
 
-// publish gives the present table to the view, and so to the other gateways, at once if
-// none was given for a while, else soon. The lock is held.
+// publish gives the current table to the view, and thereby to the other gateways: at once if
+// the last version is old enough, otherwise as soon as it is. The caller holds k.mu.
 func (k *keyAssigner) publish() {
 	k.stampLocked(k.table)
 	k.unpublished = true
@@ -321,7 +325,8 @@
 	}
 }
 
-// publishDue reports whether the last version was given long enough ago. The lock is held.
+// publishDue reports whether the last version was published long enough ago. The caller
+// holds k.mu.
 func (k *keyAssigner) publishDue() bool {
 	pause := max(publishInterval, time.Duration(k.cluster.gateways())*publishIntervalPerGateway)
 	return k.now().Sub(k.publishedAt) >= pause
@@ -332,7 +337,7 @@
 	k.view.setSpans(k.table.Clone())
 }
 
-// publishPending gives the table to the view if it has changed since and it is time.
+// publishPending publishes the table if it has changed and the next version is due.
 func (k *keyAssigner) publishPending() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -362,8 +367,9 @@
 	return ownership.PreferWarm(out)
 }
 
-// capacity is how many requests a second the upstream can run, by what was seen of its runs and
-// by the limit that it may name: else its keys stay where most of their requests are refused.
+// capacity returns how many requests per second the upstream can run, from its observed work
+// times and from the limit that it may announce. Without that limit, keys would stay on an
+// upstream that refuses most of their requests.
 func (k *keyAssigner) capacity(one *instances.Instance) float64 {
 	work := k.workTimes.of(k.service, one.ID)
 	if work <= 0 {
@@ -376,7 +382,7 @@
 	return capacity
 }
 
-// warming returns the upstreams that warm up and whose requests are bounded, by ID.
+// warming returns the IDs of the upstreams that warm up and whose requests are limited.
 func (k *keyAssigner) warming() map[string]bool {
 	out := make(map[string]bool)
 	for _, one := range k.traffic.get(k.service).warming(k.now()) {
--- a/gateway/keyassignerstore.go
+++ b/gateway/keyassignerstore.go
@@ -11,10 +11,10 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// This file brings plans and ended moves into the store.
+// This file writes plans and completed moves to the store.
 
-// plan makes the moves that are due part of the assignment, in the store
-// first: no grant carries a fence that is not reserved there.
+// plan adds the moves that are due to the assignment. They are stored before they begin, so
+// that every granted fence is reserved in the store.
 func (k *keyAssigner) plan(ctx context.Context) {
 	owners, load := k.candidates(), k.rates()
 	pins, unreliable := k.placements.pins(k.service), k.controlUnreliable(owners)
@@ -37,8 +37,8 @@
 	k.commit(ctx, next)
 }
 
-// resting returns the first keys of spans that have moved lately. The lock is
-// held.
+// recentlyMoved returns the first keys of the spans that have moved recently. The caller
+// holds k.mu.
 func (k *keyAssigner) recentlyMoved() map[uint16]bool {
 	out := make(map[uint16]bool)
 	for first, at := range k.movedAt {
@@ -49,10 +49,10 @@
 	return out
 }
 
-// commit writes a table with new moves and adopts it when it is stored.
+// commit stores a table with new moves and adopts it once it is stored.
 func (k *keyAssigner) commit(ctx context.Context, next *spans.Table) {
 	if err := next.Check(); err != nil {
-		k.log.Error("plan dropped", "error", err)
+		k.log.Error("invalid plan dropped", "error", err)
 		return
 	}
 	k.mu.Lock()
@@ -75,8 +75,8 @@
 	k.publish()
 }
 
-// merge brings the moves that ended while the table was being written into it, and
-// reports whether there were any: the store does not have them. The lock is held.
+// mergeEndedMoves copies moves that completed while the table was being stored into it, and
+// reports whether there were any, as the store does not have them yet. The caller holds k.mu.
 func (k *keyAssigner) mergeEndedMoves(next *spans.Table) (merged *spans.Table, changed bool) {
 	for i := range next.Spans {
 		s := &next.Spans[i]
@@ -93,8 +93,8 @@
 	return next, changed
 }
 
-// inheritHolds gives spans that were split what was known of the whole. The
-// lock is held.
+// inheritSplitHolds copies the recorded state of a span to the parts it was split into. The
+// caller holds k.mu.
 func (k *keyAssigner) inheritSplitHolds(before, next *spans.Table) {
 	for _, s := range next.Spans {
 		from := before.Find(s.First)
@@ -107,37 +107,37 @@
 	}
 }
 
-// forgetHolds drops those that have ended. The lock is held.
+// dropExpiredHolds removes expired hold deadlines. The caller holds k.mu.
 func (k *keyAssigner) dropExpiredHolds() {
 	now := k.now()
 	maps.DeleteFunc(k.holdDeadlines, func(_ grantID, until time.Time) bool { return now.After(until) })
 }
 
-// saveFailed handles a write that was not acknowledged.
+// handleSaveError handles a write that was not acknowledged.
 func (k *keyAssigner) handleSaveError(ctx context.Context, err error) {
 	if !errors.Is(err, platform.ErrConflict) {
-		k.log.Warn("owners not saved", "error", err)
+		k.log.Warn("assignment could not be saved", "error", err)
 		return
 	}
 	table, revision, err := k.load(ctx, k.service)
 	if err != nil || table == nil {
-		k.log.Warn("owners not loaded after a conflict", "error", err)
+		k.log.Warn("assignment could not be loaded after a write conflict", "error", err)
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if table.Version>>termShift > k.term {
-		k.log.Warn("owners are kept by a later leader", "writer", table.Writer)
+		k.log.Warn("assignment was taken over by a newer leader", "writer", table.Writer)
 		k.superseded = true
 		return
 	}
-	// A write of this leader took effect late. None of its moves was begun.
-	k.log.Warn("owners were changed by a late write", "writer", table.Writer, "revision", revision)
+	// A delayed write of this leader took effect. None of its moves has begun.
+	k.log.Warn("assignment was changed by a delayed write of this leader", "writer", table.Writer, "revision", revision)
 	k.revision = revision
 	k.table.LastFence = max(k.table.LastFence, table.LastFence)
 }
 
-// saveDone writes moves that have ended to the store, together.
+// saveEndedMoves stores completed moves in batches.
 func (k *keyAssigner) saveEndedMoves(ctx context.Context) {
 	k.mu.Lock()
 	due := k.unsaved && k.now().Sub(k.savedAt) > saveInterval
--- a/gateway/upstreamcontrol.go
+++ b/gateway/upstreamcontrol.go
@@ -10,10 +10,11 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// This file notes what calls to upstreams show of them, and which of their starts that is
-// about.
+// This file records the results of control calls to upstreams, separately for each start of
+// an upstream.
 
-// start is one start of an upstream: it may come back under its ID, at another address.
+// upstreamStart identifies one start of an upstream, which may restart under the same ID at
+// another address.
 type upstreamStart struct {
 	address     string
 	incarnation instances.Incarnation
@@ -23,14 +24,14 @@
 	return upstreamStart{address: one.Address, incarnation: one.Incarnation()}
 }
 
-// failure is a time in which the calls to an upstream fail.
+// controlFailure describes a period in which the control calls to an upstream fail.
 type controlFailure struct {
 	since, lastFailed time.Time
-	// reached says that the last call was a trial and was answered.
+	// probeAnswered is set when the last call was a probe and was answered.
 	probeAnswered bool
 }
 
-// isDead reports whether this start of the upstream is known to have ended.
+// hasTerminated reports whether this start of the upstream is known to have ended.
 func (k *keyAssigner) hasTerminated(one *instances.Instance) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -38,21 +39,22 @@
 	return ok && at == startOfUpstream(one)
 }
 
-// ended notes that an upstream has ended, as it was when it was called.
+// markTerminated records that the start of the upstream that was called has ended.
 func (k *keyAssigner) markTerminated(one *instances.Instance) {
-	k.log.Info("owner has ended, its address is another's", "upstream", one.ID, "address", one.Address)
+	k.log.Info("owner has terminated, its address now belongs to another instance", "upstream", one.ID, "address", one.Address)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.terminated[one.ID] = startOfUpstream(one)
 }
 
-// noteStart forgets what calls to an earlier start of the upstream have shown.
+// recordStart records the current start of the upstream. After a restart it discards what
+// control calls to the earlier start have shown.
 func (k *keyAssigner) recordStart(one *instances.Instance) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := startOfUpstream(one)
 	if before, ok := k.lastStarts[one.ID]; ok && before != now {
-		k.log.Info("upstream has started again", "upstream", one.ID, "address", one.Address)
+		k.log.Info("upstream restarted", "upstream", one.ID, "address", one.Address)
 		delete(k.failing, one.ID)
 		delete(k.lastGranted, one.ID)
 		delete(k.terminated, one.ID)
@@ -61,7 +63,7 @@
 	k.lastStarts[one.ID] = now
 }
 
-// forgetStarts drops upstreams that are not known any more.
+// forgetRemovedUpstreams drops the state of upstreams that are no longer registered.
 func (k *keyAssigner) forgetRemovedUpstreams(v *instances.View) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -71,14 +73,14 @@
 	maps.DeleteFunc(k.lastGranted, func(id string, _ time.Time) bool { return v.Get(id) == nil })
 }
 
-// control returns what control calls and requests have shown of an upstream.
+// controlHealth returns what control calls and requests have shown of an upstream.
 func (k *keyAssigner) controlHealth(id string) ownership.ControlHealth {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.controlHealthLocked(id)
 }
 
-// controlLocked is control with the lock held.
+// controlHealthLocked is controlHealth for callers that hold k.mu.
 func (k *keyAssigner) controlHealthLocked(id string) ownership.ControlHealth {
 	f := k.failing[id]
 	return ownership.ControlHealth{
@@ -86,7 +88,8 @@
 	}
 }
 
-// unreliable reports whether control calls get no answers at upstreams that answer requests.
+// controlUnreliable reports whether control calls get no answer from upstreams that do answer
+// requests.
 func (k *keyAssigner) controlUnreliable(owners []ownership.Owner) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -97,7 +100,8 @@
 	return ownership.ControlUnreliable(k.now(), all)
 }
 
-// failingFor returns how long the calls to an upstream fail.
+// failingFor returns how long the control calls to an upstream have been failing; zero if
+// they succeed.
 func (k *keyAssigner) failingFor(id string) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -108,7 +112,8 @@
 	return max(k.now().Sub(f.since), time.Millisecond)
 }
 
-// fails notes that a call to an upstream failed, works that one succeeded.
+// recordFailure records that a control call to an upstream failed; clearFailure records that
+// one succeeded.
 func (k *keyAssigner) recordFailure(id string) {
 	k.meters.inc(k.meters.service(ownersUnanswered, k.service))
 	k.mu.Lock()
@@ -122,8 +127,8 @@
 	k.failing[id] = f
 }
 
-// reaches notes that a trial call to an upstream was answered. One with keys counts as
-// failing until a grant is answered too: some take no grants, but all else.
+// recordProbeAnswer records that an upstream answered a probe. An upstream that owns keys
+// still counts as failing until it answers a grant: some answer everything but grants.
 func (k *keyAssigner) recordProbeAnswer(id string) {
 	k.mu.Lock()
 	f, ok := k.failing[id]
@@ -138,7 +143,7 @@
 	}
 }
 
-// owns reports whether the upstream owns keys. The lock is held.
+// ownsKeys reports whether the upstream owns keys. The caller holds k.mu.
 func (k *keyAssigner) ownsKeys(id string) bool {
 	return slices.ContainsFunc(k.table.Spans, func(s spans.Span) bool { return s.Owner == id })
 }
@@ -149,7 +154,7 @@
 	k.clearFailureLocked(id)
 }
 
-// worksLocked is works with the lock held.
+// clearFailureLocked is clearFailure for callers that hold k.mu.
 func (k *keyAssigner) clearFailureLocked(id string) {
 	if f, ok := k.failing[id]; ok {
 		delete(k.failing, id)
