--- a/gateway/leaderelector.go
+++ b/gateway/leaderelector.go
@@ -14,27 +14,27 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// Where the leader's lease lies in the store.
+// Kind and name of the leader's lease in the store.
 const (
 	leaseKind = "rockcroft-leases"
 	leaseName = "leader"
 )
 
 const (
-	// rankPause keeps gateways from reaching for the lease at the same moment:
-	// each waits this much longer than the one before it.
+	// rankDelay keeps gateways from trying to acquire the lease at the same moment: each waits
+	// this much longer than the gateway ranked before it.
 	rankDelay = 120 * time.Millisecond
-	// leadInterval is the time between looks at the lease's state.
+	// leaseCheckInterval is the time between checks of the lease's state.
 	leaseCheckInterval = 50 * time.Millisecond
-	// claimInterval is the time between readings of the lease by a gateway that
-	// would take it.
+	// leaseReadInterval is the time between reads of the lease by a gateway that tries to
+	// acquire it.
 	leaseReadInterval = 500 * time.Millisecond
-	// lateRenewal is how late a renewal of the lease must be for this leader to
-	// ask for promises: enough of its right is left to do so.
+	// renewalGrace is how late a renewal of the lease must be before the leader asks the voters
+	// for promises. Enough of its right to act is left then to collect them.
 	renewalGrace = 400 * time.Millisecond
 )
 
-// leading runs the part of this process in leadership.
+// leaderElector acquires, renews and releases the leader's lease in this process.
 type leaderElector struct {
 	store       *platform.Store
 	calls       *storeCaller
@@ -44,45 +44,45 @@
 	assignments *assignmentSupervisor
 	now         func() time.Time
 	log         *slog.Logger
-	// firstRank is this gateway's place while no members are known.
+	// initialRank is this gateway's rank while no members are known.
 	initialRank int
-	// started is when the process began to look for a leader.
+	// startedAt is when the process began to look for a leader.
 	startedAt time.Time
 	promises  *promises
 	maxHold   time.Duration
 
 	mu    sync.Mutex
 	right leadership.Right
-	// extended is the right by promises, without the store.
+	// promisedRight is the right to act that voter promises give without the store.
 	promisedRight leadership.Right
-	// voterLists are the lists of voters that may be in force: one, or two
-	// while a renewal that changed the list has no answer.
+	// voterLists are the lists of voters that may be in force: normally one, two while a
+	// renewal that changed the list has not been answered.
 	voterLists [][]string
 	claim      leadership.Claim
 	lease      leadership.Lease
 	revision   uint64
-	// formerHolds is until when upstreams may hold keys by grants of a former
-	// leader, once that is known.
+	// formerHoldDeadline is until when upstreams may hold keys by grants of a former leader;
+	// formerHoldKnown is set once that is known.
 	formerHoldDeadline time.Time
 	formerHoldKnown    bool
-	// formerByPromises says that this is so by promises to the former leader.
+	// formerActedByPromises is set when that time results from promises to the former leader.
 	formerActedByPromises bool
 	renewedAt             time.Time
 
-	// resigned is set when this process stops: it takes no lease any more.
+	// resigning is set when this process stops; it does not acquire the lease after that.
 	resigning atomic.Bool
-	// writing is held over each write of the lease.
+	// leaseWriteMu is held during each write of the lease.
 	leaseWriteMu sync.Mutex
 }
 
-// mayAct reports whether this process leads and its right has not run out.
+// mayAct reports whether this process leads and its right to act has not expired.
 func (l *leaderElector) mayAct() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.right.Valid(l.now()) || l.promisedRight.Valid(l.now())
 }
 
-// stillMayAct returns an error when this process may not act any more.
+// checkMayAct returns errNoRight when this process may no longer act as leader.
 func (l *leaderElector) checkMayAct() error {
 	if !l.mayAct() {
 		return errNoRight
@@ -90,16 +90,16 @@
 	return nil
 }
 
-// byPromises reports whether this leader acts by promises: then its grants may
-// last longer, as its successor will ask for these.
+// actsByPromises reports whether this leader acts by voter promises. Its grants may then last
+// longer, because a successor asks the voters about them.
 func (l *leaderElector) actsByPromises() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.promisedRight.Valid(l.now())
 }
 
-// run takes the lease when it is due, keeps it, and watches the store while
-// this gateway leads or hears from no leader.
+// run acquires the lease when that is due and renews it. It also watches the store while this
+// gateway leads or has no recent state from a leader.
 func (l *leaderElector) run(ctx context.Context) {
 	var stopWatch context.CancelFunc
 	var watch sync.WaitGroup
@@ -119,7 +119,7 @@
 			watch.Wait()
 		}
 		if l.cluster.isLeading() {
-			// In a stop it is renewed by the stop, within the time that this has.
+			// During a stop, resign renews the lease, within the time that the stop has left.
 			if !l.resigning.Load() {
 				l.renewIfDue(ctx)
 			}
@@ -135,7 +135,8 @@
 	watch.Wait()
 }
 
-// runExtensions asks for promises while the lease is not renewed, until ctx ends.
+// runExtensions asks the voters for promises while the renewal of the lease is overdue, until
+// ctx ends.
 func (l *leaderElector) runExtensions(ctx context.Context) {
 	for ctx.Err() == nil {
 		if l.cluster.isLeading() && l.renewalOverdue() {
@@ -147,14 +148,14 @@
 	}
 }
 
-// due reports whether this gateway should look whether it can lead.
-// ended says that the leader's process or role seems to have ended.
+// acquireDue reports whether this gateway should try to acquire the lease. ended reports that
+// the leader's process or its role appears to have ended.
 func (l *leaderElector) acquireDue(lost time.Duration, ended bool) bool {
 	if l.resigning.Load() {
 		return false
 	}
 	if l.cluster.knownLeader() == nil {
-		// The lease may be that of the process before this one.
+		// The lease may belong to the previous process at this address.
 		return l.follower.startedAlone() || lost > leaderSilenceTimeout
 	}
 	wait := leaderSilenceTimeout
@@ -164,7 +165,7 @@
 	return lost > wait+time.Duration(l.cluster.rank())*rankDelay
 }
 
-// reach reads the lease and takes it if it may.
+// tryAcquire reads the lease and acquires it if that is allowed.
 func (l *leaderElector) tryAcquire(ctx context.Context, refused bool) {
 	ctx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 	defer cancel()
@@ -180,7 +181,7 @@
 	}
 	var lease leadership.Lease
 	if err := platform.Decode(object, &lease); err != nil {
-		l.log.Error("the leader's lease cannot be read", "error", err)
+		l.log.Error("leader lease could not be decoded", "error", err)
 		return
 	}
 	now := l.now()
@@ -199,7 +200,7 @@
 	l.cluster.setLeader(leaderMessage(lease, object.Revision))
 }
 
-// take writes the lease in this gateway's name.
+// acquire writes the lease in this gateway's name and begins to lead.
 func (l *leaderElector) acquire(ctx context.Context, former leadership.Lease, revision uint64, ends time.Time) {
 	l.leaseWriteMu.Lock()
 	defer l.leaseWriteMu.Unlock()
@@ -220,7 +221,7 @@
 		object, err = l.store.Replace(ctx, leaseKind, leaseName, revision, mine)
 	}
 	if err != nil && !l.isOwnWrite(object, mine) {
-		l.log.Info("lease not taken", "term", mine.Term, "error", err)
+		l.log.Info("lease could not be acquired", "term", mine.Term, "error", err)
 		return
 	}
 	l.mu.Lock()
@@ -238,8 +239,8 @@
 	l.assignments.start(mine.Term, func(ctx context.Context) { l.inquire(ctx, former, ends, l.maxHold) })
 }
 
-// isMine reports whether the object that a refused write returned is what was
-// to be written: its answer was lost.
+// isOwnWrite reports whether the object that a refused write returned is the one that was to
+// be written: that write succeeded and its response was lost.
 func (l *leaderElector) isOwnWrite(o platform.Object, mine leadership.Lease) bool {
 	var there leadership.Lease
 	if len(o.Spec) == 0 || platform.Decode(o, &there) != nil {
@@ -248,7 +249,7 @@
 	return there.Same(mine)
 }
 
-// keep renews the lease when it is due, and stops leading when it is lost.
+// renewIfDue renews the lease when that is due, and stops leading when another holder has it.
 func (l *leaderElector) renewIfDue(ctx context.Context) {
 	l.leaseWriteMu.Lock()
 	defer l.leaseWriteMu.Unlock()
@@ -293,7 +294,7 @@
 	l.cluster.expire()
 }
 
-// doubtful reports whether the lease was not renewed when it was due.
+// renewalOverdue reports whether the lease was not renewed when it was due.
 func (l *leaderElector) renewalOverdue() bool {
 	return l.rightLeft() < leadership.Term-leadership.Renewal-renewalGrace
 }
@@ -304,12 +305,12 @@
 	return l.right.Left(l.now())
 }
 
-// conflict handles a lease that is not as this leader left it. An own renewal
-// that took effect late is taken over; another holder ends the role.
+// handleConflict handles a lease that differs from the last one this leader knew. It adopts a
+// delayed renewal of its own; another holder ends its leadership.
 func (l *leaderElector) handleConflict(o platform.Object) {
 	var there leadership.Lease
 	if err := platform.Decode(o, &there); err != nil {
-		l.log.Error("the leader's lease cannot be read", "error", err)
+		l.log.Error("leader lease could not be decoded", "error", err)
 		return
 	}
 	l.mu.Lock()
--- a/gateway/promises.go
+++ b/gateway/promises.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// promiseTimeout bounds asking one voter.
+	// promiseTimeout bounds the calls to the voters in one round.
 	promiseTimeout = 300 * time.Millisecond
-	// inquiryPause is the time between rounds of asking for promises to a
+	// inquiryRetryInterval is the time between rounds of asking voters about their promises to a
 	// former leader.
 	inquiryRetryInterval = 300 * time.Millisecond
 )
 
-// promises is what this process has promised, for concurrent use.
+// promises holds the promises that this process has made as a voter. It is safe for concurrent
+// use.
 type promises struct {
 	mu    sync.Mutex
 	state *leadership.Promises
@@ -39,7 +40,7 @@
 	return &syncpb.PromiseResponse{Asked: given, AgeMs: uint64(age.Milliseconds())}
 }
 
-// askVoters asks all voters at once and returns the answers by address.
+// askVoters asks all voters concurrently and returns the answers by address.
 func (l *leaderElector) askVoters(ctx context.Context, voters []string, r *syncpb.PromiseRequest) map[string]*syncpb.PromiseResponse {
 	ctx, cancel := context.WithTimeout(ctx, promiseTimeout)
 	defer cancel()
@@ -59,7 +60,7 @@
 		all.Go(func() {
 			resp, err := l.cluster.client(address).Promise(ctx, r)
 			if err != nil {
-				l.log.Debug("voter not reached", "voter", address, "error", err)
+				l.log.Debug("voter did not answer", "voter", address, "error", err)
 				return
 			}
 			note(address, resp)
@@ -69,8 +70,8 @@
 	return answers
 }
 
-// extend asks for the promises that let this leader go on without the store. It
-// needs a majority of each list of voters that may be in force.
+// extend asks the voters for promises that let this leader continue without the store. It
+// needs a majority of each voter list that may be in force.
 func (l *leaderElector) extend(ctx context.Context) {
 	l.mu.Lock()
 	term, lists := l.lease.Term, l.voterLists
@@ -95,20 +96,20 @@
 			}
 		}
 		if given < leadership.Majority(len(list)) {
-			l.log.Warn("too few promises to go on without the store", "given", given, "voters", len(list))
+			l.log.Warn("too few voter promises to keep leading without the store", "given", given, "voters", len(list))
 			return
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.promisedRight.Valid(sent) {
-		l.log.Info("going on without the store, by promises", "term", term, "answers", len(answers))
+		l.log.Info("leading without the store by voter promises", "term", term, "answers", len(answers))
 	}
 	l.promisedRight.Renewed(sent)
 }
 
-// inquire learns from the voters of the former lease until when upstreams may
-// hold keys by its leader's grants. It asks until a majority has answered.
+// inquire asks the voters of the former lease until when upstreams may hold keys by grants of
+// its leader. It repeats the question until a majority has answered.
 func (l *leaderElector) inquire(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) {
 	term := former.Term + 1
 	if former.Term == 0 {
@@ -117,7 +118,7 @@
 	}
 	for ctx.Err() == nil && l.cluster.isLeading() {
 		if until, ok := l.inquireFormerHolds(ctx, former, ends, longest); ok {
-			l.log.Info("grants of the former leader end", "term", former.Term, "in_ms", until.Sub(l.now()).Milliseconds())
+			l.log.Info("end of the former leader's grants is known", "term", former.Term, "in_ms", until.Sub(l.now()).Milliseconds())
 			l.setFormerHoldDeadline(term, until, until.After(ends.Add(holdWithMargin(holdDuration))))
 			return
 		}
@@ -125,8 +126,8 @@
 	}
 }
 
-// formerHoldsEnd asks once. Any majority may be believed, so that of the voters
-// with the earliest ends is.
+// inquireFormerHolds asks the voters once. Any majority is sufficient evidence, so it uses the
+// majority with the earliest ends.
 func (l *leaderElector) inquireFormerHolds(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) (time.Time, bool) {
 	answers := l.askVoters(ctx, former.Voters, &syncpb.PromiseRequest{Term: former.Term + 1, Inquire: true})
 	now := l.now()
@@ -155,9 +156,9 @@
 	return a
 }
 
-// setFormerHolds notes until when upstreams may hold keys by a former leader's grants,
-// and whether that is by promises: then a successor learns of it from the present voters
-// only.
+// setFormerHoldDeadline records until when upstreams may hold keys by grants of a former
+// leader, and whether that results from promises: only the present voters can then tell a
+// successor about it.
 func (l *leaderElector) setFormerHoldDeadline(term uint64, until time.Time, byPromises bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,24 +167,24 @@
 	}
 }
 
-// formerHoldsUntil returns until when upstreams may hold keys by grants of former
-// leaders, once that is known.
+// latestFormerHold returns until when upstreams may hold keys by grants of former leaders,
+// once that is known.
 func (l *leaderElector) latestFormerHold() (until time.Time, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.formerHoldDeadline, l.formerHoldKnown
 }
 
-// formerHoldsEnded reports whether no upstream holds keys by a grant of a former
-// leader any more.
+// formerHoldsEnded reports whether no upstream holds keys by a grant of a former leader any
+// longer.
 func (l *leaderElector) formerHoldsEnded() bool {
 	until, known := l.latestFormerHold()
 	return known && l.now().After(until)
 }
 
-// firstVoters are the voters of a lease that is taken over: those of the former one. A
-// leader that is lost in turn, before the grants of its former have ended, leaves a
-// list to its successor that knows of the promises to both.
+// initialVoters returns the voters of a newly acquired lease: those of the former lease if it
+// has any. If this leader is lost before the grants of the former one have ended, its
+// successor then asks voters that know of the promises to both.
 func (l *leaderElector) initialVoters(former leadership.Lease) []string {
 	if len(former.Voters) > 0 {
 		return former.Voters
@@ -191,11 +192,10 @@
 	return l.chooseVoters(nil)
 }
 
-// votersMayChange reports whether the lease may name other voters than before: when
-// its renewal is not in doubt, and no upstream may hold keys by promises to a former
-// leader that only the present voters know of. Without such promises they may change
-// as soon as that is known, so that gateways which leave one after the other do not
-// leave a list of lost voters behind.
+// votersMayChange reports whether a renewal may change the list of voters. The renewal must
+// not be overdue, and no upstream may hold keys by promises to a former leader that only the
+// present voters know of. Once it is known that there are no such promises the list may change,
+// so that gateways that leave one after the other do not leave a list of lost voters behind.
 func (l *leaderElector) votersMayChange() bool {
 	if l.renewalOverdue() {
 		return false
@@ -206,7 +206,7 @@
 	return known || l.formerHoldsEnded()
 }
 
-// voters chooses the voters among the gateways that report.
+// chooseVoters chooses the voters among the gateways that report to this one.
 func (l *leaderElector) chooseVoters(former []string) []string {
 	list, _ := l.cluster.list()
 	var live []leadership.Voter
--- a/gateway/resign.go
+++ b/gateway/resign.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// resignTimeout bounds giving the lease up at the end.
+	// resignTimeout bounds the release of the lease at the end of a stop.
 	resignTimeout = 1000 * time.Millisecond
-	// resignPause is the time between tries to give it up while the store is away.
+	// resignRetryInterval is the time between attempts to release it while the store is away.
 	resignRetryInterval = 200 * time.Millisecond
 )
 
-// resign gives the lease up, so that another gateway can take it at once. While the
-// store is away nobody could take it: this process then leads on until the store is
-// back or ctx is about to end, so that owners have the longest grants when it ends.
+// resign releases the lease so that another gateway can acquire it at once. While the store is
+// away no gateway could acquire it, so this process keeps leading until the store is back or
+// ctx is about to end. Owners then have the longest possible grants when it stops.
 func (l *leaderElector) resign(ctx context.Context) {
 	l.resigning.Store(true)
 	for l.cluster.isLeading() && !l.renewNow(ctx) && timeLeft(ctx) > resignTimeout {
@@ -23,7 +23,7 @@
 	l.releaseLease(ctx)
 }
 
-// untilEnd returns the time until the deadline of ctx; zero when it has ended.
+// timeLeft returns the time until the deadline of ctx; zero when it has ended or has none.
 func timeLeft(ctx context.Context) time.Duration {
 	end, ok := ctx.Deadline()
 	if !ok || ctx.Err() != nil {
@@ -32,8 +32,7 @@
 	return time.Until(end)
 }
 
-// renewNow renews the lease before that is due, and reports whether the store has
-// taken it.
+// renewNow renews the lease before that is due, and reports whether the store accepted it.
 func (l *leaderElector) renewNow(ctx context.Context) bool {
 	asked := l.now()
 	l.mu.Lock()
@@ -45,7 +44,7 @@
 	return !l.renewedAt.Before(asked)
 }
 
-// giveUp ends the role and tells the store so.
+// releaseLease ends this process's leadership and marks the lease in the store as released.
 func (l *leaderElector) releaseLease(ctx context.Context) {
 	l.leaseWriteMu.Lock()
 	defer l.leaseWriteMu.Unlock()
@@ -63,7 +62,7 @@
 	l.mu.Unlock()
 	next.Released = true
 	if _, err := l.store.Replace(ctx, leaseKind, leaseName, revision, next); err != nil {
-		l.log.Warn("lease not given up", "error", err)
+		l.log.Warn("lease could not be released", "error", err)
 		return
 	}
 	l.log.Info("lease given up", "term", next.Term)
