--- a/gateway/follower.go
+++ b/gateway/follower.go
@@ -14,82 +14,84 @@
 )
 
 const (
-	// shortestReport and longestReport bound the time between reports to the leader, which
-	// waits that long for changes before it answers; between them it grows with the gateways
-	// by reportPause, as the leader answers all. Younger reports tell better what others
-	// have in flight.
+	// minReportInterval and maxReportInterval bound the time between reports to the leader, which
+	// holds each report for that long unless there are changes to answer with. Between the bounds
+	// the interval grows with the number of gateways by reportIntervalPerGateway, as the leader
+	// answers all of them. More frequent reports give a better picture of what other gateways have
+	// in flight.
 	minReportInterval        = 100 * time.Millisecond
 	maxReportInterval        = 250 * time.Millisecond
 	reportIntervalPerGateway = time.Millisecond
-	// reportTimeout is how long the answer to a report may take beyond that.
+	// reportTimeout is how much longer than that the answer to a report may take.
 	reportTimeout = 400 * time.Millisecond
-	// newsAtOnce is within what time an answer with news came at once, newsPause the time to
-	// the next report then.
+	// immediateAnswer is the time within which an answer counts as immediate, which shows that there
+	// was news. immediateAnswerPause is the time to the next report in that case.
 	immediateAnswer      = 50 * time.Millisecond
 	immediateAnswerPause = 25 * time.Millisecond
-	// orphanAfter is how long a gateway hears from no leader before it watches
-	// the store by itself.
+	// leaderSilenceTimeout is how long a gateway hears from no leader before it watches the store
+	// itself.
 	leaderSilenceTimeout = 700 * time.Millisecond
-	// orphanPause is the time between looks for a leader, seekLook between looks
-	// whether one has become known meanwhile.
+	// seekRetryInterval is the time between searches for a leader. seekPollInterval is the time
+	// between checks, during a search, whether a parent has become known in the meantime.
 	seekRetryInterval = 100 * time.Millisecond
 	seekPollInterval  = 20 * time.Millisecond
 )
 
-// follower keeps in touch with the leader: it reports what this gateway sees
-// and takes over what the leader knows.
+// follower keeps contact with the leader, directly or through another gateway: it reports what
+// this gateway observes and applies the cluster state that it receives.
 type follower struct {
 	view    *view
 	cluster *cluster
 	traffic *traffic
 	seeds   []string
-	// seed says that this gateway is itself among the seeds.
+	// isSeed is set when this gateway is itself one of the seeds.
 	isSeed bool
 	now    func() time.Time
 	log    *slog.Logger
 	meters *meters
 	evac   *evacuations
-	// sieve drops what others say of upstreams that cannot be.
+	// sieve drops implausible statements of other gateways about upstreams.
 	sieve *sieve
-	// fetcher fetches what is too large for an answer to a report.
+	// fetcher fetches state that is too large for the answer to a report.
 	fetcher *fetcher
-	// setOwn keeps this process's own report, for those that report to it.
+	// setOwnReport stores this process's own report, for the gateways that report to it.
 	setOwnReport func(*ownReport)
-	// limits are those that upstreams name.
+	// limits are the request limits that upstreams announce.
 	limits *namedLimits
-	// suspects are requests that end upstreams.
+	// suspects are requests suspected of crashing upstreams.
 	suspects *suspects
 
 	mu sync.Mutex
-	// began is when this process began to follow, heard when it last heard from a
-	// leader; zero before.
+	// startedAt is when this process began to follow. leaderHeardAt is when it last heard from a
+	// leader; zero before the first time.
 	startedAt     time.Time
 	leaderHeardAt time.Time
-	// news is when this gateway last had news by way of another one.
+	// newsAt is how recent the cluster state is that other gateways have sent to this one.
 	newsAt time.Time
-	// ahead is the number of gateways of the own failure domain that come before
-	// this one: all, or those that answered the last look for a leader.
+	// domainPeersAhead is the number of gateways in the own failure domain that rank before this
+	// one: all of them, or only those that answered the last search for a leader.
 	domainPeersAhead int
-	// refused says that the leader's address refuses connections.
+	// leaderRefused is set when the leader's address refuses connections.
 	leaderRefused bool
-	// resigned says that the known leader answers and leads no more.
+	// leaderResigned is set when the known leader answers but no longer leads.
 	leaderResigned bool
-	// failing is the run of reports to parents without success.
+	// failing is the current run of failed reports to parents.
 	failing failedReports
-	// newest is when the configuration was known to be the newest, by another gateway, and
-	// told is the newest one that was told and was not in force then.
+	// configNewestAt is when another gateway last confirmed that the configuration in force is the
+	// newest. toldConfig is the newest configuration that another gateway named and that was not in
+	// force here at that time.
 	configNewestAt time.Time
 	toldConfig     toldConfiguration
-	// wantWhole says that the last difference of the configuration could not be decoded.
+	// wantFullConfig is set when the last configuration difference could not be decoded.
 	wantFullConfig bool
 }
 
-// reportInterval is the time between reports where there are so many gateways.
+// reportInterval returns the time between reports for the given number of gateways.
 func reportInterval(gateways int) time.Duration {
 	return min(max(minReportInterval, time.Duration(gateways)*reportIntervalPerGateway), maxReportInterval)
 }
 
-// run follows until ctx ends.
+// run follows the leader until ctx ends.
 func (f *follower) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		interval := reportInterval(f.cluster.gateways())
@@ -116,15 +118,15 @@
 	}
 }
 
-// report reports to a gateway and takes over its answer. It returns whether
-// that gateway leads or hears from the leader, and whether it answered at all.
+// report sends a report to a gateway and applies the answer. It returns whether that gateway
+// leads or has recently heard from the leader, and whether it answered at all.
 func (f *follower) report(ctx context.Context, address string, wait time.Duration) (ok, answered bool) {
 	limited, cancel := context.WithTimeout(ctx, wait+reportTimeout)
 	defer cancel()
 	began := f.now()
 	resp, err := f.cluster.client(address).Sync(limited, f.request(wait))
 	if ctx.Err() == nil {
-		// Else it was given up because this process stops.
+		// A report that ends with ctx was cancelled because this process stops.
 		f.noteReport(address, reportError(resp, err), f.now().Sub(began))
 	}
 	if err != nil {
@@ -132,8 +134,8 @@
 		f.leaderRefused = errors.Is(err, syscall.ECONNREFUSED)
 		f.mu.Unlock()
 		if errors.Is(err, context.DeadlineExceeded) {
-			// Connections can fall silent together without a reset; others to that
-			// gateway would cost one more report each.
+			// Several connections can go silent together without a reset. Each of the others to that
+			// gateway would cost one more failed report.
 			f.cluster.http.CloseIdleConnections()
 		}
 		return false, false
@@ -161,13 +163,14 @@
 	f.cluster.setRights(toldRights(resp.Rights), f.now().Add(-time.Duration(resp.RightsMs)*time.Millisecond))
 	f.shareLoads(int(resp.Gateways))
 	if f.now().Sub(began) < immediateAnswer {
-		// The next report can wait a little.
+		// The answer was immediate: pause briefly before the next report.
 		pause(ctx, immediateAnswerPause)
 	}
 	return true, true
 }
 
-// takeFleet takes over what the parent told of the others' requests in flight, if it did.
+// takeFleet applies what the parent sent about the requests that other gateways have in flight,
+// if anything.
 func (f *follower) takeFleet(m *syncpb.Fleet) {
 	if m == nil {
 		return
@@ -177,15 +180,15 @@
 	}
 }
 
-// needsWhole reports whether the next configuration is to be told whole.
+// needsFullConfig reports whether the next configuration must be sent in full.
 func (f *follower) needsFullConfig() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.wantFullConfig
 }
 
-// shareLoads tells the decisions about requests what all other gateways have in
-// flight: those above, and those that report to this one.
+// shareLoads passes to request dispatch what all other gateways have in flight: those above this
+// one in the reporting tree and those that report to it.
 func (f *follower) shareLoads(gateways int) {
 	self := f.cluster.self.Node
 	rights, named := f.cluster.rightsAbove()
@@ -234,7 +237,7 @@
 	return r
 }
 
-// noteNews notes how fresh the view is that another gateway has told.
+// recordNews records how recent the state is that another gateway sent.
 func (f *follower) recordNews(resp *syncpb.SyncResponse) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -244,10 +247,10 @@
 	}
 }
 
-// seek asks other gateways for the leader and for news: those of the own failure
-// domain first, then the seeds and all others. It ends early, and reports so, when
-// another gateway to report to has become known: after a loss of power some of those
-// asked are dark yet.
+// seekLeader asks other gateways for the leader and for cluster state: first those of the own
+// failure domain, then the seeds and all others. It returns true early when another gateway to
+// report to becomes known, because after a power loss some of the gateways asked may not be
+// running yet.
 func (f *follower) seekLeader(ctx context.Context) (found bool) {
 	former := f.cluster.parent()
 	asked := make(chan struct{})
@@ -270,7 +273,7 @@
 	return false
 }
 
-// askAll asks all candidates and waits for their answers.
+// askCandidates asks all candidates concurrently and waits for their answers.
 func (f *follower) askCandidates(ctx context.Context) {
 	var ahead atomic.Int64
 	var all sync.WaitGroup
@@ -298,7 +301,7 @@
 	f.domainPeersAhead = int(ahead.Load())
 }
 
-// candidates returns the gateways that are asked in a look for a leader.
+// candidates returns the gateways to ask in a search for a leader.
 func (f *follower) candidates() []*syncpb.Member {
 	members, _ := f.cluster.list()
 	var mates, others []*syncpb.Member
@@ -326,10 +329,10 @@
 	return out
 }
 
-// mostMates bounds the gateways of the own failure domain among those asked.
+// maxDomainPeersAsked limits the gateways of the own failure domain among those asked.
 const maxDomainPeersAsked = 2
 
-// mostAsked bounds the gateways that are asked for the leader at once.
+// maxPeersAsked limits the gateways that are asked for the leader at the same time.
 const maxPeersAsked = 5
 
 func (f *follower) recordLeaderHeard() {
@@ -338,15 +341,15 @@
 	f.leaderHeardAt = f.now()
 }
 
-// lostFor returns how long no leader has answered, whether the address of the
-// known one refuses connections, and whether it answers and leads no more.
+// leaderSilence returns how long no leader has answered, whether the address of the known leader
+// refuses connections, and whether it answers but no longer leads.
 func (f *follower) leaderSilence() (lost time.Duration, refused, resigned bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now().Sub(laterOf(f.startedAt, f.leaderHeardAt)), f.leaderRefused, f.leaderResigned
 }
 
-// heardAgo returns how long ago this process heard from a leader; long when it
+// sinceLeaderHeard returns how long ago this process heard from a leader; a very long time if it
 // never did.
 func (f *follower) sinceLeaderHeard() time.Duration {
 	f.mu.Lock()
@@ -354,45 +357,45 @@
 	return f.now().Sub(f.leaderHeardAt)
 }
 
-// needsStore reports whether this gateway should watch the store itself: it has
-// had no news for a while. Gateways that find others of their failure domain before
-// them leave those a head start, and follow them; so the loss of a leader does
-// not bring all gateways to the store at once. watched is when the own watch last
-// had an answer.
+// needsStore reports whether this gateway must watch the store itself because it has received no
+// cluster state for a while. Gateways that know of peers ranked before them in their failure
+// domain give these a head start and then receive the state from them, so that the loss of a
+// leader does not send all gateways to the store at once. watched is when this gateway's own
+// watch last had an answer.
 func (f *follower) needsStore(watched time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
 	wait := leaderSilenceTimeout + time.Duration(min(f.domainPeersAhead, maxDomainPeersAsked))*headStartPerPeer
 	if f.view.table.Load() == nil && f.newsAt.IsZero() {
-		// It has just started, and nobody that it asked has news.
+		// This process has just started, and none of the gateways asked has state to offer.
 		wait = f.startupWait()
 	}
 	if !watched.IsZero() && now.Sub(watched) < watchActiveTime {
-		// It has begun: go on until the leader is heard again.
+		// The watch has begun: continue it until a leader is heard again.
 		return now.Sub(f.leaderHeardAt) > leaderSilenceTimeout
 	}
 	return now.Sub(laterOf(f.startedAt, laterOf(f.leaderHeardAt, f.newsAt))) > wait
 }
 
 const (
-	// headStart is how much longer a gateway waits for each that is before it:
-	// the time for a list of everything and for its news.
+	// headStartPerPeer is how much longer a gateway waits for each peer ranked before it: the time
+	// to list everything and to pass the result on.
 	headStartPerPeer = 400 * time.Millisecond
-	// seedWait is how long a gateway that has just started, and is a seed, asks
-	// others before it goes to the store; any gateway asks so long before it looks at
-	// the lease, which may be that of the process before it.
+	// startupPeerWait is how long a seed that has just started asks other gateways before it reads
+	// its view from the store. Every gateway waits this long after its start before it reads the
+	// lease, which may belong to the previous process at its address.
 	startupPeerWait = 100 * time.Millisecond
-	// seedHeadStart is how much longer the others wait: they ask the seeds. It is the
-	// time to list some hundred upstreams in pages of fifty, and to be asked again.
+	// seedHeadStart is how much longer the other gateways wait, which ask the seeds. It is the time
+	// to list some hundred upstreams in pages of fifty, and to be asked again.
 	seedHeadStart = 300 * time.Millisecond
-	// watchKept is how long after its last answer a watch counts as going on.
+	// watchActiveTime is how long after its last answer a watch counts as active.
 	watchActiveTime = watchWait + storeTimeout
 )
 
-// startWait is how long this gateway asks others after its start before it goes to
-// the store for its view. After all were killed at once the seeds go first and the
-// rest learns from them: else each of a hundred would list all upstreams.
+// startupWait returns how long this gateway asks others after its start before it reads its view
+// from the store. After all gateways were killed at once, the seeds read the store first and the
+// rest learn from them. Otherwise each of a hundred gateways would list all upstreams.
 func (f *follower) startupWait() time.Duration {
 	if f.isSeed || len(f.seeds) == 0 {
 		return startupPeerWait
@@ -400,15 +403,15 @@
 	return startupPeerWait + seedHeadStart
 }
 
-// alone reports whether this gateway has just started and nobody that it asked
-// has news.
+// startedAlone reports whether this gateway has just started and none of the gateways asked has
+// state to offer.
 func (f *follower) startedAlone() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.newsAt.IsZero() && f.leaderHeardAt.IsZero() && f.now().Sub(f.startedAt) > startupPeerWait
 }
 
-// newsAge returns how old the view is at most.
+// maxViewAge returns the maximum age of the view.
 func (f *follower) maxViewAge(watched time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/placements.go
+++ b/gateway/placements.go
@@ -18,22 +18,22 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// placementsKind is the kind under which operators' intents lie in the store.
+// placementsKind is the store kind of operators' placement intents.
 const placementsKind = "rockcroft-placements"
 
-// placements keeps the operators' intents. Only the leader writes them; it reads
-// them when it takes the lead.
+// placements holds the operators' placement intents. Only the leader writes them; it reads
+// them when it becomes the leader.
 type placements struct {
 	store       *platform.Store
 	assignments *assignmentSupervisor
 	elector     *leaderElector
 	cluster     *cluster
 	evac        *evacuations
-	// suspects are requests that end upstreams.
+	// suspects are requests suspected of crashing upstreams.
 	suspects *suspects
-	// unread are headers of answers that no code reads.
+	// unread are response headers that no code reads.
 	unread *unreadHeaders
-	// watches tells what the store said last to this gateway.
+	// watches tells when this gateway last heard from the store.
 	watches *watchAges
 	now     func() time.Time
 	log     *slog.Logger
@@ -43,13 +43,13 @@
 	intents map[string]*storedIntent
 }
 
-// stored is an intent with its revision in the store.
+// storedIntent is an intent with its revision in the store.
 type storedIntent struct {
 	placement.Intent
 	revision uint64
 }
 
-// load reads all intents, until that succeeds or ctx ends.
+// load reads all intents, retrying until that succeeds or ctx ends.
 func (p *placements) load(ctx context.Context) {
 	for backoff := firstBackoff; ctx.Err() == nil; backoff = min(2*backoff, longestBackoff) {
 		objects, _, err := p.store.List(ctx, placementsKind)
@@ -68,7 +68,7 @@
 	for _, o := range objects {
 		s := &storedIntent{revision: o.Revision}
 		if err := platform.Decode(o, &s.Intent); err != nil || s.Check() != nil {
-			p.log.Error("intent cannot be read, it is left alone", "intent", o.Name, "error", err)
+			p.log.Error("intent could not be decoded and is ignored", "intent", o.Name, "error", err)
 			continue
 		}
 		p.intents[s.ID] = s
@@ -76,14 +76,14 @@
 	p.loaded = true
 }
 
-// forget drops what was loaded, when this process leads no more.
+// unload drops the loaded intents when this process no longer leads.
 func (p *placements) unload() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.intents, p.loaded = nil, false
 }
 
-// draining reports whether an operator wants the upstream to be left alone.
+// draining reports whether a confirmed intent drains the upstream.
 func (p *placements) draining(upstream string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,8 +95,7 @@
 	return false
 }
 
-// pins returns where operators want keys of a service to live, in the order of
-// the intents' names.
+// pins returns where operators want keys of a service to be, ordered by intent ID.
 func (p *placements) pins(service string) []ownership.Pin {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,25 +113,24 @@
 	return out
 }
 
-// lead passes a call on when another gateway leads: it returns that one's
-// client, or nil when this process leads.
+// leaderClient returns a client of the leading gateway, or nil when this process leads.
 func (p *placements) leaderClient() (placementpb.Placement, error) {
 	if p.elector.mayAct() && p.cluster.isLeading() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if !p.loaded {
-			return nil, rpcError(answer.PlatformDown, "the intents are not read yet")
+			return nil, rpcError(answer.PlatformDown, "the intents have not been loaded yet")
 		}
 		return nil, nil
 	}
 	l := p.cluster.knownLeader()
 	if l == nil || l.Member.Address == p.cluster.self.Address {
-		return nil, rpcError(answer.NoRight, "no gateway leads at the moment")
+		return nil, rpcError(answer.NoRight, "no gateway is leading")
 	}
 	return placementpb.NewPlacementProtobufClient("http://"+l.Member.Address, p.cluster.http), nil
 }
 
-// rpcError returns an error with its kind in the form of the protocol.
+// rpcError returns a Twirp error that carries the kind of the answer.
 func rpcError(kind answer.Kind, message string) twirp.Error {
 	code := twirp.FailedPrecondition
 	switch kind {
@@ -170,7 +168,7 @@
 	return p.remember(i, object.Revision), nil
 }
 
-// passOn makes a call at the leader.
+// forwardToLeader makes a call to the leader, or returns err if that is set.
 func forwardToLeader[T, R any](ctx context.Context, err error, r T, other placementpb.Placement, call func(placementpb.Placement, context.Context, T) (R, error)) (R, error) {
 	if err != nil {
 		var none R
@@ -179,7 +177,7 @@
 	return call(other, ctx, r)
 }
 
-// plan computes the moves that an intent causes now.
+// plan computes the moves that an intent would cause now.
 func (p *placements) plan(i placement.Intent) ([]placement.Step, error) {
 	v := p.assignments.view.inst.Load()
 	if v == nil || v.Get(i.Upstream) == nil || v.Get(i.Upstream).Service != i.Service {
@@ -188,14 +186,14 @@
 	k := p.assignments.assigner(i.Service)
 	if k == nil {
 		if i.Kind == placement.Pin {
-			return nil, rpcError(answer.BadRequest, "service "+i.Service+" has no keys")
+			return nil, rpcError(answer.BadRequest, "service "+i.Service+" is not keyed")
 		}
 		return nil, nil
 	}
 	return k.preview(i), nil
 }
 
-// keep remembers an intent as it is stored.
+// remember records an intent as it is stored.
 func (p *placements) remember(i placement.Intent, revision uint64) *placementpb.Intent {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,7 +225,7 @@
 	}
 	m, err := p.replace(ctx, s)
 	if err == nil && stale {
-		return nil, rpcError(answer.StalePlan, "the plan has changed; look at the new one and confirm that")
+		return nil, rpcError(answer.StalePlan, "the plan has changed: review the new plan and confirm again")
 	}
 	return m, err
 }
@@ -255,12 +253,11 @@
 	return *s, nil
 }
 
-// replace writes a changed intent. Of two operators that change it at once, one
-// is refused.
+// replace stores a changed intent. If two operators change it concurrently, one is refused.
 func (p *placements) replace(ctx context.Context, s storedIntent) (*placementpb.Intent, error) {
 	object, err := p.store.Replace(ctx, placementsKind, s.ID, s.revision, s.Intent)
 	if errors.Is(err, platform.ErrConflict) {
-		return nil, rpcError(answer.Conflict, "the intent was changed by someone else")
+		return nil, rpcError(answer.Conflict, "the intent was changed concurrently")
 	}
 	if err != nil {
 		return nil, rpcError(answer.PlatformDown, err.Error())
