--- a/gateway/convergence_test.go
+++ b/gateway/convergence_test.go
@@ -10,11 +10,12 @@
 	"github.com/rockcroft/rockcroft/standin/instance"
 )
 
-// TestPlacementSettles: whatever happens to control calls (late, lost, refused ones, silent
-// upstreams, lost leaders), soon after it has ended nothing is pending and no owner is far over its
-// share: placement has no state that it does not leave. The oracle sees no two owners meanwhile. (With
-// upstreams that a trial has reached and that own nothing left alone, these seeds never settled.)
-func TestPlacementSettles(t *testing.T) {
+// TestPlacementConverges: after any sequence of control-call faults (late, lost or refused calls, silent
+// upstreams, lost leaders), placement converges soon after the faults end: nothing is pending and no
+// owner is far over its share. The oracle checks that no key has two owners at any time. With
+// upstreams that had answered a probe, owned no keys and stayed marked as failing, these seeds
+// never converged.
+func TestPlacementConverges(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{4, 7, 8} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -48,8 +49,8 @@
 	clients.end()
 }
 
-// settled reports whether nothing is pending, every upstream with keys may be given some, and no
-// owner is far over its share.
+// placementSettled reports whether nothing is pending, every upstream of the keyed service owns keys
+// and may be given more, and no owner is far over its share.
 func (p *troubles) placementSettled() bool {
 	leader := p.leader()
 	if leader == nil {
--- a/gateway/failover_test.go
+++ b/gateway/failover_test.go
@@ -17,10 +17,9 @@
 	"github.com/rockcroft/rockcroft/transport/pool"
 )
 
-// TestInheritedMove: a leader resigned after it had granted keys to an upstream
-// and before it had written that. The upstream then leaves. The next leader takes
-// the keys from it before it gives them to another. (abyconnect-sim scale-2: two
-// owners for two seconds.)
+// TestSuccessorFinishesAMoveInProgress: a leader granted keys to an upstream and resigned before it
+// stored that the move had completed, and the upstream then leaves. The next leader must take the keys
+// back from this upstream before it grants them to another. Otherwise keys had two owners for two seconds.
 func TestSuccessorFinishesAMoveInProgress(t *testing.T) {
 	t.Parallel()
 	for name, silent := range map[string]bool{"reachable": false, "silent": true} {
@@ -45,16 +44,16 @@
 				to.Set(instance.Silent)
 			}
 			b.gateway("g0")
-			b.eventually("the keys elsewhere", func() bool {
+			b.eventually("the keys have moved to other owners", func() bool {
 				return b.leader() != nil && b.gateways[0].view.spansOf("status") != nil && b.ownedBy("i-s1") == 0 && b.gateways[0].allOwned()
 			})
 		})
 	}
 }
 
-// TestWritersOfTwoTerms: a process that leads for a second time does not take a write of
-// its first term for one of its own. (A write from before a claim was taken for a write whose
-// answer was lost, as both were the first of their keepers.)
+// TestWriterNamesDifferBetweenTerms: a process that leads for a second time must not take a write of
+// its first term for one of its own. Without the term in the writer name, the first writes of both terms
+// had the same name, and a write from before the claim was taken for one whose response was lost.
 func TestWriterNamesDifferBetweenTerms(t *testing.T) {
 	s := &assignmentSupervisor{cluster: newCluster(&syncpb.Member{Node: "g", Incarnation: "i"}, nil, time.Now, nil), log: slog.New(slog.DiscardHandler), now: time.Now}
 	writers := make(map[string]bool)
@@ -68,9 +67,9 @@
 	}
 }
 
-// TestFormerLeaderIsRefused: once a leader has claimed the stored owners, what a
-// former one writes from an older reading is refused, and it stops. (mvmss-gw
-// scale-1: two owners after a zone was cut off.)
+// TestStaleWriteOfFormerLeaderIsRefused: once a new leader has claimed the stored assignment, a write of
+// the former leader that is based on an older read is refused, and the former leader stops assigning.
+// Otherwise keys had two owners after a zone was cut off.
 func TestStaleWriteOfFormerLeaderIsRefused(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
@@ -79,7 +78,7 @@
 	later := newKeyAssigner(l.steward, "status", l.cluster.knownLeader().Term+1)
 	var old *spans.Table
 	var revision uint64
-	// The living leader may write in between; a claim is then tried again.
+	// The running leader may write between the read and the claim. The claim is then tried again.
 	b.eventually("claimed", func() bool {
 		var err error
 		if old, revision, err = l.steward.load(ctx, "status"); err != nil {
@@ -88,18 +87,18 @@
 		return later.claim(ctx, old.Clone(), revision)
 	})
 	if _, err := l.steward.save(ctx, old, revision); err == nil {
-		t.Error("a write from before the claim is taken")
+		t.Error("a write from before the claim was accepted")
 	}
 	l.steward.mu.Lock()
-	keeper := l.steward.assigners["status"]
+	assigner := l.steward.assigners["status"]
 	l.steward.mu.Unlock()
 	b.upstream("i-s9", "status")
-	b.eventually("the former leader's keeper has stopped", keeper.isSuperseded)
+	b.eventually("the former leader's assigner has stopped", assigner.isSuperseded)
 }
 
-// TestLeaderStoppedWhileStoreAway: nobody can take the lease then, so the leader goes
-// on to the end of its stop and leaves the longest grants behind. (Owners lapsed 4 s
-// after the stop: BUDGET and 3,000 refusals on abyconnect-sim hunt-1770-35.)
+// TestLeaderStoppedWithoutStoreLeavesLongGrants: no gateway can acquire the lease while the store is
+// away, so the leader leads until the end of its stop and leaves the longest possible grants behind.
+// Otherwise the grants expired 4 s after the stop, and 3,000 requests were refused.
 func TestLeaderStoppedWithoutStoreLeavesLongGrants(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
@@ -112,17 +111,16 @@
 		held = max(held, u.HeldFor(0))
 	}
 	if held <= holdDuration {
-		t.Errorf("the owner of key 0 holds it for %s after the leader's stop", held)
+		t.Errorf("the owner of key 0 holds it for only %s after the leader's stop", held)
 	}
 	b.store.SetAll(metastore.Open)
 	b.ready()
 }
 
-// TestVotersAreInherited: the first voters of a leader are those of its former, and stay
-// until no grant of the former may last. Else a leader that knows few gateways and is
-// lost at once leaves a list to the next one of which nobody knows of promises that the
-// leader before it had: keys of a silent owner would be given away under its grant of
-// ten seconds.
+// TestVotersAreInherited: the first voters of a leader are those of the former lease, and they stay until
+// every grant of the former leader has expired. Otherwise a leader that knows few gateways and is lost
+// at once would leave a list of voters that know nothing of the promises to the leader before it. Keys
+// of a silent owner would then be given away during its grant of ten seconds.
 func TestVotersAreInherited(t *testing.T) {
 	now := time.Now()
 	clock := func() time.Time { return now }
@@ -135,15 +133,15 @@
 	l.lease = leadership.Lease{Term: 8, Voters: former.Voters}
 	l.right.Renewed(now)
 	if l.votersMayChange() {
-		t.Error("the voters change before they were asked for promises to the former leader")
+		t.Error("the voters change before the end of the former leader's grants is known")
 	}
 	l.setFormerHoldDeadline(8, now.Add(holdWithMargin(holdDuration)), false)
 	if !l.votersMayChange() {
-		t.Error("the voters do not change although nobody promised anything")
+		t.Error("the voters do not change although no promises were made to the former leader")
 	}
 	l.setFormerHoldDeadline(8, now.Add(holdWithMargin(holdDuration)), true)
 	if l.votersMayChange() {
-		t.Error("the voters change while grants by promises to the former leader last")
+		t.Error("the voters change while grants made by promises to the former leader are in force")
 	}
 	now = now.Add(holdWithMargin(holdDuration) + time.Millisecond)
 	l.right.Renewed(now)
@@ -158,12 +156,12 @@
 	first.right.Renewed(now)
 	first.inquire(context.Background(), leadership.Lease{}, now, 10*time.Second)
 	if !first.votersMayChange() {
-		t.Error("the first leader of all keeps to the voters that it knew at its start")
+		t.Error("the very first leader never changes the voters that it knew at its start")
 	}
 }
 
-// TestSuccessorKnowsWhatWasTold: moves that had ended and were not saved yet are no
-// moves for a successor that has heard of their end.
+// TestSuccessorUsesNewerPublishedTable: a successor does not repeat moves that had completed but were not
+// stored yet, if the former leader published their completion to it.
 func TestSuccessorUsesNewerPublishedTable(t *testing.T) {
 	const term = 3
 	table := func(term, write uint64, owner string) *spans.Table {
@@ -176,10 +174,10 @@
 		told *spans.Table
 		want string
 	}{
-		"nothing was told":    {nil, "stored"},
-		"told later":          {table(term, 8, "told"), "told"},
-		"told before":         {table(term, 2, "told"), "stored"},
-		"told by one earlier": {table(term-1, 9, "told"), "stored"},
+		"nothing published":            {nil, "stored"},
+		"newer published":              {table(term, 8, "told"), "told"},
+		"older published":              {table(term, 2, "told"), "stored"},
+		"published in an earlier term": {table(term-1, 9, "told"), "stored"},
 	} {
 		v := newView()
 		if c.told != nil {
@@ -194,8 +192,8 @@
 	}
 }
 
-// TestEndedLeaderKeepsNothing: a leader whose run has ended, as asked or abruptly, no
-// longer calls upstreams, the store or other gateways for the keys that it kept.
+// TestStoppedLeaderStopsAssigning: after a leader has stopped or was killed, it no longer calls upstreams,
+// the store or other gateways for the keys that it assigned.
 func TestStoppedLeaderStopsAssigning(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(*testGateway){
@@ -207,11 +205,11 @@
 			b := standard(t)
 			l := b.leader()
 			if l.steward.assigner("status") == nil {
-				t.Fatal("the leader keeps nothing")
+				t.Fatal("the leader runs no assigner")
 			}
 			end(l)
 			if l.steward.assigner("status") != nil {
-				t.Fatal("it goes on keeping keys")
+				t.Fatal("it still runs an assigner")
 			}
 			l.steward.workers.Wait()
 		})
--- a/gateway/follower_test.go
+++ b/gateway/follower_test.go
@@ -14,71 +14,71 @@
 	"github.com/rockcroft/rockcroft/state/routing"
 )
 
-// TestStartGoesToTheStore: a gateway that has just started and finds nobody with
-// fresh news goes to the store at once, for its view and for the lease. What others
-// that have just started answer is no news. (After all were killed each waited
-// 0.7 s: trouble-3 and scale-2 on Merrimack.)
+// TestStartWithoutNewsReadsTheStore: a gateway that has just started and finds no peer with recent
+// state reads its view and the lease from the store at once. Answers of peers that have just
+// started themselves carry no state and must not delay it. When they did, each gateway waited 0.7 s
+// after all had been killed.
 func TestStartWithoutNewsReadsTheStore(t *testing.T) {
 	now := time.Now()
 	f := &follower{view: newView(), now: func() time.Time { return now }, startedAt: now}
 	if f.needsStore(time.Time{}) || f.startedAlone() {
-		t.Error("to the store before others were asked")
+		t.Error("reads the store before other gateways were asked")
 	}
 	f.recordNews(&syncpb.SyncResponse{NewsMs: milliseconds(f.maxViewAge(time.Time{}))})
 	now = now.Add(startupPeerWait + time.Millisecond)
 	if !f.needsStore(time.Time{}) || !f.startedAlone() {
-		t.Error("an answer without news holds it back")
+		t.Error("an answer without recent state delays reading the store")
 	}
 	f.recordNews(&syncpb.SyncResponse{NewsMs: 50})
 	if f.needsStore(time.Time{}) || f.startedAlone() {
-		t.Error("to the store although another has news")
+		t.Error("reads the store although another gateway has recent state")
 	}
 }
 
-// TestHeadStart: without news a gateway waits longer the more come before it, and
-// once it watches it goes on until it hears from a leader.
+// TestStoreWatchWaitsForPeersAhead: without new state a gateway waits longer the more peers rank
+// before it. Once it watches the store, it continues until it hears from a leader.
 func TestStoreWatchWaitsForPeersAhead(t *testing.T) {
 	now := time.Now()
 	f := &follower{view: newView(), now: func() time.Time { return now }, startedAt: now, leaderHeardAt: now, domainPeersAhead: 2}
 	f.view.table.Store(&routing.Table{})
 	now = now.Add(leaderSilenceTimeout + headStartPerPeer)
 	if f.needsStore(time.Time{}) {
-		t.Error("no head start for those before it")
+		t.Error("no head start for the gateways ranked before it")
 	}
 	now = now.Add(headStartPerPeer + time.Millisecond)
 	if !f.needsStore(time.Time{}) {
-		t.Error("never to the store")
+		t.Error("never watches the store")
 	}
 	watched := now
 	now = now.Add(time.Second)
 	f.recordNews(&syncpb.SyncResponse{})
 	if !f.needsStore(watched) {
-		t.Error("the watch ends although no leader was heard")
+		t.Error("the watch ends before a leader was heard")
 	}
 }
 
-// TestSeedsStartFirst: of gateways that all start at once the seeds go to the store
-// and the others wait for their news. (All of 90 listed the upstreams after each loss
-// of power: 3,700 store calls on mvmss-gw-grown trouble-2.)
+// TestSeedsReadTheStoreFirst: when all gateways start at once, the seeds read the store and the others
+// wait for the seeds. Without that, each of 90 gateways listed all upstreams after a power loss, with
+// 3,700 store calls in total.
 func TestSeedsReadTheStoreFirst(t *testing.T) {
 	now := time.Now()
 	f := &follower{view: newView(), now: func() time.Time { return now }, startedAt: now, seeds: []string{"10.0.0.1:1"}}
 	now = now.Add(startupPeerWait + time.Millisecond)
 	if f.needsStore(time.Time{}) || !f.startedAlone() {
-		t.Error("no head start for the seeds, or the lease waits for them")
+		t.Error("seeds get no head start, or the lease is not read in time")
 	}
 	now = now.Add(seedHeadStart)
 	if !f.needsStore(time.Time{}) {
-		t.Error("never to the store when no seed has news")
+		t.Error("never reads the store when no seed has state")
 	}
 	f.isSeed, f.startedAt = true, now.Add(-startupPeerWait-time.Millisecond)
 	if !f.needsStore(time.Time{}) {
-		t.Error("a seed waits")
+		t.Error("a seed waits for other seeds")
 	}
 }
 
-// TestSilentPeers: when a report gets no answer, the other connections to gateways are
-// not used any more: they may have fallen silent with that one.
+// TestReportTimeoutClosesIdleConnections: when a report gets no answer, the other idle connections to
+// gateways are closed, as they may have gone silent together with that one.
 func TestReportTimeoutClosesIdleConnections(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
@@ -104,14 +104,14 @@
 	all.Wait()
 	r.SilenceAll()
 	if ok, _ := f.report(context.Background(), r.Addr(), wait); ok {
-		t.Fatal("no connection was kept")
+		t.Fatal("the report opened a new connection instead of reusing a silent one")
 	}
 	b.eventually("the other connections are closed", func() bool { return r.Open() == 0 })
 }
 
-// TestSeekFindsALeader: a look for a leader ends when one becomes known, also while
-// others that are asked do not answer. (After a loss of power each gateway waited 0.4 s
-// for dark machines: mvmss-gw trouble-1.)
+// TestSeekEndsWhenALeaderIsFound: a search for a leader ends when one becomes known, even while other
+// gateways that were asked have not answered. Otherwise each gateway waited 0.4 s for machines that
+// were still down after a power loss.
 func TestSeekEndsWhenALeaderIsFound(t *testing.T) {
 	t.Parallel()
 	now := time.Now
@@ -129,16 +129,16 @@
 	}
 	go func() {
 		if conn, err := dark.Accept(); err == nil {
-			// Asked, and silent; the lease names the leader meanwhile.
+			// The gateway asked stays silent. Meanwhile the leader becomes known from the lease.
 			defer func() { _ = conn.Close() }()
 			c.setLeader(&syncpb.Leader{Member: &syncpb.Member{Node: "l", Address: "127.0.0.1:2"}, Term: 1})
 			<-t.Context().Done()
 		}
 	}()
 	if !f.seekLeader(t.Context()) {
-		t.Error("the leader is not found")
+		t.Error("leader not found")
 	}
 	if f.seekLeader(t.Context()) {
-		t.Error("a leader that was known before is found again")
+		t.Error("a leader that was already known ended the search")
 	}
 }
--- a/gateway/ownerloss_test.go
+++ b/gateway/ownerloss_test.go
@@ -12,18 +12,18 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// TestFailingOwnerIsNotHeldLonger: once a call to an owner has failed, nothing is sent to
-// it that could hold its keys for longer. (Renewals that were tried again each 250 ms
-// counted as perhaps taken: keys of silent owners were free 4.3 s after the last of them,
-// up to 0.9 s later than need be.)
+// TestFailingOwnerGetsNoLongerHold: once a call to an owner has failed, no call is sent to it that could
+// extend its hold of the keys. When renewals were retried every 250 ms, each counted as possibly
+// granted, and the keys of a silent owner were free only 4.3 s after the last of them, up to 0.9 s
+// later than necessary.
 func TestFailingOwnerGetsNoLongerHold(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	k := b.leader().steward.assigner("status")
 	b.ups["i-s0"].Set(instance.Silent)
-	b.eventually("calls fail", func() bool { return k.failingFor("i-s0") > 0 })
+	b.eventually("control calls fail", func() bool { return k.failingFor("i-s0") > 0 })
 	k.mu.Lock()
-	// By fence: keys that were on their way to it meanwhile are held by another grant.
+	// Keyed by fence: keys that were being moved to this owner are held by a different grant.
 	holds := make(map[uint64]time.Time)
 	for _, s := range k.table.Spans {
 		if s.Owner == "i-s0" {
@@ -31,7 +31,7 @@
 		}
 	}
 	k.mu.Unlock()
-	b.eventually("nothing owned by the lost one", func() bool {
+	b.eventually("the lost owner owns nothing", func() bool {
 		k.mu.Lock()
 		for _, s := range k.table.Spans {
 			before, known := holds[s.Fence]
@@ -44,9 +44,9 @@
 	})
 }
 
-// TestFirstLeaderWaitsForItsOwnGrantsOnly: where no assignment was stored nobody has granted
-// keys before, so the keys of a lost owner wait for the end of this leader's grant and not
-// for the longest that a former leader might have made.
+// TestFirstLeaderWaitsForItsOwnGrantsOnly: where no assignment was stored, no keys have been granted
+// before. The keys of a lost owner then wait for the end of this leader's grant only, and not for the
+// longest grant that a former leader could have made.
 func TestFirstLeaderWaitsForItsOwnGrantsOnly(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
@@ -60,12 +60,12 @@
 	s, before := granted()
 	ends, known := k.holdEnds(s)
 	if _, after := granted(); !known || ends.Before(before) || ends.After(after) {
-		t.Errorf("held until %s longer than granted, known %t", ends.Sub(after), known)
+		t.Errorf("held for %s longer than granted, known %t", ends.Sub(after), known)
 	}
 }
 
-// TestNextOwnersGrantIsNotTheOwners: the grant of a move is noted beside that of the owner
-// from whom the keys are taken.
+// TestGrantToNextOwnerIsRecordedSeparately: the grant of a move is recorded separately from the grant of
+// the owner that the keys are taken from.
 func TestGrantToNextOwnerIsRecordedSeparately(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
@@ -85,20 +85,20 @@
 	}
 }
 
-// TestKeysOfLostOwnersAreCold: all gateways hear that keys came to their owner without a
-// handover; those of a planned move are not marked.
+// TestKeysOfLostOwnersAreMarkedCold: all gateways learn which keys came to their owner without a handover.
+// Keys of a planned move are not marked.
 func TestKeysOfLostOwnersAreMarkedCold(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.register(b.ups["i-s1"], "draining")
-	b.eventually("nothing owned by the leaving one", func() bool { return b.ownedBy("i-s1") == 0 })
+	b.eventually("the leaving upstream owns nothing", func() bool { return b.ownedBy("i-s1") == 0 })
 	b.ready()
 	if n := coldSpans(b.gateways[0]); n > 0 {
 		t.Errorf("%d spans cold after a planned move", n)
 	}
 	b.ups["i-s0"].Set(instance.Silent)
 	for _, g := range b.gateways {
-		b.eventually("cold keys are known", func() bool { return coldSpans(g) > 0 })
+		b.eventually("the cold keys are known", func() bool { return coldSpans(g) > 0 })
 	}
 	b.ready()
 	b.mustAsk(b.gateways[0], http.MethodGet, "/status/x", 1)
@@ -114,7 +114,7 @@
 	return n
 }
 
-// TestMarksOfColdKeysAreTold: a difference between two versions carries them.
+// TestColdMarksArePartOfTableDifferences: a difference between two table versions contains the cold marks.
 func TestColdMarksArePartOfTableDifferences(t *testing.T) {
 	v := newView()
 	keys := spans.Keys{Last: spans.MaxKey}
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestNewLeaderCountsWithAll: right after all have started again few have reported, and
-// each of those would take the room and the retries of all.
+// TestNewLeaderAssumesFormerGatewayCount: right after all gateways have restarted, few have reported. If
+// only those counted, each of them would use the room and the retries of the whole cluster.
 func TestNewLeaderAssumesFormerGatewayCount(t *testing.T) {
 	now := time.Now()
 	c := newCluster(&syncpb.Member{Node: "g0"}, http.DefaultClient, func() time.Time { return now }, nil)
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestDemandIsCountedOnce: what a head tells each side is what the other side and it are
-// asked for.
+// TestDemandIsCountedOnce: a gateway between the leader and its children tells each side the demand of
+// itself and of the other side, and nothing twice.
 func TestDemandIsCountedOnce(t *testing.T) {
 	now := time.Now()
 	head := fleet(treeLeast, node("b", 0, 100), &now)
@@ -160,12 +160,12 @@
 	head.setDemandsAbove(demand(10))
 	own := map[string]float64{"a": 4}
 	if got := head.demandBelow(own)["a"]; got != 7 {
-		t.Errorf("told the leader %v, want 1+2+4", got)
+		t.Errorf("reported to the leader: %v, want 1+2+4", got)
 	}
 	if got := head.demandElsewhere("b1", own)["a"]; got != 16 {
-		t.Errorf("told a child %v, want 2+4+10", got)
+		t.Errorf("reported to a child: %v, want 2+4+10", got)
 	}
 	if got := head.demandElsewhere("b0", nil)["a"]; got != 13 {
-		t.Errorf("others of the head are asked for %v, want 1+2+10", got)
+		t.Errorf("demand elsewhere is %v, want 1+2+10", got)
 	}
 }
--- a/gateway/placements_test.go
+++ b/gateway/placements_test.go
@@ -11,22 +11,22 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// operator returns a client of a gateway that does not lead.
+// operatorClient returns a placement client of a gateway that does not lead.
 func (b *bed) operatorClient() placementpb.Placement {
 	for _, g := range b.gateways {
 		if g.running() && !g.cluster.isLeading() {
 			return placementpb.NewPlacementProtobufClient("http://"+g.open.Peers.Addr().String(), b.client)
 		}
 	}
-	b.t.Fatal("no gateway")
+	b.t.Fatal("no running gateway that does not lead")
 	return nil
 }
 
-// stated states an intent, also while the leader has just begun.
+// stateIntent states an intent, retrying while the leader is not ready.
 func (b *bed) stateIntent(o placementpb.Placement, i *placementpb.Intent) *placementpb.Intent {
 	b.t.Helper()
 	var out *placementpb.Intent
-	b.eventually("stated", func() bool {
+	b.eventually("the intent is stated", func() bool {
 		var err error
 		out, err = o.State(context.Background(), i)
 		return err == nil
@@ -34,11 +34,10 @@
 	return out
 }
 
-// confirmed confirms an intent; a plan that has changed meanwhile is confirmed as
-// it is now.
+// confirmIntent confirms an intent. If its plan has changed, the retry confirms the new plan.
 func (b *bed) confirmIntent(o placementpb.Placement, id string) {
 	b.t.Helper()
-	b.eventually("confirmed", func() bool {
+	b.eventually("the intent is confirmed", func() bool {
 		_, err := o.Confirm(context.Background(), &placementpb.Reference{Id: id})
 		return err == nil
 	})
@@ -51,8 +50,9 @@
 	return ""
 }
 
-// TestDrainByOperator: a confirmed drain moves all keys and keeps new requests
-// away, and survives the loss of the leader; cancelled, the upstream is used again.
+// TestOperatorDrainSurvivesLeaderLoss: a confirmed drain moves all keys away and keeps new requests away
+// from the upstream, and stays in force after the loss of the leader. After its cancellation the upstream
+// owns keys again.
 func TestOperatorDrainSurvivesLeaderLoss(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
@@ -62,22 +62,22 @@
 		t.Fatalf("intent %v", i)
 	}
 	b.confirmIntent(o, i.Id)
-	b.eventually("nothing owned by the drained one", func() bool { return b.ownedBy("i-s1") == 0 })
+	b.eventually("the drained upstream owns nothing", func() bool { return b.ownedBy("i-s1") == 0 })
 	b.leader().kill()
-	b.eventually("another leader that drains", func() bool {
+	b.eventually("another leader with the drain in force", func() bool {
 		l := b.leader()
 		return l != nil && l.steward.placements.draining("i-s1")
 	})
 	b.ready()
 	time.Sleep(2 * planInterval)
 	if b.ownedBy("i-s1") != 0 {
-		t.Error("the next leader gives the drained upstream keys")
+		t.Error("the next leader gives keys to the drained upstream")
 	}
 	o = b.operatorClient()
 	if _, err := o.Cancel(context.Background(), &placementpb.Reference{Id: i.Id}); err != nil {
 		t.Fatal(err)
 	}
-	b.eventually("keys for the upstream again", func() bool { return b.ownedBy("i-s1") > 0 })
+	b.eventually("the upstream owns keys again", func() bool { return b.ownedBy("i-s1") > 0 })
 }
 
 func TestOperatorPinMovesKeys(t *testing.T) {
@@ -86,7 +86,7 @@
 	o := b.operatorClient()
 	i := b.stateIntent(o, &placementpb.Intent{Kind: "pin", Service: "status", Upstream: "i-s2", First: 0, Last: 9999, By: "ops"})
 	b.confirmIntent(o, i.Id)
-	b.eventually("the keys where they are wanted", func() bool {
+	b.eventually("the keys are at the pinned upstream", func() bool {
 		for key := 0; key <= 9999; key += 111 {
 			if l := b.leader(); l == nil || l.view.spansOf("status").Find(uint16(key)).Owner != "i-s2" {
 				return false
@@ -96,14 +96,15 @@
 	})
 }
 
-// TestConfirmOfAStalePlan is refused, and the new plan waits for a confirm.
+// TestConfirmOfStalePlanIsRefused: confirming a plan that has become stale is refused, and the new plan
+// waits for a second confirmation.
 func TestConfirmOfStalePlanIsRefused(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	o := b.operatorClient()
 	i := b.stateIntent(o, &placementpb.Intent{Kind: "drain", Service: "status", Upstream: "i-s1", By: "ops"})
 	b.register(b.ups["i-s0"], "draining")
-	b.eventually("other owners", func() bool { return b.ownedBy("i-s0") == 0 })
+	b.eventually("the keys have other owners", func() bool { return b.ownedBy("i-s0") == 0 })
 	b.ready()
 	if _, err := o.Confirm(context.Background(), &placementpb.Reference{Id: i.Id}); errorKind(err) != answer.StalePlan {
 		t.Errorf("error %v", err)
--- a/gateway/resign_test.go
+++ b/gateway/resign_test.go
@@ -9,8 +9,9 @@
 	"github.com/rockcroft/rockcroft/coordination/leadership"
 )
 
-// TestStoppingLeaderRenewsInItsStopOnly: a renewal by the ordinary loop, which may wait for a
-// silent store for longer than the stop has left, would keep the stop from ending in time.
+// TestStoppingLeaderRenewsOnlyDuringResign: while a leader stops, the ordinary loop must not renew the
+// lease. Such a renewal may wait for a silent store for longer than the stop has left, and would
+// delay its end.
 func TestStoppingLeaderRenewsOnlyDuringResign(t *testing.T) {
 	t.Parallel()
 	b := newBed(t)
@@ -21,14 +22,14 @@
 	b.ready()
 	const renewals = leaseKind + ".replace"
 	before := record.of(renewals)
-	b.eventually("it renews", func() bool { return record.of(renewals) > before })
+	b.eventually("the leader renews its lease", func() bool { return record.of(renewals) > before })
 	g.leading.resigning.Store(true)
-	// One that has begun ends.
+	// A renewal that has already begun is allowed to finish.
 	g.leading.leaseWriteMu.Lock()
 	before = record.of(renewals)
 	g.leading.leaseWriteMu.Unlock()
 	time.Sleep(3 * leadership.Renewal)
 	if n := record.of(renewals) - before; n > 0 {
-		t.Errorf("the loop renewed the lease %d times in a stop", n)
+		t.Errorf("the loop renewed the lease %d times during a stop", n)
 	}
 }
