--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -87,7 +87,7 @@
 // operatorSeesEvacuated reports whether the operator interface shows that the domain is evacuated,
 // owns no keys any more and is known to be evacuated by all gateways.
 func (b *bed) operatorSeesEvacuated(domain string) bool {
-	state, err := b.operator().Evacuations(context.Background(), &placementpb.EvacuationsRequest{})
+	state, err := b.operatorClient().Evacuations(context.Background(), &placementpb.EvacuationsRequest{})
 	if err != nil || len(state.Domains) != 1 || len(state.Gateways) != len(b.gateways) {
 		return false
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -108,8 +108,8 @@
 	follower *follower
 	watcher  *watcher
 	calls    *storeCaller
-	steward  *steward
-	leading  *leading
+	steward  *assignmentSupervisor
+	leading  *leaderElector
 	front    *front
 	conns    *pool.Pool
 	gaps     *ownerGaps
@@ -201,33 +201,33 @@
 	g.calls.onRecovery = g.watcher.storeRecovered
 	g.follower = &follower{
 		view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now, log: log, meters: g.meters,
-		began: g.now(), evac: evac, limits: g.limits, suspects: g.suspects,
+		startedAt: g.now(), evac: evac, limits: g.limits, suspects: g.suspects,
 	}
 	g.follower.sieve = newPeerValidator(g.view, g.now, log, g.meters)
 	g.follower.fetcher = newFetcher(g.cluster.client, g.follower.applyPart, g.now, log, g.meters)
 	for _, s := range conf.Seeds {
 		g.follower.seeds = append(g.follower.seeds, s.String())
-		g.follower.seed = g.follower.seed || s == conf.Peers
+		g.follower.isSeed = g.follower.isSeed || s == conf.Peers
 	}
 	g.conns = pool.New(upstreamLimits, g.now)
-	g.steward = &steward{
+	g.steward = &assignmentSupervisor{
 		view: g.view, cluster: g.cluster, traffic: g.traffic, store: store, calls: g.calls,
-		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newCallSlots(maxGrantCalls), longest: conf.LongestHold.D(),
+		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newCallSlots(maxGrantCalls), maxHold: conf.LongestHold.D(),
 		now: g.now, log: log, meters: g.meters, workTimes: newWorkTimes(g.view, g.now), limits: g.limits,
 		rights: &warmUpRights{view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now},
 	}
-	g.leading = &leading{
+	g.leading = &leaderElector{
 		store: store, calls: g.calls, cluster: g.cluster, follower: g.follower, watcher: g.watcher,
-		steward: g.steward, now: g.now, log: log, firstRank: firstRank(conf),
-		promises: newPromises(g.now), longest: conf.LongestHold.D(),
+		assignments: g.steward, now: g.now, log: log, initialRank: firstRank(conf),
+		promises: newPromises(g.now), maxHold: conf.LongestHold.D(),
 	}
-	g.steward.leading = g.leading
+	g.steward.elector = g.leading
 	g.steward.placements = &placements{
-		store: store, steward: g.steward, leading: g.leading, cluster: g.cluster, evac: evac, suspects: g.suspects, unread: unread,
+		store: store, assignments: g.steward, elector: g.leading, cluster: g.cluster, evac: evac, suspects: g.suspects, unread: unread,
 		watches: g.watcher.ages, now: g.now, log: log,
 	}
 	g.watcher.isDraining, g.watcher.announcedLeaving = g.steward.placements.draining, g.steward.reportedLeaving
-	g.follower.setOwn = g.steward.setOwn
+	g.follower.setOwnReport = g.steward.setOwnReport
 	g.front = &front{
 		view: g.view, traffic: g.traffic, splitter: routing.NewSplitter(), conns: g.conns, now: g.now,
 		log: log, meters: g.meters, domain: conf.Domain, gaps: g.gaps, limits: g.limits, suspects: g.suspects, unread: unread, open: newOpenRequests(),
@@ -250,7 +250,7 @@
 	return g.follower.configurationAge(g.watcher.configurationHeard())
 }
 
-// firstRank is the gateway's place among those that reach for the lease at the
+// initialRank is the gateway's place among those that reach for the lease at the
 // first start: the seeds in their order, then all others.
 func firstRank(conf settings.Gateway) int {
 	for i, s := range conf.Seeds {
@@ -324,7 +324,7 @@
 	}
 	stopWork()
 	loops.Wait()
-	g.steward.end()
+	g.steward.stopAndWait()
 	return err
 }
 
@@ -363,7 +363,7 @@
 func (g *Gateway) frontServer(ctx context.Context) *http.Server {
 	limit := g.now().Add(configurationWait)
 	for g.view.table.Load() == nil && g.now().Before(limit) && ctx.Err() == nil {
-		pause(ctx, keepInterval)
+		pause(ctx, assignerTick)
 	}
 	limits := routing.Limits{HeaderTimeout: headerWait, IdleTimeout: defaultIdle}
 	if t := g.view.table.Load(); t != nil {
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -15,32 +15,32 @@
 )
 
 // startMoves starts every move in the table that is not already in progress.
-func (k *keeper) startMoves(ctx context.Context) {
+func (k *keyAssigner) startMoves(ctx context.Context) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, s := range k.table.Spans {
-		if !s.Moving() || k.moving[s.NextFence] {
+		if !s.Moving() || k.activeMoves[s.NextFence] {
 			continue
 		}
-		k.moving[s.NextFence] = true
-		k.moves.Go(func() {
+		k.activeMoves[s.NextFence] = true
+		k.tasks.Go(func() {
 			k.move(ctx, s)
 			k.mu.Lock()
-			delete(k.moving, s.NextFence)
+			delete(k.activeMoves, s.NextFence)
 			k.mu.Unlock()
 		})
 	}
 }
 
 // move releases the keys of a span from their owner and grants them to the next one.
-func (k *keeper) move(ctx context.Context, s spans.Span) {
+func (k *keyAssigner) move(ctx context.Context, s spans.Span) {
 	began := k.now()
 	token, free := "", true
 	if s.Next != s.Owner {
 		// If they are the same, the owner has restarted and no upstream holds the keys.
 		token, free = k.releaseFromOwner(ctx, s)
 	}
-	if !free || !k.leading.mayAct() {
+	if !free || !k.elector.mayAct() {
 		return
 	}
 	taken := k.now()
@@ -53,13 +53,13 @@
 	verdict, err := k.grantWithRetries(ctx, s, next, token)
 	switch {
 	case err == nil && verdict == platform.Granted:
-		k.works(s.Next)
+		k.clearFailure(s.Next)
 		k.finishMove(s, s.Next, next.Incarnation(), cold)
 		k.log.Info("keys granted", "first", s.First, "last", s.Last, "upstream", s.Next, "fence", s.NextFence,
 			"from", s.Owner, "warm", token != "", "release_ms", taken.Sub(began).Milliseconds(), "took_ms", k.now().Sub(began).Milliseconds())
 	case err == nil && verdict == platform.Fenced:
 		k.log.Warn("grant refused: the upstream has seen a higher fence", "first", s.First, "upstream", s.Next, "fence", s.NextFence)
-		k.raiseFence(fenceLeap)
+		k.raiseFence(fenceIncrement)
 		k.finishMove(s, "", 0, false)
 	case errors.Is(err, errLeadershipExpired):
 		k.log.Info("move left to the next leader", "first", s.First, "upstream", s.Next, "fence", s.NextFence)
@@ -77,10 +77,10 @@
 // possibleOwner returns the next owner of a move whose grant this leader has not sent, if a
 // former leader may have sent it: that upstream then counts as the owner. Otherwise it returns
 // "".
-func (k *keeper) possibleOwner(s spans.Span) string {
+func (k *keyAssigner) possibleOwner(s spans.Span) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.inherited[s.NextFence] {
+	if k.inheritedMoves[s.NextFence] {
 		return s.Next
 	}
 	return ""
@@ -88,7 +88,7 @@
 
 // releaseFromOwner releases keys from their owner, or waits until the owner's hold has expired.
 // free reports whether no upstream holds the keys any more.
-func (k *keeper) releaseFromOwner(ctx context.Context, s spans.Span) (token string, free bool) {
+func (k *keyAssigner) releaseFromOwner(ctx context.Context, s spans.Span) (token string, free bool) {
 	if s.Owner == "" {
 		return "", true
 	}
@@ -102,10 +102,10 @@
 				return token, true
 			}
 			if err != nil {
-				k.fails(s.Owner)
+				k.recordFailure(s.Owner)
 			}
 			if err == nil && verdict == platform.Elsewhere {
-				k.ended(owner)
+				k.markTerminated(owner)
 				return "", true
 			}
 		}
@@ -113,16 +113,16 @@
 			k.log.Info("hold of a lost owner has expired", "upstream", s.Owner, "first", s.First, "last", s.Last)
 			return "", true
 		}
-		if !k.leading.mayAct() {
+		if !k.elector.mayAct() {
 			return "", false
 		}
-		pause(ctx, callPause)
+		pause(ctx, controlRetryInterval)
 	}
 	return "", false
 }
 
 // releaseCallTimeout returns the timeout of one release call.
-func (k *keeper) releaseCallTimeout(s spans.Span) time.Duration {
+func (k *keyAssigner) releaseCallTimeout(s spans.Span) time.Duration {
 	ends, known := k.holdExpiry(s)
 	if !known {
 		return releaseTimeout
@@ -130,29 +130,29 @@
 	return ownership.ReleaseTimeout(releaseTimeout, ends.Sub(k.now()), k.failingFor(s.Owner) > 0)
 }
 
-func (k *keeper) holdExpired(s spans.Span) bool {
+func (k *keyAssigner) holdExpired(s spans.Span) bool {
 	ends, known := k.holdExpiry(s)
 	return known && k.now().After(ends)
 }
 
 // holdExpiry returns until when the owner of the span may hold its keys by grants of this leader
 // or of former ones. known is false while the grants of former leaders are not known.
-func (k *keeper) holdExpiry(s spans.Span) (ends time.Time, known bool) {
+func (k *keyAssigner) holdExpiry(s spans.Span) (ends time.Time, known bool) {
 	k.mu.Lock()
-	own, sole := k.holds[owned(s)], k.sole
+	own, sole := k.holdDeadlines[ownerGrant(s)], k.onlyGranter
 	k.mu.Unlock()
 	if sole {
 		return own, true
 	}
-	former, known := k.leading.formerHoldsUntil()
-	return later(own, former), known
+	former, known := k.elector.latestFormerHold()
+	return laterOf(own, former), known
 }
 
 // grantWithRetries grants the keys of a move to their next owner and repeats the call until it is
 // answered. Repeating is safe: a later call renews what an earlier one granted. It gives up once
 // calls to the upstream have failed for ownership.SilentOwnerTimeout, after which an owner would
 // be given up too.
-func (k *keeper) grantWithRetries(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.Verdict, error) {
+func (k *keyAssigner) grantWithRetries(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.Verdict, error) {
 	arrived := false
 	for {
 		verdict, err := k.grant(ctx, s.Keys, next, s.NextFence, token)
@@ -163,14 +163,14 @@
 			return 0, err
 		}
 		arrived = arrived || !errors.Is(err, pool.ErrNotSent)
-		k.fails(next.ID)
-		if ctx.Err() != nil || !k.leading.mayAct() || k.failingFor(next.ID) >= ownership.SilentOwnerTimeout {
+		k.recordFailure(next.ID)
+		if ctx.Err() != nil || !k.elector.mayAct() || k.failingFor(next.ID) >= ownership.SilentOwnerTimeout {
 			if arrived {
 				err = errPossiblyGranted
 			}
 			return 0, err
 		}
-		pause(ctx, callPause)
+		pause(ctx, controlRetryInterval)
 	}
 }
 
@@ -179,7 +179,7 @@
 
 // grant makes one grant call and records until when the upstream may hold the keys. The right to
 // lead is checked last, right before the call is sent.
-func (k *keeper) grant(ctx context.Context, keys spans.Keys, to *instances.Instance, fence uint64, token string) (platform.Verdict, error) {
+func (k *keyAssigner) grant(ctx context.Context, keys spans.Keys, to *instances.Instance, fence uint64, token string) (platform.Verdict, error) {
 	releaseSlot, ok := k.turns.acquire(ctx)
 	if !ok {
 		return 0, errNoCallSlot
@@ -188,16 +188,16 @@
 	hold := k.grantDuration()
 	call, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
-	// stillMayAct is checked again once the connection is open, as opening it may have outlasted
+	// checkMayAct is checked again once the connection is open, as opening it may have outlasted
 	// the right to lead.
-	verdict, err := k.owners.Grant(call, to.ID, to.Address, keys, fence, hold, token, k.leading.stillMayAct)
+	verdict, err := k.owners.Grant(call, to.ID, to.Address, keys, fence, hold, token, k.elector.checkMayAct)
 	if err == nil && verdict == platform.Granted || err != nil && !errors.Is(err, pool.ErrNotSent) {
-		until := k.now().Add(heldFor(hold))
+		until := k.now().Add(holdWithMargin(hold))
 		k.mu.Lock()
 		id := grantID{first: keys.First, fence: fence}
-		k.holds[id] = later(k.holds[id], until)
+		k.holdDeadlines[id] = laterOf(k.holdDeadlines[id], until)
 		if err == nil {
-			k.renewed[keys.First], k.granted[to.ID] = k.now(), k.now()
+			k.grantRenewedAt[keys.First], k.lastGranted[to.ID] = k.now(), k.now()
 		}
 		k.mu.Unlock()
 	}
@@ -212,14 +212,14 @@
 // grantDuration returns how long a grant lasts. Grants last longer while this leader acts by
 // promises of the voters instead of the store, so that owners continue to serve if the leader is
 // lost before the store returns.
-func (k *keeper) grantDuration() time.Duration {
-	if k.leading.byPromises() {
-		return k.longest
+func (k *keyAssigner) grantDuration() time.Duration {
+	if k.elector.actsByPromises() {
+		return k.maxHold
 	}
-	return min(holdTime, k.longest)
+	return min(holdDuration, k.maxHold)
 }
 
-func (k *keeper) instance(id string) *instances.Instance {
+func (k *keyAssigner) instance(id string) *instances.Instance {
 	v := k.view.inst.Load()
 	if v == nil {
 		return nil
@@ -229,7 +229,7 @@
 
 // finishMove ends a move. The keys then belong to owner, in the incarnation they were granted to,
 // or to nobody if owner is "". cold says that they came to the owner without a handover.
-func (k *keeper) finishMove(s spans.Span, owner string, granted instances.Incarnation, cold bool) {
+func (k *keyAssigner) finishMove(s spans.Span, owner string, granted instances.Incarnation, cold bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for i := range k.table.Spans {
@@ -239,8 +239,8 @@
 			t.Next, t.NextFence = "", 0
 		}
 	}
-	k.settled[s.First] = k.now()
-	k.coldAt[s.First] = k.now()
+	k.movedAt[s.First] = k.now()
+	k.coldSince[s.First] = k.now()
 	k.unsaved = true
 	k.publish()
 }
@@ -251,13 +251,13 @@
 
 // clearColdMarks removes the cold mark from keys that have been at their owner for coldDuration.
 // For keys marked by a former leader the time counts from when this leader took over.
-func (k *keeper) clearColdMarks() {
+func (k *keyAssigner) clearColdMarks() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	changed := false
 	for i := range k.table.Spans {
 		s := &k.table.Spans[i]
-		if s.Cold && k.now().Sub(later(k.began, k.coldAt[s.First])) >= coldDuration {
+		if s.Cold && k.now().Sub(laterOf(k.tookOverAt, k.coldSince[s.First])) >= coldDuration {
 			s.Cold, changed = false, true
 		}
 	}
@@ -268,7 +268,7 @@
 }
 
 // raiseFence raises the last assigned fence by the given amount.
-func (k *keeper) raiseFence(by uint64) {
+func (k *keyAssigner) raiseFence(by uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.table.LastFence += by
@@ -276,30 +276,30 @@
 
 // startRenewals starts the renewals that are due. Each owner has at most one run of renewals at a
 // time.
-func (k *keeper) startRenewals(ctx context.Context) {
+func (k *keyAssigner) startRenewals(ctx context.Context) {
 	now := k.now()
-	long := k.leading.byPromises()
+	long := k.elector.actsByPromises()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	due := make(map[string][]spans.Span)
 	for _, s := range k.table.Spans {
 		_, failing := k.failing[s.Owner]
-		if s.Owner == "" || s.Moving() || k.renewing[s.Owner] || failing && !k.controlLocked(s.Owner).MayRenew() {
+		if s.Owner == "" || s.Moving() || k.callsInFlight[s.Owner] || failing && !k.controlHealthLocked(s.Owner).MayRenew() {
 			continue
 		}
-		late := now.Sub(k.renewed[s.First]) >= renewInterval
+		late := now.Sub(k.grantRenewedAt[s.First]) >= renewInterval
 		// A leader that acts by promises extends every grant at once.
-		stretch := long && k.holds[owned(s)].Sub(now) < k.longest-renewInterval
+		stretch := long && k.holdDeadlines[ownerGrant(s)].Sub(now) < k.maxHold-renewInterval
 		if late || stretch {
 			due[s.Owner] = append(due[s.Owner], s)
 		}
 	}
 	for id, list := range due {
-		k.renewing[id] = true
-		k.moves.Go(func() {
+		k.callsInFlight[id] = true
+		k.tasks.Go(func() {
 			k.renewGrants(ctx, id, list)
 			k.mu.Lock()
-			delete(k.renewing, id)
+			delete(k.callsInFlight, id)
 			k.mu.Unlock()
 		})
 	}
@@ -310,13 +310,13 @@
 // fail is probed with calls that change nothing until one of them is answered. If it answers
 // requests meanwhile, it is not lost, and its grants are renewed concurrently: each call without
 // an answer takes 250 ms of the 4 s for which the grants hold.
-func (k *keeper) renewGrants(ctx context.Context, id string, list []spans.Span) {
+func (k *keyAssigner) renewGrants(ctx context.Context, id string, list []spans.Span) {
 	owner := k.instance(id)
 	if owner == nil {
-		k.fails(id)
+		k.recordFailure(id)
 		return
 	}
-	if !k.control(id).Failing() {
+	if !k.controlHealth(id).Failing() {
 		for _, s := range list {
 			if !k.renewGrant(ctx, owner, s) {
 				return
@@ -333,7 +333,7 @@
 
 // renewGrant renews one grant and reports whether the owner's other grants may be renewed after
 // it.
-func (k *keeper) renewGrant(ctx context.Context, owner *instances.Instance, s spans.Span) bool {
+func (k *keyAssigner) renewGrant(ctx context.Context, owner *instances.Instance, s spans.Span) bool {
 	if !k.spanUnchanged(s) || owner.Incarnation().Other(s.Incarnation) {
 		// The owner has other keys by now, or has restarted and holds none.
 		return true
@@ -343,16 +343,16 @@
 	case errors.Is(err, errLeadershipExpired) || ctx.Err() != nil:
 		return false
 	case err != nil:
-		k.fails(owner.ID)
+		k.recordFailure(owner.ID)
 		return false
 	case verdict == platform.Elsewhere:
-		k.ended(owner)
+		k.markTerminated(owner)
 		return false
 	case verdict == platform.Fenced:
 		k.log.Warn("renewal refused: the upstream has seen a higher fence", "first", s.First, "upstream", owner.ID, "fence", s.Fence)
 		k.markUnowned(s)
 	default:
-		k.works(owner.ID)
+		k.clearFailure(owner.ID)
 	}
 	return true
 }
@@ -360,7 +360,7 @@
 // startProbes probes upstreams whose calls fail, by a call that changes nothing. A grant without
 // an answer would have to count as held and would keep the keys of a lost owner from others for
 // longer.
-func (k *keeper) startProbes(ctx context.Context) {
+func (k *keyAssigner) startProbes(ctx context.Context) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.failing) == 0 {
@@ -372,22 +372,22 @@
 			delete(k.failing, id)
 			continue
 		}
-		if f.reached && !k.owns(id) {
+		if f.probeAnswered && !k.ownsKeys(id) {
 			// Nothing else would end the failure: without keys the upstream has no grant to renew
 			// that would show that it accepts grants, and while it counts as failing it is given no
 			// keys.
-			k.worksLocked(id)
+			k.clearFailureLocked(id)
 			continue
 		}
-		if k.renewing[id] || one.Leaving || f.reached || k.now().Sub(f.last) < trialInterval {
+		if k.callsInFlight[id] || one.Leaving || f.probeAnswered || k.now().Sub(f.lastFailed) < probeInterval {
 			continue
 		}
-		k.renewing[id] = true
+		k.callsInFlight[id] = true
 		keys := k.unrelatedKey(id)
-		k.moves.Go(func() {
+		k.tasks.Go(func() {
 			k.probe(ctx, one, keys)
 			k.mu.Lock()
-			delete(k.renewing, id)
+			delete(k.callsInFlight, id)
 			k.mu.Unlock()
 		})
 	}
@@ -395,7 +395,7 @@
 
 // unrelatedKey returns a key that the upstream neither owns nor is about to be granted. The lock
 // is held.
-func (k *keeper) unrelatedKey(id string) spans.Keys {
+func (k *keyAssigner) unrelatedKey(id string) spans.Keys {
 	for _, s := range k.table.Spans {
 		if s.Owner != id && s.Next != id {
 			return spans.Keys{First: s.First, Last: s.First}
@@ -409,18 +409,18 @@
 const probeFence = 1
 
 // probe sends a release that changes nothing, to learn whether the upstream answers.
-func (k *keeper) probe(ctx context.Context, to *instances.Instance, keys spans.Keys) {
+func (k *keyAssigner) probe(ctx context.Context, to *instances.Instance, keys spans.Keys) {
 	call, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	if _, _, err := k.owners.Release(call, to.ID, to.Address, keys, probeFence); err != nil {
-		k.fails(to.ID)
+		k.recordFailure(to.ID)
 		return
 	}
-	k.reaches(to.ID)
+	k.recordProbeAnswer(to.ID)
 }
 
 // spanUnchanged reports whether the span is still in the table as given.
-func (k *keeper) spanUnchanged(s spans.Span) bool {
+func (k *keyAssigner) spanUnchanged(s spans.Span) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.table.Find(s.First) == s
@@ -428,13 +428,13 @@
 
 // markUnowned records that the owner no longer holds the keys of the span, and raises the last
 // assigned fence beyond the one that the owner has seen.
-func (k *keeper) markUnowned(s spans.Span) {
+func (k *keyAssigner) markUnowned(s spans.Span) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	i := k.table.At(s.First)
 	if k.table.Spans[i] == s {
 		k.table.Spans[i].Owner = ""
-		k.table.LastFence += fenceLeap
+		k.table.LastFence += fenceIncrement
 		k.unsaved = true
 		k.publish()
 	}
--- a/gateway/keeperstore.go
+++ b/gateway/keeperstore.go
@@ -11,21 +11,21 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// This file brings plans and ended moves into the store.
+// This file writes plans and completed moves to the store.
 
-// plan makes the moves that are due part of the assignment, in the store
-// first: no grant carries a fence that is not reserved there.
-func (k *keeper) plan(ctx context.Context) {
+// plan adds the moves that are due to the assignment. They are stored before they begin, so
+// that every granted fence is reserved in the store.
+func (k *keyAssigner) plan(ctx context.Context) {
 	owners, load := k.candidates(), k.rates()
-	pins, unreliable := k.placements.pins(k.service), k.unreliable(owners)
+	pins, unreliable := k.placements.pins(k.service), k.controlUnreliable(owners)
 	k.mu.Lock()
 	limits := ownership.Limits(k.table, owners, load)
-	balance := k.now().Sub(k.balanced) >= balanceInterval
+	balance := k.now().Sub(k.rebalancedAt) >= rebalanceInterval
 	if balance {
-		k.balanced = k.now()
+		k.rebalancedAt = k.now()
 	}
 	next := ownership.MakePlan(ownership.PlanInput{
-		BalanceDue: balance, Table: k.table, Owners: owners, Load: load, RecentlyMoved: k.resting(), Pins: pins,
+		BalanceDue: balance, Table: k.table, Owners: owners, Load: load, RecentlyMoved: k.recentlyMoved(), Pins: pins,
 		ControlUnreliable: unreliable,
 	})
 	k.mu.Unlock()
@@ -37,22 +37,22 @@
 	k.commit(ctx, next)
 }
 
-// resting returns the first keys of spans that have moved lately. The lock is
-// held.
-func (k *keeper) resting() map[uint16]bool {
+// recentlyMoved returns the first keys of the spans that have moved recently. The caller
+// holds k.mu.
+func (k *keyAssigner) recentlyMoved() map[uint16]bool {
 	out := make(map[uint16]bool)
-	for first, at := range k.settled {
-		if k.now().Sub(at) < restTime {
+	for first, at := range k.movedAt {
+		if k.now().Sub(at) < moveCooldown {
 			out[first] = true
 		}
 	}
 	return out
 }
 
-// commit writes a table with new moves and adopts it when it is stored.
-func (k *keeper) commit(ctx context.Context, next *spans.Table) {
+// commit stores a table with new moves and adopts it once it is stored.
+func (k *keyAssigner) commit(ctx context.Context, next *spans.Table) {
 	if err := next.Check(); err != nil {
-		k.log.Error("plan dropped", "error", err)
+		k.log.Error("invalid plan dropped", "error", err)
 		return
 	}
 	k.mu.Lock()
@@ -62,22 +62,22 @@
 	k.mu.Unlock()
 	got, err := k.save(ctx, next, revision)
 	if err != nil {
-		k.saveFailed(ctx, err)
+		k.handleSaveError(ctx, err)
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.revision = got
-	k.inheritHolds(before, next)
-	k.forgetHolds()
-	k.table, k.unsaved = k.merge(next)
+	k.inheritSplitHolds(before, next)
+	k.dropExpiredHolds()
+	k.table, k.unsaved = k.mergeEndedMoves(next)
 	k.savedAt = k.now()
 	k.publish()
 }
 
-// merge brings the moves that ended while the table was being written into it, and
-// reports whether there were any: the store does not have them. The lock is held.
-func (k *keeper) merge(next *spans.Table) (merged *spans.Table, changed bool) {
+// mergeEndedMoves copies moves that completed while the table was being stored into it, and
+// reports whether there were any, as the store does not have them yet. The caller holds k.mu.
+func (k *keyAssigner) mergeEndedMoves(next *spans.Table) (merged *spans.Table, changed bool) {
 	for i := range next.Spans {
 		s := &next.Spans[i]
 		now := k.table.Find(s.First)
@@ -93,52 +93,52 @@
 	return next, changed
 }
 
-// inheritHolds gives spans that were split what was known of the whole. The
-// lock is held.
-func (k *keeper) inheritHolds(before, next *spans.Table) {
+// inheritSplitHolds copies the recorded state of a span to the parts it was split into. The
+// caller holds k.mu.
+func (k *keyAssigner) inheritSplitHolds(before, next *spans.Table) {
 	for _, s := range next.Spans {
 		from := before.Find(s.First)
 		if from.First == s.First {
 			continue
 		}
-		k.holds[owned(s)] = k.holds[owned(from)]
-		k.renewed[s.First] = k.renewed[from.First]
-		k.coldAt[s.First] = k.coldAt[from.First]
+		k.holdDeadlines[ownerGrant(s)] = k.holdDeadlines[ownerGrant(from)]
+		k.grantRenewedAt[s.First] = k.grantRenewedAt[from.First]
+		k.coldSince[s.First] = k.coldSince[from.First]
 	}
 }
 
-// forgetHolds drops those that have ended. The lock is held.
-func (k *keeper) forgetHolds() {
+// dropExpiredHolds removes expired hold deadlines. The caller holds k.mu.
+func (k *keyAssigner) dropExpiredHolds() {
 	now := k.now()
-	maps.DeleteFunc(k.holds, func(_ grantID, until time.Time) bool { return now.After(until) })
+	maps.DeleteFunc(k.holdDeadlines, func(_ grantID, until time.Time) bool { return now.After(until) })
 }
 
-// saveFailed handles a write that was not acknowledged.
-func (k *keeper) saveFailed(ctx context.Context, err error) {
+// handleSaveError handles a write that was not acknowledged.
+func (k *keyAssigner) handleSaveError(ctx context.Context, err error) {
 	if !errors.Is(err, platform.ErrConflict) {
-		k.log.Warn("owners not saved", "error", err)
+		k.log.Warn("assignment could not be saved", "error", err)
 		return
 	}
 	table, revision, err := k.load(ctx, k.service)
 	if err != nil || table == nil {
-		k.log.Warn("owners not loaded after a conflict", "error", err)
+		k.log.Warn("assignment could not be loaded after a write conflict", "error", err)
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if table.Version>>termShift > k.term {
-		k.log.Warn("owners are kept by a later leader", "writer", table.Writer)
-		k.deposed = true
+		k.log.Warn("assignment was taken over by a newer leader", "writer", table.Writer)
+		k.superseded = true
 		return
 	}
-	// A write of this leader took effect late. None of its moves was begun.
-	k.log.Warn("owners were changed by a late write", "writer", table.Writer, "revision", revision)
+	// A delayed write of this leader took effect. None of its moves has begun.
+	k.log.Warn("assignment was changed by a delayed write of this leader", "writer", table.Writer, "revision", revision)
 	k.revision = revision
 	k.table.LastFence = max(k.table.LastFence, table.LastFence)
 }
 
-// saveDone writes moves that have ended to the store, together.
-func (k *keeper) saveDone(ctx context.Context) {
+// saveEndedMoves stores completed moves in batches.
+func (k *keyAssigner) saveEndedMoves(ctx context.Context) {
 	k.mu.Lock()
 	due := k.unsaved && k.now().Sub(k.savedAt) > saveInterval
 	next := k.table.Clone()
@@ -149,7 +149,7 @@
 	}
 	got, err := k.save(ctx, next, revision)
 	if err != nil {
-		k.saveFailed(ctx, err)
+		k.handleSaveError(ctx, err)
 		pause(ctx, initialBackoff)
 		return
 	}
--- a/gateway/latecalls_test.go
+++ b/gateway/latecalls_test.go
@@ -89,15 +89,15 @@
 	clients := b.startKeyClients(b.roundRobin)
 	defer clients.end()
 	const id = "i-s0"
-	k := b.leader().steward.keeper("status")
+	k := b.leader().steward.assigner("status")
 	k.mu.Lock()
-	k.failing[id] = failure{since: k.now().Add(-ownership.SilentOwnerTimeout), last: k.now(), reached: true}
+	k.failing[id] = controlFailure{since: k.now().Add(-ownership.SilentOwnerTimeout), lastFailed: k.now(), probeAnswered: true}
 	// No renewal may clear the failure while the keys move.
-	k.renewing[id] = true
+	k.callsInFlight[id] = true
 	k.mu.Unlock()
 	b.eventually("its keys have moved to other upstreams", func() bool { return b.keysOwned()[id] == 0 })
 	k.mu.Lock()
-	delete(k.renewing, id)
+	delete(k.callsInFlight, id)
 	k.mu.Unlock()
 	b.eventually("it is given keys again", func() bool { return b.keysOwned()[id] > 0 })
 }
--- a/gateway/lead.go
+++ b/gateway/lead.go
@@ -14,99 +14,99 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// Where the leader's lease lies in the store.
+// Kind and name of the leader's lease in the store.
 const (
 	leaseKind = "rockcroft-leases"
 	leaseName = "leader"
 )
 
 const (
-	// rankPause keeps gateways from reaching for the lease at the same moment:
-	// each waits this much longer than the one before it.
-	rankPause = 120 * time.Millisecond
-	// leadInterval is the time between looks at the lease's state.
-	leadInterval = 50 * time.Millisecond
-	// claimInterval is the time between readings of the lease by a gateway that
-	// would take it.
-	claimInterval = 500 * time.Millisecond
-	// lateRenewal is how late a renewal of the lease must be for this leader to
-	// ask for promises: enough of its right is left to do so.
-	lateRenewal = 400 * time.Millisecond
+	// rankDelay keeps gateways from trying to acquire the lease at the same moment: each waits
+	// this much longer than the gateway ranked before it.
+	rankDelay = 120 * time.Millisecond
+	// leaseCheckInterval is the time between checks of the lease's state.
+	leaseCheckInterval = 50 * time.Millisecond
+	// leaseReadInterval is the time between reads of the lease by a gateway that tries to
+	// acquire it.
+	leaseReadInterval = 500 * time.Millisecond
+	// renewalGrace is how late a renewal of the lease must be before the leader asks the voters
+	// for promises. Enough of its right to act is left then to collect them.
+	renewalGrace = 400 * time.Millisecond
 )
 
-// leading runs the part of this process in leadership.
-type leading struct {
-	store    *platform.Store
-	calls    *storeCaller
-	cluster  *cluster
-	follower *follower
-	watcher  *watcher
-	steward  *steward
-	now      func() time.Time
-	log      *slog.Logger
-	// firstRank is this gateway's place while no members are known.
-	firstRank int
-	// started is when the process began to look for a leader.
-	started  time.Time
-	promises *promises
-	longest  time.Duration
+// leaderElector acquires, renews and releases the leader's lease in this process.
+type leaderElector struct {
+	store       *platform.Store
+	calls       *storeCaller
+	cluster     *cluster
+	follower    *follower
+	watcher     *watcher
+	assignments *assignmentSupervisor
+	now         func() time.Time
+	log         *slog.Logger
+	// initialRank is this gateway's rank while no members are known.
+	initialRank int
+	// startedAt is when the process began to look for a leader.
+	startedAt time.Time
+	promises  *promises
+	maxHold   time.Duration
 
 	mu    sync.Mutex
 	right leadership.Right
-	// extended is the right by promises, without the store.
-	extended leadership.Right
-	// voterLists are the lists of voters that may be in force: one, or two
-	// while a renewal that changed the list has no answer.
+	// promisedRight is the right to act that voter promises give without the store.
+	promisedRight leadership.Right
+	// voterLists are the lists of voters that may be in force: normally one, two while a
+	// renewal that changed the list has not been answered.
 	voterLists [][]string
 	claim      leadership.LeaseObservation
 	lease      leadership.Lease
 	revision   uint64
-	// formerHolds is until when upstreams may hold keys by grants of a former
-	// leader, once that is known.
-	formerHolds time.Time
-	formerKnown bool
-	// formerByPromises says that this is so by promises to the former leader.
-	formerByPromises bool
-	renewedAt        time.Time
+	// formerHoldDeadline is until when upstreams may hold keys by grants of a former leader;
+	// formerHoldKnown is set once that is known.
+	formerHoldDeadline time.Time
+	formerHoldKnown    bool
+	// formerActedByPromises is set when that time results from promises to the former leader.
+	formerActedByPromises bool
+	renewedAt             time.Time
 
-	// resigned is set when this process stops: it takes no lease any more.
-	resigned atomic.Bool
-	// writing is held over each write of the lease.
-	writing sync.Mutex
+	// resigning is set when this process stops; it does not acquire the lease after that.
+	resigning atomic.Bool
+	// leaseWriteMu is held during each write of the lease.
+	leaseWriteMu sync.Mutex
 }
 
-// mayAct reports whether this process leads and its right has not run out.
-func (l *leading) mayAct() bool {
+// mayAct reports whether this process leads and its right to act has not expired.
+func (l *leaderElector) mayAct() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.right.Valid(l.now()) || l.extended.Valid(l.now())
+	return l.right.Valid(l.now()) || l.promisedRight.Valid(l.now())
 }
 
-// stillMayAct returns an error when this process may not act any more.
-func (l *leading) stillMayAct() error {
+// checkMayAct returns errLeadershipExpired when this process may no longer act as leader.
+func (l *leaderElector) checkMayAct() error {
 	if !l.mayAct() {
 		return errLeadershipExpired
 	}
 	return nil
 }
 
-// byPromises reports whether this leader acts by promises: then its grants may
-// last longer, as its successor will ask for these.
-func (l *leading) byPromises() bool {
+// actsByPromises reports whether this leader acts by voter promises. Its grants may then last
+// longer, because a successor asks the voters about them.
+func (l *leaderElector) actsByPromises() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.extended.Valid(l.now())
+	return l.promisedRight.Valid(l.now())
 }
 
-// run takes the lease when it is due, keeps it, and watches the store while
-// this gateway leads or hears from no leader.
-func (l *leading) run(ctx context.Context) {
+// run acquires the lease when that is due and renews it. It also watches the store while this
+// gateway leads or has no recent state from a leader.
+func (l *leaderElector) run(ctx context.Context) {
 	var stopWatch context.CancelFunc
 	var watch sync.WaitGroup
-	l.started = l.now()
+	l.startedAt = l.now()
 	lastClaim := time.Time{}
 	for ctx.Err() == nil {
-		lost, refused, resigned := l.follower.lostFor()
+		lost, refused, resigned := l.follower.leaderSilence()
 		wantWatch := l.cluster.isLeading() || l.follower.needsStore(l.watcher.ages.lastHeardAny())
 		switch {
 		case wantWatch && stopWatch == nil:
@@ -119,15 +119,15 @@
 			watch.Wait()
 		}
 		if l.cluster.isLeading() {
-			// In a stop it is renewed by the stop, within the time that this has.
-			if !l.resigned.Load() {
-				l.keep(ctx)
+			// During a stop, resign renews the lease, within the time that the stop has left.
+			if !l.resigning.Load() {
+				l.renewIfDue(ctx)
 			}
-		} else if l.due(lost, refused || resigned) && l.now().Sub(lastClaim) > claimInterval {
+		} else if l.acquireDue(lost, refused || resigned) && l.now().Sub(lastClaim) > leaseReadInterval {
 			lastClaim = l.now()
-			l.reach(ctx, refused)
+			l.tryAcquire(ctx, refused)
 		}
-		pause(ctx, leadInterval)
+		pause(ctx, leaseCheckInterval)
 	}
 	if stopWatch != nil {
 		stopWatch()
@@ -135,44 +135,45 @@
 	watch.Wait()
 }
 
-// runExtensions asks for promises while the lease is not renewed, until ctx ends.
-func (l *leading) runExtensions(ctx context.Context) {
+// runExtensions asks the voters for promises while the renewal of the lease is overdue, until
+// ctx ends.
+func (l *leaderElector) runExtensions(ctx context.Context) {
 	for ctx.Err() == nil {
-		if l.cluster.isLeading() && l.doubtful() {
+		if l.cluster.isLeading() && l.renewalOverdue() {
 			l.extend(ctx)
 			pause(ctx, leadership.RenewInterval)
 			continue
 		}
-		pause(ctx, leadInterval)
+		pause(ctx, leaseCheckInterval)
 	}
 }
 
-// due reports whether this gateway should look whether it can lead.
-// ended says that the leader's process or role seems to have ended.
-func (l *leading) due(lost time.Duration, ended bool) bool {
-	if l.resigned.Load() {
+// acquireDue reports whether this gateway should try to acquire the lease. ended reports that
+// the leader's process or its role appears to have ended.
+func (l *leaderElector) acquireDue(lost time.Duration, ended bool) bool {
+	if l.resigning.Load() {
 		return false
 	}
 	if l.cluster.knownLeader() == nil {
-		// The lease may be that of the process before this one.
-		return l.follower.alone() || lost > orphanAfter
+		// The lease may belong to the previous process at this address.
+		return l.follower.startedAlone() || lost > leaderSilenceTimeout
 	}
-	wait := orphanAfter
+	wait := leaderSilenceTimeout
 	if ended {
 		wait = 0
 	}
-	return lost > wait+time.Duration(l.cluster.rank())*rankPause
+	return lost > wait+time.Duration(l.cluster.rank())*rankDelay
 }
 
-// reach reads the lease and takes it if it may.
-func (l *leading) reach(ctx context.Context, refused bool) {
+// tryAcquire reads the lease and acquires it if that is allowed.
+func (l *leaderElector) tryAcquire(ctx context.Context, refused bool) {
 	ctx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 	defer cancel()
 	object, err := l.store.Get(ctx, leaseKind, leaseName)
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
-		if l.now().Sub(l.started) > time.Duration(l.firstRank)*2*rankPause {
-			l.take(ctx, leadership.Lease{}, 0, l.now())
+		if l.now().Sub(l.startedAt) > time.Duration(l.initialRank)*2*rankDelay {
+			l.acquire(ctx, leadership.Lease{}, 0, l.now())
 		}
 		return
 	case err != nil:
@@ -180,7 +181,7 @@
 	}
 	var lease leadership.Lease
 	if err := platform.Decode(object, &lease); err != nil {
-		l.log.Error("the leader's lease cannot be read", "error", err)
+		l.log.Error("leader lease could not be decoded", "error", err)
 		return
 	}
 	now := l.now()
@@ -193,23 +194,23 @@
 		ends = now
 	}
 	if may {
-		l.take(ctx, lease, object.Revision, ends)
+		l.acquire(ctx, lease, object.Revision, ends)
 		return
 	}
 	l.cluster.setLeader(leaderMessage(lease, object.Revision))
 }
 
-// take writes the lease in this gateway's name.
-func (l *leading) take(ctx context.Context, former leadership.Lease, revision uint64, ends time.Time) {
-	l.writing.Lock()
-	defer l.writing.Unlock()
-	if l.resigned.Load() {
+// acquire writes the lease in this gateway's name and begins to lead.
+func (l *leaderElector) acquire(ctx context.Context, former leadership.Lease, revision uint64, ends time.Time) {
+	l.leaseWriteMu.Lock()
+	defer l.leaseWriteMu.Unlock()
+	if l.resigning.Load() {
 		return
 	}
 	self := l.cluster.self
 	mine := leadership.Lease{
 		Node: self.Node, Address: self.Address, Domain: self.Domain, Incarnation: self.Incarnation,
-		Term: former.Term + 1, Voters: l.firstVoters(former), Gateways: max(former.Gateways, l.cluster.gatewayCount()),
+		Term: former.Term + 1, Voters: l.initialVoters(former), Gateways: max(former.Gateways, l.cluster.gatewayCount()),
 	}
 	sent := l.now()
 	var object platform.Object
@@ -219,28 +220,28 @@
 	} else {
 		object, err = l.store.Replace(ctx, leaseKind, leaseName, revision, mine)
 	}
-	if err != nil && !l.isMine(object, mine) {
-		l.log.Info("lease not taken", "term", mine.Term, "error", err)
+	if err != nil && !l.isOwnWrite(object, mine) {
+		l.log.Info("lease could not be acquired", "term", mine.Term, "error", err)
 		return
 	}
 	l.mu.Lock()
 	l.lease, l.revision = mine, object.Revision
 	l.right.Extend(sent)
-	l.extended.Revoke()
+	l.promisedRight.Revoke()
 	l.voterLists = [][]string{mine.Voters}
 	l.renewedAt = sent
-	l.formerKnown = false
+	l.formerHoldKnown = false
 	l.mu.Unlock()
 	l.log.Info("leading", "term", mine.Term, "former", former.Node, "released", former.Released)
 	l.cluster.expectGateways(former.Gateways)
 	l.cluster.setLeader(leaderMessage(mine, object.Revision))
 	l.cluster.setLeading(true)
-	l.steward.start(mine.Term, func(ctx context.Context) { l.inquire(ctx, former, ends, l.longest) })
+	l.assignments.start(mine.Term, func(ctx context.Context) { l.inquire(ctx, former, ends, l.maxHold) })
 }
 
-// isMine reports whether the object that a refused write returned is what was
-// to be written: its answer was lost.
-func (l *leading) isMine(o platform.Object, mine leadership.Lease) bool {
+// isOwnWrite reports whether the object that a refused write returned is the one that was to
+// be written: that write succeeded and its response was lost.
+func (l *leaderElector) isOwnWrite(o platform.Object, mine leadership.Lease) bool {
 	var there leadership.Lease
 	if len(o.Spec) == 0 || platform.Decode(o, &there) != nil {
 		return false
@@ -248,10 +249,10 @@
 	return there.Same(mine)
 }
 
-// keep renews the lease when it is due, and stops leading when it is lost.
-func (l *leading) keep(ctx context.Context) {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+// renewIfDue renews the lease when that is due, and stops leading when another holder has it.
+func (l *leaderElector) renewIfDue(ctx context.Context) {
+	l.leaseWriteMu.Lock()
+	defer l.leaseWriteMu.Unlock()
 	if !l.cluster.isLeading() {
 		return
 	}
@@ -266,7 +267,7 @@
 	}
 	next.Renewals++
 	next.Gateways = l.cluster.gatewayCount()
-	if voters := l.voters(next.Voters); l.votersMayChange() && !slices.Equal(voters, next.Voters) {
+	if voters := l.chooseVoters(next.Voters); l.votersMayChange() && !slices.Equal(voters, next.Voters) {
 		next.Voters = voters
 		l.mu.Lock()
 		l.voterLists = append(l.voterLists, voters)
@@ -276,40 +277,40 @@
 	object, err := l.store.Replace(call, leaseKind, leaseName, revision, next)
 	cancel()
 	switch {
-	case err == nil || l.isMine(object, next):
+	case err == nil || l.isOwnWrite(object, next):
 		l.mu.Lock()
 		l.lease, l.revision = next, object.Revision
 		l.voterLists = [][]string{next.Voters}
 		l.right.Extend(now)
-		l.extended.Revoke()
+		l.promisedRight.Revoke()
 		l.renewedAt = now
 		l.mu.Unlock()
 		l.cluster.setLeader(leaderMessage(next, object.Revision))
 	case errors.Is(err, platform.ErrConflict):
-		l.conflict(object)
+		l.handleConflict(object)
 	case ctx.Err() == nil:
 		l.log.Warn("lease not renewed", "error", err, "right_left_ms", l.rightLeft().Milliseconds())
 	}
 	l.cluster.expire()
 }
 
-// doubtful reports whether the lease was not renewed when it was due.
-func (l *leading) doubtful() bool {
-	return l.rightLeft() < leadership.LeaseDuration-leadership.RenewInterval-lateRenewal
+// renewalOverdue reports whether the lease was not renewed when it was due.
+func (l *leaderElector) renewalOverdue() bool {
+	return l.rightLeft() < leadership.LeaseDuration-leadership.RenewInterval-renewalGrace
 }
 
-func (l *leading) rightLeft() time.Duration {
+func (l *leaderElector) rightLeft() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.right.Remaining(l.now())
 }
 
-// conflict handles a lease that is not as this leader left it. An own renewal
-// that took effect late is taken over; another holder ends the role.
-func (l *leading) conflict(o platform.Object) {
+// handleConflict handles a lease that differs from the last one this leader knew. It adopts a
+// delayed renewal of its own; another holder ends its leadership.
+func (l *leaderElector) handleConflict(o platform.Object) {
 	var there leadership.Lease
 	if err := platform.Decode(o, &there); err != nil {
-		l.log.Error("the leader's lease cannot be read", "error", err)
+		l.log.Error("leader lease could not be decoded", "error", err)
 		return
 	}
 	l.mu.Lock()
@@ -320,16 +321,16 @@
 		return
 	}
 	l.right.Revoke()
-	l.extended.Revoke()
+	l.promisedRight.Revoke()
 	l.mu.Unlock()
 	l.log.Info("no longer leading", "leader", there.Node, "term", there.Term)
-	l.stop()
+	l.stepDown()
 	l.cluster.setLeader(leaderMessage(there, o.Revision))
 }
 
-func (l *leading) stop() {
+func (l *leaderElector) stepDown() {
 	l.cluster.setLeading(false)
-	l.steward.stop()
+	l.assignments.stop()
 }
 
 func leaderMessage(l leadership.Lease, revision uint64) *syncpb.Leader {
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -15,7 +15,7 @@
 
 // applyResponse applies everything in an answer that is newer than this gateway's own view.
 func (f *follower) applyResponse(address string, resp *syncpb.SyncResponse) {
-	if f.cluster.setLeader(resp.Leader) && resp.HeardMs < milliseconds(orphanAfter) && len(resp.Members) > 0 {
+	if f.cluster.setLeader(resp.Leader) && resp.HeardMs < milliseconds(leaderSilenceTimeout) && len(resp.Members) > 0 {
 		f.cluster.setMembers(resp.MembersVersion, resp.Members)
 	}
 	// Apply evacuations before upstreams, so that no upstream is used that is known to be in an
@@ -89,7 +89,7 @@
 	}
 	spec, err := delta.Decode(f.view.configurationSpec(part.Base), data)
 	f.mu.Lock()
-	f.wantWhole = err != nil
+	f.wantFullConfig = err != nil
 	f.mu.Unlock()
 	if err != nil {
 		return err
@@ -121,9 +121,9 @@
 	at := f.now().Add(-time.Duration(resp.ConfigMs) * time.Millisecond)
 	switch {
 	case f.view.configuration().revision >= resp.ConfigRevision:
-		f.newest = later(f.newest, at)
-	case resp.ConfigRevision >= f.told.revision:
-		f.told = announcedConfiguration{revision: resp.ConfigRevision, at: at}
+		f.configNewestAt = laterOf(f.configNewestAt, at)
+	case resp.ConfigRevision >= f.toldConfig.revision:
+		f.toldConfig = announcedConfiguration{revision: resp.ConfigRevision, at: at}
 	}
 }
 
@@ -133,9 +133,9 @@
 func (f *follower) configurationAge(watched time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	newest := later(f.newest, watched)
-	if f.told.revision > 0 && f.view.configuration().revision >= f.told.revision {
-		newest = later(newest, f.told.at)
+	newest := laterOf(f.configNewestAt, watched)
+	if f.toldConfig.revision > 0 && f.view.configuration().revision >= f.toldConfig.revision {
+		newest = laterOf(newest, f.toldConfig.at)
 	}
 	return min(f.now().Sub(newest), time.Hour)
 }
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -298,7 +298,7 @@
 	})
 	leader.peersLink.SetRate(relay.Wide)
 	b.eventually("the other gateway has the leader's view", func() bool {
-		return other.follower.heardAgo() < orphanAfter && sameUpstreams(other, leader)
+		return other.follower.sinceLeaderHeard() < leaderSilenceTimeout && sameUpstreams(other, leader)
 	})
 }
 
--- a/gateway/noticenews.go
+++ b/gateway/noticenews.go
@@ -20,14 +20,14 @@
 
 // reportedLoad returns the load that this gateway and those that report to it have at the
 // upstream, with the notices they received from it, or nil if there is none.
-func (s *steward) reportedLoad(upstream string) *syncpb.Load {
-	return s.cluster.sum(s.lastOwn().loads).loads[upstream]
+func (s *assignmentSupervisor) reportedLoad(upstream string) *syncpb.Load {
+	return s.cluster.sum(s.lastOwnReport().loads).loads[upstream]
 }
 
 // reportedLeaving returns the upstreams that have told any gateway that they are leaving.
-func (s *steward) reportedLeaving() map[string]bool {
+func (s *assignmentSupervisor) reportedLeaving() map[string]bool {
 	var out map[string]bool
-	for id, l := range s.cluster.sum(s.lastOwn().loads).loads {
+	for id, l := range s.cluster.sum(s.lastOwnReport().loads).loads {
 		if !l.Leaving {
 			continue
 		}
@@ -41,7 +41,7 @@
 
 // isResting reports whether the upstream has asked enough gateways for a long enough rest that
 // its keys should move.
-func (s *steward) isResting(upstream string) bool {
+func (s *assignmentSupervisor) isResting(upstream string) bool {
 	l := s.reportedLoad(upstream)
 	if l == nil || time.Duration(l.RestMs)*time.Millisecond < minRest {
 		return false
--- a/gateway/ownerstate.go
+++ b/gateway/ownerstate.go
@@ -24,13 +24,13 @@
 
 // logStuck logs that one owner has far more than its share of the load, at most once per
 // stuckLogInterval.
-func (k *keeper) logStuck(owners []ownership.Owner, load map[uint16]float64) {
+func (k *keyAssigner) logStuck(owners []ownership.Owner, load map[uint16]float64) {
 	k.mu.Lock()
 	u, uneven := ownership.Busiest(k.table, owners, load)
-	moving, failing := len(k.moving), len(k.failing)
-	due := uneven && k.now().Sub(k.toldStuck) >= stuckLogInterval
+	moving, failing := len(k.activeMoves), len(k.failing)
+	due := uneven && k.now().Sub(k.stuckLoggedAt) >= stuckLogInterval
 	if due {
-		k.toldStuck = k.now()
+		k.stuckLoggedAt = k.now()
 	}
 	k.mu.Unlock()
 	if !due {
@@ -48,7 +48,7 @@
 
 // updateGauges sets, in the leader, the gauges of how evenly owners are loaded and of pending
 // moves and failing upstreams.
-func (k *keeper) updateGauges() {
+func (k *keyAssigner) updateGauges() {
 	owners, load := k.candidates(), k.rates()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -58,22 +58,22 @@
 	u, _ := ownership.Busiest(k.table, owners, load)
 	k.meters.gauge(k.meters.service(ownersBusiest, k.service), int64(percent*u.Utilization))
 	k.meters.gauge(k.meters.service(ownersMean, k.service), int64(percent*u.Mean))
-	k.meters.gauge(k.meters.service(ownersMoving, k.service), int64(len(k.moving)))
+	k.meters.gauge(k.meters.service(ownersMoving, k.service), int64(len(k.activeMoves)))
 	k.meters.gauge(k.meters.service(ownersFailing, k.service), int64(len(k.failing)))
 }
 
 // allKeepers returns the keepers of all services that this process manages, sorted by service
 // name.
-func (s *steward) allKeepers() []*keeper {
+func (s *assignmentSupervisor) allKeepers() []*keyAssigner {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := slices.Collect(maps.Values(s.keepers))
-	slices.SortFunc(out, func(a, b *keeper) int { return strings.Compare(a.service, b.service) })
+	out := slices.Collect(maps.Values(s.assigners))
+	slices.SortFunc(out, func(a, b *keyAssigner) int { return strings.Compare(a.service, b.service) })
 	return out
 }
 
 // updateOwnerGauges sets the owner gauges of all services that this process manages.
-func (s *steward) updateOwnerGauges() {
+func (s *assignmentSupervisor) updateOwnerGauges() {
 	for _, k := range s.allKeepers() {
 		k.updateGauges()
 	}
@@ -81,22 +81,22 @@
 
 // Owners implements placementpb.Placement.
 func (p *placements) Owners(ctx context.Context, r *placementpb.OwnersRequest) (*placementpb.OwnersState, error) {
-	if other, err := p.lead(); err != nil || other != nil {
-		return passOn(ctx, err, r, other, placementpb.Placement.Owners)
+	if other, err := p.leaderClient(); err != nil || other != nil {
+		return forwardToLeader(ctx, err, r, other, placementpb.Placement.Owners)
 	}
 	out := &placementpb.OwnersState{}
-	for _, k := range p.steward.allKeepers() {
+	for _, k := range p.assignments.allKeepers() {
 		out.Services = append(out.Services, k.state())
 	}
 	return out, nil
 }
 
 // state returns the owners of the service with their load, keys and spans.
-func (k *keeper) state() *placementpb.ServiceOwners {
+func (k *keyAssigner) state() *placementpb.ServiceOwners {
 	owners, load := k.candidates(), k.rates()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	out := &placementpb.ServiceOwners{Service: k.service, Moving: uint32(len(k.moving))}
+	out := &placementpb.ServiceOwners{Service: k.service, Moving: uint32(len(k.activeMoves))}
 	if k.table == nil {
 		return out
 	}
@@ -104,7 +104,7 @@
 	for _, o := range owners {
 		one := &placementpb.OwnerState{Upstream: o.ID, Capacity: float32(o.Capacity), Usable: o.Usable, Keeps: o.MayKeep, Warming: o.Warming}
 		if f, ok := k.failing[o.ID]; ok {
-			one.FailingMs, one.Reached = uint64(k.now().Sub(f.since).Milliseconds()), f.reached
+			one.FailingMs, one.Reached = uint64(k.now().Sub(f.since).Milliseconds()), f.probeAnswered
 		}
 		byID[o.ID] = one
 		out.Owners = append(out.Owners, one)
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -22,7 +22,7 @@
 	view    *view
 	cluster *cluster
 	store   *storeCaller
-	steward *steward
+	steward *assignmentSupervisor
 	traffic *traffic
 	// follower and watcher know how old this process's view is.
 	follower *follower
@@ -51,9 +51,9 @@
 		r.Limits = p.validator.validLimits(invalidReport, r.Limits)
 		p.limits.recordFromGateway(r.Limits)
 		p.suspects.applyMessage(r.Suspects)
-		p.cluster.handleReport(r, p.leaderAge() < orphanAfter)
+		p.cluster.handleReport(r, p.leaderAge() < leaderSilenceTimeout)
 		if p.cluster.isLeading() {
-			p.steward.asked(r.Keys)
+			p.steward.recordRequests(r.Keys)
 			p.steward.workTimes.record(r.Loads)
 		} else {
 			p.forwardKeys(r.Keys)
@@ -82,7 +82,7 @@
 	defer timer.Stop()
 	for {
 		changed := p.view.nextChange()
-		if p.leaderAge() > orphanAfter || p.hasUpdates(r) {
+		if p.leaderAge() > leaderSilenceTimeout || p.hasUpdates(r) {
 			return
 		}
 		select {
@@ -100,7 +100,7 @@
 	if p.cluster.isLeading() {
 		return 0
 	}
-	return p.follower.heardAgo()
+	return p.follower.sinceLeaderHeard()
 }
 
 // updateAge returns how long ago this process received updates from the leader or the store.
@@ -108,7 +108,7 @@
 	if p.cluster.isLeading() {
 		return 0
 	}
-	return p.follower.newsAge(p.watcher.ages.lastHeardAny())
+	return p.follower.maxViewAge(p.watcher.ages.lastHeardAny())
 }
 
 // milliseconds converts a duration for messages, capped at an hour.
@@ -166,7 +166,7 @@
 		return resp
 	}
 	resp.Fleet = p.fleetMessage(r)
-	resp.Demands = encodeDemands(p.cluster.demandExcept(r.Member.Node, p.steward.lastOwn().demand))
+	resp.Demands = encodeDemands(p.cluster.demandExcept(r.Member.Node, p.steward.lastOwnReport().demand))
 	resp.Gateways = uint32(p.cluster.gatewayCount())
 	resp.HotKeys = p.hotKeyMessages()
 	resp.Limits = p.namedLimitMessages(r.Member.Node)
@@ -191,7 +191,7 @@
 	if !due {
 		return nil
 	}
-	return p.encoder.encode(p.cluster.sum(p.steward.lastOwn().loads), r.Member.Node, v, r.InstancesVersion, p.workTimes(), withWorkTimes)
+	return p.encoder.encode(p.cluster.sum(p.steward.lastOwnReport().loads), r.Member.Node, v, r.InstancesVersion, p.workTimes(), withWorkTimes)
 }
 
 // workTimes returns the mean work times by upstream, over the requests of all gateways.
@@ -205,7 +205,7 @@
 // namedLimitMessages returns the named limits of upstreams, with the demand for them at all
 // gateways except the node and those that report through it.
 func (p *peerServer) namedLimitMessages(node string) []*syncpb.NamedLimit {
-	own := p.steward.lastOwn().wanted
+	own := p.steward.lastOwnReport().wanted
 	return p.limits.encode(func(upstream string) float64 {
 		wanted, _ := p.cluster.wantedExcept(node, own, upstream)
 		return wanted
@@ -267,5 +267,5 @@
 
 // Promise implements syncpb.Peer.
 func (p *peerServer) Promise(_ context.Context, r *syncpb.PromiseRequest) (*syncpb.PromiseResponse, error) {
-	return p.promises.answer(r), nil
+	return p.promises.handle(r), nil
 }
--- a/gateway/promises.go
+++ b/gateway/promises.go
@@ -11,36 +11,37 @@
 )
 
 const (
-	// promiseTimeout bounds asking one voter.
+	// promiseTimeout bounds the calls to the voters in one round.
 	promiseTimeout = 300 * time.Millisecond
-	// inquiryPause is the time between rounds of asking for promises to a
+	// inquiryRetryInterval is the time between rounds of asking voters about their promises to a
 	// former leader.
-	inquiryPause = 300 * time.Millisecond
+	inquiryRetryInterval = 300 * time.Millisecond
 )
 
-// promises is what this process has promised, for concurrent use.
+// promises holds the promises that this process has made as a voter. It is safe for concurrent
+// use.
 type promises struct {
-	mu  sync.Mutex
-	own *leadership.Promises
-	now func() time.Time
+	mu    sync.Mutex
+	state *leadership.Promises
+	now   func() time.Time
 }
 
 func newPromises(now func() time.Time) *promises {
-	return &promises{own: leadership.NewPromises(now()), now: now}
+	return &promises{state: leadership.NewPromises(now()), now: now}
 }
 
-func (p *promises) answer(r *syncpb.PromiseRequest) *syncpb.PromiseResponse {
+func (p *promises) handle(r *syncpb.PromiseRequest) *syncpb.PromiseResponse {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !r.Inquire {
-		return &syncpb.PromiseResponse{Given: p.own.Grant(p.now(), r.Term)}
+		return &syncpb.PromiseResponse{Given: p.state.Grant(p.now(), r.Term)}
 	}
-	given, age := p.own.Inquire(p.now(), r.Term)
+	given, age := p.state.Inquire(p.now(), r.Term)
 	return &syncpb.PromiseResponse{Asked: given, AgeMs: uint64(age.Milliseconds())}
 }
 
-// askVoters asks all voters at once and returns the answers by address.
-func (l *leading) askVoters(ctx context.Context, voters []string, r *syncpb.PromiseRequest) map[string]*syncpb.PromiseResponse {
+// askVoters asks all voters concurrently and returns the answers by address.
+func (l *leaderElector) askVoters(ctx context.Context, voters []string, r *syncpb.PromiseRequest) map[string]*syncpb.PromiseResponse {
 	ctx, cancel := context.WithTimeout(ctx, promiseTimeout)
 	defer cancel()
 	var mu sync.Mutex
@@ -53,13 +54,13 @@
 	var all sync.WaitGroup
 	for _, address := range voters {
 		if address == l.cluster.self.Address {
-			note(address, l.promises.answer(r))
+			note(address, l.promises.handle(r))
 			continue
 		}
 		all.Go(func() {
 			resp, err := l.cluster.client(address).Promise(ctx, r)
 			if err != nil {
-				l.log.Debug("voter not reached", "voter", address, "error", err)
+				l.log.Debug("voter did not answer", "voter", address, "error", err)
 				return
 			}
 			note(address, resp)
@@ -69,9 +70,9 @@
 	return answers
 }
 
-// extend asks for the promises that let this leader go on without the store. It
-// needs a majority of each list of voters that may be in force.
-func (l *leading) extend(ctx context.Context) {
+// extend asks the voters for promises that let this leader continue without the store. It
+// needs a majority of each voter list that may be in force.
+func (l *leaderElector) extend(ctx context.Context) {
 	l.mu.Lock()
 	term, lists := l.lease.Term, l.voterLists
 	l.mu.Unlock()
@@ -95,48 +96,48 @@
 			}
 		}
 		if given < leadership.Majority(len(list)) {
-			l.log.Warn("too few promises to go on without the store", "given", given, "voters", len(list))
+			l.log.Warn("too few voter promises to keep leading without the store", "given", given, "voters", len(list))
 			return
 		}
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.extended.Valid(sent) {
-		l.log.Info("going on without the store, by promises", "term", term, "answers", len(answers))
+	if !l.promisedRight.Valid(sent) {
+		l.log.Info("leading without the store by voter promises", "term", term, "answers", len(answers))
 	}
-	l.extended.Extend(sent)
+	l.promisedRight.Extend(sent)
 }
 
-// inquire learns from the voters of the former lease until when upstreams may
-// hold keys by its leader's grants. It asks until a majority has answered.
-func (l *leading) inquire(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) {
+// inquire asks the voters of the former lease until when upstreams may hold keys by grants of
+// its leader. It repeats the question until a majority has answered.
+func (l *leaderElector) inquire(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) {
 	term := former.Term + 1
 	if former.Term == 0 {
-		l.setFormerHolds(term, l.now().Add(heldFor(longest)), false)
+		l.setFormerHoldDeadline(term, l.now().Add(holdWithMargin(longest)), false)
 		return
 	}
 	for ctx.Err() == nil && l.cluster.isLeading() {
-		if until, ok := l.formerHoldsEnd(ctx, former, ends, longest); ok {
-			l.log.Info("grants of the former leader end", "term", former.Term, "in_ms", until.Sub(l.now()).Milliseconds())
-			l.setFormerHolds(term, until, until.After(ends.Add(heldFor(holdTime))))
+		if until, ok := l.inquireFormerHolds(ctx, former, ends, longest); ok {
+			l.log.Info("end of the former leader's grants is known", "term", former.Term, "in_ms", until.Sub(l.now()).Milliseconds())
+			l.setFormerHoldDeadline(term, until, until.After(ends.Add(holdWithMargin(holdDuration))))
 			return
 		}
-		pause(ctx, inquiryPause)
+		pause(ctx, inquiryRetryInterval)
 	}
 }
 
-// formerHoldsEnd asks once. Any majority may be believed, so that of the voters
-// with the earliest ends is.
-func (l *leading) formerHoldsEnd(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) (time.Time, bool) {
+// inquireFormerHolds asks the voters once. Any majority is sufficient evidence, so it uses the
+// majority with the earliest ends.
+func (l *leaderElector) inquireFormerHolds(ctx context.Context, former leadership.Lease, ends time.Time, longest time.Duration) (time.Time, bool) {
 	answers := l.askVoters(ctx, former.Voters, &syncpb.PromiseRequest{Term: former.Term + 1, Inquire: true})
 	now := l.now()
-	normal := ends.Add(heldFor(holdTime))
+	normal := ends.Add(holdWithMargin(holdDuration))
 	var until []time.Time
 	for _, a := range answers {
 		end := normal
 		if a.Asked {
 			age := time.Duration(a.AgeMs) * time.Millisecond
-			end = later(end, now.Add(-age).Add(leadership.LeaseDuration).Add(heldFor(longest)))
+			end = laterOf(end, now.Add(-age).Add(leadership.LeaseDuration).Add(holdWithMargin(longest)))
 		}
 		until = append(until, end)
 	}
@@ -148,66 +149,65 @@
 	return until[need-1], true
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
 	return a
 }
 
-// setFormerHolds notes until when upstreams may hold keys by a former leader's grants,
-// and whether that is by promises: then a successor learns of it from the present voters
-// only.
-func (l *leading) setFormerHolds(term uint64, until time.Time, byPromises bool) {
+// setFormerHoldDeadline records until when upstreams may hold keys by grants of a former
+// leader, and whether that results from promises: only the present voters can then tell a
+// successor about it.
+func (l *leaderElector) setFormerHoldDeadline(term uint64, until time.Time, byPromises bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.lease.Term == term {
-		l.formerHolds, l.formerKnown, l.formerByPromises = until, true, byPromises
+		l.formerHoldDeadline, l.formerHoldKnown, l.formerActedByPromises = until, true, byPromises
 	}
 }
 
-// formerHoldsUntil returns until when upstreams may hold keys by grants of former
-// leaders, once that is known.
-func (l *leading) formerHoldsUntil() (until time.Time, known bool) {
+// latestFormerHold returns until when upstreams may hold keys by grants of former leaders,
+// once that is known.
+func (l *leaderElector) latestFormerHold() (until time.Time, known bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.formerHolds, l.formerKnown
+	return l.formerHoldDeadline, l.formerHoldKnown
 }
 
-// formerHoldsEnded reports whether no upstream holds keys by a grant of a former
-// leader any more.
-func (l *leading) formerHoldsEnded() bool {
-	until, known := l.formerHoldsUntil()
+// formerHoldsEnded reports whether no upstream holds keys by a grant of a former leader any
+// longer.
+func (l *leaderElector) formerHoldsEnded() bool {
+	until, known := l.latestFormerHold()
 	return known && l.now().After(until)
 }
 
-// firstVoters are the voters of a lease that is taken over: those of the former one. A
-// leader that is lost in turn, before the grants of its former have ended, leaves a
-// list to its successor that knows of the promises to both.
-func (l *leading) firstVoters(former leadership.Lease) []string {
+// initialVoters returns the voters of a newly acquired lease: those of the former lease if it
+// has any. If this leader is lost before the grants of the former one have ended, its
+// successor then asks voters that know of the promises to both.
+func (l *leaderElector) initialVoters(former leadership.Lease) []string {
 	if len(former.Voters) > 0 {
 		return former.Voters
 	}
-	return l.voters(nil)
+	return l.chooseVoters(nil)
 }
 
-// votersMayChange reports whether the lease may name other voters than before: when
-// its renewal is not in doubt, and no upstream may hold keys by promises to a former
-// leader that only the present voters know of. Without such promises they may change
-// as soon as that is known, so that gateways which leave one after the other do not
-// leave a list of lost voters behind.
-func (l *leading) votersMayChange() bool {
-	if l.doubtful() {
+// votersMayChange reports whether a renewal may change the list of voters. The renewal must
+// not be overdue, and no upstream may hold keys by promises to a former leader that only the
+// present voters know of. Once it is known that there are no such promises the list may change,
+// so that gateways that leave one after the other do not leave a list of lost voters behind.
+func (l *leaderElector) votersMayChange() bool {
+	if l.renewalOverdue() {
 		return false
 	}
 	l.mu.Lock()
-	known := l.formerKnown && !l.formerByPromises
+	known := l.formerHoldKnown && !l.formerActedByPromises
 	l.mu.Unlock()
 	return known || l.formerHoldsEnded()
 }
 
-// voters chooses the voters among the gateways that report.
-func (l *leading) voters(former []string) []string {
+// chooseVoters chooses the voters among the gateways that report to this one.
+func (l *leaderElector) chooseVoters(former []string) []string {
 	list, _ := l.cluster.allMembers()
 	var live []leadership.VoterCandidate
 	for _, m := range list {
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -10,21 +10,22 @@
 	"github.com/rockcroft/rockcroft/standin/instance"
 )
 
-// TestPlacementSettles: whatever happens to control calls (late, lost, refused ones, silent
-// upstreams, lost leaders), soon after it has ended nothing is pending and no owner is far over its
-// share: placement has no state that it does not leave. The oracle sees no two owners meanwhile. (With
-// upstreams that a trial has reached and that own nothing left alone, these seeds never settled.)
-func TestPlacementSettles(t *testing.T) {
+// TestPlacementConverges: after any sequence of control-call faults (late, lost or refused calls, silent
+// upstreams, lost leaders), placement converges soon after the faults end: nothing is pending and no
+// owner is far over its share. The oracle checks that no key has two owners at any time. With
+// upstreams that had answered a probe, owned no keys and stayed marked as failing, these seeds
+// never converged.
+func TestPlacementConverges(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{4, 7, 8} {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			settles(t, rand.New(rand.NewPCG(seed, 31)))
+			runUntilSettled(t, rand.New(rand.NewPCG(seed, 31)))
 		})
 	}
 }
 
-func settles(t *testing.T, rng *rand.Rand) {
+func runUntilSettled(t *testing.T, rng *rand.Rand) {
 	const (
 		steps      = 12
 		longestGap = 1200 * time.Millisecond
@@ -44,29 +45,29 @@
 		time.Sleep(time.Duration(rng.Int64N(int64(longestGap))))
 	}
 	p.heal()
-	p.eventually("placement has settled", p.settled)
+	p.eventually("placement has settled", p.placementSettled)
 	clients.end()
 }
 
-// settled reports whether nothing is pending, every upstream with keys may be given some, and no
-// owner is far over its share.
-func (p *troubles) settled() bool {
+// placementSettled reports whether nothing is pending, every upstream of the keyed service owns keys
+// and may be given more, and no owner is far over its share.
+func (p *troubles) placementSettled() bool {
 	leader := p.leader()
 	if leader == nil {
 		return false
 	}
-	k := leader.steward.keeper("status")
+	k := leader.steward.assigner("status")
 	if k == nil {
 		return false
 	}
 	owners, load := k.candidates(), k.rates()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.table == nil || len(k.moving) > 0 || len(k.failing) > 0 {
+	if k.table == nil || len(k.activeMoves) > 0 || len(k.failing) > 0 {
 		return false
 	}
 	for _, o := range owners {
-		if !o.Usable || !k.owns(o.ID) {
+		if !o.Usable || !k.ownsKeys(o.ID) {
 			return false
 		}
 	}
--- a/gateway/steward.go
+++ b/gateway/steward.go
@@ -13,91 +13,90 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// spansKind is the kind under which assignments lie in the store, by service.
+// spansKind is the store kind of assignments, which are stored by service name.
 const spansKind = "rockcroft-spans"
 
-// steward runs, in the leader, one keeper for each keyed service: it plans who
-// owns which keys, makes the moves and renews the grants.
-type steward struct {
+// assignmentSupervisor runs one keyAssigner for each keyed service while this process leads.
+type assignmentSupervisor struct {
 	view    *view
 	cluster *cluster
 	traffic *traffic
 	store   *platform.Store
 	calls   *storeCaller
 	owners  *platform.Owners
-	// turns bounds the grants under way.
+	// turns limits how many grant calls begin at the same time.
 	turns   callSlots
-	leading *leading
-	longest time.Duration
+	elector *leaderElector
+	maxHold time.Duration
 	now     func() time.Time
 	log     *slog.Logger
 	meters  *meters
-	// placements are the operators' intents.
+	// placements are the operators' placement intents.
 	placements *placements
 
-	mu      sync.Mutex
-	cancel  context.CancelFunc
-	running sync.WaitGroup
-	keepers map[string]*keeper
-	// own is this process's last report.
-	own *ownReport
-	// hotKeys are those of the services that this process keeps.
+	mu        sync.Mutex
+	cancel    context.CancelFunc
+	workers   sync.WaitGroup
+	assigners map[string]*keyAssigner
+	// lastReport is this process's last load report.
+	lastReport *ownReport
+	// hotKeyLimits are the hot keys of the services that this process assigns.
 	hotKeys hotKeyLimits
-	// rights are those to send to upstreams that warm up.
+	// rights are the rights to send to upstreams that warm up.
 	rights *warmUpRights
-	// workTimes are the times of runs as all gateways see them.
+	// workTimes are the work times of requests, as seen by all gateways.
 	workTimes *workTimes
-	// limits are those that upstreams name.
+	// limits are the request limits that upstreams announce.
 	limits *namedLimits
 }
 
-// start begins to keep the services, and runs inquire beside that. It is called
-// when this process takes the lead.
-func (s *steward) start(term uint64, inquire func(context.Context)) {
+// start begins to assign the keys of all services, and runs inquire concurrently. It is called
+// when this process becomes the leader.
+func (s *assignmentSupervisor) start(term uint64, inquire func(context.Context)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	s.keepers = make(map[string]*keeper)
+	s.assigners = make(map[string]*keyAssigner)
 	s.workTimes.reset(s.cluster.workTimesFromParent())
 	s.rights.reset()
-	s.running.Go(func() { s.run(ctx, term) })
-	s.running.Go(func() { inquire(ctx) })
-	s.running.Go(func() { s.placements.load(ctx) })
+	s.workers.Go(func() { s.run(ctx, term) })
+	s.workers.Go(func() { inquire(ctx) })
+	s.workers.Go(func() { s.placements.load(ctx) })
 }
 
-// stop ends the work. It does not wait for it.
-func (s *steward) stop() {
+// stop ends the work without waiting for it.
+func (s *assignmentSupervisor) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cancel != nil {
 		s.cancel()
 		s.cancel = nil
 	}
-	s.keepers = nil
+	s.assigners = nil
 	s.hotKeys.clear()
-	s.placements.forget()
+	s.placements.unload()
 }
 
-// keeper returns the keeper of a service, or nil.
-func (s *steward) keeper(service string) *keeper {
+// assigner returns the keyAssigner of a service, or nil.
+func (s *assignmentSupervisor) assigner(service string) *keyAssigner {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.keepers[service]
+	return s.assigners[service]
 }
 
-// end stops and waits until all work has ended.
-func (s *steward) end() {
+// stopAndWait stops the work and waits until it has ended.
+func (s *assignmentSupervisor) stopAndWait() {
 	s.stop()
-	s.running.Wait()
+	s.workers.Wait()
 }
 
-// finish ends the work and saves what it changed.
-func (s *steward) finish(ctx context.Context) {
+// finish stops the work, waits until it has ended and saves the completed moves.
+func (s *assignmentSupervisor) finish(ctx context.Context) {
 	s.mu.Lock()
-	keepers := s.keepers
+	keepers := s.assigners
 	s.mu.Unlock()
-	s.end()
+	s.stopAndWait()
 	for _, k := range keepers {
 		if k.table != nil {
 			k.finish(ctx)
@@ -105,47 +104,47 @@
 	}
 }
 
-// run starts a keeper for each keyed service of the configuration, and notes
-// this process's own load as the other gateways report theirs.
-func (s *steward) run(ctx context.Context, term uint64) {
+// run starts a keyAssigner for each keyed service of the configuration, and records this
+// process's own load in the same way as the reports of other gateways.
+func (s *assignmentSupervisor) run(ctx context.Context, term uint64) {
 	for ctx.Err() == nil {
 		table := s.view.table.Load()
 		if table == nil {
-			// It leads before it has any view: nothing is served until it has.
-			pause(ctx, keepInterval)
+			// This process leads before it has a view of the configuration. Nothing is served until then.
+			pause(ctx, assignerTick)
 			continue
 		}
 		for name, service := range table.Services {
 			if service.Keyed {
-				s.keep(ctx, name, term)
+				s.startAssigner(ctx, name, term)
 			}
 		}
-		s.noteOwn()
+		s.recordOwnReport()
 		pause(ctx, reportInterval(s.cluster.gatewayCount()))
 	}
 }
 
-func (s *steward) keep(ctx context.Context, service string, term uint64) {
+func (s *assignmentSupervisor) startAssigner(ctx context.Context, service string, term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.keepers == nil || s.keepers[service] != nil {
+	if s.assigners == nil || s.assigners[service] != nil {
 		return
 	}
-	k := newKeeper(s, service, term)
-	s.keepers[service] = k
-	s.running.Go(func() { k.run(ctx) })
+	k := newKeyAssigner(s, service, term)
+	s.assigners[service] = k
+	s.workers.Go(func() { k.run(ctx) })
 }
 
-func (s *steward) noteOwn() {
+func (s *assignmentSupervisor) recordOwnReport() {
 	own := s.traffic.report()
-	s.setOwn(own)
+	s.setOwnReport(own)
 	s.workTimes.record(own.loads)
 	s.workTimes.refresh()
 	s.mu.Lock()
 	for name, list := range own.keys {
-		if k := s.keepers[name]; k != nil {
+		if k := s.assigners[name]; k != nil {
 			for _, key := range list {
-				k.asked(key)
+				k.recordRequest(key)
 			}
 		}
 	}
@@ -158,40 +157,40 @@
 	}, elsewhere, decodeHotKeys(s.hotKeys.encode()))
 }
 
-// setOwn keeps this process's last report.
-func (s *steward) setOwn(own *ownReport) {
+// setOwnReport stores this process's last load report.
+func (s *assignmentSupervisor) setOwnReport(own *ownReport) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.own = own
+	s.lastReport = own
 }
 
-// lastOwn returns this process's last report. It is not changed any more.
-func (s *steward) lastOwn() *ownReport {
+// lastOwnReport returns this process's last load report, which is immutable.
+func (s *assignmentSupervisor) lastOwnReport() *ownReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.own == nil {
+	if s.lastReport == nil {
 		return &ownReport{}
 	}
-	return s.own
+	return s.lastReport
 }
 
-// asked notes the keys that another gateway was asked for.
-func (s *steward) asked(counts []*syncpb.KeyCounts) {
+// recordRequests counts the requested keys that another gateway reported.
+func (s *assignmentSupervisor) recordRequests(counts []*syncpb.KeyCounts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range counts {
-		k := s.keepers[c.Service]
+		k := s.assigners[c.Service]
 		if k == nil {
 			continue
 		}
 		for _, key := range c.Keys {
-			k.asked(uint16(min(key, spans.MaxKey)))
+			k.recordRequest(uint16(min(key, spans.MaxKey)))
 		}
 	}
 }
 
-// load reads the stored assignment of a service. Without one it returns nil.
-func (s *steward) load(ctx context.Context, service string) (*spans.Table, uint64, error) {
+// load reads the stored assignment of a service. It returns nil when none is stored.
+func (s *assignmentSupervisor) load(ctx context.Context, service string) (*spans.Table, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout+relayTimeout)
 	defer cancel()
 	object, err := s.store.Get(ctx, spansKind, service)
@@ -208,9 +207,9 @@
 	return t, object.Revision, t.Check()
 }
 
-// save writes an assignment if the stored one still has the revision, and
-// returns the new revision. A write whose answer was lost is recognized.
-func (s *steward) save(ctx context.Context, t *spans.Table, revision uint64) (uint64, error) {
+// save writes an assignment if the stored one still has the given revision, and returns the
+// new revision. It recognizes an earlier write of its own whose response was lost.
+func (s *assignmentSupervisor) save(ctx context.Context, t *spans.Table, revision uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout+relayTimeout)
 	defer cancel()
 	var object platform.Object
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -40,9 +40,9 @@
 	b := standard(t)
 	b.store.SetAll(metastore.Silent)
 	l := b.leader()
-	b.eventually("leader acts by promises", l.leading.byPromises)
+	b.eventually("leader acts by promises", l.leading.actsByPromises)
 	stop := b.load(b.gateways, http.MethodGet, "/status/x", true)
-	time.Sleep(3 * holdTime)
+	time.Sleep(3 * holdDuration)
 	if b.leader() != l {
 		t.Error("the leader stopped leading during the outage")
 	}
@@ -62,7 +62,7 @@
 	b := standard(t)
 	b.store.SetAll(metastore.Busy)
 	l := b.leader()
-	b.eventually("leader acts by promises", l.leading.byPromises)
+	b.eventually("leader acts by promises", l.leading.actsByPromises)
 	time.Sleep(renewInterval)
 	l.kill()
 	b.ups["i-s0"].Set(instance.Silent)
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -17,11 +17,10 @@
 	"github.com/rockcroft/rockcroft/transport/pool"
 )
 
-// TestInheritedMove: a leader resigned after it had granted keys to an upstream
-// and before it had written that. The upstream then leaves. The next leader takes
-// the keys from it before it gives them to another. (abyconnect-sim scale-2: two
-// owners for two seconds.)
-func TestInheritedMove(t *testing.T) {
+// TestSuccessorFinishesAMoveInProgress: a leader granted keys to an upstream and resigned before it
+// stored that the move had completed, and the upstream then leaves. The next leader must take the keys
+// back from this upstream before it grants them to another. Otherwise keys had two owners for two seconds.
+func TestSuccessorFinishesAMoveInProgress(t *testing.T) {
 	t.Parallel()
 	for name, silent := range map[string]bool{"reachable": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
@@ -45,21 +44,21 @@
 				to.Set(instance.Silent)
 			}
 			b.gateway("g0")
-			b.eventually("the keys elsewhere", func() bool {
+			b.eventually("the keys have moved to other owners", func() bool {
 				return b.leader() != nil && b.gateways[0].view.spansOf("status") != nil && b.ownedBy("i-s1") == 0 && b.gateways[0].allOwned()
 			})
 		})
 	}
 }
 
-// TestWritersOfTwoTerms: a process that leads for a second time does not take a write of
-// its first term for one of its own. (A write from before a claim was taken for a write whose
-// answer was lost, as both were the first of their keepers.)
-func TestWritersOfTwoTerms(t *testing.T) {
-	s := &steward{cluster: newCluster(&syncpb.Member{Node: "g", Incarnation: "i"}, nil, time.Now, nil), log: slog.New(slog.DiscardHandler), now: time.Now}
+// TestWriterNamesDifferBetweenTerms: a process that leads for a second time must not take a write of
+// its first term for one of its own. Without the term in the writer name, the first writes of both terms
+// had the same name, and a write from before the claim was taken for one whose response was lost.
+func TestWriterNamesDifferBetweenTerms(t *testing.T) {
+	s := &assignmentSupervisor{cluster: newCluster(&syncpb.Member{Node: "g", Incarnation: "i"}, nil, time.Now, nil), log: slog.New(slog.DiscardHandler), now: time.Now}
 	writers := make(map[string]bool)
 	for term := range uint64(3) {
-		k, table := newKeeper(s, "status", term), &spans.Table{}
+		k, table := newKeyAssigner(s, "status", term), &spans.Table{}
 		k.stamp(table)
 		writers[table.Writer] = true
 	}
@@ -68,18 +67,18 @@
 	}
 }
 
-// TestFormerLeaderIsRefused: once a leader has claimed the stored owners, what a
-// former one writes from an older reading is refused, and it stops. (mvmss-gw
-// scale-1: two owners after a zone was cut off.)
-func TestFormerLeaderIsRefused(t *testing.T) {
+// TestStaleWriteOfFormerLeaderIsRefused: once a new leader has claimed the stored assignment, a write of
+// the former leader that is based on an older read is refused, and the former leader stops assigning.
+// Otherwise keys had two owners after a zone was cut off.
+func TestStaleWriteOfFormerLeaderIsRefused(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	l := b.leader()
 	ctx := context.Background()
-	later := newKeeper(l.steward, "status", l.cluster.knownLeader().Term+1)
+	later := newKeyAssigner(l.steward, "status", l.cluster.knownLeader().Term+1)
 	var old *spans.Table
 	var revision uint64
-	// The living leader may write in between; a claim is then tried again.
+	// The running leader may write between the read and the claim. The claim is then tried again.
 	b.eventually("claimed", func() bool {
 		var err error
 		if old, revision, err = l.steward.load(ctx, "status"); err != nil {
@@ -88,19 +87,19 @@
 		return later.claim(ctx, old.Clone(), revision)
 	})
 	if _, err := l.steward.save(ctx, old, revision); err == nil {
-		t.Error("a write from before the claim is taken")
+		t.Error("a write from before the claim was accepted")
 	}
 	l.steward.mu.Lock()
-	keeper := l.steward.keepers["status"]
+	assigner := l.steward.assigners["status"]
 	l.steward.mu.Unlock()
 	b.upstream("i-s9", "status")
-	b.eventually("the former leader's keeper has stopped", keeper.isDeposed)
+	b.eventually("the former leader's assigner has stopped", assigner.isSuperseded)
 }
 
-// TestLeaderStoppedWhileStoreAway: nobody can take the lease then, so the leader goes
-// on to the end of its stop and leaves the longest grants behind. (Owners lapsed 4 s
-// after the stop: BUDGET and 3,000 refusals on abyconnect-sim hunt-1770-35.)
-func TestLeaderStoppedWhileStoreAway(t *testing.T) {
+// TestLeaderStoppedWithoutStoreLeavesLongGrants: no gateway can acquire the lease while the store is
+// away, so the leader leads until the end of its stop and leaves the longest possible grants behind.
+// Otherwise the grants expired 4 s after the stop, and 3,000 requests were refused.
+func TestLeaderStoppedWithoutStoreLeavesLongGrants(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
 	b.store.SetAll(metastore.Busy)
@@ -111,60 +110,59 @@
 	for _, u := range b.ups {
 		held = max(held, u.HeldFor(0))
 	}
-	if held <= holdTime {
-		t.Errorf("the owner of key 0 holds it for %s after the leader's stop", held)
+	if held <= holdDuration {
+		t.Errorf("the owner of key 0 holds it for only %s after the leader's stop", held)
 	}
 	b.store.SetAll(metastore.Open)
 	b.ready()
 }
 
-// TestVotersAreInherited: the first voters of a leader are those of its former, and stay
-// until no grant of the former may last. Else a leader that knows few gateways and is
-// lost at once leaves a list to the next one of which nobody knows of promises that the
-// leader before it had: keys of a silent owner would be given away under its grant of
-// ten seconds.
+// TestVotersAreInherited: the first voters of a leader are those of the former lease, and they stay until
+// every grant of the former leader has expired. Otherwise a leader that knows few gateways and is lost
+// at once would leave a list of voters that know nothing of the promises to the leader before it. Keys
+// of a silent owner would then be given away during its grant of ten seconds.
 func TestVotersAreInherited(t *testing.T) {
 	now := time.Now()
 	clock := func() time.Time { return now }
 	self := &syncpb.Member{Node: "fresh", Address: "10.0.0.9:1", Domain: "a"}
-	l := &leading{now: clock, cluster: newCluster(self, nil, clock, nil)}
+	l := &leaderElector{now: clock, cluster: newCluster(self, nil, clock, nil)}
 	former := leadership.Lease{Term: 7, Voters: []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}}
-	if diff := cmp.Diff(former.Voters, l.firstVoters(former)); diff != "" {
+	if diff := cmp.Diff(former.Voters, l.initialVoters(former)); diff != "" {
 		t.Error(diff)
 	}
 	l.lease = leadership.Lease{Term: 8, Voters: former.Voters}
 	l.right.Extend(now)
 	if l.votersMayChange() {
-		t.Error("the voters change before they were asked for promises to the former leader")
+		t.Error("the voters change before the end of the former leader's grants is known")
 	}
-	l.setFormerHolds(8, now.Add(heldFor(holdTime)), false)
+	l.setFormerHoldDeadline(8, now.Add(holdWithMargin(holdDuration)), false)
 	if !l.votersMayChange() {
-		t.Error("the voters do not change although nobody promised anything")
+		t.Error("the voters do not change although no promises were made to the former leader")
 	}
-	l.setFormerHolds(8, now.Add(heldFor(holdTime)), true)
+	l.setFormerHoldDeadline(8, now.Add(holdWithMargin(holdDuration)), true)
 	if l.votersMayChange() {
-		t.Error("the voters change while grants by promises to the former leader last")
+		t.Error("the voters change while grants made by promises to the former leader are in force")
 	}
-	now = now.Add(heldFor(holdTime) + time.Millisecond)
+	now = now.Add(holdWithMargin(holdDuration) + time.Millisecond)
 	l.right.Extend(now)
 	if !l.votersMayChange() {
 		t.Error("the voters never change")
 	}
-	first := &leading{now: clock, cluster: l.cluster}
-	if diff := cmp.Diff([]string{self.Address}, first.firstVoters(leadership.Lease{})); diff != "" {
+	first := &leaderElector{now: clock, cluster: l.cluster}
+	if diff := cmp.Diff([]string{self.Address}, first.initialVoters(leadership.Lease{})); diff != "" {
 		t.Error(diff)
 	}
 	first.lease = leadership.Lease{Term: 1}
 	first.right.Extend(now)
 	first.inquire(context.Background(), leadership.Lease{}, now, 10*time.Second)
 	if !first.votersMayChange() {
-		t.Error("the first leader of all keeps to the voters that it knew at its start")
+		t.Error("the very first leader never changes the voters that it knew at its start")
 	}
 }
 
-// TestSuccessorKnowsWhatWasTold: moves that had ended and were not saved yet are no
-// moves for a successor that has heard of their end.
-func TestSuccessorKnowsWhatWasTold(t *testing.T) {
+// TestSuccessorUsesNewerPublishedTable: a successor does not repeat moves that had completed but were not
+// stored yet, if the former leader published their completion to it.
+func TestSuccessorUsesNewerPublishedTable(t *testing.T) {
 	const term = 3
 	table := func(term, write uint64, owner string) *spans.Table {
 		return &spans.Table{
@@ -176,27 +174,27 @@
 		told *spans.Table
 		want string
 	}{
-		"nothing was told":    {nil, "stored"},
-		"told later":          {table(term, 8, "told"), "told"},
-		"told before":         {table(term, 2, "told"), "stored"},
-		"told by one earlier": {table(term-1, 9, "told"), "stored"},
+		"nothing published":            {nil, "stored"},
+		"newer published":              {table(term, 8, "told"), "told"},
+		"older published":              {table(term, 2, "told"), "stored"},
+		"published in an earlier term": {table(term-1, 9, "told"), "stored"},
 	} {
 		v := newView()
 		if c.told != nil {
 			v.setSpans(c.told)
 		}
-		k := &keeper{steward: &steward{view: v}, service: "status"}
+		k := &keyAssigner{assignmentSupervisor: &assignmentSupervisor{view: v}, service: "status"}
 		stored := table(term, 5, "stored")
-		got := k.newest(stored)
+		got := k.newestTable(stored)
 		if got.Spans[0].Owner != c.want || got.LastFence < stored.LastFence {
 			t.Errorf("%s: owner %s, last fence %d", name, got.Spans[0].Owner, got.LastFence)
 		}
 	}
 }
 
-// TestEndedLeaderKeepsNothing: a leader whose run has ended, as asked or abruptly, no
-// longer calls upstreams, the store or other gateways for the keys that it kept.
-func TestEndedLeaderKeepsNothing(t *testing.T) {
+// TestStoppedLeaderStopsAssigning: after a leader has stopped or was killed, it no longer calls upstreams,
+// the store or other gateways for the keys that it assigned.
+func TestStoppedLeaderStopsAssigning(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(*testGateway){
 		"stopped": func(g *testGateway) { g.stop(); <-g.done },
@@ -206,14 +204,14 @@
 			t.Parallel()
 			b := standard(t)
 			l := b.leader()
-			if l.steward.keeper("status") == nil {
-				t.Fatal("the leader keeps nothing")
+			if l.steward.assigner("status") == nil {
+				t.Fatal("the leader runs no assigner")
 			}
 			end(l)
-			if l.steward.keeper("status") != nil {
-				t.Fatal("it goes on keeping keys")
+			if l.steward.assigner("status") != nil {
+				t.Fatal("it still runs an assigner")
 			}
-			l.steward.running.Wait()
+			l.steward.workers.Wait()
 		})
 	}
 }
--- a/gateway/wake_test.go
+++ b/gateway/wake_test.go
@@ -24,12 +24,12 @@
 			leader := b.leader()
 			// The leader renews its lease as soon as it has woken up, which the lock delays. Until
 			// then it must not act.
-			leader.leading.writing.Lock()
+			leader.leading.leaseWriteMu.Lock()
 			leader.suspend(length)
-			if leader.leading.mayAct() || leader.leading.stillMayAct() == nil {
+			if leader.leading.mayAct() || leader.leading.checkMayAct() == nil {
 				t.Error("the leader may act by a lease that expired during the suspension")
 			}
-			leader.leading.writing.Unlock()
+			leader.leading.leaseWriteMu.Unlock()
 			b.eventually("a gateway leads", func() bool { return b.leader() != nil })
 			b.eventually("keys are served", func() bool { return b.ask(leader, http.MethodGet, "/status/x", 7).status == http.StatusOK })
 			b.eventually("the suspension is counted", func() bool { return metricsOf(leader)["clock.suspensions"] == "1" })
--- a/gateway/watchages.go
+++ b/gateway/watchages.go
@@ -65,7 +65,7 @@
 // silentSince returns the time since which nothing has been received for a watched kind. The caller
 // holds the lock.
 func (a *watchAges) silentSince(kind string) time.Time {
-	return later(a.lastAnswer[kind], a.watched[kind])
+	return laterOf(a.lastAnswer[kind], a.watched[kind])
 }
 
 // check logs the kinds whose watches have become silent.
@@ -95,7 +95,7 @@
 	defer a.mu.Unlock()
 	var last time.Time
 	for _, at := range a.lastAnswer {
-		last = later(last, at)
+		last = laterOf(last, at)
 	}
 	return last
 }
