--- a/coordination/admission/limiter.go
+++ b/coordination/admission/limiter.go
@@ -60,7 +60,7 @@
 }
 
 func overloaded(wait time.Duration) error {
-	err := answer.New(answer.Overloaded, "the owner has no capacity within the deadline")
+	err := answer.New(answer.Overloaded, "the owner has no room within the deadline")
 	err.RetryAfter = wait
 	return err
 }
--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -65,26 +65,26 @@
 	case intent.EvictCell:
 		return planEvictCell(spec, v)
 	}
-	return intent.Plan{}, answer.New(answer.BadRequest, "unknown intent kind %q", spec.Kind)
+	return intent.Plan{}, answer.New(answer.BadRequest, "unknown kind of intent %q", spec.Kind)
 }
 
 func planCreate(spec intent.Spec, v View) (intent.Plan, error) {
 	name := spec.Service.Name
 	if v.Services[name] != nil || v.Directories[name] != nil {
-		return intent.Plan{}, answer.New(answer.Conflict, "service %s already exists", name)
+		return intent.Plan{}, answer.New(answer.Conflict, "service %s exists", name)
 	}
 	p := intent.Plan{Steps: []intent.Step{{Action: ActionConfigure, Service: name, Span: keyspace.Whole()}}}
 	counts := make(map[string]int)
 	for _, u := range spec.Upstreams {
 		if u.Service != name {
-			return p, answer.New(answer.BadRequest, "upstream %s belongs to service %s, not to the new one", u.ID, u.Service)
+			return p, answer.New(answer.BadRequest, "upstream %s is of service %s", u.ID, u.Service)
 		}
 		c := v.Cells[u.Cell]
 		if c == nil {
-			return p, answer.New(answer.NotFound, "cell %q does not exist", u.Cell)
+			return p, answer.New(answer.NotFound, "no cell %q", u.Cell)
 		}
 		if c.Upstream(u.ID) != nil {
-			return p, answer.New(answer.Conflict, "upstream %s already exists in cell %s", u.ID, u.Cell)
+			return p, answer.New(answer.Conflict, "upstream %s exists in cell %s", u.ID, u.Cell)
 		}
 		counts[u.Cell]++
 		p.Steps = append(p.Steps, intent.Step{Cell: u.Cell, Action: ActionAdd, Service: name, To: u.ID})
@@ -94,7 +94,7 @@
 	}
 	p.Basis = basis(v, sortedNames(counts)...)
 	p.Cost.ImbalanceBefore, p.Cost.ImbalanceAfter = 1, 1
-	p.Why = fmt.Sprintf("the hash space of service %s is divided among its cells in proportion to their upstreams", name)
+	p.Why = fmt.Sprintf("the hash space of %s is divided among its cells by their number of upstreams", name)
 	return p, nil
 }
 
@@ -145,12 +145,12 @@
 func planConfigure(spec intent.Spec, v View) (intent.Plan, error) {
 	current := v.Services[spec.Service.Name]
 	if current == nil {
-		return intent.Plan{}, answer.New(answer.NotFound, "service %q does not exist", spec.Service.Name)
+		return intent.Plan{}, answer.New(answer.NotFound, "no service %q", spec.Service.Name)
 	}
 	return intent.Plan{
 		Basis: []intent.Basis{{Kind: "service", Name: current.Name, Version: current.Version}},
 		Steps: []intent.Step{{Action: ActionConfigure, Service: current.Name, Span: keyspace.Whole()}},
-		Why:   fmt.Sprintf("version %d of the configuration replaces version %d", current.Version+1, current.Version),
+		Why:   fmt.Sprintf("version %d of the configuration takes the place of version %d", current.Version+1, current.Version),
 	}, nil
 }
 
@@ -198,19 +198,19 @@
 	for _, u := range spec.Upstreams {
 		c := v.Cells[u.Cell]
 		if c == nil {
-			return p, answer.New(answer.NotFound, "cell %q does not exist", u.Cell)
+			return p, answer.New(answer.NotFound, "no cell %q", u.Cell)
 		}
 		if v.Services[u.Service] == nil {
-			return p, answer.New(answer.NotFound, "service %q does not exist", u.Service)
+			return p, answer.New(answer.NotFound, "no service %q", u.Service)
 		}
 		if c.Upstream(u.ID) != nil {
-			return p, answer.New(answer.Conflict, "upstream %s already exists in cell %s", u.ID, u.Cell)
+			return p, answer.New(answer.Conflict, "upstream %s exists in cell %s", u.ID, u.Cell)
 		}
 		p.Steps = append(p.Steps, intent.Step{Cell: u.Cell, Action: ActionAdd, Service: u.Service, To: u.ID})
 		joinMoves(&p, c, u, v)
 		p.Basis = append(p.Basis, basis(v, u.Cell)...)
 	}
-	p.Why = "each joining upstream takes its share of the load from the most loaded upstreams of its cell"
+	p.Why = "each joining upstream takes its share from those that carry most in its cell"
 	return p, nil
 }
 
@@ -273,19 +273,19 @@
 	for _, id := range spec.Names {
 		c, u := findUpstream(v, id)
 		if u == nil {
-			return p, answer.New(answer.NotFound, "upstream %q does not exist", id)
+			return p, answer.New(answer.NotFound, "no upstream %q", id)
 		}
 		nodes := slices.DeleteFunc(nodesOf(c, u.Service), func(n placement.Node) bool {
 			return slices.Contains(spec.Names, n.ID)
 		})
 		if len(nodes) == 0 {
-			return p, answer.New(answer.Conflict, "upstream %s cannot be removed: service %s would have no active upstream in cell %s", id, u.Service, c.Name)
+			return p, answer.New(answer.Conflict, "%s is the last upstream of %s in cell %s", id, u.Service, c.Name)
 		}
 		p.Steps = append(p.Steps, intent.Step{Cell: c.Name, Action: action, Service: u.Service, From: id})
 		leaveMoves(&p, c, u, nodes, v)
 		p.Basis = append(p.Basis, basis(v, c.Name)...)
 	}
-	p.Why = "the ranges of " + strings.Join(spec.Names, ", ") + " move to the least loaded upstreams of the cell"
+	p.Why = "the ranges of " + strings.Join(spec.Names, ", ") + " go to those that carry least in the cell"
 	return p, nil
 }
 
@@ -319,14 +319,14 @@
 	}
 	to, u := findUpstream(v, spec.To)
 	if u == nil || u.Service != spec.ServiceName {
-		return intent.Plan{}, answer.New(answer.NotFound, "upstream %q of service %s does not exist", spec.To, spec.ServiceName)
+		return intent.Plan{}, answer.New(answer.NotFound, "no upstream %q of service %s", spec.To, spec.ServiceName)
 	}
 	if u.State != cell.Active {
-		return intent.Plan{}, answer.New(answer.Conflict, "upstream %s is %s, not active", u.ID, u.State)
+		return intent.Plan{}, answer.New(answer.Conflict, "upstream %s is %s", u.ID, u.State)
 	}
 	d := v.Directories[spec.ServiceName]
 	if d == nil {
-		return intent.Plan{}, answer.New(answer.NotFound, "service %q does not exist", spec.ServiceName)
+		return intent.Plan{}, answer.New(answer.NotFound, "no service %q", spec.ServiceName)
 	}
 	var p intent.Plan
 	cells := map[string]int{to.Name: 1}
@@ -350,7 +350,7 @@
 	}
 	p.Cost.Unavailable = jsonc.Duration(expectedUnavailable)
 	p.Basis = basis(v, sortedNames(cells)...)
-	p.Why = fmt.Sprintf("span %s is assigned to %s as requested", span, spec.To)
+	p.Why = fmt.Sprintf("the span %s is given to %s as stated", span, spec.To)
 	return p, nil
 }
 
@@ -373,11 +373,11 @@
 		p.Steps = append(p.Steps, steps...)
 	}
 	if len(p.Steps) == 0 {
-		return p, answer.New(answer.NotFound, "no directory has a segment of %s", strings.Join(spec.Names, ", "))
+		return p, answer.New(answer.NotFound, "no directory names %s", strings.Join(spec.Names, ", "))
 	}
 	p.Basis = basis(v, spec.Names...)
-	p.Why = "the spans of the lost cells are divided among the remaining cells in proportion to their upstreams; " +
-		"confirm only when nothing in the lost cells is running any more"
+	p.Why = "the spans of the lost cells go to the remaining ones by their number of upstreams; " +
+		"confirm only when nothing of the lost cells runs any more"
 	return p, nil
 }
 
@@ -403,7 +403,7 @@
 			continue
 		}
 		if total == 0 {
-			return nil, answer.New(answer.Conflict, "no remaining cell has an active upstream of service %s", service)
+			return nil, answer.New(answer.Conflict, "no other cell has an upstream of %s", service)
 		}
 		parts := seg.Split(total)
 		next := 0
--- a/gateway/placements.go
+++ b/gateway/placements.go
@@ -119,13 +119,13 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if !p.loaded {
-			return nil, rpcError(answer.PlatformDown, "the intents have not been loaded yet")
+			return nil, rpcError(answer.PlatformDown, "the intents are not read yet")
 		}
 		return nil, nil
 	}
 	l := p.cluster.knownLeader()
 	if l == nil || l.Member.Address == p.cluster.self.Address {
-		return nil, rpcError(answer.NoRight, "no gateway is leading")
+		return nil, rpcError(answer.NoRight, "no gateway leads at the moment")
 	}
 	return placementpb.NewPlacementProtobufClient("http://"+l.Member.Address, p.cluster.http), nil
 }
@@ -186,7 +186,7 @@
 	k := p.assignments.assigner(i.Service)
 	if k == nil {
 		if i.Kind == placement.Pin {
-			return nil, rpcError(answer.BadRequest, "service "+i.Service+" is not keyed")
+			return nil, rpcError(answer.BadRequest, "service "+i.Service+" has no keys")
 		}
 		return nil, nil
 	}
@@ -225,7 +225,7 @@
 	}
 	m, err := p.replace(ctx, s)
 	if err == nil && stale {
-		return nil, rpcError(answer.StalePlan, "the plan has changed: review the new plan and confirm again")
+		return nil, rpcError(answer.StalePlan, "the plan has changed; look at the new one and confirm that")
 	}
 	return m, err
 }
@@ -257,7 +257,7 @@
 func (p *placements) replace(ctx context.Context, s storedIntent) (*placementpb.Intent, error) {
 	object, err := p.store.Replace(ctx, placementsKind, s.ID, s.revision, s.Intent)
 	if errors.Is(err, platform.ErrConflict) {
-		return nil, rpcError(answer.Conflict, "the intent was changed concurrently")
+		return nil, rpcError(answer.Conflict, "the intent was changed by someone else")
 	}
 	if err != nil {
 		return nil, rpcError(answer.PlatformDown, err.Error())
--- a/gateway/storecall.go
+++ b/gateway/storecall.go
@@ -78,9 +78,9 @@
 }
 
 var (
-	errStoreUnreachable = errors.New("the store cannot be reached, neither directly nor through other gateways")
+	errStoreUnreachable = errors.New("the store is reached neither directly nor by way of other gateways")
 	// errCallTooLong is returned when the answer was still arriving after maxCallDuration.
-	errCallTooLong = errors.New("the store's answer exceeded the time limit of the call")
+	errCallTooLong = errors.New("the store's answer takes too long")
 )
 
 // Call implements platform.Transport. The call is made directly, and through other gateways as well
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -68,7 +68,7 @@
 	if !q.route.Idempotent {
 		kind = answer.HarmfulOnce
 	}
-	err := answer.New(kind, "%d upstreams crashed while running this request (digest %s)", s.book.CrashCount(q.digest()), digestText(q.digest()))
+	err := answer.New(kind, "%d upstreams have ended with this request on them, digest %s", s.book.CrashCount(q.digest()), digestText(q.digest()))
 	// Not the short default for a refusal for lack of capacity: this request is refused for at
 	// least a minute.
 	err.RetryAfter = kind.Row().RetryAfter
@@ -193,7 +193,7 @@
 // digestText and parseDigest convert digests to and from the form shown to operators.
 func digestText(d poison.Digest) string { return fmt.Sprintf("%016x", uint64(d)) }
 
-var errInvalidDigest = errors.New("a digest must have 16 hexadecimal digits")
+var errInvalidDigest = errors.New("not a digest of 16 hexadecimal digits")
 
 func parseDigest(text string) (poison.Digest, error) {
 	var d uint64
