--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -25,33 +25,33 @@
 
 // bed is a small deployment in one process: a store, upstreams and gateways,
 // over real connections.
-type bed struct {
+type testCluster struct {
 	// keepIdle lets connections between gateways stay idle for as long as they like.
 	keepIdle bool
 	// limitLinks puts limits, wide at first, on what each gateway's listener for other
 	// gateways and each way to the store can send.
 	limitLinks bool
 	// atDoor, if set, stands between gateways and their doors to the store.
-	atDoor   func(net.Listener, http.Handler) (net.Listener, http.Handler)
-	t        *testing.T
-	store    *metastore.Store
-	oracle   *instance.Oracle
-	gateways []*testGateway
-	client   *http.Client
-	next     atomic.Int64
-	mu       sync.Mutex
-	ups      map[string]*upstream
-	ports    []*port
+	wrapStoreDoor func(net.Listener, http.Handler) (net.Listener, http.Handler)
+	t             *testing.T
+	store         *metastore.Store
+	oracle        *instance.Oracle
+	gateways      []*testGateway
+	client        *http.Client
+	requestCount  atomic.Int64
+	mu            sync.Mutex
+	upstreams     map[string]*upstream
+	ports         []*port
 }
 
 // testGateway is a gateway that can be stopped or killed.
 type testGateway struct {
 	*Gateway
 	// asleep is for how long its machine was suspended, as its clocks say.
-	asleep  *atomic.Int64
-	lines   *eventlog.Log
-	door    *metastore.Door
-	callers string
+	suspendedNs *atomic.Int64
+	lines       *eventlog.Log
+	door        *metastore.Door
+	callers     string
 	// peersLink carries this gateway's answers to others, storeLink the store's answers
 	// to it; nil unless the bed limits links.
 	peersLink, storeLink *relay.Link
@@ -93,16 +93,16 @@
 	}
 }
 
-func newBed(t *testing.T) *bed {
+func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
-	b := &bed{t: t, store: metastore.New(), oracle: instance.NewOracle(), ups: make(map[string]*upstream), client: &http.Client{}}
+	b := &testCluster{t: t, store: metastore.New(), oracle: instance.NewOracle(), upstreams: make(map[string]*upstream), client: &http.Client{}}
 	b.configure(2)
 	t.Cleanup(b.close)
 	return b
 }
 
 // configure writes a version of the configuration.
-func (b *bed) configure(version uint64) {
+func (b *testCluster) configure(version uint64) {
 	b.store.Put(platform.ConfigKind, platform.ConfigName, config(version))
 }
 
@@ -111,31 +111,31 @@
 func (r rawJSON) MarshalJSON() ([]byte, error) { return []byte(r), nil }
 
 // upstream starts an instance and registers it.
-func (b *bed) upstream(id, service string) *upstream {
+func (b *testCluster) upstream(id, service string) *upstream {
 	b.t.Helper()
 	return b.startUpstream(id, service, 0)
 }
 
 // upstreamIn is upstream in a failure domain.
-func (b *bed) upstreamIn(domain, id, service string) *upstream {
+func (b *testCluster) upstreamIn(domain, id, service string) *upstream {
 	b.t.Helper()
 	return b.startUpstreamIn(domain, id, service, 0)
 }
 
 // restart ends an upstream's process and starts it again under its ID, at another address.
-func (b *bed) restart(u *upstream) *upstream {
+func (b *testCluster) restart(u *upstream) *upstream {
 	b.t.Helper()
 	_ = u.server.Close()
 	u.End()
 	return b.startUpstreamIn(u.domain, u.ID, u.service, u.born+1)
 }
 
-func (b *bed) startUpstream(id, service string, born uint64) *upstream {
+func (b *testCluster) startUpstream(id, service string, born uint64) *upstream {
 	b.t.Helper()
 	return b.startUpstreamIn("a", id, service, born)
 }
 
-func (b *bed) startUpstreamIn(domain, id, service string, born uint64) *upstream {
+func (b *testCluster) startUpstreamIn(domain, id, service string, born uint64) *upstream {
 	b.t.Helper()
 	l := b.listen()
 	u := &upstream{
@@ -145,13 +145,13 @@
 	u.server = &http.Server{Handler: u.Instance}
 	go func() { _ = u.server.Serve(l) }()
 	b.mu.Lock()
-	b.ups[id] = u
+	b.upstreams[id] = u
 	b.mu.Unlock()
 	b.register(u, "ready")
 	return u
 }
 
-func (b *bed) register(u *upstream, state string) {
+func (b *testCluster) register(u *upstream, state string) {
 	var body platform.InstanceBody
 	body.Address, body.Born = u.address, u.born
 	body.Info.Service, body.Info.Zone, body.Info.Slots = u.service, u.domain, 4
@@ -160,7 +160,7 @@
 }
 
 // gateway starts a gateway.
-func (b *bed) gateway(name string) *testGateway {
+func (b *testCluster) gateway(name string) *testGateway {
 	b.t.Helper()
 	door := b.store.Door(name)
 	doorListener := b.listen()
@@ -170,8 +170,8 @@
 		doorListener = storeLink
 	}
 	doorServer, at := &http.Server{Handler: door}, doorListener
-	if b.atDoor != nil {
-		at, doorServer.Handler = b.atDoor(doorListener, door)
+	if b.wrapStoreDoor != nil {
+		at, doorServer.Handler = b.wrapStoreDoor(doorListener, door)
 	}
 	go func() { _ = doorServer.Serve(at) }()
 	conf := settings.DefaultGateway()
@@ -197,9 +197,9 @@
 	}
 	lines := eventlog.New(time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
-	clock, asleep := suspendable()
+	clock, asleep := suspendableClock()
 	g := &testGateway{
-		Gateway: newGateway(conf, open, lines, clock), asleep: asleep, lines: lines, door: door, callers: open.Callers.Addr().String(),
+		Gateway: newGateway(conf, open, lines, clock), suspendedNs: asleep, lines: lines, door: door, callers: open.Callers.Addr().String(),
 		peersLink: peersLink, storeLink: storeLink, stop: cancel, done: make(chan struct{}),
 	}
 	if b.keepIdle {
@@ -217,7 +217,7 @@
 
 // suspendable returns a clock of a machine that is suspended for as long as the number says, in
 // nanoseconds.
-func suspendable() (*bootclock.Clock, *atomic.Int64) {
+func suspendableClock() (*bootclock.Clock, *atomic.Int64) {
 	var asleep atomic.Int64
 	began := time.Now()
 	return bootclock.From(bootclock.Sources{
@@ -229,7 +229,7 @@
 
 // suspend lets the clocks of the gateway's machine say that it has just woken up from a suspension.
 // What ran meanwhile at the others is not played.
-func (g *testGateway) suspend(d time.Duration) { g.asleep.Add(int64(d)) }
+func (g *testGateway) suspend(d time.Duration) { g.suspendedNs.Add(int64(d)) }
 
 // kill ends a gateway as a lost process ends.
 func (g *testGateway) kill() {
@@ -241,14 +241,14 @@
 	}
 }
 
-func (b *bed) close() {
+func (b *testCluster) close() {
 	defer b.givePortsBack()
 	for _, g := range b.gateways {
 		g.kill()
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		_ = u.server.Close()
 	}
 	for _, v := range b.oracle.Violations() {
@@ -258,7 +258,7 @@
 
 // eventually waits until the condition holds. The limit only ends a test that
 // hangs.
-func (b *bed) eventually(what string, condition func() bool) {
+func (b *testCluster) eventually(what string, condition func() bool) {
 	b.t.Helper()
 	limit := time.Now().Add(time.Minute)
 	for !condition() {
@@ -270,7 +270,7 @@
 }
 
 // ready waits until all gateways are ready and every key has an owner.
-func (b *bed) ready() {
+func (b *testCluster) ready() {
 	b.t.Helper()
 	b.eventually("all ready", func() bool {
 		for _, g := range b.gateways {
@@ -308,7 +308,7 @@
 }
 
 // leader returns the gateway that leads, or nil.
-func (b *bed) leader() *testGateway {
+func (b *testCluster) leader() *testGateway {
 	for _, g := range b.gateways {
 		if g.running() && g.cluster.isLeading() && g.leading.mayAct() {
 			return g
@@ -318,7 +318,7 @@
 }
 
 // reply is what a caller got.
-type reply struct {
+type callerResponse struct {
 	id     string
 	status int
 	body   string
@@ -327,8 +327,8 @@
 }
 
 // ask sends one request through a gateway.
-func (b *bed) ask(g *testGateway, method, path string, key int) reply {
-	id := fmt.Sprintf("r%d", b.next.Add(1))
+func (b *testCluster) request(g *testGateway, method, path string, key int) callerResponse {
+	id := fmt.Sprintf("r%d", b.requestCount.Add(1))
 	var body io.Reader
 	if method == http.MethodPost {
 		body = strings.NewReader("body of " + id)
@@ -345,17 +345,17 @@
 	}
 	resp, err := b.client.Do(r)
 	if err != nil {
-		return reply{id: id, err: err}
+		return callerResponse{id: id, err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
-	return reply{id: id, status: resp.StatusCode, body: string(data), header: resp.Header, err: err}
+	return callerResponse{id: id, status: resp.StatusCode, body: string(data), header: resp.Header, err: err}
 }
 
 // mustAsk asks and wants the upstream's answer.
-func (b *bed) mustAsk(g *testGateway, method, path string, key int) reply {
+func (b *testCluster) mustRequest(g *testGateway, method, path string, key int) callerResponse {
 	b.t.Helper()
-	a := b.ask(g, method, path, key)
+	a := b.request(g, method, path, key)
 	if a.err != nil || a.status != http.StatusOK || !strings.HasPrefix(a.body, "done "+a.id+" by ") {
 		b.t.Fatalf("%s %s: status %d, body %q, error %v", method, path, a.status, a.body, a.err)
 	}
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -29,7 +29,7 @@
 // message run in one process: half is counted for each.
 
 // benchPeer serves the reports of other gateways as a leader does.
-func benchPeer(b *testing.B) (*peerServer, string) {
+func newBenchPeer(b *testing.B) (*peerServer, string) {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,7 +54,7 @@
 func BenchmarkReport(b *testing.B) {
 	for _, upstreams := range []int{10, 100} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
-			p, address := benchPeer(b)
+			p, address := newBenchPeer(b)
 			// News that the sender does not know: the answer is not held back.
 			p.view.setConfiguration(1, []byte("{}"), &routing.Configuration{Version: 1})
 			client := syncpb.NewPeerProtobufClient("http://"+address, &http.Client{})
@@ -73,7 +73,7 @@
 }
 
 // benchInstance is a stand-in upstream that answers at once.
-func benchInstance(b *testing.B) string {
+func startBenchUpstream(b *testing.B) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -88,7 +88,7 @@
 // BenchmarkRenewal is one call to an upstream as a renewal is: here a release, for
 // which the stand-in keeps little.
 func BenchmarkRenewal(b *testing.B) {
-	address := benchInstance(b)
+	address := startBenchUpstream(b)
 	owners := platform.NewOwners(pool.New(upstreamLimits, time.Now))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -104,7 +104,7 @@
 func BenchmarkNews(b *testing.B) {
 	for _, n := range []int{256, 2048} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p, _ := benchPeer(b)
+			p, _ := newBenchPeer(b)
 			p.view.setInstances(1, instances.NewView(1, nil))
 			t := &spans.Table{Service: "s", Version: 1, LastFence: uint64(n)}
 			for i := range n {
@@ -175,7 +175,7 @@
 // BenchmarkForward is one request through a gateway, and the same straight to the
 // upstream, over the same kind of connections: the ratio is what a gateway adds.
 func BenchmarkForward(b *testing.B) {
-	address := benchInstance(b)
+	address := startBenchUpstream(b)
 	ask := func(b *testing.B, to string, conns *pool.Pool) {
 		b.Helper()
 		h := http.Header{platform.RequestID: {"r"}, platform.Deadline: {"2000"}}
@@ -193,7 +193,7 @@
 		}
 	})
 	b.Run("gateway", func(b *testing.B) {
-		g := benchGateway(b, address)
+		g := startBenchGateway(b, address)
 		conns := pool.New(upstreamLimits, time.Now)
 		for b.Loop() {
 			ask(b, g, conns)
@@ -202,7 +202,7 @@
 }
 
 // benchGateway is a gateway's front with one upstream, without a store or a leader.
-func benchGateway(b *testing.B, upstream string) string {
+func startBenchGateway(b *testing.B, upstream string) string {
 	b.Helper()
 	conf := settings.DefaultGateway()
 	conf.Domain, conf.RetryWindow, conf.Memory = "a", jsonc.Duration(10*time.Second), 200
--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -19,9 +19,9 @@
 // This file tests evacuations of failure domains.
 
 // twoDomains returns a bed with upstreams in the failure domains a and b and three gateways.
-func twoDomains(t *testing.T) *bed {
+func twoDomains(t *testing.T) *testCluster {
 	t.Helper()
-	b := newBed(t)
+	b := newTestCluster(t)
 	for _, domain := range []string{"a", "b"} {
 		for _, n := range []string{"0", "1"} {
 			b.upstreamIn(domain, "i-s"+n+domain, "status")
@@ -35,13 +35,13 @@
 	return b
 }
 
-func (b *bed) evacuate(domain string) {
+func (b *testCluster) evacuate(domain string) {
 	b.store.Put(platform.EvacuationsKind, domain, struct{}{})
 }
 
 // knowEvacuated reports whether all gateways that run know that the domain is evacuated, or
 // that it is not.
-func (b *bed) knowEvacuated(domain string, evacuated bool) bool {
+func (b *testCluster) knowEvacuated(domain string, evacuated bool) bool {
 	for _, g := range b.gateways {
 		if g.running() && g.view.evacuated(domain) != evacuated {
 			return false
@@ -52,11 +52,11 @@
 
 // keysIn returns how many keys upstreams in the domain own or are being given, as the
 // gateway knows.
-func (b *bed) keysIn(g *testGateway, domain string) int {
+func (b *testCluster) keysIn(g *testGateway, domain string) int {
 	keys := 0
 	for _, s := range g.view.spansOf("status").Spans {
 		for _, id := range []string{s.Owner, s.Next} {
-			if id != "" && b.ups[id].domain == domain {
+			if id != "" && b.upstreams[id].domain == domain {
 				keys += s.Count()
 			}
 		}
@@ -66,16 +66,16 @@
 
 // mustServeOutside asks all gateways for both services and wants answers from upstreams
 // outside of the domain only.
-func (b *bed) mustServeOutside(domain string) {
+func (b *testCluster) mustServeOutside(domain string) {
 	b.t.Helper()
 	for _, g := range b.gateways {
 		if !g.running() {
 			continue
 		}
 		for key := 0; key <= spans.MaxKey; key += 4369 {
-			keyed := b.mustAsk(g, http.MethodGet, "/status/x", key)
-			other := b.mustAsk(g, http.MethodPost, "/pay/x", -1)
-			for _, a := range []reply{keyed, other} {
+			keyed := b.mustRequest(g, http.MethodGet, "/status/x", key)
+			other := b.mustRequest(g, http.MethodPost, "/pay/x", -1)
+			for _, a := range []callerResponse{keyed, other} {
 				if strings.HasSuffix(strings.TrimSpace(a.body), domain) {
 					b.t.Fatalf("ran in the evacuated domain: %s", a.body)
 				}
@@ -86,7 +86,7 @@
 
 // seesEvacuated reports whether operators are told that the domain is evacuated, owns no key
 // any more and is known to be so by all gateways.
-func (b *bed) seesEvacuated(domain string) bool {
+func (b *testCluster) seesEvacuated(domain string) bool {
 	state, err := b.operator().Evacuations(context.Background(), &placementpb.EvacuationsRequest{})
 	if err != nil || len(state.Domains) != 1 || len(state.Gateways) != len(b.gateways) {
 		return false
@@ -169,14 +169,14 @@
 	b.eventually("known everywhere", func() bool { return b.knowEvacuated("a", true) && b.knowEvacuated("b", true) })
 	g := b.gateways[2]
 	b.eventually("owners get nothing", func() bool {
-		return b.ask(g, http.MethodGet, "/status/x", 7).status == http.StatusServiceUnavailable
+		return b.request(g, http.MethodGet, "/status/x", 7).status == http.StatusServiceUnavailable
 	})
-	if a := b.ask(g, http.MethodPost, "/pay/x", -1); a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" {
+	if a := b.request(g, http.MethodPost, "/pay/x", -1); a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" {
 		t.Errorf("status %d, header %v", a.status, a.header)
 	}
 	b.store.Remove(platform.EvacuationsKind, "a")
 	b.eventually("served again", func() bool {
-		return b.ask(g, http.MethodPost, "/pay/x", -1).status == http.StatusOK && b.ask(g, http.MethodGet, "/status/x", 7).status == http.StatusOK
+		return b.request(g, http.MethodPost, "/pay/x", -1).status == http.StatusOK && b.request(g, http.MethodGet, "/status/x", 7).status == http.StatusOK
 	})
 }
 
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -81,9 +81,9 @@
 // not used any more: they may have fallen silent with that one.
 func TestSilentPeers(t *testing.T) {
 	t.Parallel()
-	b := newBed(t)
+	b := newTestCluster(t)
 	b.keepIdle = true
-	b.fill()
+	b.startStandard()
 	leader := b.leader()
 	var f *follower
 	for _, g := range b.gateways {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -16,15 +16,15 @@
 )
 
 // standard starts three keyed and two other upstreams and three gateways.
-func standard(t *testing.T) *bed {
+func newStandardCluster(t *testing.T) *testCluster {
 	t.Helper()
-	b := newBed(t)
-	b.fill()
+	b := newTestCluster(t)
+	b.startStandard()
 	return b
 }
 
 // fill starts three keyed and two other upstreams and three gateways.
-func (b *bed) fill() {
+func (b *testCluster) startStandard() {
 	b.t.Helper()
 	for i := range 3 {
 		b.upstream(fmt.Sprintf("i-s%d", i), "status")
@@ -38,30 +38,30 @@
 	b.ready()
 }
 
-func TestServes(t *testing.T) {
+func TestGatewayServesRequests(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	for i, g := range b.gateways {
 		for key := 0; key <= spans.MaxKey; key += 6553 {
-			b.mustAsk(g, http.MethodGet, "/status/x", key)
+			b.mustRequest(g, http.MethodGet, "/status/x", key)
 		}
-		b.mustAsk(g, http.MethodPost, fmt.Sprintf("/pay/%d?a=1", i), -1)
-		b.mustAsk(g, http.MethodGet, "/read/x", -1)
+		b.mustRequest(g, http.MethodPost, fmt.Sprintf("/pay/%d?a=1", i), -1)
+		b.mustRequest(g, http.MethodGet, "/read/x", -1)
 	}
 	for path, want := range map[string]int{"/none/": http.StatusNotFound, "/status": http.StatusNotFound, "/status/x": http.StatusBadRequest} {
-		if a := b.ask(b.gateways[0], http.MethodGet, path, -1); a.status != want || a.header.Get(platform.Signature) != "" {
+		if a := b.request(b.gateways[0], http.MethodGet, path, -1); a.status != want || a.header.Get(platform.Signature) != "" {
 			t.Errorf("%s: status %d", path, a.status)
 		}
 	}
 }
 
-func TestWithoutConfiguration(t *testing.T) {
+func TestNotReadyWithoutConfiguration(t *testing.T) {
 	t.Parallel()
-	b := newBed(t)
+	b := newTestCluster(t)
 	b.store.Remove(platform.ConfigKind, platform.ConfigName)
 	g := b.gateway("g0")
 	b.eventually("refused", func() bool {
-		a := b.ask(g, http.MethodGet, "/none/", -1)
+		a := b.request(g, http.MethodGet, "/none/", -1)
 		return a.err == nil && a.status == http.StatusServiceUnavailable && a.header.Get("Retry-After") != ""
 	})
 	if g.Gateway.ready() {
@@ -70,9 +70,9 @@
 }
 
 // TestLeaderLost: another gateway leads, and no key changes its owner.
-func TestLeaderLost(t *testing.T) {
+func TestLostLeaderIsReplaced(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	first := b.leader()
 	before := first.view.spansOf("status")
 	first.kill()
@@ -87,44 +87,44 @@
 }
 
 // TestLeaderStops: it gives the lease up, and nobody waits for it to run out.
-func TestLeaderStops(t *testing.T) {
+func TestStoppingLeaderReleasesLease(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	first := b.leader()
 	first.stop()
 	<-first.done
 	b.eventually("another leader", func() bool { return b.leader() != nil })
-	b.mustAsk(b.leader(), http.MethodGet, "/status/x", 1)
+	b.mustRequest(b.leader(), http.MethodGet, "/status/x", 1)
 }
 
 // TestOwnerLost: the keys of an upstream that falls silent get other owners,
 // after its hold has run out.
-func TestOwnerLost(t *testing.T) {
+func TestKeysOfSilentOwnerMove(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
-	b.ups["i-s0"].Set(instance.Silent)
-	b.eventually("nothing owned by the lost one", func() bool { return b.ownedBy("i-s0") == 0 })
+	b := newStandardCluster(t)
+	b.upstreams["i-s0"].Set(instance.Silent)
+	b.eventually("nothing owned by the lost one", func() bool { return b.spansOwnedBy("i-s0") == 0 })
 	b.ready()
 	for key := 0; key <= spans.MaxKey; key += 6553 {
-		b.mustAsk(b.gateways[1], http.MethodGet, "/status/x", key)
+		b.mustRequest(b.gateways[1], http.MethodGet, "/status/x", key)
 	}
 }
 
 // TestLostOwnerComesBack: an upstream that was silent for so long that it lost
 // all its keys gets keys again once it answers. (Own day cut-servers: it stayed
 // without keys for good, and one upstream was left with half of the load.)
-func TestLostOwnerComesBack(t *testing.T) {
+func TestRecoveredOwnerGetsKeysAgain(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
-	b.ups["i-s0"].Set(instance.Silent)
-	b.eventually("nothing owned by the lost one", func() bool { return b.ownedBy("i-s0") == 0 })
+	b := newStandardCluster(t)
+	b.upstreams["i-s0"].Set(instance.Silent)
+	b.eventually("nothing owned by the lost one", func() bool { return b.spansOwnedBy("i-s0") == 0 })
 	b.ready()
-	b.ups["i-s0"].Set(instance.Serves)
-	b.eventually("keys for the one that came back", func() bool { return b.ownedBy("i-s0") > 0 })
+	b.upstreams["i-s0"].Set(instance.Serves)
+	b.eventually("keys for the one that came back", func() bool { return b.spansOwnedBy("i-s0") > 0 })
 }
 
 // ownedBy counts the spans of an owner in the leader's view.
-func (b *bed) ownedBy(id string) int {
+func (b *testCluster) spansOwnedBy(id string) int {
 	l := b.leader()
 	if l == nil {
 		return -1
@@ -139,7 +139,7 @@
 }
 
 // inForce reports whether all gateways have the version.
-func (b *bed) inForce(version uint64) bool {
+func (b *testCluster) allHaveConfiguration(version uint64) bool {
 	for _, g := range b.gateways {
 		if g.view.table.Load().Version != version {
 			return false
@@ -150,7 +150,7 @@
 
 // load sends requests until stopped and counts those not answered by an
 // upstream.
-func (b *bed) load(gateways []*testGateway, method, path string, keyed bool) (stop func() (sent, failed int64)) {
+func (b *testCluster) startLoad(gateways []*testGateway, method, path string, keyed bool) (stop func() (sent, failed int64)) {
 	var sent, failed atomic.Int64
 	end := make(chan struct{})
 	var all sync.WaitGroup
@@ -167,7 +167,7 @@
 					key = (i*7919 + n*31) % (spans.MaxKey + 1)
 				}
 				sent.Add(1)
-				if a := b.ask(g, method, path, key); a.err != nil || a.status != http.StatusOK {
+				if a := b.request(g, method, path, key); a.err != nil || a.status != http.StatusOK {
 					failed.Add(1)
 					b.t.Logf("%s %s key %d: status %d, %q, error %v", method, path, key, a.status, a.body, a.err)
 				}
@@ -185,17 +185,17 @@
 // none is lost.
 func TestLeavingUpstream(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
-	stop := b.load(b.gateways, http.MethodGet, "/status/x", true)
-	b.register(b.ups["i-s1"], "draining")
-	b.eventually("nothing owned by the leaving one", func() bool { return b.ownedBy("i-s1") == 0 })
+	b := newStandardCluster(t)
+	stop := b.startLoad(b.gateways, http.MethodGet, "/status/x", true)
+	b.register(b.upstreams["i-s1"], "draining")
+	b.eventually("nothing owned by the leaving one", func() bool { return b.spansOwnedBy("i-s1") == 0 })
 	b.ready()
 	if sent, failed := stop(); failed > 0 || sent == 0 {
 		t.Errorf("%d of %d failed", failed, sent)
 	}
 	ran := b.oracle.RunsBy("i-s1")
 	for key := 0; key <= spans.MaxKey; key += 997 {
-		b.mustAsk(b.gateways[0], http.MethodGet, "/status/x", key)
+		b.mustRequest(b.gateways[0], http.MethodGet, "/status/x", key)
 	}
 	if b.oracle.RunsBy("i-s1") != ran {
 		t.Error("the leaving upstream got requests after its keys had moved")
@@ -205,52 +205,52 @@
 // TestNewUpstreamGetsWork within the first plans after it registered.
 func TestNewUpstreamGetsWork(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	b.upstream("i-s9", "status")
-	b.eventually("keys for the new one", func() bool { return b.ownedBy("i-s9") > 0 })
+	b.eventually("keys for the new one", func() bool { return b.spansOwnedBy("i-s9") > 0 })
 }
 
 // TestLateGrants: grants that are carried out after newer ones harm nobody.
-func TestLateGrants(t *testing.T) {
+func TestLateGrantsAreHarmless(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
-	b.ups["i-s0"].Set(instance.LateGrants)
+	b := newStandardCluster(t)
+	b.upstreams["i-s0"].Set(instance.LateGrants)
 	time.Sleep(2 * renewInterval)
-	b.register(b.ups["i-s1"], "draining")
-	b.eventually("nothing owned by the leaving one", func() bool { return b.ownedBy("i-s1") == 0 })
-	b.ups["i-s0"].Set(instance.Serves)
+	b.register(b.upstreams["i-s1"], "draining")
+	b.eventually("nothing owned by the leaving one", func() bool { return b.spansOwnedBy("i-s1") == 0 })
+	b.upstreams["i-s0"].Set(instance.Serves)
 	b.ready()
 	for key := 0; key <= spans.MaxKey; key += 6553 {
-		b.mustAsk(b.gateways[2], http.MethodGet, "/status/x", key)
+		b.mustRequest(b.gateways[2], http.MethodGet, "/status/x", key)
 	}
 }
 
 // TestLostAnswers: a request that must not run twice and whose answer is lost
 // gets an answer that promises nothing; one that may is sent once more.
-func TestLostAnswers(t *testing.T) {
+func TestLostResponses(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
-	b.ups["i-p0"].Set(instance.Loses)
-	b.ups["i-p1"].Set(instance.Loses)
-	a := b.ask(b.gateways[0], http.MethodPost, "/pay/x", -1)
+	b := newStandardCluster(t)
+	b.upstreams["i-p0"].Set(instance.Loses)
+	b.upstreams["i-p1"].Set(instance.Loses)
+	a := b.request(b.gateways[0], http.MethodPost, "/pay/x", -1)
 	if a.status != http.StatusBadGateway || b.oracle.Runs(a.id) != 1 {
 		t.Errorf("status %d after %d runs", a.status, b.oracle.Runs(a.id))
 	}
-	b.ups["i-p1"].Set(instance.Serves)
+	b.upstreams["i-p1"].Set(instance.Serves)
 	for range 6 {
-		b.mustAsk(b.gateways[0], http.MethodGet, "/read/x", -1)
+		b.mustRequest(b.gateways[0], http.MethodGet, "/read/x", -1)
 	}
 }
 
 // TestRefusalsAreTrue: what upstreams refuse for want of room has not run and is
 // refused with a time to come back.
-func TestRefusalsAreTrue(t *testing.T) {
+func TestRefusedRequestsHaveNotRun(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
-	b.ups["i-p0"].Set(instance.Sheds)
-	b.ups["i-p1"].Set(instance.Sheds)
+	b := newStandardCluster(t)
+	b.upstreams["i-p0"].Set(instance.Sheds)
+	b.upstreams["i-p1"].Set(instance.Sheds)
 	for range 5 {
-		a := b.ask(b.gateways[0], http.MethodPost, "/pay/x", -1)
+		a := b.request(b.gateways[0], http.MethodPost, "/pay/x", -1)
 		if a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" || b.oracle.Runs(a.id) != 0 {
 			t.Errorf("status %d after %d runs", a.status, b.oracle.Runs(a.id))
 		}
@@ -259,12 +259,12 @@
 
 // TestOwnFailure of an upstream is passed on as it is for a request that must
 // not run twice.
-func TestOwnFailure(t *testing.T) {
+func TestUpstreamFailureIsForwarded(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
-	b.ups["i-p0"].Set(instance.Fails)
-	b.ups["i-p1"].Set(instance.Fails)
-	a := b.ask(b.gateways[0], http.MethodPost, "/pay/x", -1)
+	b := newStandardCluster(t)
+	b.upstreams["i-p0"].Set(instance.Fails)
+	b.upstreams["i-p1"].Set(instance.Fails)
+	a := b.request(b.gateways[0], http.MethodPost, "/pay/x", -1)
 	if a.status != http.StatusInternalServerError || a.header.Get(platform.Signature) != "sig-"+a.id || b.oracle.Runs(a.id) != 1 {
 		t.Errorf("status %d after %d runs", a.status, b.oracle.Runs(a.id))
 	}
@@ -272,26 +272,26 @@
 
 // TestStopCutsNothing: a gateway that stops under load answers everything it
 // was sent.
-func TestStopCutsNothing(t *testing.T) {
+func TestStopUnderLoadAnswersAllRequests(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	g := b.gateways[1]
-	b.ups["i-p0"].Work = 50 * time.Millisecond
-	b.ups["i-p1"].Work = 50 * time.Millisecond
+	b.upstreams["i-p0"].Work = 50 * time.Millisecond
+	b.upstreams["i-p1"].Work = 50 * time.Millisecond
 	var failed atomic.Int64
 	var all sync.WaitGroup
 	var stopping atomic.Bool
 	for range 4 {
 		all.Go(func() {
 			for !stopping.Load() {
-				if a := b.ask(g, http.MethodPost, "/pay/x", -1); a.err != nil || a.status != http.StatusOK {
+				if a := b.request(g, http.MethodPost, "/pay/x", -1); a.err != nil || a.status != http.StatusOK {
 					failed.Add(1)
 					t.Logf("status %d, error %v", a.status, a.err)
 				}
 			}
 		})
 	}
-	b.eventually("some requests", func() bool { return b.next.Load() > 20 })
+	b.eventually("some requests", func() bool { return b.requestCount.Load() > 20 })
 	g.stop()
 	// The balancer sends no more once it has noticed.
 	b.eventually("not ready", func() bool { return !g.Gateway.ready() })
@@ -305,9 +305,9 @@
 
 // TestAllKilled: after the loss of all gateways the next ones go on with the
 // same owners and fences.
-func TestAllKilled(t *testing.T) {
+func TestOwnersSurviveLossOfAllGateways(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	before := b.gateways[0].view.spansOf("status")
 	for _, g := range b.gateways {
 		g.kill()
@@ -319,20 +319,20 @@
 			t.Errorf("span %d-%d: %s with %d, was %s with %d", s.First, s.Last, now.Owner, now.Fence, s.Owner, s.Fence)
 		}
 	}
-	b.mustAsk(next, http.MethodGet, "/status/x", 77)
+	b.mustRequest(next, http.MethodGet, "/status/x", 77)
 }
 
 // TestBodiesAreLetGo: the bytes of bodies held are counted down after every
 // answer, refusals among them.
-func TestBodiesAreLetGo(t *testing.T) {
+func TestBodyBytesAreReleased(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	g := b.gateways[0]
-	b.mustAsk(g, http.MethodPost, "/pay/x", -1)
-	if a := b.ask(g, http.MethodPost, "/status/x", -1); a.status != http.StatusBadRequest {
+	b.mustRequest(g, http.MethodPost, "/pay/x", -1)
+	if a := b.request(g, http.MethodPost, "/status/x", -1); a.status != http.StatusBadRequest {
 		t.Errorf("status %d", a.status)
 	}
-	if a := b.ask(g, http.MethodPost, "/none/", -1); a.status != http.StatusNotFound {
+	if a := b.request(g, http.MethodPost, "/none/", -1); a.status != http.StatusNotFound {
 		t.Errorf("status %d", a.status)
 	}
 	b.eventually("nothing held", func() bool { return g.proxy.bodyBytes.Load() == 0 })
@@ -340,9 +340,9 @@
 
 // TestCallerLeavesBeforeItsTurn: a request that must not run twice and still waits
 // when its caller leaves is not begun.
-func TestCallerLeavesBeforeItsTurn(t *testing.T) {
+func TestQueuedRequestOfGoneCallerIsDropped(t *testing.T) {
 	t.Parallel()
-	b := newBed(t)
+	b := newTestCluster(t)
 	g := b.gateway("g0")
 	ctx, cancel := context.WithCancel(context.Background())
 	q := &request{
--- a/gateway/hotkeys_test.go
+++ b/gateway/hotkeys_test.go
@@ -18,7 +18,7 @@
 // there is none any more; what is refused by them may come back later than for want of room.
 func TestHotKeysAreToldToAll(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	l := b.leader()
 	var other *testGateway
 	for _, g := range b.gateways {
--- a/gateway/latecalls_test.go
+++ b/gateway/latecalls_test.go
@@ -23,7 +23,7 @@
 }
 
 // askForKeys begins to ask, about a hundred times a second, the gateways that pick returns.
-func (b *bed) askForKeys(pick func(i int) *testGateway) *asking {
+func (b *testCluster) askForKeys(pick func(i int) *testGateway) *asking {
 	a := &asking{stop: make(chan struct{})}
 	const clients = 4
 	for n := range clients {
@@ -38,7 +38,7 @@
 				if g == nil {
 					continue
 				}
-				if r := b.ask(g, http.MethodGet, "/status/x", (i*7919)%(spans.MaxKey+1)); r.status == http.StatusOK {
+				if r := b.request(g, http.MethodGet, "/status/x", (i*7919)%(spans.MaxKey+1)); r.status == http.StatusOK {
 					a.answered.Add(1)
 				} else {
 					a.refused.Add(1)
@@ -53,7 +53,7 @@
 func (a *asking) counted() (answered, refused int64) { return a.answered.Swap(0), a.refused.Swap(0) }
 
 // inTurn returns one gateway after the other, of those that do not change.
-func (b *bed) inTurn(i int) *testGateway { return b.gateways[i%len(b.gateways)] }
+func (b *testCluster) inTurn(i int) *testGateway { return b.gateways[i%len(b.gateways)] }
 
 func (a *asking) end() {
 	close(a.stop)
@@ -61,7 +61,7 @@
 }
 
 // owned is how many keys each upstream owns, as the leader knows.
-func (b *bed) owned() map[string]int {
+func (b *testCluster) owned() map[string]int {
 	out := make(map[string]int)
 	for _, g := range b.gateways {
 		if !g.cluster.isLeading() {
@@ -87,7 +87,7 @@
 // Evidence: eight of nine upstreams failing since the fault, each reached by a trial, without keys.
 func TestUpstreamWithoutKeysGetsSome(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	asking := b.askForKeys(b.inTurn)
 	defer asking.end()
 	const id = "i-s0"
@@ -108,13 +108,13 @@
 // and carried it out later, keys are even, and requests for them are answered.
 func TestKeysAreEvenAfterLateCalls(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	asking := b.askForKeys(b.inTurn)
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		u.Set(instance.LateCalls)
 	}
 	time.Sleep(8 * time.Second)
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		u.Set(instance.Serves)
 	}
 	time.Sleep(settlesIn)
@@ -136,10 +136,10 @@
 // answer requests are not taken for lost, and callers see little of it.
 func TestAnsweringOwnersKeepTheirKeys(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	asking := b.askForKeys(b.inTurn)
 	time.Sleep(time.Second)
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		u.Set(instance.LateCalls)
 	}
 	asking.counted()
--- a/gateway/limitnews_test.go
+++ b/gateway/limitnews_test.go
@@ -18,14 +18,14 @@
 // in answers.
 func TestLimitsAreToldToAll(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	for _, u := range []string{"i-p0", "i-p1"} {
-		b.ups[u].Name(1000)
+		b.upstreams[u].Name(1000)
 	}
 	first := b.gateways[1]
 	all := func(want string) func() bool {
 		return func() bool {
-			b.ask(first, http.MethodPost, "/pay/x", -1)
+			b.request(first, http.MethodPost, "/pay/x", -1)
 			for _, g := range b.gateways {
 				if g.named("pay") != want {
 					return false
@@ -35,9 +35,9 @@
 		}
 	}
 	b.eventually("all know of both limits", all("2"))
-	b.ups["i-p0"].NameNone()
+	b.upstreams["i-p0"].NameNone()
 	b.eventually("all know of the end of one", all("1"))
-	b.ups["i-p1"].NameNone()
+	b.upstreams["i-p1"].NameNone()
 	b.eventually("all know of both ends", all("0"))
 }
 
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -51,7 +51,7 @@
 // 160 requests in 4 s of 40 allowed (quota.TestIsolatedGatewaysExceedRate).
 func TestNamedLimitsAreKept(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	const (
 		perSecond = 20
 		load      = 6 * time.Second
@@ -67,8 +67,8 @@
 			}
 			g := b.gateways[i%len(b.gateways)]
 			if n%2 == 0 {
-				b.ask(g, http.MethodGet, "/status/x", (i*7919)%65536)
-			} else if a := b.ask(g, http.MethodPost, "/pay/x", -1); a.status == http.StatusOK {
+				b.request(g, http.MethodGet, "/status/x", (i*7919)%65536)
+			} else if a := b.request(g, http.MethodPost, "/pay/x", -1); a.status == http.StatusOK {
 				paid.Add(1)
 			} else {
 				refused.Add(1)
@@ -82,7 +82,7 @@
 	}
 	time.Sleep(time.Second)
 	named := time.Now()
-	owner, other := b.ups["i-s0"], b.ups["i-p0"]
+	owner, other := b.upstreams["i-s0"], b.upstreams["i-p0"]
 	owner.Name(perSecond)
 	other.Name(perSecond)
 	time.Sleep(load)
@@ -102,7 +102,7 @@
 // that it is asked for beyond that go to others, and their requests are answered.
 func TestKeysMoveOffALimitedOwner(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	const (
 		perSecond = 10
 		clients   = 4
@@ -120,7 +120,7 @@
 					return
 				case <-time.After(every):
 				}
-				if a := b.ask(b.gateways[i%len(b.gateways)], http.MethodGet, "/status/x", (i*7919)%65536); a.status == http.StatusOK {
+				if a := b.request(b.gateways[i%len(b.gateways)], http.MethodGet, "/status/x", (i*7919)%65536); a.status == http.StatusOK {
 					answered.Add(1)
 				} else {
 					refused.Add(1)
@@ -129,7 +129,7 @@
 		})
 	}
 	time.Sleep(time.Second)
-	b.ups["i-s0"].Name(perSecond)
+	b.upstreams["i-s0"].Name(perSecond)
 	time.Sleep(settled)
 	answered.Store(0)
 	refused.Store(0)
@@ -145,24 +145,24 @@
 // serves again when it takes some.
 func TestLimitOfNoneEnds(t *testing.T) {
 	t.Parallel()
-	b := newBed(t)
+	b := newTestCluster(t)
 	b.upstream("i-s0", "status")
 	only := b.upstream("i-p0", "pay")
 	g := b.gateway("g0")
 	b.ready()
 	only.Name(0)
 	b.eventually("its limit is known", func() bool {
-		b.ask(g, http.MethodPost, "/pay/x", -1)
+		b.request(g, http.MethodPost, "/pay/x", -1)
 		return g.named("pay") == "1"
 	})
 	for range 40 {
 		time.Sleep(every)
-		b.ask(g, http.MethodPost, "/pay/x", -1)
+		b.request(g, http.MethodPost, "/pay/x", -1)
 	}
 	only.NameNone()
 	b.eventually("it serves again", func() bool {
 		time.Sleep(every)
-		return b.ask(g, http.MethodPost, "/pay/x", -1).status == http.StatusOK && g.named("pay") == "0"
+		return b.request(g, http.MethodPost, "/pay/x", -1).status == http.StatusOK && g.named("pay") == "0"
 	})
 }
 
--- a/gateway/limitsight_test.go
+++ b/gateway/limitsight_test.go
@@ -10,7 +10,7 @@
 // how high it is, what is sent there meanwhile, and when it ends.
 func TestNamedLimitIsSeen(t *testing.T) {
 	t.Parallel()
-	b := newBed(t)
+	b := newTestCluster(t)
 	b.upstream("i-s0", "status")
 	only := b.upstream("i-p0", "pay")
 	g := b.gateway("g0")
@@ -21,18 +21,18 @@
 	go g.lines.Run(ctx, &out)
 	only.Name(1000)
 	for range 3 {
-		b.mustAsk(g, http.MethodPost, "/pay/x", -1)
+		b.mustRequest(g, http.MethodPost, "/pay/x", -1)
 	}
 	b.eventually("a line tells of the limit", func() bool {
-		line := out.lineOf("upstream names its limit", "i-p0")
+		line := out.findByUpstream("upstream names its limit", "i-p0")
 		return line != nil && line["per_second"] == 1000.0 && line["service"] == "pay"
 	})
 	if served := metricsOf(g); served["limits.pay.named"] != "1" || served["limits.pay.sent"] != "2" || served["limits.status.named"] != "0" {
 		t.Errorf("named %s, sent %s", served["limits.pay.named"], served["limits.pay.sent"])
 	}
 	only.NameNone()
-	b.mustAsk(g, http.MethodPost, "/pay/x", -1)
-	b.eventually("a line tells of its end", func() bool { return out.lineOf("upstream names no limit any more", "i-p0") != nil })
+	b.mustRequest(g, http.MethodPost, "/pay/x", -1)
+	b.eventually("a line tells of its end", func() bool { return out.findByUpstream("upstream names no limit any more", "i-p0") != nil })
 	if served := metricsOf(g); served["limits.pay.named"] != "0" {
 		t.Errorf("named %s after the end", served["limits.pay.named"])
 	}
--- a/gateway/loss_test.go
+++ b/gateway/loss_test.go
@@ -18,9 +18,9 @@
 // up to 0.9 s later than need be.)
 func TestFailingOwnerIsNotHeldLonger(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	k := b.leader().steward.keeper("status")
-	b.ups["i-s0"].Set(instance.Silent)
+	b.upstreams["i-s0"].Set(instance.Silent)
 	b.eventually("calls fail", func() bool { return k.failingFor("i-s0") > 0 })
 	k.mu.Lock()
 	// By fence: keys that were on their way to it meanwhile are held by another grant.
@@ -40,7 +40,7 @@
 			}
 		}
 		k.mu.Unlock()
-		return b.ownedBy("i-s0") == 0
+		return b.spansOwnedBy("i-s0") == 0
 	})
 }
 
@@ -49,7 +49,7 @@
 // for the longest that a former leader might have made.
 func TestFirstLeaderWaitsForItsOwnGrantsOnly(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	k := b.leader().steward.keeper("status")
 	granted := func() (spans.Span, time.Time) {
 		k.mu.Lock()
@@ -68,13 +68,13 @@
 // from whom the keys are taken.
 func TestNextOwnersGrantIsNotTheOwners(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	k := b.leader().steward.keeper("status")
 	k.mu.Lock()
 	s := k.table.Spans[0]
 	before := k.holds[owned(s)]
 	k.mu.Unlock()
-	b.ups["i-s1"].Set(instance.Silent)
+	b.upstreams["i-s1"].Set(instance.Silent)
 	if _, err := k.grant(t.Context(), s.Keys, k.instance("i-s1"), s.Fence+fenceLeap, ""); err == nil {
 		t.Fatal("a silent upstream answered")
 	}
@@ -89,19 +89,19 @@
 // handover; those of a planned move are not marked.
 func TestKeysOfLostOwnersAreCold(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
-	b.register(b.ups["i-s1"], "draining")
-	b.eventually("nothing owned by the leaving one", func() bool { return b.ownedBy("i-s1") == 0 })
+	b := newStandardCluster(t)
+	b.register(b.upstreams["i-s1"], "draining")
+	b.eventually("nothing owned by the leaving one", func() bool { return b.spansOwnedBy("i-s1") == 0 })
 	b.ready()
 	if n := cold(b.gateways[0]); n > 0 {
 		t.Errorf("%d spans cold after a planned move", n)
 	}
-	b.ups["i-s0"].Set(instance.Silent)
+	b.upstreams["i-s0"].Set(instance.Silent)
 	for _, g := range b.gateways {
 		b.eventually("cold keys are known", func() bool { return cold(g) > 0 })
 	}
 	b.ready()
-	b.mustAsk(b.gateways[0], http.MethodGet, "/status/x", 1)
+	b.mustRequest(b.gateways[0], http.MethodGet, "/status/x", 1)
 }
 
 func cold(g *testGateway) int {
--- a/gateway/meters_test.go
+++ b/gateway/meters_test.go
@@ -29,17 +29,17 @@
 // there.
 func TestMetricsAreInTheCatalog(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	g := b.gateways[0]
-	b.mustAsk(g, http.MethodGet, "/status/x", 7)
-	b.mustAsk(g, http.MethodPost, "/pay/x", -1)
-	b.ask(g, http.MethodGet, "/nowhere/", -1)
-	b.ups["i-p0"].Set(instance.Sheds)
-	b.ups["i-p1"].Set(instance.Sheds)
-	b.ask(g, http.MethodGet, "/read/x", -1)
+	b.mustRequest(g, http.MethodGet, "/status/x", 7)
+	b.mustRequest(g, http.MethodPost, "/pay/x", -1)
+	b.request(g, http.MethodGet, "/nowhere/", -1)
+	b.upstreams["i-p0"].Set(instance.Sheds)
+	b.upstreams["i-p1"].Set(instance.Sheds)
+	b.request(g, http.MethodGet, "/read/x", -1)
 	served := metricsOf(g)
 	for name := range served {
-		if !inCatalog(name) {
+		if !catalogContains(name) {
 			t.Errorf("%s is not in the catalog", name)
 		}
 	}
@@ -72,9 +72,9 @@
 	}
 }
 
-func inCatalog(name string) bool {
+func catalogContains(name string) bool {
 	for _, m := range catalog {
-		if describes(m.Name, name) {
+		if patternMatches(m.Name, name) {
 			return true
 		}
 	}
@@ -84,11 +84,11 @@
 var labelPattern = regexp.MustCompile(`\\\{[a-z]+\\\}`)
 
 // describes reports whether the pattern of the catalog stands for the name.
-func describes(pattern, name string) bool {
+func patternMatches(pattern, name string) bool {
 	return regexp.MustCompile("^" + labelPattern.ReplaceAllString(regexp.QuoteMeta(pattern), ".+") + "$").MatchString(name)
 }
 
-func TestPatterns(t *testing.T) {
+func TestCatalogPatternMatching(t *testing.T) {
 	for _, c := range []struct {
 		pattern, name string
 		want          bool
@@ -101,7 +101,7 @@
 		{storeAway, "store.away", true},
 		{storeAway, "store.away.x", false},
 	} {
-		if got := describes(c.pattern, c.name); got != c.want {
+		if got := patternMatches(c.pattern, c.name); got != c.want {
 			t.Errorf("%s describes %s: %t", c.pattern, c.name, got)
 		}
 	}
@@ -124,7 +124,7 @@
 }
 
 // TestMetricsPage: the page shows the catalog as it is, and nothing else.
-func TestMetricsPage(t *testing.T) {
+func TestMetricsPageMatchesCatalog(t *testing.T) {
 	page, err := os.ReadFile("../docs/METRICS.md")
 	if err != nil {
 		t.Fatal(err)
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -65,9 +65,9 @@
 
 // narrowBed is a deployment whose first gateway leads, with the others in touch with it
 // over links that can be narrowed.
-func narrowBed(t *testing.T, followers int, c platform.ConfigBody) *bed {
+func narrowBed(t *testing.T, followers int, c platform.ConfigBody) *testCluster {
 	t.Helper()
-	b := newBed(t)
+	b := newTestCluster(t)
 	b.limitLinks = true
 	b.store.Put(platform.ConfigKind, platform.ConfigName, c)
 	b.upstream("i-s0", "status")
@@ -79,13 +79,13 @@
 	}
 	b.ready()
 	b.eventually("all in touch with the leader", func() bool {
-		return b.inForce(c.Version) && b.gateways[0].cluster.gateways() == followers+1 && b.leader() == b.gateways[0]
+		return b.allHaveConfiguration(c.Version) && b.gateways[0].cluster.gateways() == followers+1 && b.leader() == b.gateways[0]
 	})
 	return b
 }
 
 // narrow limits the links of all gateways but the leader's way to the store.
-func (b *bed) narrow() {
+func (b *testCluster) narrow() {
 	for i, g := range b.gateways {
 		if i == 0 {
 			g.peersLink.SetRate(leaderRate)
@@ -97,7 +97,7 @@
 }
 
 // countInForce returns the number of gateways that work by the version.
-func (b *bed) countInForce(version uint64) int {
+func (b *testCluster) countInForce(version uint64) int {
 	n := 0
 	for _, g := range b.gateways {
 		if g.view.table.Load().Version == version {
@@ -115,7 +115,7 @@
 	store int64
 }
 
-func (b *bed) trace() traced {
+func (b *testCluster) trace() traced {
 	var now traced
 	for i, g := range b.gateways {
 		now.all += g.peersLink.Sent()
@@ -128,7 +128,7 @@
 }
 
 // since returns what came after a former trace.
-func (b *bed) since(former traced) traced {
+func (b *testCluster) since(former traced) traced {
 	now := b.trace()
 	return traced{leader: now.leader - former.leader, all: now.all - former.all, store: now.store - former.store}
 }
@@ -168,7 +168,7 @@
 			size, b.countInForce(next.Version), len(b.gateways), got.leader, got.all, got.store)
 	}()
 	b.store.Put(platform.ConfigKind, platform.ConfigName, next)
-	b.eventually("the large configuration in force everywhere", func() bool { return b.inForce(next.Version) })
+	b.eventually("the large configuration in force everywhere", func() bool { return b.allHaveConfiguration(next.Version) })
 	b.since(before).check(t, size)
 }
 
@@ -207,7 +207,7 @@
 		r.Timeout = secondsBefore + secondsAfter - r.Timeout
 		c.Routes["read"] = r
 		b.store.Put(platform.ConfigKind, platform.ConfigName, c)
-		b.eventually(fmt.Sprintf("change %d in force everywhere", changes), func() bool { return b.inForce(c.Version) })
+		b.eventually(fmt.Sprintf("change %d in force everywhere", changes), func() bool { return b.allHaveConfiguration(c.Version) })
 	}
 	b.since(before).check(t, size)
 }
@@ -227,7 +227,7 @@
 	t.Parallel()
 	b := narrowBed(t, 1, config(3))
 	leader, cut := b.gateways[0], b.gateways[1]
-	if a := b.ask(cut, http.MethodGet, "/added/x", -1); a.status != http.StatusNotFound {
+	if a := b.request(cut, http.MethodGet, "/added/x", -1); a.status != http.StatusNotFound {
 		t.Errorf("in touch: status %d, body %q, error %v", a.status, a.body, a.err)
 	}
 	leader.peersLink.SetRate(0)
@@ -241,13 +241,13 @@
 	b.eventually("the new route at the leader", func() bool {
 		return leader.view.table.Load().Version == next.Version
 	})
-	b.mustAsk(leader, http.MethodGet, "/added/x", -1)
-	var last reply
+	b.mustRequest(leader, http.MethodGet, "/added/x", -1)
+	var last callerResponse
 	defer func() {
 		t.Logf("last answer of the gateway that is cut off or was: status %d, kind %q, body %q", last.status, last.header.Get(header.Kind), last.body)
 	}()
 	b.eventually("the gateway that is behind says come back", func() bool {
-		last = b.ask(cut, http.MethodGet, "/added/x", -1)
+		last = b.request(cut, http.MethodGet, "/added/x", -1)
 		return last.status == http.StatusServiceUnavailable
 	})
 	if last.header.Get(header.Kind) != string(answer.NoRight) || last.header.Get(header.Ran) != string(answer.NotRun) || last.header.Get("Retry-After") == "" {
@@ -256,12 +256,12 @@
 	cut.door.Set(metastore.Open)
 	leader.peersLink.SetRate(relay.Wide)
 	cut.peersLink.SetRate(relay.Wide)
-	b.eventually("the new route everywhere", func() bool { return b.inForce(next.Version) })
+	b.eventually("the new route everywhere", func() bool { return b.allHaveConfiguration(next.Version) })
 	b.eventually("a route that nobody knows is unknown again", func() bool {
-		last = b.ask(cut, http.MethodGet, "/none/x", -1)
+		last = b.request(cut, http.MethodGet, "/none/x", -1)
 		return last.status == http.StatusNotFound
 	})
-	b.mustAsk(cut, http.MethodGet, "/added/x", -1)
+	b.mustRequest(cut, http.MethodGet, "/added/x", -1)
 }
 
 // registered is the number of upstreams that only stand in the store, some 30 KB of
@@ -281,7 +281,7 @@
 // 318, and the bytes ended when the next upstream changed.
 func TestGatewayComesBackFromTheStore(t *testing.T) {
 	t.Parallel()
-	b := newBed(t)
+	b := newTestCluster(t)
 	b.limitLinks = true
 	b.upstream("i-s0", "status")
 	b.upstream("i-p0", "pay")
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -38,7 +38,7 @@
 }
 
 // askOn lets clients ask for keys and pay, each in turn at all gateways, until stop is closed.
-func (b *bed) askOn(clients int, stop <-chan struct{}) (*record, *sync.WaitGroup) {
+func (b *testCluster) askOn(clients int, stop <-chan struct{}) (*record, *sync.WaitGroup) {
 	r := &record{asks: make(map[string]exchange)}
 	var asking sync.WaitGroup
 	ask := func(n, i int) {
@@ -48,7 +48,7 @@
 			method, path, key = http.MethodPost, "/pay/x", -1
 		}
 		sent := time.Now()
-		a := b.ask(g, method, path, key)
+		a := b.request(g, method, path, key)
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.asks[a.id] = exchange{
@@ -151,14 +151,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := standard(t)
+			b := newStandardCluster(t)
 			stop := make(chan struct{})
 			asked, asking := b.askOn(8, stop)
 			if c.away {
 				b.store.SetAll(metastore.Silent)
 			}
 			time.Sleep(time.Second)
-			owner, other := b.ups["i-s0"], b.ups["i-p0"]
+			owner, other := b.upstreams["i-s0"], b.upstreams["i-p0"]
 			said := time.Now()
 			owner.Leave()
 			other.Leave()
@@ -189,11 +189,11 @@
 // first refusal, and sent on.
 func TestRestsAreKept(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	stop := make(chan struct{})
 	asked, asking := b.askOn(8, stop)
 	time.Sleep(time.Second)
-	owner, other := b.ups["i-s0"], b.ups["i-p0"]
+	owner, other := b.upstreams["i-s0"], b.upstreams["i-p0"]
 	owner.Rest("1.5")
 	other.Rest("1.5")
 	time.Sleep(4 * time.Second)
@@ -223,14 +223,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			b := standard(t)
+			b := newStandardCluster(t)
 			stop := make(chan struct{})
 			asked, asking := b.askOn(8, stop)
 			time.Sleep(time.Second)
 			said := time.Now()
-			c.say(b.ups["i-s0"])
+			c.say(b.upstreams["i-s0"])
 			time.Sleep(2 * settled)
-			if n := b.ownedBy("i-s0"); n > 0 {
+			if n := b.spansOwnedBy("i-s0"); n > 0 {
 				t.Errorf("it owns %d keys %s later", n, 2*settled)
 			}
 			close(stop)
--- a/gateway/noticesight_test.go
+++ b/gateway/noticesight_test.go
@@ -10,7 +10,7 @@
 // leaves or has asked for rest, and what is sent there all the same.
 func TestNoticesAreSeen(t *testing.T) {
 	t.Parallel()
-	b := newBed(t)
+	b := newTestCluster(t)
 	b.upstream("i-s0", "status")
 	leaving, resting := b.upstream("i-p0", "pay"), b.upstream("i-p1", "pay")
 	g := b.gateway("g0")
@@ -22,13 +22,13 @@
 	leaving.Leave()
 	resting.Rest("30")
 	b.eventually("both have been asked", func() bool {
-		b.ask(g, http.MethodPost, "/pay/x", -1)
+		b.request(g, http.MethodPost, "/pay/x", -1)
 		m := metricsOf(g)
 		return m["notices.pay.leaving"] == "1" && m["notices.pay.resting"] == "1"
 	})
 	b.eventually("a line tells of each", func() bool {
-		rests := out.lineOf("upstream asks for rest", "i-p1")
-		return out.lineOf("upstream says that it leaves", "i-p0") != nil && rests != nil && rests["rest_ms"] == 30000.0
+		rests := out.findByUpstream("upstream asks for rest", "i-p1")
+		return out.findByUpstream("upstream says that it leaves", "i-p0") != nil && rests != nil && rests["rest_ms"] == 30000.0
 	})
 	if m := metricsOf(g); m["notices.status.leaving"] != "0" || m["notices.status.resting"] != "0" {
 		t.Errorf("status: leaving %s, resting %s", m["notices.status.leaving"], m["notices.status.resting"])
--- a/gateway/placements_test.go
+++ b/gateway/placements_test.go
@@ -12,7 +12,7 @@
 )
 
 // operator returns a client of a gateway that does not lead.
-func (b *bed) operator() placementpb.Placement {
+func (b *testCluster) operator() placementpb.Placement {
 	for _, g := range b.gateways {
 		if g.running() && !g.cluster.isLeading() {
 			return placementpb.NewPlacementProtobufClient("http://"+g.listeners.Peers.Addr().String(), b.client)
@@ -23,7 +23,7 @@
 }
 
 // stated states an intent, also while the leader has just begun.
-func (b *bed) stated(o placementpb.Placement, i *placementpb.Intent) *placementpb.Intent {
+func (b *testCluster) stated(o placementpb.Placement, i *placementpb.Intent) *placementpb.Intent {
 	b.t.Helper()
 	var out *placementpb.Intent
 	b.eventually("stated", func() bool {
@@ -36,7 +36,7 @@
 
 // confirmed confirms an intent; a plan that has changed meanwhile is confirmed as
 // it is now.
-func (b *bed) confirmed(o placementpb.Placement, id string) {
+func (b *testCluster) confirmed(o placementpb.Placement, id string) {
 	b.t.Helper()
 	b.eventually("confirmed", func() bool {
 		_, err := o.Confirm(context.Background(), &placementpb.Reference{Id: id})
@@ -55,14 +55,14 @@
 // away, and survives the loss of the leader; cancelled, the upstream is used again.
 func TestDrainByOperator(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	o := b.operator()
 	i := b.stated(o, &placementpb.Intent{Kind: "drain", Service: "status", Upstream: "i-s1", By: "ops"})
-	if i.State != "planned" || len(i.Plan) == 0 || b.ownedBy("i-s1") == 0 {
+	if i.State != "planned" || len(i.Plan) == 0 || b.spansOwnedBy("i-s1") == 0 {
 		t.Fatalf("intent %v", i)
 	}
 	b.confirmed(o, i.Id)
-	b.eventually("nothing owned by the drained one", func() bool { return b.ownedBy("i-s1") == 0 })
+	b.eventually("nothing owned by the drained one", func() bool { return b.spansOwnedBy("i-s1") == 0 })
 	b.leader().kill()
 	b.eventually("another leader that drains", func() bool {
 		l := b.leader()
@@ -70,19 +70,19 @@
 	})
 	b.ready()
 	time.Sleep(2 * planInterval)
-	if b.ownedBy("i-s1") != 0 {
+	if b.spansOwnedBy("i-s1") != 0 {
 		t.Error("the next leader gives the drained upstream keys")
 	}
 	o = b.operator()
 	if _, err := o.Cancel(context.Background(), &placementpb.Reference{Id: i.Id}); err != nil {
 		t.Fatal(err)
 	}
-	b.eventually("keys for the upstream again", func() bool { return b.ownedBy("i-s1") > 0 })
+	b.eventually("keys for the upstream again", func() bool { return b.spansOwnedBy("i-s1") > 0 })
 }
 
 func TestPinByOperator(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	o := b.operator()
 	i := b.stated(o, &placementpb.Intent{Kind: "pin", Service: "status", Upstream: "i-s2", First: 0, Last: 9999, By: "ops"})
 	b.confirmed(o, i.Id)
@@ -99,11 +99,11 @@
 // TestConfirmOfAStalePlan is refused, and the new plan waits for a confirm.
 func TestConfirmOfAStalePlan(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	o := b.operator()
 	i := b.stated(o, &placementpb.Intent{Kind: "drain", Service: "status", Upstream: "i-s1", By: "ops"})
-	b.register(b.ups["i-s0"], "draining")
-	b.eventually("other owners", func() bool { return b.ownedBy("i-s0") == 0 })
+	b.register(b.upstreams["i-s0"], "draining")
+	b.eventually("other owners", func() bool { return b.spansOwnedBy("i-s0") == 0 })
 	b.ready()
 	if _, err := o.Confirm(context.Background(), &placementpb.Reference{Id: i.Id}); kindOf(err) != answer.StalePlan {
 		t.Errorf("error %v", err)
@@ -116,7 +116,7 @@
 
 func TestIntentsAreChecked(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	o := b.operator()
 	b.stated(o, &placementpb.Intent{Kind: "drain", Service: "pay", Upstream: "i-p0"})
 	for _, bad := range []*placementpb.Intent{
--- a/gateway/ports_test.go
+++ b/gateway/ports_test.go
@@ -68,7 +68,7 @@
 func (p *port) addr() jsonc.Addr { return jsonc.Addr{AddrPort: p.address} }
 
 // port takes a port until the bed closes.
-func (b *bed) port() *port {
+func (b *testCluster) port() *port {
 	b.t.Helper()
 	p, err := newPort()
 	if err != nil {
@@ -81,7 +81,7 @@
 }
 
 // claim keeps ports to the listeners that are open at them.
-func (b *bed) claim(ports ...*port) {
+func (b *testCluster) claim(ports ...*port) {
 	b.t.Helper()
 	for _, p := range ports {
 		if err := p.share(0); err != nil {
@@ -91,7 +91,7 @@
 }
 
 // listen opens a listener at a port of the bed.
-func (b *bed) listen() net.Listener {
+func (b *testCluster) listen() net.Listener {
 	b.t.Helper()
 	p := b.port()
 	l, err := net.Listen("tcp", p.addr().String())
@@ -103,7 +103,7 @@
 }
 
 // givePortsBack gives all ports back to the kernel.
-func (b *bed) givePortsBack() {
+func (b *testCluster) givePortsBack() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.ports {
@@ -116,7 +116,7 @@
 // listener of another bed.
 func TestNobodyTakesThePlaceOfTheKilled(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	dead := b.leader()
 	dead.kill()
 	b.eventually("another leader", func() bool { return b.leader() != nil })
--- a/gateway/requestlog_test.go
+++ b/gateway/requestlog_test.go
@@ -25,16 +25,16 @@
 
 // find returns the first line with the message about the request, or nil.
 func (b *lockedBuffer) find(message, request string) map[string]any {
-	return b.first(message, "request", request)
+	return b.findByField(message, "request", request)
 }
 
 // lineOf returns the first line with the message about the upstream, or nil.
-func (b *lockedBuffer) lineOf(message, upstream string) map[string]any {
-	return b.first(message, "upstream", upstream)
+func (b *lockedBuffer) findByUpstream(message, upstream string) map[string]any {
+	return b.findByField(message, "upstream", upstream)
 }
 
 // first returns the first line with the message and the field, or nil.
-func (b *lockedBuffer) first(message, field, value string) map[string]any {
+func (b *lockedBuffer) findByField(message, field, value string) map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, line := range bytes.Split(b.buf.Bytes(), []byte("\n")) {
@@ -48,17 +48,17 @@
 
 // TestRefusalsLineCarriesItsInputs: from the line of a refused request alone one sees
 // which limit refused it, and from what that was decided.
-func TestRefusalsLineCarriesItsInputs(t *testing.T) {
+func TestRefusalLogLineHasDecisionInputs(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	g := b.gateways[0]
 	var out lockedBuffer
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go g.lines.Run(ctx, &out)
-	b.ups["i-p0"].Set(instance.Sheds)
-	b.ups["i-p1"].Set(instance.Sheds)
-	refused := b.ask(g, http.MethodPost, "/pay/x", -1)
+	b.upstreams["i-p0"].Set(instance.Sheds)
+	b.upstreams["i-p1"].Set(instance.Sheds)
+	refused := b.request(g, http.MethodPost, "/pay/x", -1)
 	if refused.status != http.StatusServiceUnavailable {
 		t.Fatalf("status %d", refused.status)
 	}
--- a/gateway/resign_test.go
+++ b/gateway/resign_test.go
@@ -13,9 +13,9 @@
 // silent store for longer than the stop has left, would keep the stop from ending in time.
 func TestStoppingLeaderRenewsInItsStopOnly(t *testing.T) {
 	t.Parallel()
-	b := newBed(t)
+	b := newTestCluster(t)
 	record := newCallRecord()
-	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, record.at(h) }
+	b.wrapStoreDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, record.at(h) }
 	b.upstream("i-s0", "status")
 	g := b.gateway("g0")
 	b.ready()
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -18,9 +18,9 @@
 // upstreams and cannot be.
 
 // bornUpstreams returns a bed whose keyed upstreams say when they started.
-func bornUpstreams(t *testing.T) *bed {
+func bornUpstreams(t *testing.T) *testCluster {
 	t.Helper()
-	b := newBed(t)
+	b := newTestCluster(t)
 	for _, id := range []string{"i-s0", "i-s1", "i-s2"} {
 		b.startUpstream(id, "status", 1_000_000)
 	}
@@ -37,7 +37,7 @@
 	t.Parallel()
 	b := bornUpstreams(t)
 	before := b.gateways[0].view.spansOf("status")
-	now := b.restart(b.ups["i-s0"])
+	now := b.restart(b.upstreams["i-s0"])
 	granted := instances.Instance{ID: now.ID, BornMs: now.born}
 	b.eventually("its keys are granted to it again", func() bool {
 		for _, s := range b.gateways[2].view.spansOf("status").Spans {
@@ -56,7 +56,7 @@
 		}
 	}
 	for key := 0; key <= spans.MaxKey; key += 6553 {
-		b.mustAsk(b.gateways[1], http.MethodGet, "/status/x", key)
+		b.mustRequest(b.gateways[1], http.MethodGet, "/status/x", key)
 	}
 }
 
@@ -73,7 +73,7 @@
 	for _, g := range b.gateways {
 		g.kill()
 	}
-	now := b.restart(b.ups["i-s0"])
+	now := b.restart(b.upstreams["i-s0"])
 	granted := instances.Instance{ID: now.ID, BornMs: now.born}
 	g := b.gateway("g9")
 	b.eventually("granted to the new start", func() bool {
@@ -95,7 +95,7 @@
 // one count each, and the others hold; it names one again when it is sound.
 func TestEntryOfAnotherWriter(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	l := b.leader()
 	b.store.Put(platform.InstancesKind, "i-odd", rawJSON(`"\u0000 not an entry"`))
 	b.store.Put(platform.InstancesKind, "i-p0", rawJSON(`{"address":7}`))
@@ -109,8 +109,8 @@
 	if v := b.gateways[2].view.inst.Load(); v.Get("i-odd") != nil || v.Get("i-p1") == nil {
 		t.Error("an entry that is none names an upstream, or a sound one is lost")
 	}
-	b.mustAsk(b.gateways[0], http.MethodGet, "/read/x", -1)
-	b.register(b.ups["i-p0"], "ready")
+	b.mustRequest(b.gateways[0], http.MethodGet, "/read/x", -1)
+	b.register(b.upstreams["i-p0"], "ready")
 	b.eventually("it is back", func() bool {
 		one := b.gateways[2].view.inst.Load().Get("i-p0")
 		return one != nil && !one.Leaving
--- a/gateway/rights_test.go
+++ b/gateway/rights_test.go
@@ -17,7 +17,7 @@
 // This file tests the rights to send to upstreams that warm up.
 
 // configureWarmUp writes a configuration in which upstreams that warm up bear the rate.
-func (b *bed) configureWarmUp(version uint64, rate float64) {
+func (b *testCluster) configureWarmUp(version uint64, rate float64) {
 	c := config(version)
 	for name, s := range c.Services {
 		s.StartRate = rate
@@ -27,7 +27,7 @@
 }
 
 // warmUp registers an upstream as one that warms up for the time in seconds.
-func (b *bed) warmUp(u *upstream, left platform.Seconds) {
+func (b *testCluster) warmUp(u *upstream, left platform.Seconds) {
 	var body platform.InstanceBody
 	body.Address, body.Born = u.address, u.born
 	body.Info.Service, body.Info.Zone, body.Info.Slots = u.service, u.domain, 4
@@ -39,7 +39,7 @@
 // right while the others refuse at once.
 func TestOneGatewaySendsToAWarmingUpstream(t *testing.T) {
 	t.Parallel()
-	b := newBed(t)
+	b := newTestCluster(t)
 	b.configureWarmUp(9, 100)
 	b.upstream("i-s0", "status")
 	only := b.upstream("i-p0", "pay")
@@ -63,7 +63,7 @@
 	var served atomic.Int64
 	b.eventually("the one serves", func() bool {
 		for _, g := range b.gateways {
-			if a := b.ask(g, http.MethodPost, "/pay/x", -1); a.status == http.StatusOK {
+			if a := b.request(g, http.MethodPost, "/pay/x", -1); a.status == http.StatusOK {
 				served.Add(1)
 			} else if a.status != http.StatusServiceUnavailable {
 				t.Fatalf("status %d", a.status)
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -32,25 +32,25 @@
 	modes := []instance.Mode{
 		instance.LateCalls, instance.LateCalls, instance.LateGrants, instance.Silent, instance.Sheds, instance.Loses, instance.Serves,
 	}
-	p := newTroubles(t, rng.Uint64())
-	clients := p.askForKeys(p.some)
+	p := newFaultRun(t, rng.Uint64())
+	clients := p.askForKeys(p.runningGateway)
 	keyed := []string{"i-s0", "i-s1", "i-s2", "i-s3"}
 	for range steps {
 		if rng.IntN(steps) == 0 {
 			p.killOne(true)
 		} else {
-			p.ups[keyed[rng.IntN(len(keyed))]].Set(modes[rng.IntN(len(modes))])
+			p.upstreams[keyed[rng.IntN(len(keyed))]].Set(modes[rng.IntN(len(modes))])
 		}
 		time.Sleep(time.Duration(rng.Int64N(int64(longestGap))))
 	}
-	p.heal()
+	p.endFaults()
 	p.eventually("placement has settled", p.settled)
 	clients.end()
 }
 
 // settled reports whether nothing is pending, every upstream with keys may be given some, and no
 // owner is far over its share.
-func (p *troubles) settled() bool {
+func (p *faultRun) settled() bool {
 	leader := p.leader()
 	if leader == nil {
 		return false
--- a/gateway/sight_test.go
+++ b/gateway/sight_test.go
@@ -21,7 +21,7 @@
 )
 
 // halfAnswer is how many bytes of a body a parent sends before it falls silent.
-const halfAnswer = 64 << 10
+const halfResponseBytes = 64 << 10
 
 // fakeParent answers reports as a test wants them answered.
 type fakeParent struct {
@@ -58,17 +58,19 @@
 // stall sends a part of an answer and waits until the report is given up.
 func stall(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
-	w.Header().Set("Content-Length", strconv.Itoa(2*halfAnswer))
-	_, _ = w.Write(make([]byte, halfAnswer))
+	w.Header().Set("Content-Length", strconv.Itoa(2*halfResponseBytes))
+	_, _ = w.Write(make([]byte, halfResponseBytes))
 	_ = http.NewResponseController(w).Flush()
 	<-r.Context().Done()
 }
 
 // refuse fails, as a server with a fault does.
-func refuse(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
+func failInternally(w http.ResponseWriter, _ *http.Request) {
+	w.WriteHeader(http.StatusInternalServerError)
+}
 
 // reporter returns a follower with the parent's address, its counters and its log.
-func reporter(t *testing.T, p *fakeParent) (f *follower, parent string, log *bytes.Buffer) {
+func newReportingFollower(t *testing.T, p *fakeParent) (f *follower, parent string, log *bytes.Buffer) {
 	t.Helper()
 	m, now := newMeters(), time.Now
 	server := httptest.NewUnstartedServer(p)
@@ -92,7 +94,7 @@
 
 // refusing returns an address that refuses connections: a port that another connection
 // has taken.
-func refusing(t *testing.T) string {
+func refusingAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,7 +109,7 @@
 }
 
 // linesOf takes the lines out of a log.
-func linesOf(t *testing.T, log *bytes.Buffer) []map[string]any {
+func takeLogLines(t *testing.T, log *bytes.Buffer) []map[string]any {
 	t.Helper()
 	var out []map[string]any
 	for d := json.NewDecoder(log); ; {
@@ -128,8 +130,8 @@
 func TestReportsAreCounted(t *testing.T) {
 	t.Parallel()
 	p := &fakeParent{}
-	f, parent, log := reporter(t, p)
-	dark := refusing(t)
+	f, parent, log := newReportingFollower(t, p)
+	dark := refusingAddress(t)
 	const long = 2 * uint32(orphanAfter/time.Millisecond)
 	for _, c := range []struct {
 		name, to string
@@ -141,7 +143,7 @@
 		{"at first", parent, nil, 0, "reports.ok", ""},
 		{"half an answer", parent, stall, 0, "reports.late", "reports to other gateways fail"},
 		{"nobody there", dark, nil, 0, "reports.refused", ""},
-		{"a fault", parent, refuse, 0, "reports.failed", ""},
+		{"a fault", parent, failInternally, 0, "reports.failed", ""},
 		{"cut off", parent, nil, long, "reports.stale", ""},
 		{"again", parent, nil, 0, "reports.ok", "reports succeed again"},
 		{"still", parent, nil, 0, "reports.ok", ""},
@@ -157,7 +159,7 @@
 		if got := f.meters.counter(c.counter).Count(); got != before+1 {
 			t.Errorf("%s: %s rose by %d", c.name, c.counter, got-before)
 		}
-		lines := linesOf(t, log)
+		lines := takeLogLines(t, log)
 		if c.line == "" {
 			if len(lines) != 0 {
 				t.Errorf("%s: lines %v", c.name, lines)
@@ -195,11 +197,11 @@
 
 // TestLooksAreCounted: those asked in a look for a leader count as reports do; a look is
 // no report to a parent, so there is no line. What a stop gives up does not count.
-func TestLooksAreCounted(t *testing.T) {
+func TestLeaderSearchReportsAreCounted(t *testing.T) {
 	t.Parallel()
 	p := &fakeParent{}
-	f, parent, log := reporter(t, p)
-	f.seeds = []string{parent, refusing(t)}
+	f, parent, log := newReportingFollower(t, p)
+	f.seeds = []string{parent, refusingAddress(t)}
 	f.askAll(t.Context())
 	for _, end := range []string{reportOK, reportRefused} {
 		if n := f.meters.counter(fillPattern(reportAnswer, end)).Count(); n != 1 {
@@ -213,7 +215,7 @@
 	if n := reportCount(f.meters); n != 2 {
 		t.Errorf("%d counted", n)
 	}
-	if lines := linesOf(t, log); len(lines) != 0 {
+	if lines := takeLogLines(t, log); len(lines) != 0 {
 		t.Errorf("lines %v", lines)
 	}
 }
@@ -223,13 +225,13 @@
 func TestNewsBytes(t *testing.T) {
 	t.Parallel()
 	p := &fakeParent{}
-	f, parent, _ := reporter(t, p)
+	f, parent, _ := newReportingFollower(t, p)
 	in, out := f.meters.counter(newsIn), f.meters.counter(newsOut)
 	if ok, _ := f.report(t.Context(), parent, 0); !ok {
 		t.Fatal("no answer")
 	}
 	whole := in.Count()
-	if whole <= 0 || whole >= halfAnswer {
+	if whole <= 0 || whole >= halfResponseBytes {
 		t.Errorf("%d bytes of a small answer", whole)
 	}
 	ended := make(chan struct{})
@@ -241,8 +243,8 @@
 		t.Fatal("half an answer counts as one")
 	}
 	<-ended
-	if got := in.Count() - whole; got < halfAnswer || got >= 2*halfAnswer {
-		t.Errorf("%d bytes read of %d", got, halfAnswer)
+	if got := in.Count() - whole; got < halfResponseBytes || got >= 2*halfResponseBytes {
+		t.Errorf("%d bytes read of %d", got, halfResponseBytes)
 	}
 	if got := out.Count(); got < in.Count() {
 		t.Errorf("%d bytes written, %d read", got, in.Count())
@@ -252,7 +254,7 @@
 // TestNewsBytesOfGateways: among gateways what is read was written by another.
 func TestNewsBytesOfGateways(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	sum := func(name string) (n int64) {
 		for _, g := range b.gateways {
 			n += g.meters.counter(name).Count()
@@ -281,7 +283,7 @@
 
 // TestCountedConnEndsHalf: a counted connection ends its own side as the one underneath
 // does, and says so where that one cannot.
-func TestCountedConnEndsHalf(t *testing.T) {
+func TestCountingConnCloseWrite(t *testing.T) {
 	t.Parallel()
 	near, far := net.Pipe()
 	defer func() { _, _ = near.Close(), far.Close() }()
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -19,11 +19,11 @@
 	for name, mode := range map[string]metastore.Mode{"busy": metastore.Busy, "many": metastore.Many, "reset": metastore.Reset, "silent": metastore.Silent} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := standard(t)
+			b := newStandardCluster(t)
 			l := b.leader()
 			l.door.Set(mode)
 			b.configure(9)
-			b.eventually("new configuration everywhere", func() bool { return b.inForce(9) })
+			b.eventually("new configuration everywhere", func() bool { return b.allHaveConfiguration(9) })
 			revision := l.cluster.knownLeader().Revision
 			b.eventually("two more renewals", func() bool { return l.cluster.knownLeader().Revision > revision+1 })
 			if b.leader() != l {
@@ -37,11 +37,11 @@
 // than its lease and than any grant, and owners serve on.
 func TestStoreAway(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	b.store.SetAll(metastore.Silent)
 	l := b.leader()
 	b.eventually("promises", l.leading.byPromises)
-	stop := b.load(b.gateways, http.MethodGet, "/status/x", true)
+	stop := b.startLoad(b.gateways, http.MethodGet, "/status/x", true)
 	time.Sleep(3 * holdTime)
 	if b.leader() != l {
 		t.Error("the leader does not go on")
@@ -59,16 +59,16 @@
 // silent as well.
 func TestLeaderLostWhileStoreAway(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	b.store.SetAll(metastore.Busy)
 	l := b.leader()
 	b.eventually("promises", l.leading.byPromises)
 	time.Sleep(renewInterval)
 	l.kill()
-	b.ups["i-s0"].Set(instance.Silent)
+	b.upstreams["i-s0"].Set(instance.Silent)
 	b.store.SetAll(metastore.Open)
 	b.eventually("another leader", func() bool { return b.leader() != nil })
-	b.eventually("nothing owned by the lost one", func() bool { return b.ownedBy("i-s0") == 0 })
+	b.eventually("nothing owned by the lost one", func() bool { return b.spansOwnedBy("i-s0") == 0 })
 	b.ready()
 }
 
@@ -76,7 +76,7 @@
 // all the same.
 func TestCompactionWhileWatchesAreDeaf(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	b.store.SetDeaf(true)
 	b.configure(7)
 	// A watch that began before ends in the deaf time.
@@ -89,12 +89,12 @@
 // TestBadConfiguration: the last good version stays in force.
 func TestBadConfiguration(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	b.store.Put(platform.ConfigKind, platform.ConfigName, rawJSON(`{"version":"x"}`))
 	b.store.Put(platform.InstancesKind, "i-odd", rawJSON(`[1]`))
 	b.upstream("i-p7", "pay")
 	b.eventually("the upstream after the bad one", func() bool { return b.gateways[0].view.inst.Load().Get("i-p7") != nil })
-	b.mustAsk(b.gateways[0], http.MethodGet, "/status/x", 5)
+	b.mustRequest(b.gateways[0], http.MethodGet, "/status/x", 5)
 	b.configure(8)
 	b.eventually("the next good version", func() bool { return b.gateways[1].view.table.Load().Version == 8 })
 }
@@ -102,9 +102,9 @@
 // TestConfigurationNeverGoesBack, whoever says so.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	b.configure(9)
-	b.eventually("version 9 everywhere", func() bool { return b.inForce(9) })
+	b.eventually("version 9 everywhere", func() bool { return b.allHaveConfiguration(9) })
 	b.configure(4)
 	b.upstream("i-p7", "pay")
 	b.eventually("a later change everywhere", func() bool {
--- a/gateway/storecall_test.go
+++ b/gateway/storecall_test.go
@@ -28,14 +28,14 @@
 // takes longer than the store may be silent is taken over, and not sent again and again.
 func TestLargeConfigurationFromStoreOverNarrowLink(t *testing.T) {
 	t.Parallel()
-	b := newBed(t)
+	b := newTestCluster(t)
 	b.store.Put(platform.ConfigKind, platform.ConfigName, largeConfig(5))
 	size := int64(len(b.store.Spec(platform.ConfigKind, platform.ConfigName)))
 	if size < 400<<10 {
 		t.Fatalf("the configuration has %d bytes only", size)
 	}
 	var link *relay.Link
-	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
+	b.wrapStoreDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
 		link = relay.Narrow(l, storeRate)
 		return link, h
 	}
@@ -53,8 +53,8 @@
 // TestLargeChangeFromStoreOverNarrowLink: the same for a change that a watch shows.
 func TestLargeChangeFromStoreOverNarrowLink(t *testing.T) {
 	t.Parallel()
-	b := newBed(t)
-	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
+	b := newTestCluster(t)
+	b.wrapStoreDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
 		return relay.Narrow(l, storeRate), h
 	}
 	g := b.gateway("g0")
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -26,7 +26,7 @@
 	for name, silent := range map[string]bool{"reachable": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t)
+			b := newTestCluster(t)
 			for _, id := range []string{"i-s0", "i-s1", "i-s2"} {
 				b.upstream(id, "status")
 			}
@@ -36,7 +36,7 @@
 				{Keys: all, Owner: "i-s0", Fence: 1, Next: "i-s1", NextFence: 2},
 			}})
 			owners := platform.NewOwners(pool.New(upstreamLimits, time.Now))
-			to := b.ups["i-s1"]
+			to := b.upstreams["i-s1"]
 			if v, err := owners.Grant(context.Background(), "i-s1", to.address, all, 2, 10*time.Second, "", nil); err != nil || v != platform.Granted {
 				t.Fatalf("verdict %v, error %v", v, err)
 			}
@@ -46,7 +46,7 @@
 			}
 			b.gateway("g0")
 			b.eventually("the keys elsewhere", func() bool {
-				return b.leader() != nil && b.gateways[0].view.spansOf("status") != nil && b.ownedBy("i-s1") == 0 && b.gateways[0].allOwned()
+				return b.leader() != nil && b.gateways[0].view.spansOf("status") != nil && b.spansOwnedBy("i-s1") == 0 && b.gateways[0].allOwned()
 			})
 		})
 	}
@@ -73,7 +73,7 @@
 // scale-1: two owners after a zone was cut off.)
 func TestFormerLeaderIsRefused(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	l := b.leader()
 	ctx := context.Background()
 	later := newKeeper(l.steward, "status", l.cluster.knownLeader().Term+1)
@@ -102,13 +102,13 @@
 // after the stop: BUDGET and 3,000 refusals on abyconnect-sim hunt-1770-35.)
 func TestLeaderStoppedWhileStoreAway(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	b.store.SetAll(metastore.Busy)
 	l := b.leader()
 	l.stop()
 	<-l.done
 	held := time.Duration(0)
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		held = max(held, u.HeldFor(0))
 	}
 	if held <= holdTime {
@@ -204,7 +204,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := standard(t)
+			b := newStandardCluster(t)
 			l := b.leader()
 			if l.steward.keeper("status") == nil {
 				t.Fatal("the leader keeps nothing")
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -23,7 +23,7 @@
 
 // harmful lets upstreams end by marked requests, and be back after a time. It returns how many such
 // requests they began to run.
-func (b *bed) harmful(back time.Duration) *atomic.Int64 {
+func (b *testCluster) harmful(back time.Duration) *atomic.Int64 {
 	var runs atomic.Int64
 	var arm func(u *upstream)
 	arm = func(u *upstream) {
@@ -34,15 +34,15 @@
 			time.AfterFunc(back, func() { arm(b.startUpstreamIn(u.domain, u.ID, u.service, u.born+1)) })
 		})
 	}
-	for _, u := range b.ups {
+	for _, u := range b.upstreams {
 		arm(u)
 	}
 	return &runs
 }
 
 // harm sends a request that ends the upstream which runs it, the same each time but for its id.
-func (b *bed) harm(g *testGateway, method, path string, key int) reply {
-	id := fmt.Sprintf("h%d", b.next.Add(1))
+func (b *testCluster) harm(g *testGateway, method, path string, key int) callerResponse {
+	id := fmt.Sprintf("h%d", b.requestCount.Add(1))
 	var body *strings.Reader
 	if body = strings.NewReader(""); method == http.MethodPost {
 		body = strings.NewReader("the same body")
@@ -58,10 +58,10 @@
 	r.Header.Set(instance.HarmHeader, "1")
 	resp, err := b.client.Do(r)
 	if err != nil {
-		return reply{id: id, err: err}
+		return callerResponse{id: id, err: err}
 	}
 	_ = resp.Body.Close()
-	return reply{id: id, status: resp.StatusCode, header: resp.Header}
+	return callerResponse{id: id, status: resp.StatusCode, header: resp.Header}
 }
 
 // TestHarmfulRequestIsStopped: a request that ends each upstream which runs it, and comes again at
@@ -73,7 +73,7 @@
 	}{{http.MethodGet, "/read/harm", http.StatusServiceUnavailable}, {http.MethodPost, "/pay/harm", http.StatusBadGateway}, {http.MethodGet, "/status/harm", http.StatusServiceUnavailable}} {
 		t.Run(strings.Trim(kind.path, "/"), func(t *testing.T) {
 			t.Parallel()
-			b := standard(t)
+			b := newStandardCluster(t)
 			runs := b.harmful(700 * time.Millisecond)
 			stopped := func() bool {
 				for i, g := range b.gateways {
@@ -104,7 +104,7 @@
 				t.Errorf("it ended %d upstreams more after all refused it", n-after)
 			}
 			b.eventually("others are served", func() bool {
-				return b.ask(b.gateways[0], kind.method, strings.Replace(kind.path, "harm", "other", 1), 7).status == http.StatusOK
+				return b.request(b.gateways[0], kind.method, strings.Replace(kind.path, "harm", "other", 1), 7).status == http.StatusOK
 			})
 		})
 	}
@@ -114,16 +114,16 @@
 // themselves make no request suspected enough to be refused for it.
 func TestInnocentRequestsAreNotStopped(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	modes := []instance.Mode{instance.Loses, instance.Sheds, instance.Fails, instance.Serves}
 	for i := range 60 {
-		b.ups["i-p0"].Set(modes[i%len(modes)])
-		b.ups["i-p1"].Set(modes[(i/2)%len(modes)])
+		b.upstreams["i-p0"].Set(modes[i%len(modes)])
+		b.upstreams["i-p1"].Set(modes[(i/2)%len(modes)])
 		if i%20 == 10 {
-			b.restart(b.ups["i-p1"])
+			b.restart(b.upstreams["i-p1"])
 		}
 		for _, g := range b.gateways {
-			b.ask(g, http.MethodGet, "/read/same", -1)
+			b.request(g, http.MethodGet, "/read/same", -1)
 		}
 	}
 	for _, g := range b.gateways {
@@ -171,7 +171,7 @@
 // known of it when it came: it waited for an upstream while the word went round.
 func TestHarmfulWhileItWaits(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	f := b.gateways[0].proxy
 	event := poison.Event(0)
 	for _, tt := range []struct {
@@ -213,7 +213,7 @@
 // ones' log lines, and let it through at all gateways.
 func TestSuspectIsLifted(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	const crashes = 3
 	d := poison.DigestOf("/read/same", "127.0.0.1", nil)
 	one := b.gateways[0].suspects
@@ -233,7 +233,7 @@
 		return true
 	})
 	for _, g := range b.gateways {
-		if a := b.ask(g, http.MethodGet, "/read/same", -1); a.status != http.StatusServiceUnavailable {
+		if a := b.request(g, http.MethodGet, "/read/same", -1); a.status != http.StatusServiceUnavailable {
 			t.Errorf("status %d", a.status)
 		}
 	}
@@ -250,7 +250,7 @@
 	}
 	b.eventually("all send it", func() bool {
 		for _, g := range b.gateways {
-			if b.ask(g, http.MethodGet, "/read/same", -1).status != http.StatusOK {
+			if b.request(g, http.MethodGet, "/read/same", -1).status != http.StatusOK {
 				return false
 			}
 		}
--- a/gateway/troubles_test.go
+++ b/gateway/troubles_test.go
@@ -22,15 +22,15 @@
 // once failed stay in the list. ROCKCROFT_TROUBLES=FROM-TO plays others.
 func TestRandomTroubles(t *testing.T) {
 	t.Parallel()
-	for _, seed := range troubleSeeds(t) {
+	for _, seed := range faultSeeds(t) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			newTroubles(t, seed).play()
+			newFaultRun(t, seed).run()
 		})
 	}
 }
 
-func troubleSeeds(t *testing.T) []uint64 {
+func faultSeeds(t *testing.T) []uint64 {
 	text := os.Getenv("ROCKCROFT_TROUBLES")
 	if text == "" {
 		return []uint64{1, 2, 3}
@@ -49,25 +49,25 @@
 const (
 	// troubleSteps is the number of troubles in a series, troubleGap the longest
 	// pause between two.
-	troubleSteps = 14
-	troubleGap   = 700 * time.Millisecond
+	faultSteps  = 14
+	maxFaultGap = 700 * time.Millisecond
 )
 
 // troubles is one series.
-type troubles struct {
-	*bed
+type faultRun struct {
+	*testCluster
 	rng  *rand.Rand
 	next int
 	// mu guards gateways, which come and go under load.
-	mu      sync.Mutex
-	end     chan struct{}
-	clients sync.WaitGroup
-	refused atomic.Int64
-	served  atomic.Int64
+	mu          sync.Mutex
+	stopClients chan struct{}
+	clients     sync.WaitGroup
+	refused     atomic.Int64
+	served      atomic.Int64
 }
 
-func newTroubles(t *testing.T, seed uint64) *troubles {
-	b := newBed(t)
+func newFaultRun(t *testing.T, seed uint64) *faultRun {
+	b := newTestCluster(t)
 	for i := range 4 {
 		b.upstream(fmt.Sprintf("i-s%d", i), "status")
 	}
@@ -78,47 +78,47 @@
 		b.gateway(fmt.Sprintf("g%d", i))
 	}
 	b.ready()
-	return &troubles{bed: b, rng: rand.New(rand.NewPCG(seed, seed)), next: 100, end: make(chan struct{})}
+	return &faultRun{testCluster: b, rng: rand.New(rand.NewPCG(seed, seed)), next: 100, stopClients: make(chan struct{})}
 }
 
-func (p *troubles) play() {
+func (p *faultRun) run() {
 	for n := range 6 {
 		p.clients.Go(func() { p.client(n) })
 	}
-	for range troubleSteps {
-		p.trouble()
-		time.Sleep(time.Duration(p.rng.Int64N(int64(troubleGap))))
+	for range faultSteps {
+		p.changeFaults()
+		time.Sleep(time.Duration(p.rng.Int64N(int64(maxFaultGap))))
 	}
-	p.heal()
+	p.endFaults()
 	p.eventually("every key served again", p.allServed)
-	close(p.end)
+	close(p.stopClients)
 	p.clients.Wait()
 	p.t.Logf("%d served, %d refused", p.served.Load(), p.refused.Load())
 }
 
 // client sends requests of all kinds and checks the answers.
-func (p *troubles) client(n int) {
+func (p *faultRun) client(n int) {
 	for i := 0; ; i++ {
 		select {
-		case <-p.end:
+		case <-p.stopClients:
 			return
 		default:
 		}
-		g := p.some(i + n)
+		g := p.runningGateway(i + n)
 		if g == nil {
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
 		switch i % 3 {
 		case 0, 1:
-			p.check(p.ask(g, http.MethodGet, "/status/x", (i*7919+n*131)%(spans.MaxKey+1)))
+			p.check(p.request(g, http.MethodGet, "/status/x", (i*7919+n*131)%(spans.MaxKey+1)))
 		case 2:
-			p.check(p.ask(g, http.MethodPost, "/pay/x", -1))
+			p.check(p.request(g, http.MethodPost, "/pay/x", -1))
 		}
 	}
 }
 
-func (p *troubles) check(a reply) {
+func (p *faultRun) check(a callerResponse) {
 	switch {
 	case a.err != nil:
 	case a.status == http.StatusOK:
@@ -135,7 +135,7 @@
 }
 
 // some returns a running gateway.
-func (p *troubles) some(i int) *testGateway {
+func (p *faultRun) runningGateway(i int) *testGateway {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for k := range p.gateways {
@@ -147,15 +147,15 @@
 }
 
 // upstreamAt returns a keyed upstream for even numbers, another for odd ones.
-func (p *troubles) anyUpstream() *upstream {
-	p.bed.mu.Lock()
-	defer p.bed.mu.Unlock()
+func (p *faultRun) anyUpstream() *upstream {
+	p.testCluster.mu.Lock()
+	defer p.testCluster.mu.Unlock()
 	names := []string{"i-s0", "i-s1", "i-s2", "i-s3", "i-p0", "i-p1", "i-p2"}
-	return p.ups[names[p.rng.IntN(len(names))]]
+	return p.upstreams[names[p.rng.IntN(len(names))]]
 }
 
 // trouble begins one trouble, or ends some.
-func (p *troubles) trouble() {
+func (p *faultRun) changeFaults() {
 	switch p.rng.IntN(10) {
 	case 0:
 		p.killOne(false)
@@ -166,7 +166,7 @@
 		p.anyUpstream().Set(modes[p.rng.IntN(len(modes))])
 	case 4:
 		modes := []metastore.Mode{metastore.Busy, metastore.Reset, metastore.Silent, metastore.Lose, metastore.Late}
-		if g := p.some(p.rng.IntN(8)); g != nil {
+		if g := p.runningGateway(p.rng.IntN(8)); g != nil {
 			g.door.Set(modes[p.rng.IntN(len(modes))])
 		}
 	case 5:
@@ -186,8 +186,8 @@
 }
 
 // killOne ends the leader or another gateway and starts a new one.
-func (p *troubles) killOne(leader bool) {
-	g := p.some(p.rng.IntN(8))
+func (p *faultRun) killOne(leader bool) {
+	g := p.runningGateway(p.rng.IntN(8))
 	if l := p.leader(); leader && l != nil {
 		g = l
 	}
@@ -202,22 +202,22 @@
 }
 
 // heal ends all troubles.
-func (p *troubles) heal() {
+func (p *faultRun) endFaults() {
 	p.store.SetAll(metastore.Open)
-	for _, u := range p.ups {
+	for _, u := range p.upstreams {
 		u.Set(instance.Serves)
 		p.register(u, "ready")
 	}
 }
 
 // allServed reports whether keys all over the space are served.
-func (p *troubles) allServed() bool {
-	g := p.some(0)
+func (p *faultRun) allServed() bool {
+	g := p.runningGateway(0)
 	if g == nil {
 		return false
 	}
 	for key := 0; key <= spans.MaxKey; key += 3121 {
-		if a := p.ask(g, http.MethodGet, "/status/x", key); a.status != http.StatusOK {
+		if a := p.request(g, http.MethodGet, "/status/x", key); a.status != http.StatusOK {
 			return false
 		}
 	}
--- a/gateway/unread_test.go
+++ b/gateway/unread_test.go
@@ -11,9 +11,9 @@
 
 // TestUnreadHeadersAreSeen: a header of answers that no code knows is handed on to the caller, and
 // an operator sees by a line, a metric and a call which service sends it.
-func TestUnreadHeadersAreSeen(t *testing.T) {
+func TestUnreadHeadersAreReported(t *testing.T) {
 	t.Parallel()
-	b := newBed(t)
+	b := newTestCluster(t)
 	b.upstream("i-s0", "status")
 	b.upstream("i-p0", "pay")
 	g := b.gateway("g0")
@@ -23,12 +23,12 @@
 	defer stop()
 	go g.lines.Run(ctx, &out)
 	for range 2 {
-		if a := b.mustAsk(g, http.MethodPost, "/pay/x", -1); a.header.Get(instance.StartHeader) == "" {
+		if a := b.mustRequest(g, http.MethodPost, "/pay/x", -1); a.header.Get(instance.StartHeader) == "" {
 			t.Error("not handed on")
 		}
 	}
 	b.eventually("a line tells of it", func() bool {
-		line := out.lineOf("answers bear a header that is not read", "i-p0")
+		line := out.findByUpstream("answers bear a header that is not read", "i-p0")
 		return line != nil && line["header"] == instance.StartHeader && line["service"] == "pay"
 	})
 	if n := metricsOf(g)["answers.pay.unread_headers"]; n != "2" {
--- a/gateway/wake_test.go
+++ b/gateway/wake_test.go
@@ -20,7 +20,7 @@
 	for _, length := range []time.Duration{leadership.LeaseDuration, 10 * time.Second} {
 		t.Run(length.String(), func(t *testing.T) {
 			t.Parallel()
-			b := standard(t)
+			b := newStandardCluster(t)
 			leader := b.leader()
 			// It renews its lease as soon as it has woken up; until then it must not act.
 			leader.leading.writing.Lock()
@@ -30,7 +30,7 @@
 			}
 			leader.leading.writing.Unlock()
 			b.eventually("one leads", func() bool { return b.leader() != nil })
-			b.eventually("keys are served", func() bool { return b.ask(leader, http.MethodGet, "/status/x", 7).status == http.StatusOK })
+			b.eventually("keys are served", func() bool { return b.request(leader, http.MethodGet, "/status/x", 7).status == http.StatusOK })
 			b.eventually("it is counted", func() bool { return metricsOf(leader)["clock.suspensions"] == "1" })
 			if ms := metricsOf(leader)["clock.suspended_ms"]; ms == "" || ms == "0" {
 				t.Errorf("suspended for %s ms", ms)
@@ -42,11 +42,11 @@
 // TestShortSuspension: one shorter than what is left of the lease changes nothing.
 func TestShortSuspension(t *testing.T) {
 	t.Parallel()
-	b := standard(t)
+	b := newStandardCluster(t)
 	leader := b.leader()
 	b.eventually("the lease is fresh", func() bool { return leader.leading.rightLeft() > leadership.LeaseDuration/2 })
 	leader.suspend(100 * time.Millisecond)
-	b.mustAsk(leader, http.MethodGet, "/status/x", 7)
+	b.mustRequest(leader, http.MethodGet, "/status/x", 7)
 }
 
 // TestTwoLeadersAroundASuspension: a holder is suspended at any point of its lease's term, for any
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -47,12 +47,12 @@
 // revision, and hears of the next change.
 func TestNextLeaderDoesNotListTheConfiguration(t *testing.T) {
 	t.Parallel()
-	b := newBed(t)
+	b := newTestCluster(t)
 	record := newCallRecord()
-	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, record.at(h) }
-	b.fill()
+	b.wrapStoreDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, record.at(h) }
+	b.startStandard()
 	b.configure(9)
-	b.eventually("version 9 everywhere", func() bool { return b.inForce(9) })
+	b.eventually("version 9 everywhere", func() bool { return b.allHaveConfiguration(9) })
 	lists, watches := record.of("config.list"), record.of("config.watch")
 	b.leader().kill()
 	b.eventually("another leader", func() bool { return b.leader() != nil })
--- a/gateway/watchpath_test.go
+++ b/gateway/watchpath_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(fmt.Sprint(c.gateways, " gateways, mode ", c.mode), func(t *testing.T) {
 			t.Parallel()
-			b := newBed(t)
+			b := newTestCluster(t)
 			b.upstream("i-s0", "status")
 			b.upstream("i-p0", "pay")
 			for i := range c.gateways {
