--- a/gateway/countconn.go
+++ b/gateway/countconn.go
@@ -8,11 +8,11 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// dialFunc opens a connection, as http.Transport wants it.
+// dialFunc opens a connection, with the signature of http.Transport.DialContext.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// countReads returns a dial function whose connections add the bytes that are read
-// from them to a counter. Its errors are those of dial.
+// countReads returns a dial function whose connections add the bytes that are read from them to
+// a counter. Errors of dial are returned unchanged.
 func countReads(dial dialFunc, read metrics.Counter) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -23,7 +23,7 @@
 	}
 }
 
-// writesCounted is a listener whose connections add the bytes that are written to them
+// writeCountingListener is a listener whose connections add the bytes that are written to them
 // to a counter.
 type writeCountingListener struct {
 	net.Listener
@@ -39,8 +39,8 @@
 	return &countingConn{Conn: conn, read: metrics.NilCounter{}, written: l.written}, nil
 }
 
-// countedConn is a connection that counts its bytes as this process reads and writes
-// them; what waits in the buffers of the kernel is not yet read, or already written.
+// countingConn is a connection that counts bytes as this process reads and writes them. Bytes
+// in the receive buffer of the kernel are not counted yet; bytes in its send buffer are.
 type countingConn struct {
 	net.Conn
 	read, written metrics.Counter
@@ -60,9 +60,9 @@
 	return n, err
 }
 
-// CloseWrite ends the own side only, which the HTTP server does before it closes a
-// connection on which bytes may still come. It fails with errors.ErrUnsupported where
-// the connection underneath has no such end.
+// CloseWrite closes the writing side of the connection. The HTTP server does so before it
+// closes a connection on which more bytes may arrive. It fails with errors.ErrUnsupported if
+// the underlying connection cannot do it.
 func (c *countingConn) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway is the process in front of the upstreams on the users'
-// platform: it serves callers, follows the leader, and leads when it is its
-// turn. Decisions are made in package coordination; this package carries
-// messages and runs the loops.
+// Package gateway implements the gateway process in front of the upstreams: it serves callers,
+// follows the leader of the gateways, and takes over as the leader when it holds the lease. The
+// decisions are made in package coordination; this package exchanges the messages and runs the
+// loops.
 package gateway
 
 import (
@@ -39,56 +39,57 @@
 )
 
 const (
-	// memoryShare is the part of the allowed memory that the garbage
-	// collector is told to keep to; the rest is for sockets and stacks.
+	// memoryLimitFraction is the fraction of the allowed memory that is set as the limit of the
+	// garbage collector. The rest is for sockets and stacks.
 	memoryLimitFraction = 0.6
-	// thousand is the unit in which the strength of a machine is told.
+	// strengthUnits is the number of units in which a machine of strength 1 is reported to
+	// other gateways.
 	strengthUnits = 1000
-	// megabyte in bytes.
+	// megabyte is the number of bytes in a megabyte.
 	megabyte = 1 << 20
-	// stopReserve is kept from the time allowed for a stop, to end before the
-	// process is killed.
+	// stopReserve is subtracted from the time allowed for a stop, so that the process exits
+	// before it is killed.
 	stopReserve = 300 * time.Millisecond
-	// configurationWait is how long the front waits for a configuration before
-	// it serves without one.
+	// configurationWait is how long the start of the callers' listener waits for a
+	// configuration before it serves without one.
 	configurationWait = 3 * time.Second
-	// defaultIdle is the idle timeout of callers' connections when no
-	// configuration has named one.
+	// defaultIdleTimeout is the idle timeout of callers' connections if there is no
+	// configuration yet.
 	defaultIdleTimeout = 15 * time.Second
-	// headerWait bounds the time for a request's headers.
+	// defaultHeaderTimeout bounds the time for reading a request's headers.
 	defaultHeaderTimeout = 3 * time.Second
-	// expireInterval is the time between looks at idle connections.
+	// idleCheckInterval is the time between checks for idle connections.
 	idleCheckInterval = time.Second
 )
 
 const (
-	// upstreamDial bounds opening a connection to an upstream: some times the
-	// way there, less than a lost packet costs, so that another is tried.
+	// upstreamDialTimeout bounds opening a connection to an upstream. It is a few round trips
+	// long but shorter than the delay of a lost packet, so that another upstream is tried.
 	upstreamDialTimeout = 250 * time.Millisecond
-	// upstreamIdle is how long connections to upstreams are kept. Upstreams close
-	// idle ones after ten seconds, or what their answers announce.
+	// upstreamIdleTimeout is how long idle connections to upstreams are kept. Upstreams close
+	// theirs after ten seconds or after the time that their responses announce.
 	upstreamIdleTimeout = 6 * time.Second
-	// upstreamIdleOnce is the same for requests that must not run twice: a
-	// connection that ends as it is used leaves their outcome unknown.
+	// upstreamIdleTimeoutOnce is the same for requests that are not idempotent: if a connection
+	// ends while it is used, their outcome is unknown.
 	upstreamIdleTimeoutOnce = 3 * time.Second
-	// upstreamConns bounds the idle connections to one upstream: the share of one
-	// gateway in 110 to 130 allowed to all.
+	// maxUpstreamIdleConns bounds the idle connections to one upstream. An upstream allows 110
+	// to 130 connections from all gateways together; this is the share of one gateway.
 	maxUpstreamIdleConns = 8
-	// storeDial, storeIdle and storeConns are the same for the store.
+	// storeDialTimeout, storeIdleTimeout and maxStoreIdleConns are the same for the store.
 	storeDialTimeout  = 300 * time.Millisecond
 	storeIdleTimeout  = 5 * time.Second
 	maxStoreIdleConns = 4
-	// mostAnswer bounds the body of an answer, in bytes.
+	// maxResponseBody bounds the body of a response, in bytes.
 	maxResponseBody = 16 * megabyte
 )
 
-// upstreamLimits are those of connections to upstreams.
+// upstreamLimits are the limits of connections to upstreams.
 var upstreamLimits = pool.Limits{
 	Dial: upstreamDialTimeout, MaxIdle: upstreamIdleTimeout, MaxIdleOnce: upstreamIdleTimeoutOnce,
 	MaxIdleConns: maxUpstreamIdleConns, MaxBody: maxResponseBody,
 }
 
-// storeLimits are those of connections to the platform's store.
+// storeLimits are the limits of connections to the platform's store.
 var storeLimits = pool.Limits{
 	Dial: storeDialTimeout, MaxIdle: storeIdleTimeout, MaxIdleOnce: storeIdleTimeout, MaxIdleConns: maxStoreIdleConns, MaxBody: maxResponseBody,
 }
@@ -98,7 +99,8 @@
 	conf  settings.Gateway
 	log   *slog.Logger
 	lines *eventlog.Log
-	// clock counts suspensions of the machine, now is its reading: all rights go by it.
+	// clock counts suspensions of the machine. now reads it; the validity of all leases and
+	// grants is measured with it.
 	clock     *bootclock.Clock
 	now       func() time.Time
 	meters    *meters
@@ -117,11 +119,11 @@
 	suspects  *suspects
 	draining  atomic.Bool
 	listeners Listeners
-	// abrupt ends Run without a graceful stop, for tests of lost processes.
+	// killed ends Run without a graceful stop, for tests of lost processes.
 	killed chan struct{}
 }
 
-// logLevel returns the level of a checked setting.
+// logLevel returns the level of a validated setting.
 func logLevel(name string) slog.Level {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(name)); err != nil {
@@ -133,11 +135,11 @@
 // Listeners are the open listeners of a gateway.
 type Listeners struct {
 	Callers, Ready, Peers net.Listener
-	// Metrics is nil when no counters are served.
+	// Metrics is nil if no metrics are served.
 	Metrics net.Listener
 }
 
-// Listen opens the listeners that the settings name.
+// Listen opens the listeners that the settings specify.
 func Listen(conf settings.Gateway) (Listeners, error) {
 	var l Listeners
 	var errs []error
@@ -163,7 +165,7 @@
 	return newGateway(conf, open, lines, bootclock.New())
 }
 
-// newGateway is New with a clock.
+// newGateway is New with a given clock.
 func newGateway(conf settings.Gateway, open Listeners, lines *eventlog.Log, clock *bootclock.Clock) *Gateway {
 	log := lines.Logger(logLevel(conf.LogLevel)).With("node", conf.Node)
 	g := &Gateway{conf: conf, lines: lines, listeners: open, killed: make(chan struct{}), log: log, clock: clock, now: clock.Now, meters: newMeters(), view: newView()}
@@ -237,21 +239,21 @@
 	return g
 }
 
-// limitsChanged lets a limit that an upstream names, or its end, take effect here at once, and
-// tells it to those that report to this gateway.
+// limitsChanged applies a change of an upstream's announced limit here at once, and passes it
+// on to the gateways that report to this one.
 func (g *Gateway) limitsChanged() {
 	g.traffic.setLimits(g.limits.news(g.cluster.wantedByOthers))
 	g.view.notify()
 }
 
-// configurationAge returns how long ago the configuration in force was known to be the
-// newest.
+// configurationAge returns the time since the configuration in force was last known to be
+// current.
 func (g *Gateway) configurationAge() time.Duration {
 	return g.follower.configurationAge(g.watcher.configurationHeard())
 }
 
-// firstRank is the gateway's place among those that reach for the lease at the
-// first start: the seeds in their order, then all others.
+// firstRank returns the gateway's rank among those that try to acquire the lease at the first
+// start: the seeds in their order, then all others.
 func firstRank(conf settings.Gateway) int {
 	for i, s := range conf.Seeds {
 		if s == conf.Peers {
@@ -261,10 +263,10 @@
 	return len(conf.Seeds) + 1
 }
 
-// incarnation names this start of the process.
+// incarnation returns a random ID for this start of the process.
 func incarnation() string {
 	var b [8]byte
-	// The source never fails; see crypto/rand.
+	// crypto/rand documents that its source never fails.
 	if _, err := rand.Read(b[:]); err != nil {
 		panic(err)
 	}
@@ -280,7 +282,7 @@
 	}
 	defer func() {
 		if err := flush(context.Background()); err != nil {
-			g.log.Warn("spans not sent", "error", err)
+			g.log.Warn("trace spans not exported", "error", err)
 		}
 	}()
 	g.proxy.tracer = tracer
@@ -328,20 +330,20 @@
 	return err
 }
 
-// noteHangups logs that the settings file has changed. All settings concern the
-// start of the process, so they are taken over by the next one.
+// logHangups logs on SIGHUP that the settings file has changed. All settings apply at the start
+// of the process, so the next start uses them.
 func (g *Gateway) logHangups(ctx context.Context, hangups <-chan os.Signal) {
 	for {
 		select {
 		case <-hangups:
-			g.log.Info("settings have changed, the next start takes them over")
+			g.log.Info("settings have changed; they take effect at the next start")
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// version is that of the module the program was built from.
+// version returns the version of the module that the program was built from.
 func version() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Version
@@ -349,7 +351,7 @@
 	return "unknown"
 }
 
-// settingsDigest tells different settings apart in logs.
+// settingsDigest returns a hash of the settings, to distinguish different settings in logs.
 func settingsDigest(conf settings.Gateway) string {
 	data, err := json.Marshal(conf)
 	if err != nil {
@@ -358,8 +360,8 @@
 	return strconv.FormatUint(xxhash.Sum64(data), 16)
 }
 
-// frontServer waits for a configuration, which bounds what callers may do, and
-// returns the server for callers.
+// callerServer waits for a configuration, whose limits apply to callers, and returns the HTTP
+// server for callers.
 func (g *Gateway) callerServer(ctx context.Context) *http.Server {
 	limit := g.now().Add(configurationWait)
 	for g.view.table.Load() == nil && g.now().Before(limit) && ctx.Err() == nil {
@@ -375,9 +377,9 @@
 	}
 }
 
-// stop ends the service: not ready at once, the lease given up beside the rest, and
-// no connection closed before the balancer has noticed and the requests under way
-// have ended. The cause is for the log.
+// stop stops the gateway gracefully. It reports itself as not ready at once and releases the
+// lease in parallel. Connections are closed only after the load balancer has had time to notice
+// and the requests in progress have ended. The cause is logged.
 func (g *Gateway) stop(server *http.Server, cause string) {
 	began := g.now()
 	g.draining.Store(true)
@@ -389,14 +391,14 @@
 	resigned.Go(func() { g.leading.resign(ctx) })
 	pause(ctx, began.Add(g.conf.DrainNotice.D()).Sub(g.now()))
 	if err := server.Shutdown(ctx); err != nil {
-		g.log.Warn("requests cut off by the end of the stop", "error", err)
+		g.log.Warn("requests aborted because the stop took too long", "error", err)
 		_ = server.Close()
 	}
 	resigned.Wait()
 	g.log.Info("stopped", "took_ms", g.now().Sub(began).Milliseconds())
 }
 
-// expire closes connections that were idle for too long.
+// closeIdleConnections closes upstream connections that were idle for too long, until ctx ends.
 func (g *Gateway) closeIdleConnections(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, idleCheckInterval)
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -7,7 +7,7 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// gauges sets what is read at the moment of the question.
+// updateGauges sets the gauges, whose values are computed when the metrics are served.
 func (g *Gateway) updateGauges() {
 	m := g.meters
 	m.gauge(logWritten, g.lines.Written())
@@ -31,7 +31,7 @@
 	m.gauge(connDistrusted, int64(stats.Distrusted))
 }
 
-// viewGauges tells which view is in force and how old it is at most.
+// updateViewGauges sets the gauges of the view in force and of its maximum age.
 func (g *Gateway) updateViewGauges() {
 	m := g.meters
 	lost, age := time.Duration(0), time.Duration(0)
@@ -57,7 +57,7 @@
 	}
 }
 
-// serviceGauges tells, by service, what decisions about requests are made from.
+// updateServiceGauges sets, for each service, the gauges of the inputs of dispatch decisions.
 func (g *Gateway) updateServiceGauges() {
 	m := g.meters
 	for name, s := range g.traffic.all() {
@@ -77,7 +77,7 @@
 	return 0
 }
 
-// ownerGaps measures how long keys are without an owner, as this gateway knows. It is
+// ownerGaps measures how long keys are without an owner, according to this gateway's view. It is
 // safe for concurrent use.
 type ownerGaps struct {
 	now    func() time.Time
@@ -87,7 +87,7 @@
 	services map[string]*ownerGap
 }
 
-// ownerGap is the part of one service.
+// ownerGap is the state of one service.
 type ownerGap struct {
 	spans.Gaps
 	table     *spans.Table
@@ -98,7 +98,7 @@
 	return &ownerGaps{now: now, meters: m, services: make(map[string]*ownerGap)}
 }
 
-// note takes over a new table of owners.
+// setTable applies a new table of owners and records the gaps that ended with it.
 func (o *ownerGaps) setTable(t *spans.Table) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -114,7 +114,7 @@
 	}
 }
 
-// without returns how long the key of a service has been without an owner.
+// gapOf returns how long the key of a service has been without an owner.
 func (o *ownerGaps) gapOf(service string, key uint16) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -125,7 +125,7 @@
 	return one.Without(o.now(), key)
 }
 
-// gauges sets what is read at the moment of the question.
+// updateGauges sets the gauges of all services.
 func (o *ownerGaps) updateGauges() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/gateway/handlers.go
+++ b/gateway/handlers.go
@@ -10,9 +10,9 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// This file serves the balancer, the other gateways and operators.
+// The handlers of this file serve the load balancer, the other gateways and operators.
 
-// ready reports whether callers should be sent here.
+// ready reports whether the load balancer should send callers to this gateway.
 func (g *Gateway) ready() bool {
 	table := g.view.table.Load()
 	if g.draining.Load() || table == nil || g.view.inst.Load() == nil {
@@ -36,7 +36,7 @@
 	return r
 }
 
-// metricsHandler serves the counters as text.
+// metricsHandler serves the metrics as text.
 func (g *Gateway) metricsHandler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) {
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -8,8 +8,7 @@
 	"github.com/rockcroft/rockcroft/protocol/answer"
 )
 
-// logRefusal writes why a request was not answered, with what that was decided
-// from.
+// logRefusal logs why a request was not answered, with the inputs of that decision.
 func (f *proxy) logRefusal(r *http.Request, q *request, kind answer.Kind, err error) {
 	if kind == answer.Cancelled {
 		return
@@ -42,10 +41,11 @@
 	f.log.Warn("request not answered", attrs...)
 }
 
-// sampleEvery is the share of plain successes that are logged: one in so many.
+// successSampleInterval selects the logged successes: one of this many successes at the first
+// try is logged.
 const successSampleInterval = 200
 
-// logAnswered writes how a request was answered: always after a second try, else
+// logAnswered logs how a request was answered: always if it was sent more than once, otherwise
 // for a sample.
 func (f *proxy) logAnswered(q *request, d *delivery, status int) {
 	if f.answeredCount.Add(1)%successSampleInterval != 0 && q.arrivedTries+q.unsentTries == 0 && !d.hedged {
@@ -57,7 +57,7 @@
 		"after_ms", f.now().Sub(q.receivedAt).Milliseconds())
 }
 
-// logAgain writes that a request is sent once more, and why.
+// logRetry logs that a request is sent again, and the reason.
 func (f *proxy) logRetry(q *request, first dispatch.Grant, cause error) {
 	reason := "overdue"
 	if cause != nil {
--- a/gateway/unread.go
+++ b/gateway/unread.go
@@ -13,10 +13,11 @@
 	"github.com/rockcroft/rockcroft/state/unread"
 )
 
-// This file shows which headers of upstreams' answers no code reads. They are handed on to callers
-// like all others.
+// This file records which headers of upstreams' responses no code interprets. They are
+// forwarded to callers like all others.
 
-// unreadHeaders are those that this gateway has seen, for concurrent use.
+// unreadHeaders holds the uninterpreted headers that this gateway has seen. It is safe for
+// concurrent use.
 type unreadHeaders struct {
 	now    func() time.Time
 	log    *slog.Logger
@@ -30,7 +31,7 @@
 	return &unreadHeaders{now: now, log: log, meters: m, seen: unread.NewBook()}
 }
 
-// note counts the headers of an answer that no code reads.
+// record counts the headers of a response that no code interprets.
 func (u *unreadHeaders) record(g dispatch.Grant, h http.Header) {
 	for name := range h {
 		if !platform.KnownHeader(name) {
@@ -46,18 +47,19 @@
 	begins := u.seen.Note(u.now(), service, upstream, name)
 	u.mu.Unlock()
 	if begins {
-		u.log.Warn("answers bear a header that is not read", "service", service, "header", name, "upstream", upstream)
+		u.log.Warn("responses have a header that no code reads", "service", service, "header", name, "upstream", upstream)
 	}
 }
 
-// list returns what was seen.
+// list returns the headers seen so far.
 func (u *unreadHeaders) list() []unread.Header {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.seen.List()
 }
 
-// Unread implements placementpb.Placement: what the gateway that is asked has seen itself.
+// Unread implements placementpb.Placement. It returns what the gateway that is asked has seen
+// itself.
 func (p *placements) Unread(context.Context, *placementpb.UnreadRequest) (*placementpb.UnreadState, error) {
 	out := &placementpb.UnreadState{}
 	now := p.now()
--- a/gateway/unread_test.go
+++ b/gateway/unread_test.go
@@ -9,8 +9,8 @@
 	"github.com/rockcroft/rockcroft/standin/instance"
 )
 
-// TestUnreadHeadersAreSeen: a header of answers that no code knows is handed on to the caller, and
-// an operator sees by a line, a metric and a call which service sends it.
+// TestUnreadHeadersAreReported: a response header that no code interprets is forwarded to the
+// caller, and a log line, a metric and a call tell an operator which service sends it.
 func TestUnreadHeadersAreReported(t *testing.T) {
 	t.Parallel()
 	b := newTestCluster(t)
@@ -24,21 +24,21 @@
 	go g.lines.Run(ctx, &out)
 	for range 2 {
 		if a := b.mustRequest(g, http.MethodPost, "/pay/x", -1); a.header.Get(instance.StartHeader) == "" {
-			t.Error("not handed on")
+			t.Error("the header was not forwarded")
 		}
 	}
-	b.eventually("a line tells of it", func() bool {
-		line := out.findByUpstream("answers bear a header that is not read", "i-p0")
+	b.eventually("the header is logged", func() bool {
+		line := out.findByUpstream("responses have a header that no code reads", "i-p0")
 		return line != nil && line["header"] == instance.StartHeader && line["service"] == "pay"
 	})
 	if n := metricsOf(g)["answers.pay.unread_headers"]; n != "2" {
-		t.Errorf("%s counted", n)
+		t.Errorf("%s headers counted, want 2", n)
 	}
 	state, err := g.steward.placements.Unread(context.Background(), &placementpb.UnreadRequest{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(state.Headers) != 1 || state.Headers[0].Name != instance.StartHeader || state.Headers[0].Answers != 2 || !state.Headers[0].Sent {
-		t.Errorf("%v", state.Headers)
+		t.Errorf("unexpected headers: %v", state.Headers)
 	}
 }
