--- a/gateway/meters.go
+++ b/gateway/meters.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// reservoir is the sample size of a latency histogram: enough for the 99th
-	// percentile, 2 KB each.
+	// histogramSampleSize is the sample size of a duration histogram: enough for the 99th
+	// percentile at 2 KB each.
 	histogramSampleSize = 256
-	// mostLabels bounds the different labels of one family: operators may add
-	// hundreds of routes. Those beyond are counted together.
+	// maxLabels bounds the distinct labels of one family, because operators may add hundreds of
+	// routes. Further labels are counted together.
 	maxLabels = 64
-	// otherLabel stands for the labels beyond the bound.
+	// otherLabel replaces the labels beyond the bound.
 	otherLabel = "other"
 )
 
-// meters are the counters of a gateway process, for concurrent use. The names are
+// meters holds the metrics of a gateway process. It is safe for concurrent use. The names are
 // those of the catalog.
 type meters struct {
 	registry metrics.Registry
 	mu       sync.Mutex
-	// labels are those in use, by pattern prefix.
+	// labels are the labels in use, by family.
 	labels map[string]map[string]bool
 }
 
@@ -34,7 +34,7 @@
 	return &meters{registry: metrics.NewRegistry(), labels: make(map[string]map[string]bool)}
 }
 
-// label returns the label, or the one for all others when the family has enough.
+// label returns the label, or otherLabel if the family has reached its bound.
 func (m *meters) label(family, label string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -53,23 +53,23 @@
 	return label
 }
 
-// Families of labels that others than this program choose.
+// Families of labels that are defined by the configuration.
 const (
 	routeFamily   = "route"
 	serviceFamily = "service"
 )
 
-// route fills a pattern of a route in.
+// route fills in a pattern whose first label is a route.
 func (m *meters) route(pattern, route string, labels ...string) string {
 	return fillPattern(pattern, append([]string{m.label(routeFamily, route)}, labels...)...)
 }
 
-// service fills a pattern of a service in.
+// service fills in a pattern whose first label is a service.
 func (m *meters) service(pattern, service string, labels ...string) string {
 	return fillPattern(pattern, append([]string{m.label(serviceFamily, service)}, labels...)...)
 }
 
-// counter returns the counter of the name, which is served from now on.
+// counter returns the counter of that name and registers it if it does not exist.
 func (m *meters) counter(name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter(name, m.registry)
 }
@@ -82,7 +82,7 @@
 	metrics.GetOrRegisterGauge(name, m.registry).Update(value)
 }
 
-// took notes a time in microseconds.
+// recordDuration adds a duration in microseconds to a histogram.
 func (m *meters) recordDuration(name string, d time.Duration) {
 	h := m.registry.GetOrRegister(name, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewUniformSample(histogramSampleSize))
@@ -92,8 +92,7 @@
 	}
 }
 
-// write prints all counters, gauges and histograms as text, one value a line,
-// in the order of their names.
+// write prints all counters, gauges and histograms as text, one per line, sorted by name.
 func (m *meters) write(w io.Writer) {
 	var lines []string
 	m.registry.Each(func(name string, value any) {
--- a/gateway/meters_test.go
+++ b/gateway/meters_test.go
@@ -12,7 +12,7 @@
 	"github.com/rockcroft/rockcroft/standin/instance"
 )
 
-// metricsOf returns what a gateway serves on its metrics address, by name.
+// metricsOf returns the metrics that a gateway serves, by name.
 func metricsOf(g *testGateway) map[string]string {
 	w := httptest.NewRecorder()
 	g.metricsHandler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
@@ -24,9 +24,9 @@
 	return out
 }
 
-// TestMetricsAreInTheCatalog: every value that a gateway serves after all kinds of
-// requests has a name with unit and meaning, and those that explain a failure are
-// there.
+// TestMetricsAreInTheCatalog: every value that a gateway serves after requests of all kinds
+// must have a unit and a meaning in the catalog, and the values that explain failures must be
+// served.
 func TestMetricsAreInTheCatalog(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -83,7 +83,7 @@
 
 var labelPattern = regexp.MustCompile(`\\\{[a-z]+\\\}`)
 
-// describes reports whether the pattern of the catalog stands for the name.
+// patternMatches reports whether the name is an instance of the catalog pattern.
 func patternMatches(pattern, name string) bool {
 	return regexp.MustCompile("^" + labelPattern.ReplaceAllString(regexp.QuoteMeta(pattern), ".+") + "$").MatchString(name)
 }
@@ -107,7 +107,8 @@
 	}
 }
 
-// TestLabelsAreBounded: operators may add hundreds of routes.
+// TestLabelsAreBounded: the number of metrics must stay bounded although operators may add
+// hundreds of routes.
 func TestLabelsAreBounded(t *testing.T) {
 	m := newMeters()
 	for i := range 10 * maxLabels {
@@ -123,7 +124,7 @@
 	}
 }
 
-// TestMetricsPage: the page shows the catalog as it is, and nothing else.
+// TestMetricsPageMatchesCatalog: docs/METRICS.md must list exactly the metrics of the catalog.
 func TestMetricsPageMatchesCatalog(t *testing.T) {
 	page, err := os.ReadFile("../docs/METRICS.md")
 	if err != nil {
