--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -23,15 +23,16 @@
 	"github.com/rockcroft/rockcroft/transport/eventlog"
 )
 
-// bed is a small deployment in one process: a store, upstreams and gateways,
-// over real connections.
+// testCluster is a small deployment in one process: a store, upstreams and gateways that
+// communicate over real connections.
 type testCluster struct {
-	// keepIdle lets connections between gateways stay idle for as long as they like.
+	// keepIdle disables the idle timeout of connections between gateways.
 	keepIdle bool
-	// limitLinks puts limits, wide at first, on what each gateway's listener for other
-	// gateways and each way to the store can send.
+	// limitLinks puts bandwidth limits, wide at first, on each gateway's listener for other
+	// gateways and on each connection path to the store.
 	limitLinks bool
-	// atDoor, if set, stands between gateways and their doors to the store.
+	// wrapStoreDoor, if set, wraps the listener and the handler of each gateway's access to the
+	// store.
 	wrapStoreDoor func(net.Listener, http.Handler) (net.Listener, http.Handler)
 	t             *testing.T
 	store         *metastore.Store
@@ -47,13 +48,14 @@
 // testGateway is a gateway that can be stopped or killed.
 type testGateway struct {
 	*Gateway
-	// asleep is for how long its machine was suspended, as its clocks say.
+	// suspendedNs is the time for which the clocks report that the machine was suspended, in
+	// nanoseconds.
 	suspendedNs *atomic.Int64
 	lines       *eventlog.Log
 	door        *metastore.Door
 	callers     string
-	// peersLink carries this gateway's answers to others, storeLink the store's answers
-	// to it; nil unless the bed limits links.
+	// peersLink carries this gateway's responses to other gateways, storeLink the store's
+	// responses to it. Both are nil unless limitLinks is set.
 	peersLink, storeLink *relay.Link
 	stop                 context.CancelFunc
 	done                 chan struct{}
@@ -65,12 +67,12 @@
 	service string
 	domain  string
 	address string
-	// born is the Unix millisecond of its start, as it says; zero when it does not.
+	// born is the start time that it reports, in Unix milliseconds; zero if it reports none.
 	born   uint64
 	server *http.Server
 }
 
-// config is a configuration of the version with one keyed and one other service.
+// config returns a configuration with one keyed service and one that is not keyed.
 func config(version uint64) platform.ConfigBody {
 	route := func(path, kind, service string, priority int) platform.RouteBody {
 		return platform.RouteBody{
@@ -101,7 +103,7 @@
 	return b
 }
 
-// configure writes a version of the configuration.
+// configure writes the given version of the configuration to the store.
 func (b *testCluster) configure(version uint64) {
 	b.store.Put(platform.ConfigKind, platform.ConfigName, config(version))
 }
@@ -116,13 +118,13 @@
 	return b.startUpstream(id, service, 0)
 }
 
-// upstreamIn is upstream in a failure domain.
+// upstreamIn is upstream in a given failure domain.
 func (b *testCluster) upstreamIn(domain, id, service string) *upstream {
 	b.t.Helper()
 	return b.startUpstreamIn(domain, id, service, 0)
 }
 
-// restart ends an upstream's process and starts it again under its ID, at another address.
+// restart ends an upstream's process and starts it again with the same ID at another address.
 func (b *testCluster) restart(u *upstream) *upstream {
 	b.t.Helper()
 	_ = u.server.Close()
@@ -203,7 +205,7 @@
 		peersLink: peersLink, storeLink: storeLink, stop: cancel, done: make(chan struct{}),
 	}
 	if b.keepIdle {
-		// Else idle connections to other gateways end by themselves after a while.
+		// By default idle connections to other gateways are closed after a while.
 		g.cluster.http.Transport.(*arrivals).base.IdleConnTimeout = 0
 	}
 	go func() {
@@ -215,8 +217,8 @@
 	return g
 }
 
-// suspendable returns a clock of a machine that is suspended for as long as the number says, in
-// nanoseconds.
+// suspendableClock returns a clock that reports a suspension of the machine as long as the
+// returned number of nanoseconds.
 func suspendableClock() (*bootclock.Clock, *atomic.Int64) {
 	var asleep atomic.Int64
 	began := time.Now()
@@ -227,11 +229,12 @@
 	}), &asleep
 }
 
-// suspend lets the clocks of the gateway's machine say that it has just woken up from a suspension.
-// What ran meanwhile at the others is not played.
+// suspend makes the gateway's clocks report that the machine has just resumed from a
+// suspension. The gateway does not actually pause, so what others would do meanwhile is not
+// simulated.
 func (g *testGateway) suspend(d time.Duration) { g.suspendedNs.Add(int64(d)) }
 
-// kill ends a gateway as a lost process ends.
+// kill ends a gateway without a graceful stop, like a lost process.
 func (g *testGateway) kill() {
 	select {
 	case <-g.done:
@@ -256,14 +259,13 @@
 	}
 }
 
-// eventually waits until the condition holds. The limit only ends a test that
-// hangs.
+// eventually waits until the condition holds. The time limit only ends a test that hangs.
 func (b *testCluster) eventually(what string, condition func() bool) {
 	b.t.Helper()
 	limit := time.Now().Add(time.Minute)
 	for !condition() {
 		if time.Now().After(limit) {
-			b.t.Fatalf("never: %s", what)
+			b.t.Fatalf("condition not reached within a minute: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -272,7 +274,7 @@
 // ready waits until all gateways are ready and every key has an owner.
 func (b *testCluster) ready() {
 	b.t.Helper()
-	b.eventually("all ready", func() bool {
+	b.eventually("all gateways are ready and all keys have an owner", func() bool {
 		for _, g := range b.gateways {
 			if !g.running() {
 				continue
@@ -317,7 +319,7 @@
 	return nil
 }
 
-// reply is what a caller got.
+// callerResponse is the response that a caller got.
 type callerResponse struct {
 	id     string
 	status int
@@ -326,7 +328,7 @@
 	err    error
 }
 
-// ask sends one request through a gateway.
+// request sends one request through a gateway.
 func (b *testCluster) request(g *testGateway, method, path string, key int) callerResponse {
 	id := fmt.Sprintf("r%d", b.requestCount.Add(1))
 	var body io.Reader
@@ -352,7 +354,7 @@
 	return callerResponse{id: id, status: resp.StatusCode, body: string(data), header: resp.Header, err: err}
 }
 
-// mustAsk asks and wants the upstream's answer.
+// mustRequest sends a request and fails the test unless it gets the upstream's response.
 func (b *testCluster) mustRequest(g *testGateway, method, path string, key int) callerResponse {
 	b.t.Helper()
 	a := b.request(g, method, path, key)
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -25,10 +25,11 @@
 	"github.com/rockcroft/rockcroft/transport/pool"
 )
 
-// These benchmarks measure what docs/CAPACITY.md is worked out from. Both ends of a
-// message run in one process: half is counted for each.
+// These benchmarks give the inputs of docs/CAPACITY.md. Both ends of a message run in one
+// process, so half of the cost is counted for each.
 
-// benchPeer serves the reports of other gateways as a leader does.
+// newBenchPeer returns a peer server that serves the reports of other gateways as a leader
+// does, and its address.
 func newBenchPeer(b *testing.B) (*peerServer, string) {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,12 +51,12 @@
 	return p, l.Addr().String()
 }
 
-// BenchmarkReport is one report with the loads of some upstreams, and its answer.
+// BenchmarkReport measures one report with the loads of several upstreams and its response.
 func BenchmarkReport(b *testing.B) {
 	for _, upstreams := range []int{10, 100} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
 			p, address := newBenchPeer(b)
-			// News that the sender does not know: the answer is not held back.
+			// The sender lacks this configuration, so the response is sent at once.
 			p.view.setConfiguration(1, []byte("{}"), &routing.Configuration{Version: 1})
 			client := syncpb.NewPeerProtobufClient("http://"+address, &http.Client{})
 			r := &syncpb.SyncRequest{Member: &syncpb.Member{Node: "g", Address: "127.0.0.1:1", Domain: "a"}, WaitMs: 1}
@@ -72,7 +73,7 @@
 	}
 }
 
-// benchInstance is a stand-in upstream that answers at once.
+// startBenchUpstream starts a stand-in upstream that responds at once and returns its address.
 func startBenchUpstream(b *testing.B) string {
 	b.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,8 +86,8 @@
 	return l.Addr().String()
 }
 
-// BenchmarkRenewal is one call to an upstream as a renewal is: here a release, for
-// which the stand-in keeps little.
+// BenchmarkRenewal measures one control call to an upstream, such as a renewal. It sends a
+// release, for which the stand-in keeps little state.
 func BenchmarkRenewal(b *testing.B) {
 	address := startBenchUpstream(b)
 	owners := platform.NewOwners(pool.New(upstreamLimits, time.Now))
@@ -99,8 +100,8 @@
 	}
 }
 
-// BenchmarkNews is the answer that tells the owners of some spans whole, as a part that
-// is made anew.
+// BenchmarkNews measures building a response with the complete owners of some spans as a new
+// part.
 func BenchmarkNews(b *testing.B) {
 	for _, n := range []int{256, 2048} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -127,8 +128,8 @@
 	}
 }
 
-// BenchmarkConfiguration is one change of a route in a large configuration: the part that
-// tells it, and taking it over.
+// BenchmarkConfiguration measures a change of one route in a large configuration: encoding the
+// part that carries it and applying that part.
 func BenchmarkConfiguration(b *testing.B) {
 	base, next := largeConfig(3), largeConfig(4)
 	route := next.Routes["read"]
@@ -172,8 +173,8 @@
 	}
 }
 
-// BenchmarkForward is one request through a gateway, and the same straight to the
-// upstream, over the same kind of connections: the ratio is what a gateway adds.
+// BenchmarkForward measures one request through a gateway and the same request sent directly to
+// the upstream over connections of the same kind. The ratio is the overhead of a gateway.
 func BenchmarkForward(b *testing.B) {
 	address := startBenchUpstream(b)
 	ask := func(b *testing.B, to string, conns *pool.Pool) {
@@ -201,7 +202,8 @@
 	})
 }
 
-// benchGateway is a gateway's front with one upstream, without a store or a leader.
+// startBenchGateway starts the caller-facing handler of a gateway with one upstream, without a
+// store or a leader, and returns its address.
 func startBenchGateway(b *testing.B, upstream string) string {
 	b.Helper()
 	conf := settings.DefaultGateway()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -15,7 +15,8 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// standard starts three keyed and two other upstreams and three gateways.
+// newStandardCluster returns a cluster with three keyed upstreams, two that are not keyed, and
+// three gateways.
 func newStandardCluster(t *testing.T) *testCluster {
 	t.Helper()
 	b := newTestCluster(t)
@@ -23,7 +24,7 @@
 	return b
 }
 
-// fill starts three keyed and two other upstreams and three gateways.
+// startStandard starts three keyed upstreams, two that are not keyed, and three gateways.
 func (b *testCluster) startStandard() {
 	b.t.Helper()
 	for i := range 3 {
@@ -60,7 +61,7 @@
 	b := newTestCluster(t)
 	b.store.Remove(platform.ConfigKind, platform.ConfigName)
 	g := b.gateway("g0")
-	b.eventually("refused", func() bool {
+	b.eventually("requests are refused with a Retry-After time", func() bool {
 		a := b.request(g, http.MethodGet, "/none/", -1)
 		return a.err == nil && a.status == http.StatusServiceUnavailable && a.header.Get("Retry-After") != ""
 	})
@@ -69,61 +70,63 @@
 	}
 }
 
-// TestLeaderLost: another gateway leads, and no key changes its owner.
+// TestLostLeaderIsReplaced: after the loss of the leader another gateway must lead, and no key
+// may change its owner.
 func TestLostLeaderIsReplaced(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
 	first := b.leader()
 	before := first.view.spansOf("status")
 	first.kill()
-	b.eventually("another leader", func() bool { return b.leader() != nil })
+	b.eventually("another gateway leads", func() bool { return b.leader() != nil })
 	b.ready()
 	after := b.leader().view.spansOf("status")
 	for _, s := range before.Spans {
 		if now := after.Find(s.First); now.Owner != s.Owner || now.Fence != s.Fence {
-			t.Errorf("span %d-%d went from %s to %s", s.First, s.Last, s.Owner, now.Owner)
+			t.Errorf("span %d-%d moved from %s to %s", s.First, s.Last, s.Owner, now.Owner)
 		}
 	}
 }
 
-// TestLeaderStops: it gives the lease up, and nobody waits for it to run out.
+// TestStoppingLeaderReleasesLease: a leader that stops gracefully must release its lease, so
+// that the next leader need not wait for it to expire.
 func TestStoppingLeaderReleasesLease(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
 	first := b.leader()
 	first.stop()
 	<-first.done
-	b.eventually("another leader", func() bool { return b.leader() != nil })
+	b.eventually("another gateway leads", func() bool { return b.leader() != nil })
 	b.mustRequest(b.leader(), http.MethodGet, "/status/x", 1)
 }
 
-// TestOwnerLost: the keys of an upstream that falls silent get other owners,
-// after its hold has run out.
+// TestKeysOfSilentOwnerMove: the keys of an upstream that stops responding must get other
+// owners once its grants have expired.
 func TestKeysOfSilentOwnerMove(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
 	b.upstreams["i-s0"].Set(instance.Silent)
-	b.eventually("nothing owned by the lost one", func() bool { return b.spansOwnedBy("i-s0") == 0 })
+	b.eventually("the silent upstream owns no keys", func() bool { return b.spansOwnedBy("i-s0") == 0 })
 	b.ready()
 	for key := 0; key <= spans.MaxKey; key += 6553 {
 		b.mustRequest(b.gateways[1], http.MethodGet, "/status/x", key)
 	}
 }
 
-// TestLostOwnerComesBack: an upstream that was silent for so long that it lost
-// all its keys gets keys again once it answers. (Own day cut-servers: it stayed
-// without keys for good, and one upstream was left with half of the load.)
+// TestRecoveredOwnerGetsKeysAgain: an upstream that was silent until it lost all its keys must
+// get keys again once it responds. The failure: it stayed without keys for good, and one
+// upstream was left with half of the load.
 func TestRecoveredOwnerGetsKeysAgain(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
 	b.upstreams["i-s0"].Set(instance.Silent)
-	b.eventually("nothing owned by the lost one", func() bool { return b.spansOwnedBy("i-s0") == 0 })
+	b.eventually("the silent upstream owns no keys", func() bool { return b.spansOwnedBy("i-s0") == 0 })
 	b.ready()
 	b.upstreams["i-s0"].Set(instance.Serves)
-	b.eventually("keys for the one that came back", func() bool { return b.spansOwnedBy("i-s0") > 0 })
+	b.eventually("the recovered upstream owns keys", func() bool { return b.spansOwnedBy("i-s0") > 0 })
 }
 
-// ownedBy counts the spans of an owner in the leader's view.
+// spansOwnedBy counts the spans of an owner in the leader's view; -1 without a leader.
 func (b *testCluster) spansOwnedBy(id string) int {
 	l := b.leader()
 	if l == nil {
@@ -138,7 +141,7 @@
 	return n
 }
 
-// inForce reports whether all gateways have the version.
+// allHaveConfiguration reports whether all gateways have that version of the configuration.
 func (b *testCluster) allHaveConfiguration(version uint64) bool {
 	for _, g := range b.gateways {
 		if g.view.table.Load().Version != version {
@@ -148,8 +151,8 @@
 	return true
 }
 
-// load sends requests until stopped and counts those not answered by an
-// upstream.
+// startLoad sends requests until stopped, and counts those that were sent and those that did
+// not succeed.
 func (b *testCluster) startLoad(gateways []*testGateway, method, path string, keyed bool) (stop func() (sent, failed int64)) {
 	var sent, failed atomic.Int64
 	end := make(chan struct{})
@@ -181,14 +184,14 @@
 	}
 }
 
-// TestLeavingUpstream: its keys move with their state while requests run, and
-// none is lost.
+// TestLeavingUpstream: the keys of a leaving upstream must move with their state while requests
+// run, without a failed request.
 func TestLeavingUpstream(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
 	stop := b.startLoad(b.gateways, http.MethodGet, "/status/x", true)
 	b.register(b.upstreams["i-s1"], "draining")
-	b.eventually("nothing owned by the leaving one", func() bool { return b.spansOwnedBy("i-s1") == 0 })
+	b.eventually("the leaving upstream owns no keys", func() bool { return b.spansOwnedBy("i-s1") == 0 })
 	b.ready()
 	if sent, failed := stop(); failed > 0 || sent == 0 {
 		t.Errorf("%d of %d failed", failed, sent)
@@ -202,22 +205,22 @@
 	}
 }
 
-// TestNewUpstreamGetsWork within the first plans after it registered.
+// TestNewUpstreamGetsWork: a new upstream must get keys soon after it has registered.
 func TestNewUpstreamGetsWork(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
 	b.upstream("i-s9", "status")
-	b.eventually("keys for the new one", func() bool { return b.spansOwnedBy("i-s9") > 0 })
+	b.eventually("the new upstream owns keys", func() bool { return b.spansOwnedBy("i-s9") > 0 })
 }
 
-// TestLateGrants: grants that are carried out after newer ones harm nobody.
+// TestLateGrantsAreHarmless: grants that are executed after newer ones must not harm requests.
 func TestLateGrantsAreHarmless(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
 	b.upstreams["i-s0"].Set(instance.LateGrants)
 	time.Sleep(2 * renewInterval)
 	b.register(b.upstreams["i-s1"], "draining")
-	b.eventually("nothing owned by the leaving one", func() bool { return b.spansOwnedBy("i-s1") == 0 })
+	b.eventually("the leaving upstream owns no keys", func() bool { return b.spansOwnedBy("i-s1") == 0 })
 	b.upstreams["i-s0"].Set(instance.Serves)
 	b.ready()
 	for key := 0; key <= spans.MaxKey; key += 6553 {
@@ -225,8 +228,9 @@
 	}
 }
 
-// TestLostAnswers: a request that must not run twice and whose answer is lost
-// gets an answer that promises nothing; one that may is sent once more.
+// TestLostResponses: if the response to a request that is not idempotent is lost, the caller
+// must get an error that does not promise anything about its execution. An idempotent request
+// must be retried.
 func TestLostResponses(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -242,8 +246,8 @@
 	}
 }
 
-// TestRefusalsAreTrue: what upstreams refuse for want of room has not run and is
-// refused with a time to come back.
+// TestRefusedRequestsHaveNotRun: requests that upstreams refuse for lack of capacity must not
+// have been executed, and callers must get a Retry-After time.
 func TestRefusedRequestsHaveNotRun(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -257,8 +261,8 @@
 	}
 }
 
-// TestOwnFailure of an upstream is passed on as it is for a request that must
-// not run twice.
+// TestUpstreamFailureIsForwarded: the failure response of an upstream to a request that is not
+// idempotent must be forwarded unchanged.
 func TestUpstreamFailureIsForwarded(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -270,8 +274,8 @@
 	}
 }
 
-// TestStopCutsNothing: a gateway that stops under load answers everything it
-// was sent.
+// TestStopUnderLoadAnswersAllRequests: a gateway that stops under load must answer all requests
+// that it was sent.
 func TestStopUnderLoadAnswersAllRequests(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -291,20 +295,20 @@
 			}
 		})
 	}
-	b.eventually("some requests", func() bool { return b.requestCount.Load() > 20 })
+	b.eventually("more than 20 requests are sent", func() bool { return b.requestCount.Load() > 20 })
 	g.stop()
-	// The balancer sends no more once it has noticed.
-	b.eventually("not ready", func() bool { return !g.Gateway.ready() })
+	// The load balancer sends no more requests once it has noticed.
+	b.eventually("the gateway is not ready", func() bool { return !g.Gateway.ready() })
 	stopping.Store(true)
 	all.Wait()
 	<-g.done
 	if failed.Load() > 0 {
-		t.Errorf("%d requests cut off", failed.Load())
+		t.Errorf("%d requests failed", failed.Load())
 	}
 }
 
-// TestAllKilled: after the loss of all gateways the next ones go on with the
-// same owners and fences.
+// TestOwnersSurviveLossOfAllGateways: gateways that start after the loss of all others must
+// continue with the same owners and fences.
 func TestOwnersSurviveLossOfAllGateways(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -322,8 +326,8 @@
 	b.mustRequest(next, http.MethodGet, "/status/x", 77)
 }
 
-// TestBodiesAreLetGo: the bytes of bodies held are counted down after every
-// answer, refusals among them.
+// TestBodyBytesAreReleased: the count of body bytes held must return to zero after all
+// responses, including refusals.
 func TestBodyBytesAreReleased(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -335,11 +339,11 @@
 	if a := b.request(g, http.MethodPost, "/none/", -1); a.status != http.StatusNotFound {
 		t.Errorf("status %d", a.status)
 	}
-	b.eventually("nothing held", func() bool { return g.proxy.bodyBytes.Load() == 0 })
+	b.eventually("no body bytes are held", func() bool { return g.proxy.bodyBytes.Load() == 0 })
 }
 
-// TestCallerLeavesBeforeItsTurn: a request that must not run twice and still waits
-// when its caller leaves is not begun.
+// TestQueuedRequestOfGoneCallerIsDropped: a request that is not idempotent must not be started
+// if its caller disconnects while it is queued.
 func TestQueuedRequestOfGoneCallerIsDropped(t *testing.T) {
 	t.Parallel()
 	b := newTestCluster(t)
@@ -357,6 +361,6 @@
 	}()
 	cancel()
 	if err := <-done; err == nil {
-		t.Error("let through")
+		t.Error("the request got a grant")
 	}
 }
--- a/gateway/requestlog_test.go
+++ b/gateway/requestlog_test.go
@@ -11,7 +11,7 @@
 	"github.com/rockcroft/rockcroft/standin/instance"
 )
 
-// lockedBuffer is a log output that can be read while it is written.
+// lockedBuffer is a log output that is safe for concurrent reads and writes.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -23,17 +23,17 @@
 	return b.buf.Write(p)
 }
 
-// find returns the first line with the message about the request, or nil.
+// find returns the first line with the message and the request, or nil.
 func (b *lockedBuffer) find(message, request string) map[string]any {
 	return b.findByField(message, "request", request)
 }
 
-// lineOf returns the first line with the message about the upstream, or nil.
+// findByUpstream returns the first line with the message and the upstream, or nil.
 func (b *lockedBuffer) findByUpstream(message, upstream string) map[string]any {
 	return b.findByField(message, "upstream", upstream)
 }
 
-// first returns the first line with the message and the field, or nil.
+// findByField returns the first line with the message and the field value, or nil.
 func (b *lockedBuffer) findByField(message, field, value string) map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// TestRefusalsLineCarriesItsInputs: from the line of a refused request alone one sees
-// which limit refused it, and from what that was decided.
+// TestRefusalLogLineHasDecisionInputs: the log line of a refused request must be enough to see
+// which limit refused it and from which inputs.
 func TestRefusalLogLineHasDecisionInputs(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -62,7 +62,7 @@
 	if refused.status != http.StatusServiceUnavailable {
 		t.Fatalf("status %d", refused.status)
 	}
-	b.eventually("the line is written", func() bool { return out.find("request not answered", refused.id) != nil })
+	b.eventually("the refusal is logged", func() bool { return out.find("request not answered", refused.id) != nil })
 	line := out.find("request not answered", refused.id)
 	for _, field := range []string{
 		"kind", "cause", "configuration", "route", "service", "arrivals", "unsent", "tried", "after_ms", "allowed_ms",
--- a/gateway/sight_test.go
+++ b/gateway/sight_test.go
@@ -20,15 +20,15 @@
 	"github.com/rockcroft/rockcroft/state/settings"
 )
 
-// halfAnswer is how many bytes of a body a parent sends before it falls silent.
+// halfResponseBytes is how many bytes of a body a parent sends before it stalls.
 const halfResponseBytes = 64 << 10
 
-// fakeParent answers reports as a test wants them answered.
+// fakeParent is a parent gateway whose responses to reports are set by the test.
 type fakeParent struct {
 	syncpb.Peer
-	// heardMs is what it says of the leader.
+	// heardMs is the time since it heard from the leader, as it reports it.
 	heardMs atomic.Uint32
-	// next answers instead when it is set.
+	// next replaces the handler while it is set.
 	next atomic.Pointer[http.HandlerFunc]
 }
 
@@ -46,7 +46,7 @@
 	syncpb.NewPeerServer(p).ServeHTTP(w, r)
 }
 
-// answer sets how reports are answered: by Sync when h is nil.
+// answer sets the handler of reports; nil restores Sync.
 func (p *fakeParent) answer(h http.HandlerFunc) {
 	if h == nil {
 		p.next.Store(nil)
@@ -55,7 +55,7 @@
 	p.next.Store(&h)
 }
 
-// stall sends a part of an answer and waits until the report is given up.
+// stall sends part of a response and waits until the report is cancelled.
 func stall(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header().Set("Content-Length", strconv.Itoa(2*halfResponseBytes))
@@ -64,12 +64,11 @@
 	<-r.Context().Done()
 }
 
-// refuse fails, as a server with a fault does.
-func failInternally(w http.ResponseWriter, _ *http.Request) {
-	w.WriteHeader(http.StatusInternalServerError)
-}
+// fail responds with an internal server error.
+func fail(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
 
-// reporter returns a follower with the parent's address, its counters and its log.
+// newReportingFollower returns a follower, the address of the parent to report to, and the
+// follower's log.
 func newReportingFollower(t *testing.T, p *fakeParent) (f *follower, parent string, log *bytes.Buffer) {
 	t.Helper()
 	m, now := newMeters(), time.Now
@@ -92,8 +91,8 @@
 	}, server.Listener.Addr().String(), log
 }
 
-// refusing returns an address that refuses connections: a port that another connection
-// has taken.
+// refusingAddress returns an address that refuses connections: a local port that is in use by
+// an established connection.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -108,7 +107,7 @@
 	return conn.LocalAddr().String()
 }
 
-// linesOf takes the lines out of a log.
+// takeLogLines decodes and removes the lines of a log.
 func takeLogLines(t *testing.T, log *bytes.Buffer) []map[string]any {
 	t.Helper()
 	var out []map[string]any
@@ -125,8 +124,8 @@
 	}
 }
 
-// TestReportsAreCounted: reports are counted by how they end, and there is a line when
-// they begin to fail and when they succeed again, none in between.
+// TestReportsAreCounted: reports must be counted by outcome. A line must be logged when they
+// begin to fail and when they succeed again, and none in between.
 func TestReportsAreCounted(t *testing.T) {
 	t.Parallel()
 	p := &fakeParent{}
@@ -140,14 +139,14 @@
 		counter  string
 		line     string
 	}{
-		{"at first", parent, nil, 0, "reports.ok", ""},
-		{"half an answer", parent, stall, 0, "reports.late", "reports to other gateways fail"},
-		{"nobody there", dark, nil, 0, "reports.refused", ""},
-		{"a fault", parent, failInternally, 0, "reports.failed", ""},
-		{"cut off", parent, nil, long, "reports.stale", ""},
-		{"again", parent, nil, 0, "reports.ok", "reports succeed again"},
-		{"still", parent, nil, 0, "reports.ok", ""},
-		{"cut off first", parent, nil, long, "reports.stale", "reports to other gateways fail"},
+		{"first report", parent, nil, 0, "reports.ok", ""},
+		{"incomplete response", parent, stall, 0, "reports.late", "reports to other gateways fail"},
+		{"connection refused", dark, nil, 0, "reports.refused", ""},
+		{"server error", parent, fail, 0, "reports.failed", ""},
+		{"parent without leader", parent, nil, long, "reports.stale", ""},
+		{"success again", parent, nil, 0, "reports.ok", "reports succeed again"},
+		{"second success", parent, nil, 0, "reports.ok", ""},
+		{"parent without leader after success", parent, nil, long, "reports.stale", "reports to other gateways fail"},
 	} {
 		p.heardMs.Store(c.heardMs)
 		p.answer(c.handler)
@@ -187,7 +186,7 @@
 	}
 }
 
-// reportCount returns the number of reports that were counted, however they ended.
+// reportCount returns the number of reports counted with any outcome.
 func reportCount(m *meters) (n int64) {
 	for _, end := range []string{reportOK, reportLate, reportRefused, reportFailed, reportStale} {
 		n += m.counter(fillPattern(reportAnswer, end)).Count()
@@ -195,8 +194,9 @@
 	return n
 }
 
-// TestLooksAreCounted: those asked in a look for a leader count as reports do; a look is
-// no report to a parent, so there is no line. What a stop gives up does not count.
+// TestLeaderSearchReportsAreCounted: reports sent in a search for the leader are counted like
+// others. They do not go to a parent, so no line is logged. Reports cancelled by a stop are not
+// counted.
 func TestLeaderSearchReportsAreCounted(t *testing.T) {
 	t.Parallel()
 	p := &fakeParent{}
@@ -213,26 +213,26 @@
 	f.askAll(stopped)
 	f.report(stopped, parent, 0)
 	if n := reportCount(f.meters); n != 2 {
-		t.Errorf("%d counted", n)
+		t.Errorf("%d reports counted, want 2", n)
 	}
 	if lines := takeLogLines(t, log); len(lines) != 0 {
-		t.Errorf("lines %v", lines)
+		t.Errorf("unexpected log lines: %v", lines)
 	}
 }
 
-// TestNewsBytes: the bytes of answers count at both ends, those of an answer that never
-// became whole too.
+// TestNewsBytes: the bytes of responses must be counted at both ends, also those of a response
+// that never became complete.
 func TestNewsBytes(t *testing.T) {
 	t.Parallel()
 	p := &fakeParent{}
 	f, parent, _ := newReportingFollower(t, p)
 	in, out := f.meters.counter(newsIn), f.meters.counter(newsOut)
 	if ok, _ := f.report(t.Context(), parent, 0); !ok {
-		t.Fatal("no answer")
+		t.Fatal("the report got no response")
 	}
 	whole := in.Count()
 	if whole <= 0 || whole >= halfResponseBytes {
-		t.Errorf("%d bytes of a small answer", whole)
+		t.Errorf("%d bytes counted for a small response", whole)
 	}
 	ended := make(chan struct{})
 	p.answer(func(w http.ResponseWriter, r *http.Request) {
@@ -240,7 +240,7 @@
 		stall(w, r)
 	})
 	if ok, _ := f.report(t.Context(), parent, 0); ok {
-		t.Fatal("half an answer counts as one")
+		t.Fatal("a report with an incomplete response succeeded")
 	}
 	<-ended
 	if got := in.Count() - whole; got < halfResponseBytes || got >= 2*halfResponseBytes {
@@ -251,7 +251,8 @@
 	}
 }
 
-// TestNewsBytesOfGateways: among gateways what is read was written by another.
+// TestNewsBytesOfGateways: the bytes that gateways read from each other must be counted as
+// written by the others.
 func TestNewsBytesOfGateways(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -262,7 +263,7 @@
 		return n
 	}
 	b.configure(3)
-	b.eventually("version 3 everywhere", func() bool {
+	b.eventually("all gateways have version 3", func() bool {
 		for _, g := range b.gateways {
 			if g.view.table.Load().Version != 3 {
 				return false
@@ -278,11 +279,11 @@
 	if read < int64(len(spec)) {
 		t.Errorf("%d bytes read, a configuration has %d", read, len(spec))
 	}
-	b.eventually("what was read counts as written", func() bool { return sum(newsOut) >= read })
+	b.eventually("the bytes read are counted as written", func() bool { return sum(newsOut) >= read })
 }
 
-// TestCountedConnEndsHalf: a counted connection ends its own side as the one underneath
-// does, and says so where that one cannot.
+// TestCountingConnCloseWrite: CloseWrite of a counting connection must close the writing side
+// of the underlying connection, or return an error if that is not supported.
 func TestCountingConnCloseWrite(t *testing.T) {
 	t.Parallel()
 	near, far := net.Pipe()
@@ -309,7 +310,7 @@
 	defer func() { _ = server.Close() }()
 	half, ok := client.(interface{ CloseWrite() error })
 	if !ok {
-		t.Fatal("no end of one side")
+		t.Fatal("the connection has no CloseWrite")
 	}
 	if err := half.CloseWrite(); err != nil {
 		t.Fatal(err)
--- a/gateway/troubles_test.go
+++ b/gateway/troubles_test.go
@@ -16,10 +16,10 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// TestRandomTroubles plays seeded series of troubles that overlap, under load:
-// the oracle must see no two owners and nothing that runs twice, callers must get
-// true refusals, and afterwards every key must be served again. The seeds that
-// once failed stay in the list. ROCKCROFT_TROUBLES=FROM-TO plays others.
+// TestRandomTroubles runs seeded sequences of overlapping faults under load. The oracle must
+// see no key with two owners and no request executed twice, no refused request may have been
+// executed, and afterwards every key must be served again. Seeds that once failed stay in the
+// list. ROCKCROFT_TROUBLES=FROM-TO runs other seeds.
 func TestRandomTroubles(t *testing.T) {
 	t.Parallel()
 	for _, seed := range faultSeeds(t) {
@@ -47,18 +47,18 @@
 }
 
 const (
-	// troubleSteps is the number of troubles in a series, troubleGap the longest
-	// pause between two.
+	// faultSteps is the number of fault changes in a run, maxFaultGap the longest pause between
+	// two of them.
 	faultSteps  = 14
 	maxFaultGap = 700 * time.Millisecond
 )
 
-// troubles is one series.
+// faultRun is one run of the test with its seed.
 type faultRun struct {
 	*testCluster
 	rng  *rand.Rand
 	next int
-	// mu guards gateways, which come and go under load.
+	// mu guards gateways, which are killed and started under load.
 	mu          sync.Mutex
 	stopClients chan struct{}
 	clients     sync.WaitGroup
@@ -96,7 +96,7 @@
 	p.t.Logf("%d served, %d refused", p.served.Load(), p.refused.Load())
 }
 
-// client sends requests of all kinds and checks the answers.
+// client sends requests of all kinds and checks the responses.
 func (p *faultRun) client(n int) {
 	for i := 0; ; i++ {
 		select {
@@ -134,7 +134,7 @@
 	}
 }
 
-// some returns a running gateway.
+// runningGateway returns a running gateway, starting the search at index i, or nil.
 func (p *faultRun) runningGateway(i int) *testGateway {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// upstreamAt returns a keyed upstream for even numbers, another for odd ones.
+// anyUpstream returns a random upstream.
 func (p *faultRun) anyUpstream() *upstream {
 	p.testCluster.mu.Lock()
 	defer p.testCluster.mu.Unlock()
@@ -154,7 +154,7 @@
 	return p.upstreams[names[p.rng.IntN(len(names))]]
 }
 
-// trouble begins one trouble, or ends some.
+// changeFaults starts one random fault, or ends some.
 func (p *faultRun) changeFaults() {
 	switch p.rng.IntN(10) {
 	case 0:
@@ -185,7 +185,7 @@
 	}
 }
 
-// killOne ends the leader or another gateway and starts a new one.
+// killOne kills the leader or any gateway and starts a new one.
 func (p *faultRun) killOne(leader bool) {
 	g := p.runningGateway(p.rng.IntN(8))
 	if l := p.leader(); leader && l != nil {
@@ -201,7 +201,7 @@
 	p.gateway(fmt.Sprintf("g%d", p.next))
 }
 
-// heal ends all troubles.
+// endFaults ends all faults.
 func (p *faultRun) endFaults() {
 	p.store.SetAll(metastore.Open)
 	for _, u := range p.upstreams {
@@ -210,7 +210,7 @@
 	}
 }
 
-// allServed reports whether keys all over the space are served.
+// allServed reports whether a sample of keys across the key space is served.
 func (p *faultRun) allServed() bool {
 	g := p.runningGateway(0)
 	if g == nil {
