--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -51,8 +51,8 @@
 	// suspendedNs is the time for which the clocks report that the machine was suspended, in
 	// nanoseconds.
 	suspendedNs *atomic.Int64
-	lines       *eventlog.Log
-	door        *metastore.Door
+	eventLog    *eventlog.Log
+	storeDoor   *metastore.Door
 	callers     string
 	// peersLink carries this gateway's responses to other gateways, storeLink the store's
 	// responses to it. Both are nil unless limitLinks is set.
@@ -188,20 +188,20 @@
 	for _, g := range b.gateways {
 		conf.Seeds = append(conf.Seeds, jsonc.Addr{AddrPort: netip.MustParseAddrPort(g.listeners.Peers.Addr().String())})
 	}
-	open, err := Listen(conf)
+	listeners, err := Listen(conf)
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	b.claim(callers, ready, peers)
 	if b.limitLinks {
-		peersLink = relay.Narrow(open.Peers, relay.Wide)
-		open.Peers = peersLink
+		peersLink = relay.Narrow(listeners.Peers, relay.Wide)
+		listeners.Peers = peersLink
 	}
-	lines := eventlog.New(time.Now)
+	eventLog := eventlog.New(time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	clock, asleep := suspendableClock()
 	g := &testGateway{
-		Gateway: newGateway(conf, open, lines, clock), suspendedNs: asleep, lines: lines, door: door, callers: open.Callers.Addr().String(),
+		Gateway: newGateway(conf, listeners, eventLog, clock), suspendedNs: asleep, eventLog: eventLog, storeDoor: door, callers: listeners.Callers.Addr().String(),
 		peersLink: peersLink, storeLink: storeLink, stop: cancel, done: make(chan struct{}),
 	}
 	if b.keepIdle {
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -143,25 +143,25 @@
 		}
 		specs = append(specs, spec)
 	}
-	for _, one := range []struct {
+	for _, encoding := range []struct {
 		name string
 		base []byte
 	}{{"whole", nil}, {"difference", specs[0]}} {
-		data, err := delta.Encode(one.base, specs[1])
+		data, err := delta.Encode(encoding.base, specs[1])
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.Run(one.name+"/made", func(b *testing.B) {
+		b.Run(encoding.name+"/made", func(b *testing.B) {
 			for b.Loop() {
-				if _, err := delta.Encode(one.base, specs[1]); err != nil {
+				if _, err := delta.Encode(encoding.base, specs[1]); err != nil {
 					b.Fatal(err)
 				}
 			}
 			b.ReportMetric(float64(len(data)), "part-bytes")
 		})
-		b.Run(one.name+"/taken", func(b *testing.B) {
+		b.Run(encoding.name+"/taken", func(b *testing.B) {
 			for b.Loop() {
-				spec, err := delta.Decode(one.base, data)
+				spec, err := delta.Decode(encoding.base, data)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/gateway/countconn.go
+++ b/gateway/countconn.go
@@ -64,9 +64,9 @@
 // closes a connection on which more bytes may arrive. It fails with errors.ErrUnsupported if
 // the underlying connection cannot do it.
 func (c *countingConn) CloseWrite() error {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
+	closer, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
 		return errors.ErrUnsupported
 	}
-	return half.CloseWrite()
+	return closer.CloseWrite()
 }
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -29,8 +29,8 @@
 type delivery struct {
 	*proxy
 	*request
-	results chan tryResult
-	running int
+	results      chan tryResult
+	runningTries int
 	// lastGrant is the grant of the most recent try; hedged is set once a hedge was attempted.
 	lastGrant dispatch.Grant
 	hedged    bool
@@ -63,12 +63,12 @@
 		if r.resp != nil {
 			d.fallback = r.resp
 		}
-		again := f.shouldRetry(ctx, q, r.grant, r.err)
-		if d.running > 0 {
+		retry := f.shouldRetry(ctx, q, r.grant, r.err)
+		if d.runningTries > 0 {
 			// The concurrent try may still succeed.
 			continue
 		}
-		if again {
+		if retry {
 			f.logRetry(q, r.grant, r.err)
 			if grant, err = f.acquire(ctx, q, false); err == nil {
 				d.startTry(ctx, grant)
@@ -85,7 +85,7 @@
 
 // startTry starts a try in the background.
 func (d *delivery) startTry(ctx context.Context, grant dispatch.Grant) {
-	d.running++
+	d.runningTries++
 	d.lastGrant = grant
 	if d.firstSentAt.IsZero() {
 		d.firstSentAt = d.now()
@@ -97,16 +97,16 @@
 // awaitTry waits for the result of a try. It returns false if the only running try becomes
 // overdue first.
 func (d *delivery) awaitTry() (r tryResult, ended bool) {
-	if d.hedged || d.running > 1 || !d.route.Idempotent || d.arrivedTries+d.running >= d.route.MaxAttempts {
+	if d.hedged || d.runningTries > 1 || !d.route.Idempotent || d.arrivedTries+d.runningTries >= d.route.MaxAttempts {
 		r = <-d.results
-		d.running--
+		d.runningTries--
 		return r, true
 	}
 	timer := time.NewTimer(patience.HedgeDelay(d.lastGrant.ExpectedLatency) - d.now().Sub(d.lastGrant.GrantedAt))
 	defer timer.Stop()
 	select {
 	case r = <-d.results:
-		d.running--
+		d.runningTries--
 		return r, true
 	case <-timer.C:
 		return tryResult{}, false
@@ -121,7 +121,7 @@
 		return
 	}
 	if !d.service.Keyed {
-		d.exclude = append(d.exclude, d.lastGrant.Instance.ID)
+		d.excluded = append(d.excluded, d.lastGrant.Instance.ID)
 	}
 	grant, err := d.acquire(ctx, d.request, true)
 	if err != nil {
@@ -139,7 +139,7 @@
 // shouldRetry updates the request after a failed try and reports whether it is sent again.
 func (f *proxy) shouldRetry(ctx context.Context, q *request, grant dispatch.Grant, err error) bool {
 	if !q.service.Keyed {
-		q.exclude = append(q.exclude, grant.Instance.ID)
+		q.excluded = append(q.excluded, grant.Instance.ID)
 	}
 	if errors.Is(err, pool.ErrNotSent) {
 		q.unsentTries++
--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -141,7 +141,7 @@
 	})
 	b.store.SetAll(metastore.Silent)
 	started := b.gateway("g9")
-	started.door.Set(metastore.Silent)
+	started.storeDoor.Set(metastore.Silent)
 	b.eventually("the new gateway is ready", func() bool { return started.Gateway.ready() })
 	if !started.view.evacuated("a") {
 		t.Error("a gateway serves that does not know of the evacuation")
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -78,7 +78,7 @@
 	// unread records the response headers that no code interprets.
 	unread *unreadHeaders
 	// open holds the requests in progress.
-	open *openRequests
+	openRequests *openRequests
 }
 
 // request is the state of one caller's request.
@@ -88,7 +88,7 @@
 	route *routing.Route
 	// service is the one that was picked from the route's services.
 	service    *routing.Service
-	traffic    *service
+	traffic    *serviceTraffic
 	key        uint16
 	body       []byte
 	target     string
@@ -100,7 +100,7 @@
 	deadline time.Time
 	// queueUntil is the latest time for the first assignment to an upstream.
 	queueUntil time.Time
-	exclude    []string
+	excluded   []string
 	// arrivedTries counts tries that reached an upstream or may have reached it, unsentTries
 	// those that certainly did not.
 	arrivedTries int
@@ -163,7 +163,7 @@
 		parent = context.WithoutCancel(parent)
 	}
 	ctx, cancel := context.WithTimeout(parent, q.deadline.Sub(f.now()))
-	ctx, end := f.open.add(ctx, q)
+	ctx, end := f.openRequests.add(ctx, q)
 	return ctx, func() {
 		end()
 		cancel()
@@ -230,21 +230,21 @@
 
 // readBody reads the whole body. It enforces the limits on one body and on the bytes of all
 // bodies held.
-func (f *proxy) readBody(q *request, most int64) error {
+func (f *proxy) readBody(q *request, limit int64) error {
 	if q.ContentLength == 0 || q.Body == http.NoBody {
 		return nil
 	}
-	if q.ContentLength > most {
-		return answer.New(answer.TooLarge, "the body has %d bytes, the limit is %d", q.ContentLength, most)
+	if q.ContentLength > limit {
+		return answer.New(answer.TooLarge, "the body has %d bytes, the limit is %d", q.ContentLength, limit)
 	}
 	if f.bodyBytes.Load()+max(q.ContentLength, 0) > f.maxBodyBytes {
 		return answer.New(answer.Overloaded, "the request bodies in memory have reached their limit")
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(nil, q.Body, most))
+	body, err := io.ReadAll(http.MaxBytesReader(nil, q.Body, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return answer.New(answer.TooLarge, "the body exceeds the limit of %d bytes", most)
+		return answer.New(answer.TooLarge, "the body exceeds the limit of %d bytes", limit)
 	case err != nil:
 		return answer.Wrap(answer.BadRequest, err)
 	}
@@ -263,7 +263,7 @@
 	for {
 		want := &dispatch.Request{
 			Priority: q.route.Priority, Objective: q.route.Objective, Deadline: q.deadline,
-			QueueUntil: q.queueUntil, Exclude: slices.Concat(q.exclude, f.suspects.avoid(q)),
+			QueueUntil: q.queueUntil, Exclude: slices.Concat(q.excluded, f.suspects.avoid(q)),
 		}
 		switch {
 		case atOnce:
@@ -303,9 +303,9 @@
 // try sends the request to one upstream and delivers the result to the channel.
 func (f *proxy) try(ctx context.Context, q *request, grant dispatch.Grant, results chan<- tryResult) {
 	suspected := f.suspects.began(q, grant)
-	resp, outcome, said, err := f.send(ctx, q, grant)
+	resp, outcome, feedback, err := f.send(ctx, q, grant)
 	f.suspects.ended(q, grant, suspected, outcome)
-	f.noticed(grant, said.notice, f.traffic.endTryWithFeedback(q.traffic, grant, outcome, said))
+	f.noticed(grant, feedback.notice, f.traffic.endTryWithFeedback(q.traffic, grant, outcome, feedback))
 	f.meters.inc(f.meters.service(tryOutcome, q.service.Name, f.domainClass(grant), outcome.String()))
 	results <- tryResult{grant: grant, resp: resp, err: err}
 }
@@ -337,24 +337,24 @@
 	if err != nil {
 		return nil, outcomeOfError(err), upstreamFeedback{}, err
 	}
-	said := upstreamFeedback{load: f.decodeLoad(resp), notice: f.notice(resp.Status, resp.Header)}
+	feedback := upstreamFeedback{load: f.decodeLoad(resp), notice: f.notice(resp.Status, resp.Header)}
 	f.limits.answered(grant, resp.Header)
 	f.unread.record(grant, resp.Header)
 	answer, outcome, err := classify(resp)
-	return answer, outcome, said, err
+	return answer, outcome, feedback, err
 }
 
 // checkBeforeSend is called when a connection is available. It returns an error if the request
 // must not be sent any more.
 func (f *proxy) checkBeforeSend(h http.Header, q *request, grant dispatch.Grant) error {
-	may, said := f.traffic.maySend(q.traffic, grant)
-	if !may {
+	allowed, change := f.traffic.maySend(q.traffic, grant)
+	if !allowed {
 		return errUpstreamClosed
 	}
 	if err := f.setTimeLeft(h, q); err != nil {
 		return err
 	}
-	f.countNoticed(grant, said)
+	f.countNoticed(grant, change)
 	return nil
 }
 
@@ -392,7 +392,7 @@
 	f.closeWhenDraining(h)
 	w.WriteHeader(resp.Status)
 	if _, err := w.Write(resp.Body); err != nil {
-		f.meters.inc(answersLost)
+		f.meters.inc(responsesNotWritten)
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -96,29 +96,29 @@
 
 // Gateway is one gateway process.
 type Gateway struct {
-	conf  settings.Gateway
-	log   *slog.Logger
-	lines *eventlog.Log
+	conf     settings.Gateway
+	log      *slog.Logger
+	eventLog *eventlog.Log
 	// clock counts suspensions of the machine. now reads it; the validity of all leases and
 	// grants is measured with it.
-	clock     *bootclock.Clock
-	now       func() time.Time
-	meters    *meters
-	view      *view
-	traffic   *traffic
-	cluster   *cluster
-	follower  *follower
-	watcher   *watcher
-	calls     *storeCaller
-	steward   *steward
-	leading   *leading
-	proxy     *proxy
-	conns     *pool.Pool
-	gaps      *ownerGaps
-	limits    *namedLimits
-	suspects  *suspects
-	draining  atomic.Bool
-	listeners Listeners
+	clock      *bootclock.Clock
+	now        func() time.Time
+	meters     *meters
+	view       *view
+	traffic    *traffic
+	cluster    *cluster
+	follower   *follower
+	watcher    *watcher
+	storeCalls *storeCaller
+	steward    *steward
+	leading    *leading
+	proxy      *proxy
+	conns      *pool.Pool
+	gaps       *ownerGaps
+	limits     *namedLimits
+	suspects   *suspects
+	draining   atomic.Bool
+	listeners  Listeners
 	// killed ends Run without a graceful stop, for tests of lost processes.
 	killed chan struct{}
 }
@@ -161,14 +161,14 @@
 }
 
 // New assembles a gateway that serves on open listeners.
-func New(conf settings.Gateway, open Listeners, lines *eventlog.Log) *Gateway {
-	return newGateway(conf, open, lines, bootclock.New())
+func New(conf settings.Gateway, listeners Listeners, eventLog *eventlog.Log) *Gateway {
+	return newGateway(conf, listeners, eventLog, bootclock.New())
 }
 
 // newGateway is New with a given clock.
-func newGateway(conf settings.Gateway, open Listeners, lines *eventlog.Log, clock *bootclock.Clock) *Gateway {
-	log := lines.Logger(logLevel(conf.LogLevel)).With("node", conf.Node)
-	g := &Gateway{conf: conf, lines: lines, listeners: open, killed: make(chan struct{}), log: log, clock: clock, now: clock.Now, meters: newMeters(), view: newView()}
+func newGateway(conf settings.Gateway, listeners Listeners, eventLog *eventlog.Log, clock *bootclock.Clock) *Gateway {
+	log := eventLog.Logger(logLevel(conf.LogLevel)).With("node", conf.Node)
+	g := &Gateway{conf: conf, eventLog: eventLog, listeners: listeners, killed: make(chan struct{}), log: log, clock: clock, now: clock.Now, meters: newMeters(), view: newView()}
 	seeds := [2]uint64{mathrand.Uint64(), mathrand.Uint64()}
 	rng := mathrand.New(mathrand.NewPCG(seeds[0], seeds[1]))
 	g.traffic = newTraffic(conf, g.now, rng)
@@ -179,15 +179,15 @@
 	g.limits = newNamedLimits(g.view, g.now, log, g.meters)
 	g.limits.onChange = g.limitsChanged
 	self := &syncpb.Member{
-		Node: conf.Node, Address: open.Peers.Addr().String(), Domain: conf.Domain, Incarnation: incarnation(),
+		Node: conf.Node, Address: listeners.Peers.Addr().String(), Domain: conf.Domain, Incarnation: incarnation(),
 		Strength: uint32(strengthUnits * conf.Strength),
 	}
 	client := &http.Client{Transport: &arrivals{base: &http.Transport{
-		DialContext:         countReads((&net.Dialer{Timeout: reportTimeout}).DialContext, g.meters.counter(newsIn)),
+		DialContext:         countReads((&net.Dialer{Timeout: reportTimeout}).DialContext, g.meters.counter(newsBytesIn)),
 		MaxIdleConnsPerHost: 4, IdleConnTimeout: defaultIdleTimeout,
 	}}}
 	g.cluster = newCluster(self, client, g.now, mathrand.New(mathrand.NewPCG(seeds[1], seeds[0])))
-	g.calls = &storeCaller{
+	g.storeCalls = &storeCaller{
 		conns: pool.New(storeLimits, g.now), address: conf.Store.String(), relays: g.cluster.some, leads: g.cluster.isLeading,
 		now: g.now, log: log, meters: g.meters, lastOK: g.now(),
 	}
@@ -197,10 +197,10 @@
 		g.suspects.viewChanged(v)
 	}
 	unread := newUnreadHeaders(g.now, log, g.meters)
-	store := platform.NewStore(g.calls)
+	store := platform.NewStore(g.storeCalls)
 	evac := newEvacuations(g.view, g.now, log, g.meters)
 	g.watcher = newWatcher(store, g.view, evac, g.now, log, g.meters, seeds[0])
-	g.calls.onReturn = g.watcher.returned
+	g.storeCalls.onReturn = g.watcher.returned
 	g.follower = &follower{
 		view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now, log: log, meters: g.meters,
 		began: g.now(), evac: evac, limits: g.limits, suspects: g.suspects,
@@ -213,13 +213,13 @@
 	}
 	g.conns = pool.New(upstreamLimits, g.now)
 	g.steward = &steward{
-		view: g.view, cluster: g.cluster, traffic: g.traffic, store: store, calls: g.calls,
+		view: g.view, cluster: g.cluster, traffic: g.traffic, store: store, calls: g.storeCalls,
 		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newTurns(mostGrantCalls), longest: conf.LongestHold.D(),
 		now: g.now, log: log, meters: g.meters, workTimes: newWorkTimes(g.view, g.now), limits: g.limits,
 		rights: &rights{view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now},
 	}
 	g.leading = &leading{
-		store: store, calls: g.calls, cluster: g.cluster, follower: g.follower, watcher: g.watcher,
+		store: store, calls: g.storeCalls, cluster: g.cluster, follower: g.follower, watcher: g.watcher,
 		steward: g.steward, now: g.now, log: log, firstRank: firstRank(conf),
 		promises: newPromises(g.now), longest: conf.LongestHold.D(),
 	}
@@ -232,7 +232,7 @@
 	g.follower.setOwn = g.steward.setOwn
 	g.proxy = &proxy{
 		view: g.view, traffic: g.traffic, splitter: routing.NewSplitter(), conns: g.conns, now: g.now,
-		log: log, meters: g.meters, domain: conf.Domain, gaps: g.gaps, limits: g.limits, suspects: g.suspects, unread: unread, open: newOpenRequests(),
+		log: log, meters: g.meters, domain: conf.Domain, gaps: g.gaps, limits: g.limits, suspects: g.suspects, unread: unread, openRequests: newOpenRequests(),
 		maxBodyBytes: int64(conf.Memory) * megabyte / bodyMemoryDivisor, configurationAge: g.configurationAge,
 	}
 	g.clock.OnSuspended(g.woken)
@@ -301,7 +301,7 @@
 		go func() { failed <- fmt.Errorf("%s: %w", name, server.Serve(l)) }()
 	}
 	serve("ready", g.listeners.Ready, g.readyHandler())
-	serve("peers", writeCountingListener{g.listeners.Peers, g.meters.counter(newsOut)}, g.peerHandler())
+	serve("peers", writeCountingListener{g.listeners.Peers, g.meters.counter(newsBytesOut)}, g.peerHandler())
 	serve("metrics", g.listeners.Metrics, g.metricsHandler())
 	g.log.Info("started", "pid", os.Getpid(), "incarnation", g.cluster.self.Incarnation,
 		"version", version(), "settings", settingsDigest(g.conf))
@@ -387,14 +387,14 @@
 	g.log.Info("stopping", "cause", cause)
 	ctx, cancel := context.WithTimeout(context.Background(), g.conf.StopLimit.D()-stopReserve)
 	defer cancel()
-	var resigned sync.WaitGroup
-	resigned.Go(func() { g.leading.resign(ctx) })
+	var resigning sync.WaitGroup
+	resigning.Go(func() { g.leading.resign(ctx) })
 	pause(ctx, began.Add(g.conf.DrainNotice.D()).Sub(g.now()))
 	if err := server.Shutdown(ctx); err != nil {
 		g.log.Warn("requests aborted because the stop took too long", "error", err)
 		_ = server.Close()
 	}
-	resigned.Wait()
+	resigning.Wait()
 	g.log.Info("stopped", "took_ms", g.now().Sub(began).Milliseconds())
 }
 
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -10,12 +10,12 @@
 // updateGauges sets the gauges, whose values are computed when the metrics are served.
 func (g *Gateway) updateGauges() {
 	m := g.meters
-	m.gauge(logWritten, g.lines.Written())
-	m.gauge(logDropped, g.lines.Dropped())
+	m.gauge(logWritten, g.eventLog.Written())
+	m.gauge(logDropped, g.eventLog.Dropped())
 	m.gauge(leaderLeading, boolGauge(g.cluster.isLeading()))
 	m.gauge(leaderMayAct, boolGauge(g.leading.mayAct()))
 	m.gauge(clusterSize, int64(g.cluster.gateways()))
-	m.gauge(storeAway, boolGauge(g.calls.away()))
+	m.gauge(storeUnreachable, boolGauge(g.storeCalls.away()))
 	g.updateViewGauges()
 	g.updateServiceGauges()
 	g.gaps.updateGauges()
@@ -27,7 +27,7 @@
 	m.gauge(connOpened, int64(stats.Opened))
 	m.gauge(connReused, int64(stats.Reused))
 	m.gauge(connStale, int64(stats.Stale))
-	m.gauge(connForeign, int64(stats.Foreign))
+	m.gauge(connForeignResponses, int64(stats.Foreign))
 	m.gauge(connDistrusted, int64(stats.Distrusted))
 }
 
@@ -63,9 +63,9 @@
 	for name, s := range g.traffic.all() {
 		e := g.traffic.explain(s, "")
 		m.gauge(m.service(queueWaiting, name), int64(e.Waiting))
-		m.gauge(m.service(roomSlots, name), int64(e.Slots))
-		m.gauge(m.service(roomInFlight, name), int64(e.OwnInflight)+int64(e.OthersInflight))
-		m.gauge(m.service(roomUsable, name), int64(e.Usable))
+		m.gauge(m.service(capacitySlots, name), int64(e.Slots))
+		m.gauge(m.service(capacityInFlight, name), int64(e.OwnInflight)+int64(e.OthersInflight))
+		m.gauge(m.service(capacityUsable, name), int64(e.Usable))
 		m.gauge(m.service(budgetLeft, name), int64(g.traffic.retriesLeft(s)))
 	}
 }
@@ -102,15 +102,15 @@
 func (o *ownerGaps) setTable(t *spans.Table) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	one := o.services[t.Service]
-	if one == nil {
-		one = &ownerGap{}
-		o.services[t.Service] = one
+	gap := o.services[t.Service]
+	if gap == nil {
+		gap = &ownerGap{}
+		o.services[t.Service] = gap
 	}
 	now := o.now()
-	one.table, one.changedAt = t, now
-	for _, without := range one.Note(now, t) {
-		o.meters.recordDuration(o.meters.service(ownersWithout, t.Service), without)
+	gap.table, gap.changedAt = t, now
+	for _, duration := range gap.Note(now, t) {
+		o.meters.recordDuration(o.meters.service(ownerGapDuration, t.Service), duration)
 	}
 }
 
@@ -131,9 +131,9 @@
 	defer o.mu.Unlock()
 	now := o.now()
 	for name, one := range o.services {
-		o.meters.gauge(o.meters.service(ownersNone, name), int64(one.table.Unowned()))
-		o.meters.gauge(o.meters.service(ownersLongest, name), one.Longest(now).Milliseconds())
+		o.meters.gauge(o.meters.service(keysWithoutOwner, name), int64(one.table.Unowned()))
+		o.meters.gauge(o.meters.service(longestOwnerGap, name), one.Longest(now).Milliseconds())
 		o.meters.gauge(o.meters.service(ownersSpans, name), int64(len(one.table.Spans)))
-		o.meters.gauge(o.meters.service(ownersAge, name), now.Sub(one.changedAt).Milliseconds())
+		o.meters.gauge(o.meters.service(ownersUnchanged, name), now.Sub(one.changedAt).Milliseconds())
 	}
 }
--- a/gateway/handlers.go
+++ b/gateway/handlers.go
@@ -49,7 +49,7 @@
 
 func (g *Gateway) peerHandler() http.Handler {
 	server := &peerServer{
-		view: g.view, cluster: g.cluster, store: g.calls, steward: g.steward, traffic: g.traffic,
+		view: g.view, cluster: g.cluster, store: g.storeCalls, steward: g.steward, traffic: g.traffic,
 		promises: g.leading.promises, follower: g.follower, watcher: g.watcher,
 		parts: &parts{}, log: g.log, sieve: g.follower.sieve, evac: g.follower.evac, limits: g.limits, suspects: g.suspects,
 	}
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -41,7 +41,7 @@
 // sent counts a request that is sent to an upstream which names a limit.
 func (n *namedLimits) sent(g dispatch.Grant) {
 	if _, ok := n.of(&g.Instance); ok {
-		n.meters.inc(n.meters.service(limitSent, g.Instance.Service))
+		n.meters.inc(n.meters.service(limitedTries, g.Instance.Service))
 	}
 }
 
@@ -142,6 +142,6 @@
 		}
 	}
 	for _, service := range v.Services() {
-		n.meters.gauge(n.meters.service(limitNamed, service), int64(named[service]))
+		n.meters.gauge(n.meters.service(limitsAnnounced, service), int64(named[service]))
 	}
 }
--- a/gateway/limitsight_test.go
+++ b/gateway/limitsight_test.go
@@ -18,7 +18,7 @@
 	var out lockedBuffer
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go g.lines.Run(ctx, &out)
+	go g.eventLog.Run(ctx, &out)
 	only.Name(1000)
 	for range 3 {
 		b.mustRequest(g, http.MethodPost, "/pay/x", -1)
--- a/gateway/meternames.go
+++ b/gateway/meternames.go
@@ -14,82 +14,82 @@
 
 // Patterns of metric names. The methods of meters fill in the parts in braces.
 const (
-	routeOutcome         = "route.{route}.{outcome}"
-	routeTries           = "route.{route}.tries"
-	routeRepeated        = "route.{route}.repeated"
-	routeHedged          = "route.{route}.hedged"
-	routeRead            = "route.{route}.read_us"
-	routeWait            = "route.{route}.wait_us"
-	routeUpstream        = "route.{route}.upstream_us"
-	routeTotal           = "route.{route}.total_us"
-	tryOutcome           = "tries.{service}.{class}.{outcome}"
-	budgetLeft           = "budget.{service}.left"
-	budgetRefused        = "budget.{service}.refused"
-	queueWaiting         = "queue.{service}.waiting"
-	roomSlots            = "room.{service}.slots"
-	roomInFlight         = "room.{service}.in_flight"
-	roomUsable           = "room.{service}.usable_upstreams"
-	ownersNone           = "owners.{service}.keys_without_owner"
-	ownersLongest        = "owners.{service}.longest_without_owner_ms"
-	ownersWithout        = "owners.{service}.without_owner_us"
-	ownersSpans          = "owners.{service}.spans"
-	ownersBusiest        = "owners.{service}.busiest_percent"
-	ownersMean           = "owners.{service}.mean_percent"
-	ownersMoving         = "owners.{service}.moving"
-	ownersFailing        = "owners.{service}.failing_upstreams"
-	ownersUnanswered     = "owners.{service}.calls_unanswered"
-	storeCall            = "store.{kind}.{operation}.{answer}"
-	storeRelayed         = "store.relayed"
-	storeSought          = "store.sought"
-	watchHeard           = "watch.{kind}.heard_ms_ago"
-	storeAway            = "store.away"
-	storeIn              = "store.bytes_in"
-	upstreamsUnsound     = "view.unsound.{source}"
-	evacuationsUnsound   = "view.evacuations_unsound"
-	viewEvacuated        = "view.evacuated_domains"
-	viewEvacRevision     = "view.evacuations_revision"
-	reportAnswer         = "reports.{answer}"
-	newsIn               = "news.bytes_in"
-	newsOut              = "news.bytes_out"
-	viewVersion          = "view.configuration_version"
-	viewUpstreams        = "view.upstreams"
-	viewRevision         = "view.upstreams_revision"
-	viewAge              = "view.age_ms"
-	ownersAge            = "owners.{service}.unchanged_ms"
-	viewConfigurationAge = "view.configuration_age_ms"
-	partsFetched         = "news.parts_fetched"
-	partsLeft            = "news.parts_left"
-	piecesFetched        = "news.pieces_fetched"
-	piecesFailed         = "news.pieces_failed"
-	leaderHeard          = "view.leader_heard_ms_ago"
-	leaderLeading        = "leader.leading"
-	leaderMayAct         = "leader.may_act"
-	clusterSize          = "cluster.gateways"
-	connOpened           = "connections.opened"
-	connReused           = "connections.reused"
-	connStale            = "connections.stale"
-	connForeign          = "connections.foreign_answers"
-	connDistrusted       = "connections.distrusted"
-	answersLost          = "answers.not_taken"
-	loadsUnsound         = "answers.load_unsound"
-	limitsUnsound        = "answers.limit_unsound"
-	suspectsKnown        = "suspects.known"
-	suspectsStopped      = "suspects.stopped"
-	suspectsCrashes      = "suspects.crashes"
-	suspectsRefused      = "suspects.refused"
-	suspectsUnsound      = "suspects.unsound"
-	limitNamed           = "limits.{service}.named"
-	limitSent            = "limits.{service}.sent"
-	answersUnread        = "answers.{service}.unread_headers"
-	restsUnsound         = "answers.rest_unsound"
-	noticesLeaving       = "notices.{service}.leaving"
-	noticesResting       = "notices.{service}.resting"
-	noticesSentLeaving   = "notices.{service}.sent_to_leaving"
-	noticesSentResting   = "notices.{service}.sent_to_resting"
-	clockSuspensions     = "clock.suspensions"
-	clockSuspended       = "clock.suspended_ms"
-	logWritten           = "log.lines_written"
-	logDropped           = "log.lines_dropped"
+	routeOutcome          = "route.{route}.{outcome}"
+	routeTries            = "route.{route}.tries"
+	routeRepeated         = "route.{route}.repeated"
+	routeHedged           = "route.{route}.hedged"
+	routeRead             = "route.{route}.read_us"
+	routeWait             = "route.{route}.wait_us"
+	routeUpstream         = "route.{route}.upstream_us"
+	routeTotal            = "route.{route}.total_us"
+	tryOutcome            = "tries.{service}.{class}.{outcome}"
+	budgetLeft            = "budget.{service}.left"
+	budgetRefused         = "budget.{service}.refused"
+	queueWaiting          = "queue.{service}.waiting"
+	capacitySlots         = "room.{service}.slots"
+	capacityInFlight      = "room.{service}.in_flight"
+	capacityUsable        = "room.{service}.usable_upstreams"
+	keysWithoutOwner      = "owners.{service}.keys_without_owner"
+	longestOwnerGap       = "owners.{service}.longest_without_owner_ms"
+	ownerGapDuration      = "owners.{service}.without_owner_us"
+	ownersSpans           = "owners.{service}.spans"
+	ownersBusiest         = "owners.{service}.busiest_percent"
+	ownersMean            = "owners.{service}.mean_percent"
+	ownersMoving          = "owners.{service}.moving"
+	ownersFailing         = "owners.{service}.failing_upstreams"
+	ownersUnanswered      = "owners.{service}.calls_unanswered"
+	storeCall             = "store.{kind}.{operation}.{answer}"
+	storeRelayed          = "store.relayed"
+	storeSearchRounds     = "store.sought"
+	watchHeard            = "watch.{kind}.heard_ms_ago"
+	storeUnreachable      = "store.away"
+	storeBytesIn          = "store.bytes_in"
+	upstreamsUnsound      = "view.unsound.{source}"
+	evacuationsUnsound    = "view.evacuations_unsound"
+	viewEvacuated         = "view.evacuated_domains"
+	viewEvacRevision      = "view.evacuations_revision"
+	reportAnswer          = "reports.{answer}"
+	newsBytesIn           = "news.bytes_in"
+	newsBytesOut          = "news.bytes_out"
+	viewVersion           = "view.configuration_version"
+	viewUpstreams         = "view.upstreams"
+	viewRevision          = "view.upstreams_revision"
+	viewAge               = "view.age_ms"
+	ownersUnchanged       = "owners.{service}.unchanged_ms"
+	viewConfigurationAge  = "view.configuration_age_ms"
+	partsFetched          = "news.parts_fetched"
+	partsLeft             = "news.parts_left"
+	piecesFetched         = "news.pieces_fetched"
+	piecesFailed          = "news.pieces_failed"
+	leaderHeard           = "view.leader_heard_ms_ago"
+	leaderLeading         = "leader.leading"
+	leaderMayAct          = "leader.may_act"
+	clusterSize           = "cluster.gateways"
+	connOpened            = "connections.opened"
+	connReused            = "connections.reused"
+	connStale             = "connections.stale"
+	connForeignResponses  = "connections.foreign_answers"
+	connDistrusted        = "connections.distrusted"
+	responsesNotWritten   = "answers.not_taken"
+	loadsUnsound          = "answers.load_unsound"
+	limitsUnsound         = "answers.limit_unsound"
+	suspectsKnown         = "suspects.known"
+	suspectsStopped       = "suspects.stopped"
+	suspectsCrashes       = "suspects.crashes"
+	suspectsRefused       = "suspects.refused"
+	suspectsUnsound       = "suspects.unsound"
+	limitsAnnounced       = "limits.{service}.named"
+	limitedTries          = "limits.{service}.sent"
+	unreadResponseHeaders = "answers.{service}.unread_headers"
+	restsUnsound          = "answers.rest_unsound"
+	noticesLeaving        = "notices.{service}.leaving"
+	noticesResting        = "notices.{service}.resting"
+	noticesSentLeaving    = "notices.{service}.sent_to_leaving"
+	noticesSentResting    = "notices.{service}.sent_to_resting"
+	clockSuspensions      = "clock.suspensions"
+	clockSuspended        = "clock.suspended_ms"
+	logWritten            = "log.lines_written"
+	logDropped            = "log.lines_dropped"
 )
 
 // catalog lists all metrics.
@@ -106,12 +106,12 @@
 	{budgetLeft, "tries", "retries that this gateway may still make in the window"},
 	{budgetRefused, "tries", "retries not made because the budget was used up"},
 	{queueWaiting, "requests", "waiting in this gateway's queue"},
-	{roomSlots, "requests", "slots of all known upstreams"},
-	{roomInFlight, "requests", "in flight at the upstreams, from this gateway and as reported by the others"},
-	{roomUsable, "upstreams", "that may currently get requests"},
-	{ownersNone, "keys", "without an owner, according to this gateway's view"},
-	{ownersLongest, "ms", "the longest time that a key has been without an owner so far"},
-	{ownersWithout, "µs", "time that spans of keys were without an owner, recorded when they get one"},
+	{capacitySlots, "requests", "slots of all known upstreams"},
+	{capacityInFlight, "requests", "in flight at the upstreams, from this gateway and as reported by the others"},
+	{capacityUsable, "upstreams", "that may currently get requests"},
+	{keysWithoutOwner, "keys", "without an owner, according to this gateway's view"},
+	{longestOwnerGap, "ms", "the longest time that a key has been without an owner so far"},
+	{ownerGapDuration, "µs", "time that spans of keys were without an owner, recorded when they get one"},
 	{ownersSpans, "spans", "ranges of consecutive keys with one owner"},
 	{ownersBusiest, "percent", "utilization of the most utilized owner, from the demand for its keys; only in the leader"},
 	{ownersMean, "percent", "utilization of all upstreams together; only in the leader"},
@@ -120,17 +120,17 @@
 	{ownersUnanswered, "calls", "grants, renewals, releases and trial calls that were sent and got no response"},
 	{storeCall, "calls", "direct calls by kind of object, operation (list, get, watch, create, replace, remove) and answer: a status code or `none`"},
 	{storeRelayed, "calls", "store calls relayed by another gateway"},
-	{storeSought, "rounds", "in which other gateways were asked for changes because a pending watch received nothing"},
+	{storeSearchRounds, "rounds", "in which other gateways were asked for changes because a pending watch received nothing"},
 	{watchHeard, "ms", "since this gateway's own list or watch of this kind of objects last got a response, even without changes; it only watches while it leads or hears from no leader"},
-	{storeAway, "0 or 1", "the store is unreachable, both directly and through other gateways"},
-	{storeIn, "bytes", "bodies of complete responses to direct calls"},
+	{storeUnreachable, "0 or 1", "the store is unreachable, both directly and through other gateways"},
+	{storeBytesIn, "bytes", "bodies of complete responses to direct calls"},
 	{upstreamsUnsound, "upstreams", "for which an invalid value was received and dropped, by source: entry (in the store), news or report (other gateways)"},
 	{evacuationsUnsound, "evacuations", "received and dropped because the failure domain had no name or no revision or was beyond the bound"},
 	{viewEvacuated, "failure domains", "evacuated, according to this gateway's view"},
 	{viewEvacRevision, "revision", "the highest revision of evacuations that this gateway knows"},
 	{reportAnswer, "reports", "to other gateways, including those of a search for the leader, by outcome: ok, late (no complete response in time), refused (connection refused), failed (any other error), stale (answered by a gateway that has not heard from the leader)"},
-	{newsIn, "bytes", "read from connections to other gateways: their responses, complete or not"},
-	{newsOut, "bytes", "written to connections from other gateways and operators: responses to them, complete or not"},
+	{newsBytesIn, "bytes", "read from connections to other gateways: their responses, complete or not"},
+	{newsBytesOut, "bytes", "written to connections from other gateways and operators: responses to them, complete or not"},
 	{viewVersion, "version", "configuration in force"},
 	{viewUpstreams, "upstreams", "registered"},
 	{viewRevision, "revision", "of the view of upstreams"},
@@ -140,7 +140,7 @@
 	{partsLeft, "parts", "whose fetch did not complete; what has arrived is kept for the next try"},
 	{piecesFetched, "pieces", "of parts"},
 	{piecesFailed, "pieces", "that did not arrive in time or that the other gateway no longer had"},
-	{ownersAge, "ms", "since the owners of the service last changed in this gateway's view"},
+	{ownersUnchanged, "ms", "since the owners of the service last changed in this gateway's view"},
 	{leaderHeard, "ms", "since the leader was last heard; 0 in the leader"},
 	{leaderLeading, "0 or 1", "this gateway leads"},
 	{leaderMayAct, "0 or 1", "this gateway leads and its lease has not expired"},
@@ -148,9 +148,9 @@
 	{connOpened, "connections", "opened to upstreams"},
 	{connReused, "requests", "sent on reused connections"},
 	{connStale, "connections", "idle ones that turned out to be closed when they were to be reused"},
-	{connForeign, "answers", "that belong to a different request than the one sent"},
+	{connForeignResponses, "answers", "that belong to a different request than the one sent"},
 	{connDistrusted, "connections", "idle ones closed after another connection to the same address stopped responding"},
-	{answersLost, "answers", "that could not be written to the client"},
+	{responsesNotWritten, "answers", "that could not be written to the client"},
 	{loadsUnsound, "answers", "that reported an invalid load of the upstream; it was dropped"},
 	{limitsUnsound, "answers", "that announced an invalid limit of the upstream; it was dropped"},
 	{suspectsKnown, "requests", "suspect requests remembered by this gateway: in progress at an upstream when it crashed"},
@@ -158,9 +158,9 @@
 	{suspectsCrashes, "crashes", "crashes of upstreams with requests in progress, as seen by this gateway, counted once per request"},
 	{suspectsRefused, "requests", "refused by this gateway because they have crashed too many upstreams"},
 	{suspectsUnsound, "messages", "of other gateways about suspect requests that were beyond the bound and dropped"},
-	{limitNamed, "upstreams", "that announce a limit on the requests from all gateways together, according to this gateway's view"},
-	{limitSent, "tries", "sent by this gateway to upstreams that announce a limit"},
-	{answersUnread, "headers", "of upstreams' responses that no code interprets, counted once per response"},
+	{limitsAnnounced, "upstreams", "that announce a limit on the requests from all gateways together, according to this gateway's view"},
+	{limitedTries, "tries", "sent by this gateway to upstreams that announce a limit"},
+	{unreadResponseHeaders, "headers", "of upstreams' responses that no code interprets, counted once per response"},
 	{restsUnsound, "answers", "that asked for an invalid rest (a pause in requests); it was dropped"},
 	{noticesLeaving, "upstreams", "that have announced to this gateway that they are leaving"},
 	{noticesResting, "upstreams", "that have asked this gateway for a rest that has not ended"},
--- a/gateway/meters.go
+++ b/gateway/meters.go
@@ -35,7 +35,7 @@
 }
 
 // label returns the label, or otherLabel if the family has reached its bound.
-func (m *meters) label(family, label string) string {
+func (m *meters) boundedLabel(family, label string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known := m.labels[family]
@@ -61,12 +61,12 @@
 
 // route fills in a pattern whose first label is a route.
 func (m *meters) route(pattern, route string, labels ...string) string {
-	return fillPattern(pattern, append([]string{m.label(routeFamily, route)}, labels...)...)
+	return fillPattern(pattern, append([]string{m.boundedLabel(routeFamily, route)}, labels...)...)
 }
 
 // service fills in a pattern whose first label is a service.
 func (m *meters) service(pattern, service string, labels ...string) string {
-	return fillPattern(pattern, append([]string{m.label(serviceFamily, service)}, labels...)...)
+	return fillPattern(pattern, append([]string{m.boundedLabel(serviceFamily, service)}, labels...)...)
 }
 
 // counter returns the counter of that name and registers it if it does not exist.
--- a/gateway/meters_test.go
+++ b/gateway/meters_test.go
@@ -98,8 +98,8 @@
 		{routeTotal, "route.r-1.total", false},
 		{tryOutcome, "tries.s.own.full", true},
 		{tryOutcome, "tries.s", false},
-		{storeAway, "store.away", true},
-		{storeAway, "store.away.x", false},
+		{storeUnreachable, "store.away", true},
+		{storeUnreachable, "store.away.x", false},
 	} {
 		if got := patternMatches(c.pattern, c.name); got != c.want {
 			t.Errorf("%s describes %s: %t", c.pattern, c.name, got)
@@ -119,7 +119,7 @@
 	if n != maxLabels+1 {
 		t.Errorf("%d counters", n)
 	}
-	if got := m.label(routeFamily, "r0"); got != "r0" {
+	if got := m.boundedLabel(routeFamily, "r0"); got != "r0" {
 		t.Errorf("a known route is counted as %s", got)
 	}
 }
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -232,7 +232,7 @@
 	}
 	leader.peersLink.SetRate(0)
 	cut.peersLink.SetRate(0)
-	cut.door.Set(metastore.Silent)
+	cut.storeDoor.Set(metastore.Silent)
 	next := config(4)
 	added := next.Routes["read"]
 	added.Path = "/added/"
@@ -253,7 +253,7 @@
 	if last.header.Get(header.Kind) != string(answer.NoRight) || last.header.Get(header.Ran) != string(answer.NotRun) || last.header.Get("Retry-After") == "" {
 		t.Errorf("refused with %q: %v", last.body, last.header)
 	}
-	cut.door.Set(metastore.Open)
+	cut.storeDoor.Set(metastore.Open)
 	leader.peersLink.SetRate(relay.Wide)
 	cut.peersLink.SetRate(relay.Wide)
 	b.eventually("the new route everywhere", func() bool { return b.allHaveConfiguration(next.Version) })
@@ -297,10 +297,10 @@
 	other = b.gateway("g1")
 	b.ready()
 	b.eventually("both in touch", func() bool { return b.leader() == leader && leader.cluster.gateways() == 2 })
-	lists := other.door.Lists()
+	lists := other.storeDoor.Lists()
 	leader.peersLink.SetRate(0)
 	b.eventually("the other has listed the upstreams", func() bool {
-		return other.door.Lists() > lists && !sameUpstreams(other, leader)
+		return other.storeDoor.Lists() > lists && !sameUpstreams(other, leader)
 	})
 	leader.peersLink.SetRate(relay.Wide)
 	b.eventually("the other has the leader's view", func() bool {
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -42,7 +42,7 @@
 
 // maySend reports whether a request that was granted may go to its upstream now, and what that has
 // said of itself.
-func (t *traffic) maySend(s *service, g dispatch.Grant) (bool, notice.State) {
+func (t *traffic) maySend(s *serviceTraffic, g dispatch.Grant) (bool, notice.State) {
 	now := t.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/noticesight_test.go
+++ b/gateway/noticesight_test.go
@@ -18,7 +18,7 @@
 	var out lockedBuffer
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go g.lines.Run(ctx, &out)
+	go g.eventLog.Run(ctx, &out)
 	leaving.Leave()
 	resting.Rest("30")
 	b.eventually("both have been asked", func() bool {
--- a/gateway/requestlog_test.go
+++ b/gateway/requestlog_test.go
@@ -55,7 +55,7 @@
 	var out lockedBuffer
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go g.lines.Run(ctx, &out)
+	go g.eventLog.Run(ctx, &out)
 	b.upstreams["i-p0"].Set(instance.Sheds)
 	b.upstreams["i-p1"].Set(instance.Sheds)
 	refused := b.request(g, http.MethodPost, "/pay/x", -1)
--- a/gateway/sight_test.go
+++ b/gateway/sight_test.go
@@ -29,7 +29,7 @@
 	// heardMs is the time since it heard from the leader, as it reports it.
 	heardMs atomic.Uint32
 	// next replaces the handler while it is set.
-	next atomic.Pointer[http.HandlerFunc]
+	handler atomic.Pointer[http.HandlerFunc]
 }
 
 // Sync implements syncpb.Peer.
@@ -39,7 +39,7 @@
 
 // ServeHTTP implements http.Handler.
 func (p *fakeParent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if h := p.next.Load(); h != nil {
+	if h := p.handler.Load(); h != nil {
 		(*h)(w, r)
 		return
 	}
@@ -49,10 +49,10 @@
 // answer sets the handler of reports; nil restores Sync.
 func (p *fakeParent) answer(h http.HandlerFunc) {
 	if h == nil {
-		p.next.Store(nil)
+		p.handler.Store(nil)
 		return
 	}
-	p.next.Store(&h)
+	p.handler.Store(&h)
 }
 
 // stall sends part of a response and waits until the report is cancelled.
@@ -73,10 +73,10 @@
 	t.Helper()
 	m, now := newMeters(), time.Now
 	server := httptest.NewUnstartedServer(p)
-	server.Listener = writeCountingListener{server.Listener, m.counter(newsOut)}
+	server.Listener = writeCountingListener{server.Listener, m.counter(newsBytesOut)}
 	server.Start()
 	t.Cleanup(server.Close)
-	transport := &http.Transport{DialContext: countReads((&net.Dialer{}).DialContext, m.counter(newsIn))}
+	transport := &http.Transport{DialContext: countReads((&net.Dialer{}).DialContext, m.counter(newsBytesIn))}
 	t.Cleanup(transport.CloseIdleConnections)
 	self := &syncpb.Member{Node: "g", Address: "127.0.0.1:1", Domain: "a"}
 	log = &bytes.Buffer{}
@@ -130,7 +130,7 @@
 	t.Parallel()
 	p := &fakeParent{}
 	f, parent, log := newReportingFollower(t, p)
-	dark := refusingAddress(t)
+	unreachable := refusingAddress(t)
 	const long = 2 * uint32(orphanAfter/time.Millisecond)
 	for _, c := range []struct {
 		name, to string
@@ -141,7 +141,7 @@
 	}{
 		{"first report", parent, nil, 0, "reports.ok", ""},
 		{"incomplete response", parent, stall, 0, "reports.late", "reports to other gateways fail"},
-		{"connection refused", dark, nil, 0, "reports.refused", ""},
+		{"connection refused", unreachable, nil, 0, "reports.refused", ""},
 		{"server error", parent, fail, 0, "reports.failed", ""},
 		{"parent without leader", parent, nil, long, "reports.stale", ""},
 		{"success again", parent, nil, 0, "reports.ok", "reports succeed again"},
@@ -226,13 +226,13 @@
 	t.Parallel()
 	p := &fakeParent{}
 	f, parent, _ := newReportingFollower(t, p)
-	in, out := f.meters.counter(newsIn), f.meters.counter(newsOut)
+	in, out := f.meters.counter(newsBytesIn), f.meters.counter(newsBytesOut)
 	if ok, _ := f.report(t.Context(), parent, 0); !ok {
 		t.Fatal("the report got no response")
 	}
-	whole := in.Count()
-	if whole <= 0 || whole >= halfResponseBytes {
-		t.Errorf("%d bytes counted for a small response", whole)
+	firstResponse := in.Count()
+	if firstResponse <= 0 || firstResponse >= halfResponseBytes {
+		t.Errorf("%d bytes counted for a small response", firstResponse)
 	}
 	ended := make(chan struct{})
 	p.answer(func(w http.ResponseWriter, r *http.Request) {
@@ -243,7 +243,7 @@
 		t.Fatal("a report with an incomplete response succeeded")
 	}
 	<-ended
-	if got := in.Count() - whole; got < halfResponseBytes || got >= 2*halfResponseBytes {
+	if got := in.Count() - firstResponse; got < halfResponseBytes || got >= 2*halfResponseBytes {
 		t.Errorf("%d bytes read of %d", got, halfResponseBytes)
 	}
 	if got := out.Count(); got < in.Count() {
@@ -275,11 +275,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	read := sum(newsIn)
+	read := sum(newsBytesIn)
 	if read < int64(len(spec)) {
 		t.Errorf("%d bytes read, a configuration has %d", read, len(spec))
 	}
-	b.eventually("the bytes read are counted as written", func() bool { return sum(newsOut) >= read })
+	b.eventually("the bytes read are counted as written", func() bool { return sum(newsBytesOut) >= read })
 }
 
 // TestCountingConnCloseWrite: CloseWrite of a counting connection must close the writing side
@@ -297,22 +297,22 @@
 	}
 	defer func() { _ = l.Close() }()
 	m := newMeters()
-	dial := countReads((&net.Dialer{}).DialContext, m.counter(newsIn))
+	dial := countReads((&net.Dialer{}).DialContext, m.counter(newsBytesIn))
 	client, err := dial(t.Context(), "tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = client.Close() }()
-	server, err := writeCountingListener{l, m.counter(newsOut)}.Accept()
+	server, err := writeCountingListener{l, m.counter(newsBytesOut)}.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = server.Close() }()
-	half, ok := client.(interface{ CloseWrite() error })
+	closer, ok := client.(interface{ CloseWrite() error })
 	if !ok {
 		t.Fatal("the connection has no CloseWrite")
 	}
-	if err := half.CloseWrite(); err != nil {
+	if err := closer.CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
 	if data, err := io.ReadAll(server); err != nil || len(data) != 0 {
@@ -324,7 +324,7 @@
 	if _, err := io.ReadFull(client, make([]byte, len("news"))); err != nil {
 		t.Fatal(err)
 	}
-	if in, out := m.counter(newsIn).Count(), m.counter(newsOut).Count(); in != 4 || out != 4 {
+	if in, out := m.counter(newsBytesIn).Count(), m.counter(newsBytesOut).Count(); in != 4 || out != 4 {
 		t.Errorf("%d bytes read, %d written", in, out)
 	}
 }
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -21,7 +21,7 @@
 			t.Parallel()
 			b := newStandardCluster(t)
 			l := b.leader()
-			l.door.Set(mode)
+			l.storeDoor.Set(mode)
 			b.configure(9)
 			b.eventually("new configuration everywhere", func() bool { return b.allHaveConfiguration(9) })
 			revision := l.cluster.knownLeader().Revision
--- a/gateway/storecall.go
+++ b/gateway/storecall.go
@@ -122,7 +122,7 @@
 		return 0, nil, err
 	}
 	s.meters.inc(fillPattern(storeCall, kind, operation, strconv.Itoa(resp.Status)))
-	s.meters.counter(storeIn).Inc(int64(len(resp.Body)))
+	s.meters.counter(storeBytesIn).Inc(int64(len(resp.Body)))
 	return resp.Status, resp.Body, nil
 }
 
--- a/gateway/storeseek.go
+++ b/gateway/storeseek.go
@@ -55,7 +55,7 @@
 	round := w.peers[:min(firstSeek<<w.rounds, len(w.peers))]
 	w.peers = w.peers[len(round):]
 	w.rounds++
-	w.store.meters.inc(storeSought)
+	w.store.meters.inc(storeSearchRounds)
 	for _, peer := range round {
 		w.relayed(ctx, call, peer)
 	}
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -38,7 +38,7 @@
 
 	mu       sync.Mutex
 	rng      *rand.Rand
-	services map[string]*service
+	services map[string]*serviceTraffic
 	// evacuated is the set of failure domains that get no requests.
 	evacuated *evacuation.Set
 	// retryGateways counts the gateways that share the retry budget.
@@ -46,7 +46,7 @@
 }
 
 // service is the dispatch state of one service.
-type service struct {
+type serviceTraffic struct {
 	mu       sync.Mutex
 	dispatch *dispatch.Service
 	budget   *retry.WindowBudget
@@ -56,19 +56,19 @@
 
 func newTraffic(conf settings.Gateway, now func() time.Time, rng *rand.Rand) *traffic {
 	return &traffic{
-		conf: conf, now: now, rng: rng, services: make(map[string]*service),
+		conf: conf, now: now, rng: rng, services: make(map[string]*serviceTraffic),
 		retryGateways: retry.NewProcessCount(conf.RetryWindow.D()),
 	}
 }
 
 // get returns the service of that name and creates it if it does not exist.
-func (t *traffic) get(name string) *service {
+func (t *traffic) get(name string) *serviceTraffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[name]
 	if s == nil {
 		seed := rand.NewPCG(t.rng.Uint64(), t.rng.Uint64())
-		s = &service{
+		s = &serviceTraffic{
 			dispatch: dispatch.NewService(t.conf.Domain, t.conf.UpstreamDrain.D(), rand.New(seed)),
 			budget: retry.NewWindowBudget(t.now(), t.conf.RetryWindow.D(),
 				retryBudgetFraction*t.conf.RetryShare, retryBudgetFraction*t.conf.RetryAllowance),
@@ -79,10 +79,10 @@
 	return s
 }
 
-func (t *traffic) all() map[string]*service {
+func (t *traffic) all() map[string]*serviceTraffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := make(map[string]*service, len(t.services))
+	out := make(map[string]*serviceTraffic, len(t.services))
 	for name, s := range t.services {
 		out[name] = s
 	}
@@ -139,14 +139,14 @@
 	return out
 }
 
-func (s *service) needRights(now time.Time) []instances.Instance {
+func (s *serviceTraffic) needRights(now time.Time) []instances.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dispatch.NeedRights(now)
 }
 
 // warming returns the upstreams that are warming up and get a limited number of requests.
-func (s *service) warming(now time.Time) []instances.Instance {
+func (s *serviceTraffic) warming(now time.Time) []instances.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dispatch.Warming(now)
@@ -197,20 +197,20 @@
 	}
 }
 
-func (s *service) tick(now time.Time) {
+func (s *serviceTraffic) tick(now time.Time) {
 	s.mu.Lock()
 	s.dispatch.Tick(now)
 	s.mu.Unlock()
 }
 
 // acquire waits for a grant to send the request to an upstream.
-func (t *traffic) acquire(ctx context.Context, s *service, w *dispatch.Request) (dispatch.Grant, error) {
-	type verdict struct {
+func (t *traffic) acquire(ctx context.Context, s *serviceTraffic, w *dispatch.Request) (dispatch.Grant, error) {
+	type decision struct {
 		grant   dispatch.Grant
 		refusal dispatch.Refusal
 	}
-	given := make(chan verdict, 1)
-	w.OnDecision = func(g dispatch.Grant, r dispatch.Refusal) { given <- verdict{g, r} }
+	decisions := make(chan decision, 1)
+	w.OnDecision = func(g dispatch.Grant, r dispatch.Refusal) { decisions <- decision{g, r} }
 	s.mu.Lock()
 	g, r, decided := s.dispatch.Offer(t.now(), w)
 	s.mu.Unlock()
@@ -218,7 +218,7 @@
 		return g, t.refusalAnswer(s, w, r)
 	}
 	select {
-	case v := <-given:
+	case v := <-decisions:
 		return v.grant, t.refusalAnswer(s, w, v.refusal)
 	case <-ctx.Done():
 	}
@@ -226,7 +226,7 @@
 	withdrawn := s.dispatch.Withdraw(w)
 	s.mu.Unlock()
 	if !withdrawn {
-		if v := <-given; v.refusal == 0 {
+		if v := <-decisions; v.refusal == 0 {
 			t.endTry(s, v.grant, dispatch.Canceled)
 		}
 	}
@@ -235,14 +235,14 @@
 
 // restRemaining returns the time until the first upstream that may take the request ends its
 // pause.
-func (t *traffic) restRemaining(s *service, w *dispatch.Request) time.Duration {
+func (t *traffic) restRemaining(s *serviceTraffic, w *dispatch.Request) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dispatch.RestRemaining(t.now(), w)
 }
 
 // refusalAnswer returns the error for a refusal, or nil if the request was not refused.
-func (t *traffic) refusalAnswer(s *service, w *dispatch.Request, r dispatch.Refusal) error {
+func (t *traffic) refusalAnswer(s *serviceTraffic, w *dispatch.Request, r dispatch.Refusal) error {
 	if r != dispatch.Resting {
 		return refusalError(r)
 	}
@@ -307,33 +307,33 @@
 }
 
 // endTry ends a try without feedback from the upstream.
-func (t *traffic) endTry(s *service, g dispatch.Grant, o dispatch.Outcome) {
+func (t *traffic) endTry(s *serviceTraffic, g dispatch.Grant, o dispatch.Outcome) {
 	t.endTryWithFeedback(s, g, o, upstreamFeedback{})
 }
 
 // endTryWithFeedback ends a try and applies the upstream's feedback. It returns what changed in
 // the upstream's notice.
-func (t *traffic) endTryWithFeedback(s *service, g dispatch.Grant, o dispatch.Outcome, said upstreamFeedback) notice.Change {
+func (t *traffic) endTryWithFeedback(s *serviceTraffic, g dispatch.Grant, o dispatch.Outcome, feedback upstreamFeedback) notice.Change {
 	now := t.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if said.load != nil {
-		s.dispatch.ApplyLoad(now, g, *said.load)
+	if feedback.load != nil {
+		s.dispatch.ApplyLoad(now, g, *feedback.load)
 	}
-	change := s.dispatch.ApplyNotice(now, g, said.notice)
+	change := s.dispatch.ApplyNotice(now, g, feedback.notice)
 	s.dispatch.Done(now, g, o)
 	return change
 }
 
 // recordRequest counts a new request in the retry budget.
-func (t *traffic) recordRequest(s *service) {
+func (t *traffic) recordRequest(s *serviceTraffic) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.RecordRequest(t.now())
 }
 
 // spendRetry takes one retry from the budget and reports whether the budget allowed it.
-func (t *traffic) spendRetry(s *service) bool {
+func (t *traffic) spendRetry(s *serviceTraffic) bool {
 	n := t.retryGatewayCount()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -341,7 +341,7 @@
 }
 
 // retriesLeft returns how many retries this gateway may still make in the window.
-func (t *traffic) retriesLeft(s *service) float64 {
+func (t *traffic) retriesLeft(s *serviceTraffic) float64 {
 	n := t.retryGatewayCount()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -349,7 +349,7 @@
 }
 
 // recordKey records a requested key for the next report.
-func (s *service) recordKey(key uint16) {
+func (s *serviceTraffic) recordKey(key uint16) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.keys) < maxReportedKeys {
@@ -410,7 +410,7 @@
 
 // explain returns the inputs of a dispatch decision for the given owner, or for any upstream if
 // the owner is empty.
-func (t *traffic) explain(s *service, owner string) dispatch.Explanation {
+func (t *traffic) explain(s *serviceTraffic, owner string) dispatch.Explanation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dispatch.Explain(t.now(), owner)
--- a/gateway/troubles_test.go
+++ b/gateway/troubles_test.go
@@ -56,8 +56,8 @@
 // faultRun is one run of the test with its seed.
 type faultRun struct {
 	*testCluster
-	rng  *rand.Rand
-	next int
+	rng    *rand.Rand
+	nextID int
 	// mu guards gateways, which are killed and started under load.
 	mu          sync.Mutex
 	stopClients chan struct{}
@@ -78,7 +78,7 @@
 		b.gateway(fmt.Sprintf("g%d", i))
 	}
 	b.ready()
-	return &faultRun{testCluster: b, rng: rand.New(rand.NewPCG(seed, seed)), next: 100, stopClients: make(chan struct{})}
+	return &faultRun{testCluster: b, rng: rand.New(rand.NewPCG(seed, seed)), nextID: 100, stopClients: make(chan struct{})}
 }
 
 func (p *faultRun) run() {
@@ -167,7 +167,7 @@
 	case 4:
 		modes := []metastore.Mode{metastore.Busy, metastore.Reset, metastore.Silent, metastore.Lose, metastore.Late}
 		if g := p.runningGateway(p.rng.IntN(8)); g != nil {
-			g.door.Set(modes[p.rng.IntN(len(modes))])
+			g.storeDoor.Set(modes[p.rng.IntN(len(modes))])
 		}
 	case 5:
 		modes := []metastore.Mode{metastore.Busy, metastore.Silent, metastore.Lose, metastore.Late}
@@ -180,8 +180,8 @@
 		states := []string{"ready", "draining"}
 		p.register(p.anyUpstream(), states[p.rng.IntN(len(states))])
 	case 9:
-		p.next++
-		p.configure(uint64(p.next))
+		p.nextID++
+		p.configure(uint64(p.nextID))
 	}
 }
 
@@ -197,8 +197,8 @@
 	g.kill()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.next++
-	p.gateway(fmt.Sprintf("g%d", p.next))
+	p.nextID++
+	p.gateway(fmt.Sprintf("g%d", p.nextID))
 }
 
 // endFaults ends all faults.
--- a/gateway/unread.go
+++ b/gateway/unread.go
@@ -42,7 +42,7 @@
 
 func (u *unreadHeaders) recordOne(g dispatch.Grant, name string) {
 	service, upstream := g.Instance.Service, g.Instance.ID
-	u.meters.inc(u.meters.service(answersUnread, service))
+	u.meters.inc(u.meters.service(unreadResponseHeaders, service))
 	u.mu.Lock()
 	begins := u.seen.Note(u.now(), service, upstream, name)
 	u.mu.Unlock()
--- a/gateway/unread_test.go
+++ b/gateway/unread_test.go
@@ -21,7 +21,7 @@
 	var out lockedBuffer
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go g.lines.Run(ctx, &out)
+	go g.eventLog.Run(ctx, &out)
 	for range 2 {
 		if a := b.mustRequest(g, http.MethodPost, "/pay/x", -1); a.header.Get(instance.StartHeader) == "" {
 			t.Error("the header was not forwarded")
--- a/gateway/wake.go
+++ b/gateway/wake.go
@@ -17,10 +17,10 @@
 	// The other sides may have dropped connections meanwhile, and what cannot be repeated must not
 	// be the first to find out.
 	g.conns.Forget()
-	g.calls.conns.Forget()
+	g.storeCalls.conns.Forget()
 	g.cluster.http.CloseIdleConnections()
 	// Timers have stood still as well: requests whose time has gone are answered now.
-	g.proxy.open.endOverdue(g.now())
+	g.proxy.openRequests.endOverdue(g.now())
 }
 
 // openRequests are those that this gateway works on. It is safe for concurrent use.
--- a/gateway/watchpath_test.go
+++ b/gateway/watchpath_test.go
@@ -46,7 +46,7 @@
 			}
 			for _, g := range b.gateways {
 				if g != served {
-					g.door.Set(c.mode)
+					g.storeDoor.Set(c.mode)
 				}
 			}
 			const first, versions = 3, 4
