--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -18,7 +18,7 @@
 
 // This file tests evacuations of failure domains.
 
-// twoDomains returns a bed with upstreams in the failure domains a and b and three gateways.
+// twoDomains returns a test cluster with upstreams in the failure domains a and b and three gateways.
 func twoDomains(t *testing.T) *testCluster {
 	t.Helper()
 	b := newTestCluster(t)
--- a/gateway/ports_test.go
+++ b/gateway/ports_test.go
@@ -10,16 +10,16 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// port is a port of loopback that is kept until its bed closes. Gateways go on calling
+// port is a port of loopback that is kept until its test cluster closes. Gateways go on calling
 // the address of one that was killed, and nobody may be there: a free port the kernel
-// would soon give to a listener of another bed. The port is had by a socket that does not
+// would soon give to a listener of another test cluster. The port is had by a socket that does not
 // listen, so it refuses connections unless a listener is open.
 type port struct {
 	socket  int
 	address netip.AddrPort
 }
 
-// newPort takes a port that the kernel chooses. Others can bind it too until the bed
+// newPort takes a port that the kernel chooses. Others can bind it too until the test cluster
 // claims it.
 func newPort() (*port, error) {
 	syscall.ForkLock.RLock()
@@ -67,7 +67,7 @@
 // addr is the port's address.
 func (p *port) addr() jsonc.Addr { return jsonc.Addr{AddrPort: p.address} }
 
-// port takes a port until the bed closes.
+// port takes a port until the test cluster closes.
 func (b *testCluster) port() *port {
 	b.t.Helper()
 	p, err := newPort()
@@ -90,7 +90,7 @@
 	}
 }
 
-// listen opens a listener at a port of the bed.
+// listen opens a listener at a port of the test cluster.
 func (b *testCluster) listen() net.Listener {
 	b.t.Helper()
 	p := b.port()
@@ -112,8 +112,8 @@
 }
 
 // TestNobodyTakesThePlaceOfTheKilled: the addresses of a gateway that was killed stay
-// dead while its bed lives, so that what the others go on sending there reaches no
-// listener of another bed.
+// dead while its test cluster lives, so that what the others go on sending there reaches no
+// listener of another test cluster.
 func TestNobodyTakesThePlaceOfTheKilled(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -17,7 +17,7 @@
 // This file tests upstreams that start again under their ID, and what is said of
 // upstreams and cannot be.
 
-// bornUpstreams returns a bed whose keyed upstreams say when they started.
+// bornUpstreams returns a test cluster whose keyed upstreams say when they started.
 func bornUpstreams(t *testing.T) *testCluster {
 	t.Helper()
 	b := newTestCluster(t)
