--- a/gateway/front.go
+++ b/gateway/front.go
@@ -188,8 +188,8 @@
 	}
 	q := &request{Request: r, id: platform.ID(r.Header), route: route, target: target, receivedAt: began}
 	left := route.Timeout
-	if l, ok := platform.Left(r.Header); ok {
-		left = min(left, l)
+	if requested, ok := platform.Left(r.Header); ok {
+		left = min(left, requested)
 	}
 	q.deadline = began.Add(left)
 	q.queueUntil = began.Add(patience.MaxQueueWait(route.Objective, left))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -45,7 +45,7 @@
 	// strengthUnits is the number of units in which a machine of strength 1 is reported to
 	// other gateways.
 	strengthUnits = 1000
-	// megabyte is the number of bytes in a megabyte.
+	// megabyte is 2^20 bytes.
 	megabyte = 1 << 20
 	// stopReserve is subtracted from the time allowed for a stop, so that the process exits
 	// before it is killed.
@@ -56,7 +56,8 @@
 	// defaultIdleTimeout is the idle timeout of callers' connections if there is no
 	// configuration yet.
 	defaultIdleTimeout = 15 * time.Second
-	// defaultHeaderTimeout bounds the time for reading a request's headers.
+	// defaultHeaderTimeout bounds the time for reading a request's headers: on the internal
+	// listeners, and for callers if there is no configuration yet.
 	defaultHeaderTimeout = 3 * time.Second
 	// idleCheckInterval is the time between checks for idle connections.
 	idleCheckInterval = time.Second
@@ -99,8 +100,8 @@
 	conf     settings.Gateway
 	log      *slog.Logger
 	eventLog *eventlog.Log
-	// clock counts suspensions of the machine. now reads it; the validity of all leases and
-	// grants is measured with it.
+	// clock counts suspensions of the machine, now reads it. The validity of all leases, grants
+	// and rights is measured with it.
 	clock      *bootclock.Clock
 	now        func() time.Time
 	meters     *meters
@@ -119,7 +120,7 @@
 	suspects   *suspects
 	draining   atomic.Bool
 	listeners  Listeners
-	// killed ends Run without a graceful stop, for tests of lost processes.
+	// killed is closed to end Run without a graceful stop, in tests of lost processes.
 	killed chan struct{}
 }
 
@@ -147,11 +148,11 @@
 		if !addr.IsValid() {
 			return nil
 		}
-		one, err := net.Listen("tcp", addr.String())
+		listener, err := net.Listen("tcp", addr.String())
 		if err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", name, err))
 		}
-		return one
+		return listener
 	}
 	l.Callers = open("callers", conf.Callers)
 	l.Ready = open("ready", conf.Ready)
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -118,11 +118,11 @@
 func (o *ownerGaps) gapOf(service string, key uint16) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	one := o.services[service]
-	if one == nil {
+	gap := o.services[service]
+	if gap == nil {
 		return 0
 	}
-	return one.Without(o.now(), key)
+	return gap.Without(o.now(), key)
 }
 
 // updateGauges sets the gauges of all services.
@@ -130,10 +130,10 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
-	for name, one := range o.services {
-		o.meters.gauge(o.meters.service(keysWithoutOwner, name), int64(one.table.Unowned()))
-		o.meters.gauge(o.meters.service(longestOwnerGap, name), one.Longest(now).Milliseconds())
-		o.meters.gauge(o.meters.service(ownersSpans, name), int64(len(one.table.Spans)))
-		o.meters.gauge(o.meters.service(ownersUnchanged, name), now.Sub(one.changedAt).Milliseconds())
+	for name, gap := range o.services {
+		o.meters.gauge(o.meters.service(keysWithoutOwner, name), int64(gap.table.Unowned()))
+		o.meters.gauge(o.meters.service(longestOwnerGap, name), gap.Longest(now).Milliseconds())
+		o.meters.gauge(o.meters.service(ownersSpans, name), int64(len(gap.table.Spans)))
+		o.meters.gauge(o.meters.service(ownersUnchanged, name), now.Sub(gap.changedAt).Milliseconds())
 	}
 }
--- a/gateway/meters.go
+++ b/gateway/meters.go
@@ -38,17 +38,17 @@
 func (m *meters) boundedLabel(family, label string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	known := m.labels[family]
-	if known == nil {
-		known = make(map[string]bool)
-		m.labels[family] = known
+	used := m.labels[family]
+	if used == nil {
+		used = make(map[string]bool)
+		m.labels[family] = used
 	}
 	switch {
-	case known[label]:
-	case len(known) >= maxLabels:
+	case used[label]:
+	case len(used) >= maxLabels:
 		return otherLabel
 	default:
-		known[label] = true
+		used[label] = true
 	}
 	return label
 }
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -132,8 +132,8 @@
 	now := t.now()
 	var out []warmup.Upstream
 	for name, s := range t.all() {
-		for _, one := range s.needRights(now) {
-			out = append(out, warmup.Upstream{ID: one.ID, Incarnation: one.Incarnation(), Service: name, Domain: one.Domain})
+		for _, upstream := range s.needRights(now) {
+			out = append(out, warmup.Upstream{ID: upstream.ID, Incarnation: upstream.Incarnation(), Service: name, Domain: upstream.Domain})
 		}
 	}
 	return out
@@ -397,13 +397,13 @@
 
 // applyReport applies what the other gateways reported, their demand by service and the
 // admission limits of hot keys.
-func (t *traffic) applyReport(news dispatch.ClusterReport, demand map[string]float64, limits admits) {
-	t.setGateways(news.Gateways)
+func (t *traffic) applyReport(report dispatch.ClusterReport, demand map[string]float64, limits admits) {
+	t.setGateways(report.Gateways)
 	now := t.now()
 	for name, s := range t.all() {
 		s.mu.Lock()
-		news.Demand, news.HotKeyAdmission = demand[name], limits[name]
-		s.dispatch.ApplyReport(now, news)
+		report.Demand, report.HotKeyAdmission = demand[name], limits[name]
+		s.dispatch.ApplyReport(now, report)
 		s.mu.Unlock()
 	}
 }
