--- a/gateway/meters.go
+++ b/gateway/meters.go
@@ -34,7 +34,7 @@
 	return &meters{registry: metrics.NewRegistry(), labels: make(map[string]map[string]bool)}
 }
 
-// label returns the label, or otherLabel if the family has reached its bound.
+// boundedLabel returns the label, or otherLabel if the family has reached its bound.
 func (m *meters) boundedLabel(family, label string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/gateway/sight_test.go
+++ b/gateway/sight_test.go
@@ -28,7 +28,7 @@
 	syncpb.Peer
 	// heardMs is the time since it heard from the leader, as it reports it.
 	heardMs atomic.Uint32
-	// next replaces the handler while it is set.
+	// handler replaces the default handling of reports while it is set.
 	handler atomic.Pointer[http.HandlerFunc]
 }
 
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -45,7 +45,7 @@
 	retryGateways *retry.ProcessCount
 }
 
-// service is the dispatch state of one service.
+// serviceTraffic is the dispatch state of one service.
 type serviceTraffic struct {
 	mu       sync.Mutex
 	dispatch *dispatch.Service
