--- a/gateway/cluster_test.go
+++ b/gateway/cluster_test.go
@@ -18,9 +18,9 @@
 	return &syncpb.Member{Node: name, Address: name + ":1", Domain: domain, Incarnation: name, Strength: strength}
 }
 
-// testCluster returns the cluster state of one gateway among size gateways in the failure domains
+// clusterOfSize returns the cluster state of one gateway among size gateways in the failure domains
 // a, b and c, led by a0.
-func testCluster(size int, self *syncpb.Member, now *time.Time) *cluster {
+func clusterOfSize(size int, self *syncpb.Member, now *time.Time) *cluster {
 	c := newCluster(self, nil, func() time.Time { return *now }, rand.New(rand.NewPCG(1, 2)))
 	var all []*syncpb.Member
 	for i := range size {
@@ -44,7 +44,7 @@
 		{minTreeSize, testMember("b", 0, 100), "a0:1"},
 		{minTreeSize, testMember("b", 3, 900), "a0:1"},
 	} {
-		if got := testCluster(c.size, c.self, &now).parent(); got != c.want {
+		if got := clusterOfSize(c.size, c.self, &now).parent(); got != c.want {
 			t.Errorf("%d gateways, %s: parent %s, want %s", c.size, c.self.Node, got, c.want)
 		}
 	}
@@ -54,7 +54,7 @@
 // avoidDuration.
 func TestUnresponsiveHeadIsAvoided(t *testing.T) {
 	now := time.Now()
-	c := testCluster(minTreeSize, testMember("b", 3, 100), &now)
+	c := clusterOfSize(minTreeSize, testMember("b", 3, 100), &now)
 	c.avoid("b0:1")
 	if got := c.parent(); got != "b1:1" {
 		t.Errorf("parent %s", got)
@@ -70,7 +70,7 @@
 // counted twice.
 func TestLoadsAreCountedOnce(t *testing.T) {
 	now := time.Now()
-	head := testCluster(minTreeSize, testMember("b", 0, 100), &now)
+	head := clusterOfSize(minTreeSize, testMember("b", 0, 100), &now)
 	load := func(n float32) []*syncpb.Load { return []*syncpb.Load{{Instance: "i", Inflight: n}} }
 	head.handleReport(&syncpb.SyncRequest{Member: testMember("b", 1, 100), Loads: load(1)}, true)
 	head.handleReport(&syncpb.SyncRequest{Member: testMember("b", 2, 100), Loads: load(2)}, true)
@@ -122,11 +122,11 @@
 func TestGatewayDoesNotReportToItself(t *testing.T) {
 	now := time.Now()
 	for _, size := range []int{3, minTreeSize} {
-		if got := testCluster(size, testMember("a", 0, 100), &now).parent(); got != "" {
+		if got := clusterOfSize(size, testMember("a", 0, 100), &now).parent(); got != "" {
 			t.Errorf("%d gateways: parent %s", size, got)
 		}
 	}
-	c := testCluster(3, testMember("a", 0, 100), &now)
+	c := clusterOfSize(3, testMember("a", 0, 100), &now)
 	load := []*syncpb.Load{{Instance: "i", Inflight: 3}}
 	c.handleReport(&syncpb.SyncRequest{Member: testMember("a", 0, 100), Loads: load}, true)
 	c.handleReport(&syncpb.SyncRequest{Member: testMember("b", 0, 100), Loads: load}, false)
@@ -139,7 +139,7 @@
 // not older.
 func TestLeaderOfOlderTermIsRejected(t *testing.T) {
 	now := time.Now()
-	c := testCluster(3, testMember("b", 0, 100), &now)
+	c := clusterOfSize(3, testMember("b", 0, 100), &now)
 	if !c.setLeader(&syncpb.Leader{Member: testMember("c", 0, 100), Term: 2}) || c.setLeader(&syncpb.Leader{Member: testMember("a", 0, 100), Term: 1}) {
 		t.Error("an older term is accepted, or a newer one is rejected")
 	}
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -82,7 +82,7 @@
 // sent the load from other gateways more often than the minimum interval allows.
 func TestFleetSendRateIsLimited(t *testing.T) {
 	now := time.Now()
-	c := testCluster(minTreeSize, testMember("a", 0, 100), &now)
+	c := clusterOfSize(minTreeSize, testMember("a", 0, 100), &now)
 	report := &syncpb.SyncRequest{Member: testMember("a", 1, 100)}
 	sent, workTimesSent := 0, 0
 	for range 100 {
--- a/gateway/loss_test.go
+++ b/gateway/loss_test.go
@@ -153,7 +153,7 @@
 // itself and of the other side, and nothing twice.
 func TestDemandIsCountedOnce(t *testing.T) {
 	now := time.Now()
-	head := testCluster(minTreeSize, testMember("b", 0, 100), &now)
+	head := clusterOfSize(minTreeSize, testMember("b", 0, 100), &now)
 	demand := func(n float32) []*syncpb.Demand { return []*syncpb.Demand{{Service: "a", Requests: n}} }
 	head.handleReport(&syncpb.SyncRequest{Member: testMember("b", 1, 100), Demands: demand(1)}, true)
 	head.handleReport(&syncpb.SyncRequest{Member: testMember("b", 2, 100), Demands: demand(2)}, true)
--- a/gateway/ports_test.go
+++ b/gateway/ports_test.go
@@ -10,9 +10,9 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// port is a loopback port that stays reserved until its bed closes. Gateways keep calling the
+// port is a loopback port that stays reserved until its test cluster closes. Gateways keep calling the
 // address of a gateway that was killed, and nothing may listen there, but the kernel would soon
-// give a free port to a listener of another bed. The port is held by a socket that does not
+// give a free port to a listener of another test cluster. The port is held by a socket that does not
 // listen, so connections are refused unless a listener is open.
 type port struct {
 	socket  int
@@ -68,7 +68,7 @@
 // addr returns the port's address.
 func (p *port) addr() jsonc.Addr { return jsonc.Addr{AddrPort: p.address} }
 
-// port reserves a port until the bed closes.
+// port reserves a port until the test cluster closes.
 func (b *testCluster) port() *port {
 	b.t.Helper()
 	p, err := newPort()
@@ -92,7 +92,7 @@
 	}
 }
 
-// listen opens a listener on a port of the bed.
+// listen opens a listener on a port of the test cluster.
 func (b *testCluster) listen() net.Listener {
 	b.t.Helper()
 	p := b.port()
@@ -114,8 +114,8 @@
 }
 
 // TestAddressOfKilledGatewayStaysUnused checks that nothing can listen on the addresses of a
-// killed gateway while its bed lives. Otherwise requests that other gateways still send there
-// would reach a listener of another bed.
+// killed gateway while its test cluster lives. Otherwise requests that other gateways still send there
+// would reach a listener of another test cluster.
 func TestAddressOfKilledGatewayStaysUnused(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -17,8 +17,8 @@
 // This file tests upstreams that restart under the same ID, and invalid entries and reports about
 // upstreams.
 
-// newBedWithStartTimes returns a bed whose keyed upstreams report when they started.
-func newBedWithStartTimes(t *testing.T) *testCluster {
+// newClusterWithStartTimes returns a test cluster whose keyed upstreams report when they started.
+func newClusterWithStartTimes(t *testing.T) *testCluster {
 	t.Helper()
 	b := newTestCluster(t)
 	for _, id := range []string{"i-s0", "i-s1", "i-s2"} {
@@ -35,7 +35,7 @@
 // it again by higher fences, and that no keys move elsewhere.
 func TestRestartedUpstreamKeepsItsKeys(t *testing.T) {
 	t.Parallel()
-	b := newBedWithStartTimes(t)
+	b := newClusterWithStartTimes(t)
 	before := b.gateways[0].view.spansOf("status")
 	now := b.restart(b.upstreams["i-s0"])
 	granted := instances.Instance{ID: now.ID, BornMs: now.born}
@@ -64,7 +64,7 @@
 // knows from the stored assignment which incarnation held the keys.
 func TestNextLeaderDetectsRestart(t *testing.T) {
 	t.Parallel()
-	b := newBedWithStartTimes(t)
+	b := newClusterWithStartTimes(t)
 	b.eventually("the assignment is saved", func() bool {
 		var stored spans.Table
 		err := platform.Decode(platform.Object{Spec: b.store.Spec(spansKind, "status")}, &stored)
--- a/gateway/worktimes_test.go
+++ b/gateway/worktimes_test.go
@@ -13,7 +13,7 @@
 // children exactly once, together with its own.
 func TestRunsReachTheLeaderOnce(t *testing.T) {
 	now := time.Now()
-	head := testCluster(minTreeSize, testMember("b", 0, 100), &now)
+	head := clusterOfSize(minTreeSize, testMember("b", 0, 100), &now)
 	seen := func(us uint32, runs float32) []*syncpb.Load {
 		return []*syncpb.Load{{Instance: "i", WorkUs: us, Runs: runs}}
 	}
