--- a/bench/rockload/report.go
+++ b/bench/rockload/report.go
@@ -154,7 +154,7 @@
 		}
 		best, highest := "", keyspace.Hash(0)
 		for _, name := range names {
-			if h := keyspace.Of(name + "/" + r.Key); best == "" || h > highest {
+			if h := keyspace.HashKey(name + "/" + r.Key); best == "" || h > highest {
 				best, highest = name, h
 			}
 		}
--- a/coordination/controller/controller_test.go
+++ b/coordination/controller/controller_test.go
@@ -98,7 +98,7 @@
 }
 
 func wholeRange(phase cell.Phase, owner, next string) cell.Range {
-	return cell.Range{Span: keyspace.Whole(), Epoch: 3, Phase: phase, Owner: owner, Next: next}
+	return cell.Range{Span: keyspace.FullSpan(), Epoch: 3, Phase: phase, Owner: owner, Next: next}
 }
 
 func checkCommands(t *testing.T, got []string, want ...string) {
@@ -111,7 +111,7 @@
 func TestPlannedMove(t *testing.T) {
 	c := newCore(wholeRange(cell.Owned, "u", ""))
 	runSteps(c, start, 2)
-	c.AddMoves([]handover.Move{{Service: "s", Span: keyspace.Whole(), To: "v"}})
+	c.AddMoves([]handover.Move{{Service: "s", Span: keyspace.FullSpan(), To: "v"}})
 	apply := "apply/" + self.ID
 	checkCommands(t, runSteps(c, start, 8),
 		"grant v@0 prepare=true",
@@ -123,11 +123,11 @@
 func TestExport(t *testing.T) {
 	c := newCore(wholeRange(cell.Owned, "u", ""))
 	runSteps(c, start, 2)
-	c.AddMoves([]handover.Move{{Service: "s", Span: keyspace.Whole(), ToCell: "other"}})
+	c.AddMoves([]handover.Move{{Service: "s", Span: keyspace.FullSpan(), ToCell: "other"}})
 	apply := "apply/" + self.ID
 	checkCommands(t, runSteps(c, start, 6),
 		"write releasing u@3>other", apply, "revoke u@3",
-		"write exported @4>other", apply, "redirect/s/"+keyspace.Whole().String())
+		"write exported @4>other", apply, "redirect/s/"+keyspace.FullSpan().String())
 }
 
 func TestLostOwner(t *testing.T) {
@@ -145,7 +145,7 @@
 // pending move to another cell. The move raises the fence, which would delay the
 // grant, so the grant must come first.
 func TestGrantsPrecedeNewFences(t *testing.T) {
-	halves := keyspace.Whole().Split(2)
+	halves := keyspace.FullSpan().Split(2)
 	lost, other := wholeRange(cell.Releasing, "gone", "v"), wholeRange(cell.Owned, "u", "")
 	lost.Span, other.Span = halves[0], halves[1]
 	c := newCore(lost, other)
--- a/coordination/controller/edit.go
+++ b/coordination/controller/edit.go
@@ -157,7 +157,7 @@
 	}
 	parts := c.limits.RangesPerUpstream * max(1, len(e.Doc().UpstreamsOf(service, cell.Active)))
 	for _, g := range gaps {
-		n := int(float64(parts) * g.Width() / seg.Width())
+		n := int(float64(parts) * g.Fraction() / seg.Fraction())
 		e.Adopt(service, g, seg.Epoch, max(n, 1))
 	}
 }
--- a/coordination/gate/gate_test.go
+++ b/coordination/gate/gate_test.go
@@ -21,7 +21,7 @@
 		c.Upstreams = append(c.Upstreams, cell.Upstream{ID: id, Service: "s", State: cell.Active})
 	}
 	s := c.EnsureService("s")
-	for i, span := range keyspace.Whole().Split(n) {
+	for i, span := range keyspace.FullSpan().Split(n) {
 		s.Ranges = append(s.Ranges, cell.Range{Span: span, Epoch: version, Phase: phase, Owner: owners[i%len(owners)]})
 	}
 	return c
@@ -125,9 +125,9 @@
 	if r := g.Route("s", 0); r.Slot.Owner != "new" {
 		t.Errorf("owner %q", r.Slot.Owner)
 	}
-	d := &cell.Directory{Service: "x", Version: 2, Segments: []cell.Segment{{Span: keyspace.Whole(), Cell: "b"}}}
+	d := &cell.Directory{Service: "x", Version: 2, Segments: []cell.Segment{{Span: keyspace.FullSpan(), Cell: "b"}}}
 	g.ApplyDirectory(d)
-	g.ApplyDirectory(&cell.Directory{Service: "x", Version: 1, Segments: []cell.Segment{{Span: keyspace.Whole(), Cell: "z"}}})
+	g.ApplyDirectory(&cell.Directory{Service: "x", Version: 1, Segments: []cell.Segment{{Span: keyspace.FullSpan(), Cell: "z"}}})
 	if r := g.Route("x", 7); r.Destination != Remote || r.Cell != "b" {
 		t.Errorf("routed to %v %q", r.Destination, r.Cell)
 	}
@@ -147,7 +147,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := 0; b.Loop(); i++ {
-				sink = g.Route("s", keyspace.Of(keys[i%len(keys)]))
+				sink = g.Route("s", keyspace.HashKey(keys[i%len(keys)]))
 				if g.Enter(sink) == Admitted {
 					g.Leave(sink.Slot)
 				}
--- a/coordination/handover/handover.go
+++ b/coordination/handover/handover.go
@@ -84,7 +84,7 @@
 	if s == nil {
 		return 0
 	}
-	s.Carve(m.Span)
+	s.SplitAround(m.Span)
 	count := 0
 	for i := range s.Ranges {
 		r := &s.Ranges[i]
@@ -226,7 +226,7 @@
 		return
 	}
 	before := len(s.Ranges)
-	s.Carve(span)
+	s.SplitAround(span)
 	e.changed = e.changed || len(s.Ranges) != before
 }
 
--- a/coordination/load/aggregator.go
+++ b/coordination/load/aggregator.go
@@ -112,7 +112,7 @@
 			continue
 		}
 		common := keyspace.Span{First: max(r.First, span.First), Last: min(r.Last, span.Last)}
-		sum += r.Rate * common.Width() / r.Width()
+		sum += r.Rate * common.Fraction() / r.Fraction()
 	}
 	return sum
 }
--- a/coordination/load/load_test.go
+++ b/coordination/load/load_test.go
@@ -31,7 +31,7 @@
 func TestRateAfterSplitAndExpiry(t *testing.T) {
 	a := NewAggregator()
 	now := time.Unix(1000, 0)
-	whole := keyspace.Whole()
+	whole := keyspace.FullSpan()
 	a.Report(now, "e", []RangeRate{{"s", whole, 100}}, nil, time.Second)
 	halves := whole.Split(2)
 	a.Report(now, "e", []RangeRate{{"s", halves[0], 50}, {"s", halves[1], 50}}, nil, time.Second)
--- a/coordination/load/tracker.go
+++ b/coordination/load/tracker.go
@@ -43,7 +43,7 @@
 		s = NewSpaceSaving(sketchCapacity)
 		t.sketches[service] = s
 	}
-	s.Add(keyspace.Of(key), sampleInterval)
+	s.Add(keyspace.HashKey(key), sampleInterval)
 }
 
 // KeyRate is the number of requests for one hot key in a report interval.
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -21,7 +21,7 @@
 
 // items returns ranges of equal width with the given owners and loads.
 func items(owners []string, loads []float64) []Item {
-	spans := keyspace.Whole().Split(len(owners))
+	spans := keyspace.FullSpan().Split(len(owners))
 	out := make([]Item, len(owners))
 	for i := range out {
 		out[i] = Item{Span: spans[i], Owner: owners[i], Load: loads[i]}
--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -73,7 +73,7 @@
 	if v.Services[name] != nil || v.Directories[name] != nil {
 		return intent.Plan{}, answer.New(answer.Conflict, "service %s already exists", name)
 	}
-	p := intent.Plan{Steps: []intent.Step{{Action: ActionConfigure, Service: name, Span: keyspace.Whole()}}}
+	p := intent.Plan{Steps: []intent.Step{{Action: ActionConfigure, Service: name, Span: keyspace.FullSpan()}}}
 	counts := make(map[string]int)
 	for _, u := range spec.Upstreams {
 		if u.Service != name {
@@ -108,7 +108,7 @@
 	if total == 0 {
 		return nil
 	}
-	parts := keyspace.Whole().Split(total)
+	parts := keyspace.FullSpan().Split(total)
 	var out []cell.Segment
 	next := 0
 	for _, name := range sortedNames(weights) {
@@ -149,7 +149,7 @@
 	}
 	return intent.Plan{
 		Basis: []intent.Basis{{Kind: "service", Name: current.Name, Version: current.Version}},
-		Steps: []intent.Step{{Action: ActionConfigure, Service: current.Name, Span: keyspace.Whole()}},
+		Steps: []intent.Step{{Action: ActionConfigure, Service: current.Name, Span: keyspace.FullSpan()}},
 		Why:   fmt.Sprintf("version %d of the configuration replaces version %d", current.Version+1, current.Version),
 	}, nil
 }
@@ -188,7 +188,7 @@
 		return out
 	}
 	for i := range out {
-		out[i].Load = out[i].Width()
+		out[i].Load = out[i].Fraction()
 	}
 	return out
 }
@@ -313,7 +313,7 @@
 }
 
 func planMove(spec intent.Spec, v View) (intent.Plan, error) {
-	span := keyspace.Span{First: keyspace.Of(spec.Key), Last: keyspace.Of(spec.Key)}
+	span := keyspace.Span{First: keyspace.HashKey(spec.Key), Last: keyspace.HashKey(spec.Key)}
 	if spec.Span != nil {
 		span = *spec.Span
 	}
@@ -345,8 +345,8 @@
 		}
 		p.Steps = append(p.Steps, step)
 		p.Cost.Ranges++
-		p.Cost.Churn += part.Width()
-		p.Cost.LeastChurn += part.Width()
+		p.Cost.Churn += part.Fraction()
+		p.Cost.LeastChurn += part.Fraction()
 	}
 	p.Cost.Unavailable = jsonc.Duration(expectedUnavailable)
 	p.Basis = basis(v, sortedNames(cells)...)
--- a/entry/bed_test.go
+++ b/entry/bed_test.go
@@ -363,6 +363,6 @@
 	wait.Wait()
 }
 
-func hashOf(key string) keyspace.Hash { return keyspace.Of(key) }
+func hashOf(key string) keyspace.Hash { return keyspace.HashKey(key) }
 
 var frozenFaults = upstream.Faults{Frozen: true}
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -140,7 +140,7 @@
 		})
 	}
 	s := doc.EnsureService("svc")
-	for i, span := range keyspace.Whole().Split(n) {
+	for i, span := range keyspace.FullSpan().Split(n) {
 		s.Ranges = append(s.Ranges, cell.Range{Span: span, Epoch: 7, Phase: cell.Owned, Owner: doc.Upstreams[i%12].ID})
 	}
 	return doc
--- a/entry/product_test.go
+++ b/entry/product_test.go
@@ -158,7 +158,7 @@
 // other one once an operator confirms, at higher epochs.
 func TestEvictedCellIsTakenOver(t *testing.T) {
 	b := twoCells(t, true)
-	half := keyspace.Whole().Split(2)[1]
+	half := keyspace.FullSpan().Split(2)[1]
 	for _, e := range b.entries[2:] {
 		e.stop()
 		<-e.done
--- a/entry/status.go
+++ b/entry/status.go
@@ -51,7 +51,7 @@
 		for _, r := range s.Ranges {
 			if u := byID[r.Owner]; u != nil && r.Phase == cell.Owned {
 				u.Ranges++
-				u.Share += r.Width()
+				u.Share += r.Fraction()
 				e.control.mu.Lock()
 				u.Rate += e.book.Rate(s.Name, r.Span)
 				e.control.mu.Unlock()
--- a/proof/nodes_test.go
+++ b/proof/nodes_test.go
@@ -67,7 +67,7 @@
 	}
 	e.core.OnDirectory(&cell.Directory{
 		Service: serviceName, Version: 1,
-		Segments: []cell.Segment{{Span: keyspace.Whole(), Cell: cellName}},
+		Segments: []cell.Segment{{Span: keyspace.FullSpan(), Cell: cellName}},
 	})
 	e.core.OnRoster(e.clock(), e.sim.witnessRoster())
 }
--- a/standin/upstream/owner.go
+++ b/standin/upstream/owner.go
@@ -125,7 +125,7 @@
 			kept = append(kept, held)
 			continue
 		}
-		for _, part := range held.Cut(span) {
+		for _, part := range held.SplitAround(span) {
 			if !span.Covers(part) {
 				kept = append(kept, grant{Span: part, epoch: held.epoch, warmAt: held.warmAt})
 			}
--- a/standin/upstream/server.go
+++ b/standin/upstream/server.go
@@ -294,7 +294,7 @@
 		refuse(w, http.StatusGatewayTimeout, header.RefusedDeadline)
 		return
 	}
-	h := keyspace.Of(j.key)
+	h := keyspace.HashKey(j.key)
 	s.begin(&j, h)
 	defer s.end(&j)
 	owned, warm := s.owner.Check(h, j.epoch)
--- a/state/cell/cell.go
+++ b/state/cell/cell.go
@@ -207,12 +207,12 @@
 	return i
 }
 
-// Carve splits ranges at the ends of span, so that every range lies either
+// SplitAround splits ranges at the ends of span, so that every range lies either
 // inside or outside of it. Parts keep owner, phase and epoch.
-func (s *Service) Carve(span keyspace.Span) {
+func (s *Service) SplitAround(span keyspace.Span) {
 	out := make([]Range, 0, len(s.Ranges)+2)
 	for _, r := range s.Ranges {
-		for _, part := range r.Cut(span) {
+		for _, part := range r.SplitAround(span) {
 			piece := r
 			piece.Span = part
 			out = append(out, piece)
--- a/state/cell/cell_test.go
+++ b/state/cell/cell_test.go
@@ -12,7 +12,7 @@
 func FuzzDecode(f *testing.F) {
 	good := Cell{
 		Name: "c", Version: 3, Fence: 2, Upstreams: []Upstream{{ID: "u", Service: "s"}},
-		Services: []Service{{Name: "s", Ranges: []Range{{Span: keyspace.Whole(), Epoch: 1, Phase: Owned, Owner: "u"}}}},
+		Services: []Service{{Name: "s", Ranges: []Range{{Span: keyspace.FullSpan(), Epoch: 1, Phase: Owned, Owner: "u"}}}},
 	}
 	data, err := json.Marshal(good)
 	if err != nil {
@@ -57,7 +57,7 @@
 		{Span: keyspace.Span{First: 0, Last: 99}, Epoch: 3, Phase: Owned, Owner: "u"},
 		{Span: keyspace.Span{First: 100, Last: keyspace.Max}, Epoch: 4, Phase: Owned, Owner: "v"},
 	}}
-	s.Carve(keyspace.Span{First: 50, Last: 149})
+	s.SplitAround(keyspace.Span{First: 50, Last: 149})
 	want := []keyspace.Span{{First: 0, Last: 49}, {First: 50, Last: 99}, {First: 100, Last: 149}, {First: 150, Last: keyspace.Max}}
 	var got []keyspace.Span
 	for _, r := range s.Ranges {
--- a/state/cell/directory.go
+++ b/state/cell/directory.go
@@ -46,7 +46,7 @@
 func (d *Directory) Assign(span keyspace.Span, to string, epoch uint64) {
 	var out []Segment
 	for _, s := range d.Segments {
-		for _, part := range s.Cut(span) {
+		for _, part := range s.SplitAround(span) {
 			piece := s
 			piece.Span = part
 			if span.Covers(part) {
--- a/state/keyspace/keyspace.go
+++ b/state/keyspace/keyspace.go
@@ -16,8 +16,8 @@
 // Hash is a point of a service's hash space.
 type Hash uint64
 
-// Of returns the point of key.
-func Of(key string) Hash { return Hash(xxhash.Sum64String(key)) }
+// HashKey returns the point of key.
+func HashKey(key string) Hash { return Hash(xxhash.Sum64String(key)) }
 
 // MarshalText encodes the point as sixteen hexadecimal digits.
 func (h Hash) MarshalText() ([]byte, error) {
@@ -43,8 +43,8 @@
 	Last  Hash `json:"last"`
 }
 
-// Whole is the complete hash space.
-func Whole() Span { return Span{First: 0, Last: Max} }
+// FullSpan is the complete hash space.
+func FullSpan() Span { return Span{First: 0, Last: Max} }
 
 // Contains reports whether h lies within the span.
 func (s Span) Contains(h Hash) bool { return s.First <= h && h <= s.Last }
@@ -58,8 +58,8 @@
 // Valid reports whether the span holds at least one point.
 func (s Span) Valid() bool { return s.First <= s.Last }
 
-// Width returns the share of the whole hash space, between 0 and 1.
-func (s Span) Width() float64 {
+// Fraction returns the share of the whole hash space, between 0 and 1.
+func (s Span) Fraction() float64 {
 	return (float64(s.Last-s.First) + 1) / math.Exp2(64)
 }
 
@@ -90,9 +90,9 @@
 	return append(parts, Span{First: first, Last: s.Last})
 }
 
-// Cut returns the parts of s before, inside and after the point range of o.
+// SplitAround returns the parts of s before, inside and after the point range of o.
 // Parts that would be empty are left out.
-func (s Span) Cut(o Span) []Span {
+func (s Span) SplitAround(o Span) []Span {
 	if !s.Overlaps(o) {
 		return []Span{s}
 	}
--- a/transport/front/request.go
+++ b/transport/front/request.go
@@ -73,7 +73,7 @@
 	case len(q.id) > maxID:
 		return nil, answer.New(answer.BadRequest, "the request id is longer than %d bytes", maxID)
 	}
-	q.hash = keyspace.Of(q.key)
+	q.hash = keyspace.HashKey(q.key)
 	if err := q.parseOptions(r, p.clock()); err != nil {
 		return nil, err
 	}
