--- a/bench/lab/scenario.go
+++ b/bench/lab/scenario.go
@@ -178,11 +178,11 @@
 const mostRequests = 5_000_000
 
 // Check implements jsonc.Checker.
-func (s *Scenario) Check() []jsonc.Finding {
-	var out []jsonc.Finding
+func (s *Scenario) Check() []jsonc.Diagnostic {
+	var out []jsonc.Diagnostic
 	add := func(bad bool, path, message string) {
 		if bad {
-			out = append(out, jsonc.Finding{Path: path, Message: message})
+			out = append(out, jsonc.Diagnostic{Path: path, Message: message})
 		}
 	}
 	add(s.Name == "", "name", "is required")
--- a/bench/load/settings.go
+++ b/bench/load/settings.go
@@ -49,11 +49,11 @@
 }
 
 // Check implements jsonc.Checker.
-func (s *Settings) Check() []jsonc.Finding {
-	var out []jsonc.Finding
+func (s *Settings) Check() []jsonc.Diagnostic {
+	var out []jsonc.Diagnostic
 	add := func(bad bool, path, message string) {
 		if bad {
-			out = append(out, jsonc.Finding{Path: path, Message: message})
+			out = append(out, jsonc.Diagnostic{Path: path, Message: message})
 		}
 	}
 	add(len(s.Entries) == 0, "entries", "is required")
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -87,7 +87,7 @@
 		return ExitOK
 	}
 	var usage usageError
-	var findings jsonc.Findings
+	var findings jsonc.Diagnostics
 	if errors.As(err, &usage) || errors.As(err, &findings) {
 		return ExitUsage
 	}
--- a/ctl/intents.go
+++ b/ctl/intents.go
@@ -77,7 +77,7 @@
 }
 
 // Check implements jsonc.Checker.
-func (f *specFile) Check() []jsonc.Finding { return f.intent().Check() }
+func (f *specFile) Check() []jsonc.Diagnostic { return f.intent().Check() }
 
 func create(cmd *cobra.Command, o *options, spec *intent.Spec) error {
 	data, err := json.Marshal(spec)
--- a/process/process.go
+++ b/process/process.go
@@ -81,7 +81,7 @@
 }
 
 func exitCode(err error) int {
-	var findings jsonc.Findings
+	var findings jsonc.Diagnostics
 	if errors.As(err, &findings) {
 		return ExitSettings
 	}
--- a/standin/platform/settings.go
+++ b/standin/platform/settings.go
@@ -31,13 +31,13 @@
 }
 
 // Check implements jsonc.Checker.
-func (s *Settings) Check() []jsonc.Finding {
-	var out []jsonc.Finding
+func (s *Settings) Check() []jsonc.Diagnostic {
+	var out []jsonc.Diagnostic
 	if !s.Listen.IsValid() {
-		out = append(out, jsonc.Finding{Path: "listen", Message: "is required"})
+		out = append(out, jsonc.Diagnostic{Path: "listen", Message: "is required"})
 	}
 	if s.WritesPerSecond <= 0 || s.ReadsPerSecond <= 0 {
-		out = append(out, jsonc.Finding{Path: "writes_per_second", Message: "rates must be positive"})
+		out = append(out, jsonc.Diagnostic{Path: "writes_per_second", Message: "rates must be positive"})
 	}
 	return out
 }
--- a/standin/upstream/settings.go
+++ b/standin/upstream/settings.go
@@ -53,19 +53,19 @@
 }
 
 // Check implements jsonc.Checker.
-func (s *Settings) Check() []jsonc.Finding {
-	var out []jsonc.Finding
+func (s *Settings) Check() []jsonc.Diagnostic {
+	var out []jsonc.Diagnostic
 	if s.ID == "" {
-		out = append(out, jsonc.Finding{Path: "id", Message: "is required"})
+		out = append(out, jsonc.Diagnostic{Path: "id", Message: "is required"})
 	}
 	if !s.Listen.IsValid() {
-		out = append(out, jsonc.Finding{Path: "listen", Message: "is required"})
+		out = append(out, jsonc.Diagnostic{Path: "listen", Message: "is required"})
 	}
 	if s.Slots < 1 {
-		out = append(out, jsonc.Finding{Path: "slots", Message: "must be at least 1"})
+		out = append(out, jsonc.Diagnostic{Path: "slots", Message: "must be at least 1"})
 	}
 	if s.Connections < s.Slots {
-		out = append(out, jsonc.Finding{Path: "connections", Message: "must be at least the slots"})
+		out = append(out, jsonc.Diagnostic{Path: "connections", Message: "must be at least the slots"})
 	}
 	return out
 }
--- a/state/intent/intent.go
+++ b/state/intent/intent.go
@@ -73,11 +73,11 @@
 }
 
 // Check implements jsonc.Checker.
-func (s *Spec) Check() []jsonc.Finding {
-	var out []jsonc.Finding
+func (s *Spec) Check() []jsonc.Diagnostic {
+	var out []jsonc.Diagnostic
 	need := func(ok bool, path string) {
 		if !ok {
-			out = append(out, jsonc.Finding{Path: path, Message: fmt.Sprintf("is required for %s", s.Kind)})
+			out = append(out, jsonc.Diagnostic{Path: path, Message: fmt.Sprintf("is required for %s", s.Kind)})
 		}
 	}
 	switch s.Kind {
@@ -95,7 +95,7 @@
 		need(s.Span != nil || s.Key != "", "span")
 		need(s.To != "", "to")
 	default:
-		out = append(out, jsonc.Finding{Path: "kind", Message: fmt.Sprintf("unknown kind %q", s.Kind)})
+		out = append(out, jsonc.Diagnostic{Path: "kind", Message: fmt.Sprintf("unknown kind %q", s.Kind)})
 	}
 	if s.Service != nil {
 		for _, f := range s.Service.Check() {
@@ -105,7 +105,7 @@
 	}
 	for i, u := range s.Upstreams {
 		if u.ID == "" || u.Service == "" || u.Cell == "" || !u.Addr.IsValid() {
-			out = append(out, jsonc.Finding{
+			out = append(out, jsonc.Diagnostic{
 				Path:    fmt.Sprintf("upstreams[%d]", i),
 				Message: "needs id, service, addr and cell",
 			})
--- a/state/jsonc/jsonc.go
+++ b/state/jsonc/jsonc.go
@@ -14,8 +14,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// Finding is one fault of a settings file.
-type Finding struct {
+// Diagnostic is one fault of a settings file.
+type Diagnostic struct {
 	// Path names the field, such as "limits.queue".
 	Path string
 	// Line is counted from one; zero means the whole file.
@@ -24,7 +24,7 @@
 }
 
 // String returns the finding on one line.
-func (f Finding) String() string {
+func (f Diagnostic) String() string {
 	switch {
 	case f.Line == 0:
 		return fmt.Sprintf("%s: %s", f.Path, f.Message)
@@ -34,11 +34,11 @@
 	return fmt.Sprintf("line %d: %s: %s", f.Line, f.Path, f.Message)
 }
 
-// Findings is the error returned for a file with faults.
-type Findings []Finding
+// Diagnostics is the error returned for a file with faults.
+type Diagnostics []Diagnostic
 
 // Error returns all findings, one a line.
-func (f Findings) Error() string {
+func (f Diagnostics) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
 		lines[i] = one.String()
@@ -48,7 +48,7 @@
 
 // Checker is implemented by settings that check the relations of their fields.
 // The line of each finding is filled in from its path.
-type Checker interface{ Check() []Finding }
+type Checker interface{ Check() []Diagnostic }
 
 // Load reads a file into settings and checks it. All faults are returned as
 // Findings.
@@ -67,26 +67,26 @@
 func Decode(data []byte, settings Checker) error {
 	root, err := hujson.Parse(data)
 	if err != nil {
-		return Findings{{Line: 1, Message: err.Error()}}
+		return Diagnostics{{Line: 1, Message: err.Error()}}
 	}
 	d := decoder{data: data, lines: make(map[string]int)}
-	d.value(&root, reflect.ValueOf(settings).Elem(), "")
-	if len(d.findings) > 0 {
-		return d.findings
+	d.decodeValue(&root, reflect.ValueOf(settings).Elem(), "")
+	if len(d.diagnostics) > 0 {
+		return d.diagnostics
 	}
 	for _, f := range settings.Check() {
 		f.Line = d.lineOf(f.Path)
-		d.findings = append(d.findings, f)
+		d.diagnostics = append(d.diagnostics, f)
 	}
-	if len(d.findings) > 0 {
-		return d.findings
+	if len(d.diagnostics) > 0 {
+		return d.diagnostics
 	}
 	return nil
 }
 
 type decoder struct {
 	data     []byte
-	findings Findings
+	diagnostics Diagnostics
 	lines    map[string]int
 }
 
@@ -104,82 +104,82 @@
 	}
 }
 
-func (d *decoder) report(v *hujson.Value, path, format string, args ...any) {
-	d.findings = append(d.findings, Finding{Path: path, Line: d.line(v), Message: fmt.Sprintf(format, args...)})
+func (d *decoder) addDiagnostic(v *hujson.Value, path, format string, args ...any) {
+	d.diagnostics = append(d.diagnostics, Diagnostic{Path: path, Line: d.line(v), Message: fmt.Sprintf(format, args...)})
 }
 
 func (d *decoder) line(v *hujson.Value) int {
 	return 1 + bytes.Count(d.data[:min(v.StartOffset, len(d.data))], []byte("\n"))
 }
 
-func (d *decoder) value(v *hujson.Value, target reflect.Value, path string) {
+func (d *decoder) decodeValue(v *hujson.Value, target reflect.Value, path string) {
 	d.lines[path] = d.line(v)
 	if _, ok := target.Addr().Interface().(encoding.TextUnmarshaler); ok {
-		d.literal(v, target, path)
+		d.decodeLiteral(v, target, path)
 		return
 	}
 	switch target.Kind() {
 	case reflect.Struct:
-		d.object(v, target, path)
+		d.decodeObject(v, target, path)
 	case reflect.Slice:
-		d.array(v, target, path)
+		d.decodeArray(v, target, path)
 	case reflect.Pointer:
 		target.Set(reflect.New(target.Type().Elem()))
-		d.value(v, target.Elem(), path)
+		d.decodeValue(v, target.Elem(), path)
 	default:
-		d.literal(v, target, path)
+		d.decodeLiteral(v, target, path)
 	}
 }
 
-func (d *decoder) literal(v *hujson.Value, target reflect.Value, path string) {
+func (d *decoder) decodeLiteral(v *hujson.Value, target reflect.Value, path string) {
 	lit, ok := v.Value.(hujson.Literal)
 	if !ok {
-		d.report(v, path, "want %s", describe(target.Type()))
+		d.addDiagnostic(v, path, "want %s", describeType(target.Type()))
 		return
 	}
 	if err := json.Unmarshal(lit, target.Addr().Interface()); err != nil {
-		d.report(v, path, "want %s: %v", describe(target.Type()), err)
+		d.addDiagnostic(v, path, "want %s: %v", describeType(target.Type()), err)
 	}
 }
 
-func (d *decoder) array(v *hujson.Value, target reflect.Value, path string) {
+func (d *decoder) decodeArray(v *hujson.Value, target reflect.Value, path string) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
-		d.report(v, path, "want a list")
+		d.addDiagnostic(v, path, "want a list")
 		return
 	}
 	list := reflect.MakeSlice(target.Type(), len(arr.Elements), len(arr.Elements))
 	for i := range arr.Elements {
-		d.value(&arr.Elements[i], list.Index(i), fmt.Sprintf("%s[%d]", path, i))
+		d.decodeValue(&arr.Elements[i], list.Index(i), fmt.Sprintf("%s[%d]", path, i))
 	}
 	target.Set(list)
 }
 
-func (d *decoder) object(v *hujson.Value, target reflect.Value, path string) {
+func (d *decoder) decodeObject(v *hujson.Value, target reflect.Value, path string) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.report(v, path, "want an object")
+		d.addDiagnostic(v, path, "want an object")
 		return
 	}
 	seen := make(map[string]bool)
 	for i := range obj.Members {
 		m := &obj.Members[i]
 		name := m.Name.Value.(hujson.Literal).String()
-		child := join(path, name)
+		child := joinPath(path, name)
 		field, ok := fieldByName(target, name)
 		switch {
 		case !ok:
-			d.report(&m.Name, child, "unknown field")
+			d.addDiagnostic(&m.Name, child, "unknown field")
 		case seen[name]:
-			d.report(&m.Name, child, "field stands twice")
+			d.addDiagnostic(&m.Name, child, "field stands twice")
 		default:
-			d.value(&m.Value, field, child)
+			d.decodeValue(&m.Value, field, child)
 		}
 		seen[name] = true
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
@@ -196,7 +196,7 @@
 	return reflect.Value{}, false
 }
 
-func describe(t reflect.Type) string {
+func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
 		return "a string"
--- a/state/jsonc/jsonc_test.go
+++ b/state/jsonc/jsonc_test.go
@@ -25,7 +25,7 @@
 }`
 	conf := settings.DefaultEntry()
 	err := jsonc.Decode([]byte(text), &conf)
-	var findings jsonc.Findings
+	var findings jsonc.Diagnostics
 	if !errors.As(err, &findings) {
 		t.Fatalf("error %v", err)
 	}
--- a/state/service/service.go
+++ b/state/service/service.go
@@ -84,11 +84,11 @@
 }
 
 // Check implements jsonc.Checker.
-func (c *Config) Check() []jsonc.Finding {
-	var out []jsonc.Finding
+func (c *Config) Check() []jsonc.Diagnostic {
+	var out []jsonc.Diagnostic
 	add := func(bad bool, path, message string) {
 		if bad {
-			out = append(out, jsonc.Finding{Path: path, Message: message})
+			out = append(out, jsonc.Diagnostic{Path: path, Message: message})
 		}
 	}
 	add(c.Name == "", "name", "is required")
@@ -116,7 +116,7 @@
 		return nil, fmt.Errorf("service document: %w", err)
 	}
 	if findings := c.Check(); len(findings) > 0 {
-		return nil, jsonc.Findings(findings)
+		return nil, jsonc.Diagnostics(findings)
 	}
 	return &c, nil
 }
--- a/state/settings/entry.go
+++ b/state/settings/entry.go
@@ -98,14 +98,14 @@
 }
 
 // Check implements jsonc.Checker.
-func (e *Entry) Check() []jsonc.Finding {
+func (e *Entry) Check() []jsonc.Diagnostic {
 	if e.Cell == "" {
 		e.Cell = e.Domain
 	}
-	var out []jsonc.Finding
+	var out []jsonc.Diagnostic
 	add := func(bad bool, path, message string) {
 		if bad {
-			out = append(out, jsonc.Finding{Path: path, Message: message})
+			out = append(out, jsonc.Diagnostic{Path: path, Message: message})
 		}
 	}
 	add(e.ID == "", "id", "is required")
@@ -132,13 +132,13 @@
 	return append(out, checkTLS("peer_tls", e.PeerTLS, true)...)
 }
 
-func checkTLS(path string, t TLS, mutual bool) []jsonc.Finding {
-	var out []jsonc.Finding
+func checkTLS(path string, t TLS, mutual bool) []jsonc.Diagnostic {
+	var out []jsonc.Diagnostic
 	if (t.Cert == "") != (t.Key == "") {
-		out = append(out, jsonc.Finding{Path: path, Message: "cert and key go together"})
+		out = append(out, jsonc.Diagnostic{Path: path, Message: "cert and key go together"})
 	}
 	if mutual && t.On() && t.Authority == "" {
-		out = append(out, jsonc.Finding{Path: path + ".authority", Message: "is required between entries"})
+		out = append(out, jsonc.Diagnostic{Path: path + ".authority", Message: "is required between entries"})
 	}
 	return out
 }
--- a/state/settings/gateway.go
+++ b/state/settings/gateway.go
@@ -73,11 +73,11 @@
 }
 
 // Check implements jsonc.Checker.
-func (g *Gateway) Check() []jsonc.Finding {
-	var out []jsonc.Finding
+func (g *Gateway) Check() []jsonc.Diagnostic {
+	var out []jsonc.Diagnostic
 	add := func(bad bool, path, message string) {
 		if bad {
-			out = append(out, jsonc.Finding{Path: path, Message: message})
+			out = append(out, jsonc.Diagnostic{Path: path, Message: message})
 		}
 	}
 	add(g.Node == "", "node", "is required")
