--- a/bench/soak/site.go
+++ b/bench/soak/site.go
@@ -340,9 +340,9 @@
 		conf.Callers, conf.Ready, conf.Peers, conf.Metrics = address(g.callers), address(g.ready), address(g.peers), address(g.metrics)
 		conf.Store = address(g.relay.Addr())
 		conf.DrainNotice, conf.StopLimit = jsonc.Duration(drainNotice), jsonc.Duration(stopLimit)
-		conf.UpstreamDrain, conf.LongestHold = jsonc.Duration(upstreamDrain), jsonc.Duration(longestHold)
+		conf.UpstreamDrainTimeout, conf.MaxGrantDuration = jsonc.Duration(upstreamDrain), jsonc.Duration(longestHold)
 		conf.RetryShare, conf.RetryAllowance, conf.RetryWindow = retryShare, retryAllowance, jsonc.Duration(retryWindow)
-		conf.Memory = gatewayMemory
+		conf.MemoryMB = gatewayMemory
 		data, err := json.MarshalIndent(conf, "", "  ")
 		if err != nil {
 			return err
--- a/entry/beats.go
+++ b/entry/beats.go
@@ -24,7 +24,7 @@
 
 // beatLoop asks the voters of the cell for promises.
 func (e *Entry) beatLoop(ctx context.Context) {
-	e.every(ctx, e.conf.BeatInterval.D(), func(ctx context.Context) {
+	e.every(ctx, e.conf.HeartbeatInterval.D(), func(ctx context.Context) {
 		for _, t := range e.beatTargets() {
 			go e.beat(ctx, t)
 		}
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -180,9 +180,9 @@
 	conf.Callers, conf.Ready, conf.Peers = callers.addr(), ready.addr(), peers.addr()
 	conf.Store = jsonc.Addr{AddrPort: netip.MustParseAddrPort(doorListener.Addr().String())}
 	conf.DrainNotice, conf.StopLimit = jsonc.Duration(200*time.Millisecond), jsonc.Duration(6*time.Second)
-	conf.UpstreamDrain, conf.LongestHold = jsonc.Duration(2*time.Second), jsonc.Duration(10*time.Second)
+	conf.UpstreamDrainTimeout, conf.MaxGrantDuration = jsonc.Duration(2*time.Second), jsonc.Duration(10*time.Second)
 	conf.RetryShare, conf.RetryAllowance, conf.RetryWindow = 0.2, 50, jsonc.Duration(10*time.Second)
-	conf.Memory = 200
+	conf.MemoryMB = 200
 	for _, g := range b.gateways {
 		conf.Seeds = append(conf.Seeds, jsonc.Addr{AddrPort: netip.MustParseAddrPort(g.open.Peers.Addr().String())})
 	}
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -205,7 +205,7 @@
 func benchGateway(b *testing.B, upstream string) string {
 	b.Helper()
 	conf := settings.DefaultGateway()
-	conf.Domain, conf.RetryWindow, conf.Memory = "a", jsonc.Duration(10*time.Second), 200
+	conf.Domain, conf.RetryWindow, conf.MemoryMB = "a", jsonc.Duration(10*time.Second), 200
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -178,7 +178,7 @@
 	g.limits.onChange = g.limitsChanged
 	self := &syncpb.Member{
 		Node: conf.Node, Address: open.Peers.Addr().String(), Domain: conf.Domain, Incarnation: incarnation(),
-		Strength: uint32(thousand * conf.Strength),
+		Strength: uint32(thousand * conf.CPUCores),
 	}
 	client := &http.Client{Transport: &progressTransport{base: &http.Transport{
 		DialContext:         countReads((&net.Dialer{Timeout: reportTimeout}).DialContext, g.meters.counter(newsIn)),
@@ -212,14 +212,14 @@
 	g.conns = pool.New(upstreamLimits, g.now)
 	g.steward = &steward{
 		view: g.view, cluster: g.cluster, traffic: g.traffic, store: store, calls: g.calls,
-		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newCallSlots(maxGrantCalls), longest: conf.LongestHold.D(),
+		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newCallSlots(maxGrantCalls), longest: conf.MaxGrantDuration.D(),
 		now: g.now, log: log, meters: g.meters, workTimes: newWorkTimes(g.view, g.now), limits: g.limits,
 		rights: &warmUpRights{view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now},
 	}
 	g.leading = &leading{
 		store: store, calls: g.calls, cluster: g.cluster, follower: g.follower, watcher: g.watcher,
 		steward: g.steward, now: g.now, log: log, firstRank: firstRank(conf),
-		promises: newPromises(g.now), longest: conf.LongestHold.D(),
+		promises: newPromises(g.now), longest: conf.MaxGrantDuration.D(),
 	}
 	g.steward.leading = g.leading
 	g.steward.placements = &placements{
@@ -231,7 +231,7 @@
 	g.front = &front{
 		view: g.view, traffic: g.traffic, splitter: routing.NewSplitter(), conns: g.conns, now: g.now,
 		log: log, meters: g.meters, domain: conf.Domain, gaps: g.gaps, limits: g.limits, suspects: g.suspects, unread: unread, open: newOpenRequests(),
-		maxHeld: int64(conf.Memory) * megabyte / mostBodyShare, configurationAge: g.configurationAge,
+		maxHeld: int64(conf.MemoryMB) * megabyte / mostBodyShare, configurationAge: g.configurationAge,
 	}
 	g.clock.OnSuspended(g.handleWakeUp)
 	return g
@@ -273,7 +273,7 @@
 
 // Run serves until ctx ends, then stops gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
-	debug.SetMemoryLimit(int64(memoryShare * float64(g.conf.Memory) * megabyte))
+	debug.SetMemoryLimit(int64(memoryShare * float64(g.conf.MemoryMB) * megabyte))
 	tracer, flush, err := telemetry.Tracer(ctx, g.conf.Trace, "rockcroft-gateway")
 	if err != nil {
 		return err
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -70,7 +70,7 @@
 	if s == nil {
 		seed := rand.NewPCG(t.rng.Uint64(), t.rng.Uint64())
 		s = &service{
-			dispatch: dispatch.NewService(t.conf.Domain, t.conf.UpstreamDrain.D(), rand.New(seed)),
+			dispatch: dispatch.NewService(t.conf.Domain, t.conf.UpstreamDrainTimeout.D(), rand.New(seed)),
 			budget: retry.NewWindowBudget(t.now(), t.conf.RetryWindow.D(),
 				budgetShare*t.conf.RetryShare, budgetShare*t.conf.RetryAllowance),
 		}
@@ -124,7 +124,7 @@
 	if service.StartRate <= 0 {
 		return dispatch.WarmUp{}
 	}
-	return dispatch.WarmUp{MaxPerSecond: t.conf.WarmUpOverage*service.StartRate + t.conf.WarmUpSlack, Keyed: service.Keyed}
+	return dispatch.WarmUp{MaxPerSecond: t.conf.WarmUpRateFactor*service.StartRate + t.conf.WarmUpRateSlack, Keyed: service.Keyed}
 }
 
 // needRights returns the upstreams of all services to which a gateway sends by a right only.
--- a/state/settings/entry.go
+++ b/state/settings/entry.go
@@ -18,8 +18,8 @@
 	Authority string `json:"authority"`
 }
 
-// On reports whether the listener uses TLS.
-func (t TLS) On() bool { return t.Cert != "" }
+// Enabled reports whether the listener uses TLS.
+func (t TLS) Enabled() bool { return t.Cert != "" }
 
 // Trace says where spans go.
 type Trace struct {
@@ -51,8 +51,8 @@
 	PlatformTimeout jsonc.Duration `json:"platform_timeout"`
 	// Seeds are peer addresses of other entries, to learn from at the start.
 	Seeds []jsonc.Addr `json:"seeds"`
-	// BeatInterval is the time between beats to voters. Default 400ms.
-	BeatInterval jsonc.Duration `json:"beat_interval"`
+	// HeartbeatInterval is the time between beats to voters. Default 400ms.
+	HeartbeatInterval jsonc.Duration `json:"beat_interval"`
 	// RenewInterval is the time between lease renewals. Default 300ms.
 	RenewInterval jsonc.Duration `json:"renew_interval"`
 	// DrainNotice is how long a stopping entry goes on serving after it turned
@@ -77,8 +77,8 @@
 
 // The defaults of an entry's times. Beats and renewals fit three times into promiseTTL.
 const (
-	defaultBeat  = 400 * time.Millisecond
-	defaultRenew = 300 * time.Millisecond
+	defaultHeartbeatInterval  = 400 * time.Millisecond
+	defaultRenewInterval = 300 * time.Millisecond
 	// defaultDrainLimit is longer than the longest deadline of a request, 10 s, and the
 	// notice before it.
 	defaultDrainLimit = 15 * time.Second
@@ -88,8 +88,8 @@
 func DefaultEntry() Entry {
 	return Entry{
 		PlatformTimeout: jsonc.Duration(time.Second),
-		BeatInterval:    jsonc.Duration(defaultBeat),
-		RenewInterval:   jsonc.Duration(defaultRenew),
+		HeartbeatInterval:    jsonc.Duration(defaultHeartbeatInterval),
+		RenewInterval:   jsonc.Duration(defaultRenewInterval),
 		DrainNotice:     jsonc.Duration(time.Second),
 		DrainLimit:      jsonc.Duration(defaultDrainLimit),
 		Trace:           Trace{Exporter: "off", SampleShare: 0.01},
@@ -114,12 +114,12 @@
 	add(!e.Peers.IsValid(), "peers", "is required")
 	add(!e.Admin.IsValid(), "admin", "is required")
 	add(!e.Platform.IsValid(), "platform", "is required")
-	add(clash(e.Callers, e.Peers), "peers", "has the same address as callers")
-	add(clash(e.Callers, e.Admin), "admin", "has the same address as callers")
-	add(clash(e.Peers, e.Admin), "admin", "has the same address as peers")
+	add(sameAddr(e.Callers, e.Peers), "peers", "has the same address as callers")
+	add(sameAddr(e.Callers, e.Admin), "admin", "has the same address as callers")
+	add(sameAddr(e.Peers, e.Admin), "admin", "has the same address as peers")
 	add(e.PlatformTimeout <= 0, "platform_timeout", "must be positive")
-	add(e.BeatInterval <= 0, "beat_interval", "must be positive")
-	add(e.BeatInterval.D()*3 > promiseTTL, "beat_interval", "must fit three times into the promise of 1.2s")
+	add(e.HeartbeatInterval <= 0, "beat_interval", "must be positive")
+	add(e.HeartbeatInterval.D()*3 > promiseTTL, "beat_interval", "must fit three times into the promise of 1.2s")
 	add(e.RenewInterval <= 0, "renew_interval", "must be positive")
 	add(e.RenewInterval.D()*3 > promiseTTL, "renew_interval", "must fit three times into the lease of 1.2s")
 	add(e.DrainNotice < 0, "drain_notice", "must not be negative")
@@ -137,13 +137,13 @@
 	if (t.Cert == "") != (t.Key == "") {
 		out = append(out, jsonc.Diagnostic{Path: path, Message: "cert and key go together"})
 	}
-	if mutual && t.On() && t.Authority == "" {
+	if mutual && t.Enabled() && t.Authority == "" {
 		out = append(out, jsonc.Diagnostic{Path: path + ".authority", Message: "is required between entries"})
 	}
 	return out
 }
 
-func clash(a, b jsonc.Addr) bool {
+func sameAddr(a, b jsonc.Addr) bool {
 	return a.IsValid() && b.IsValid() && a.Port() != 0 && a.AddrPort == b.AddrPort
 }
 
--- a/state/settings/gateway.go
+++ b/state/settings/gateway.go
@@ -31,42 +31,42 @@
 	DrainNotice jsonc.Duration `json:"drain_notice"`
 	// StopLimit bounds the whole stop; the platform kills after it.
 	StopLimit jsonc.Duration `json:"stop_limit"`
-	// UpstreamDrain is the time within which an upstream that is leaving must
+	// UpstreamDrainTimeout is the time within which an upstream that is leaving must
 	// get no more requests.
-	UpstreamDrain jsonc.Duration `json:"upstream_drain"`
-	// LongestHold is the longest time for which upstreams take grants.
-	LongestHold jsonc.Duration `json:"longest_hold"`
+	UpstreamDrainTimeout jsonc.Duration `json:"upstream_drain"`
+	// MaxGrantDuration is the longest time for which upstreams take grants.
+	MaxGrantDuration jsonc.Duration `json:"longest_hold"`
 	// RetryShare, RetryAllowance and RetryWindow bound second tries of all
 	// gateways: in each window, per service, a share of the requests plus an
 	// allowance.
 	RetryShare     float64        `json:"retry_share"`
 	RetryAllowance float64        `json:"retry_allowance"`
 	RetryWindow    jsonc.Duration `json:"retry_window"`
-	// WarmUpOverage and WarmUpSlack bound the requests that reach an upstream in any second
+	// WarmUpRateFactor and WarmUpSlack bound the requests that reach an upstream in any second
 	// while it warms up, from all gateways: the rate that the configuration names times the
 	// overage, plus the slack. Default 1 and 0.
-	WarmUpOverage float64 `json:"warm_up_overage"`
-	WarmUpSlack   float64 `json:"warm_up_slack"`
-	// Strength is the share of a core that the machine has, 1 for a whole one.
+	WarmUpRateFactor float64 `json:"warm_up_overage"`
+	WarmUpRateSlack   float64 `json:"warm_up_slack"`
+	// CPUCores is the share of a core that the machine has, 1 for a whole one.
 	// Stronger machines lead and report for others.
-	Strength float64 `json:"strength"`
-	// Memory is the memory that the process may use, in MB.
-	Memory int `json:"memory_mb"`
+	CPUCores float64 `json:"strength"`
+	// MemoryMB is the memory that the process may use, in MB.
+	MemoryMB int `json:"memory_mb"`
 	// LogLevel is "debug", "info", "warn" or "error". Default "info".
 	LogLevel string `json:"log_level"`
 	// Trace says where spans go.
 	Trace Trace `json:"trace"`
 }
 
-// gatewayDrainNotice is how long a stopping gateway still takes connections: the
+// defaultGatewayDrainNotice is how long a stopping gateway still takes connections: the
 // balancer asks once a second and takes it out after two misses.
-const gatewayDrainNotice = 2400 * time.Millisecond
+const defaultGatewayDrainNotice = 2400 * time.Millisecond
 
 // DefaultGateway returns the defaults.
 func DefaultGateway() Gateway {
 	return Gateway{
-		WarmUpOverage: 1,
-		DrainNotice:   jsonc.Duration(gatewayDrainNotice),
+		WarmUpRateFactor: 1,
+		DrainNotice:   jsonc.Duration(defaultGatewayDrainNotice),
 		LogLevel:      "info",
 		Trace:         Trace{Exporter: "off", SampleShare: 0.01},
 	}
@@ -87,15 +87,15 @@
 	add(!g.Peers.IsValid(), "peers", "is required")
 	add(!g.Store.IsValid(), "store", "is required")
 	add(g.StopLimit <= g.DrainNotice, "stop_limit", "must be longer than drain_notice")
-	add(g.UpstreamDrain <= 0, "upstream_drain", "must be positive")
-	add(g.LongestHold <= 0, "longest_hold", "must be positive")
+	add(g.UpstreamDrainTimeout <= 0, "upstream_drain", "must be positive")
+	add(g.MaxGrantDuration <= 0, "longest_hold", "must be positive")
 	add(g.RetryShare < 0 || g.RetryShare > 1, "retry_share", "must lie between 0 and 1")
 	add(g.RetryAllowance < 0, "retry_allowance", "must not be negative")
 	add(g.RetryWindow <= 0, "retry_window", "must be positive")
-	add(g.WarmUpOverage < 1, "warm_up_overage", "must be at least 1")
-	add(g.WarmUpSlack < 0, "warm_up_slack", "must not be negative")
-	add(g.Strength < 0, "strength", "must not be negative")
-	add(g.Memory <= 0, "memory_mb", "must be positive")
+	add(g.WarmUpRateFactor < 1, "warm_up_overage", "must be at least 1")
+	add(g.WarmUpRateSlack < 0, "warm_up_slack", "must not be negative")
+	add(g.CPUCores < 0, "strength", "must not be negative")
+	add(g.MemoryMB <= 0, "memory_mb", "must be positive")
 	add(!oneOf(g.LogLevel, "debug", "info", "warn", "error"), "log_level", `must be "debug", "info", "warn" or "error"`)
 	add(!oneOf(g.Trace.Exporter, "off", "stdout", "otlp"), "trace.exporter", `must be "off", "stdout" or "otlp"`)
 	return out
--- a/transport/tlsfiles/tlsfiles.go
+++ b/transport/tlsfiles/tlsfiles.go
@@ -61,7 +61,7 @@
 // Server returns the configuration of a listener that asks for no certificate
 // of its peer, or nil when TLS is off.
 func Server(t settings.TLS) (*tls.Config, error) {
-	if !t.On() {
+	if !t.Enabled() {
 		return nil, nil
 	}
 	pair := &keyPair{certFile: t.Cert, keyFile: t.Key}
