--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -94,7 +94,7 @@
 	}
 	p.Basis = basis(v, sortedNames(counts)...)
 	p.Cost.ImbalanceBefore, p.Cost.ImbalanceAfter = 1, 1
-	p.Why = fmt.Sprintf("the hash space of service %s is divided among its cells in proportion to their upstreams", name)
+	p.Explanation = fmt.Sprintf("the hash space of service %s is divided among its cells in proportion to their upstreams", name)
 	return p, nil
 }
 
@@ -132,11 +132,11 @@
 	return out
 }
 
-func basis(v View, cells ...string) []intent.Basis {
-	var out []intent.Basis
+func basis(v View, cells ...string) []intent.BasisDocument {
+	var out []intent.BasisDocument
 	for _, name := range cells {
 		if c := v.Cells[name]; c != nil {
-			out = append(out, intent.Basis{Kind: "cell", Name: name, Version: c.Version})
+			out = append(out, intent.BasisDocument{Kind: "cell", Name: name, Version: c.Version})
 		}
 	}
 	return out
@@ -148,9 +148,9 @@
 		return intent.Plan{}, answer.New(answer.NotFound, "service %q does not exist", spec.Service.Name)
 	}
 	return intent.Plan{
-		Basis: []intent.Basis{{Kind: "service", Name: current.Name, Version: current.Version}},
+		Basis: []intent.BasisDocument{{Kind: "service", Name: current.Name, Version: current.Version}},
 		Steps: []intent.Step{{Action: ActionConfigure, Service: current.Name, Span: keyspace.FullSpan()}},
-		Why:   fmt.Sprintf("version %d of the configuration replaces version %d", current.Version+1, current.Version),
+		Explanation:   fmt.Sprintf("version %d of the configuration replaces version %d", current.Version+1, current.Version),
 	}, nil
 }
 
@@ -210,7 +210,7 @@
 		joinMoves(&p, c, u, v)
 		p.Basis = append(p.Basis, basis(v, u.Cell)...)
 	}
-	p.Why = "each joining upstream takes its share of the load from the most loaded upstreams of its cell"
+	p.Explanation = "each joining upstream takes its share of the load from the most loaded upstreams of its cell"
 	return p, nil
 }
 
@@ -250,7 +250,7 @@
 	if total > 0 {
 		p.Cost.Churn += moved / total
 	}
-	p.Cost.LeastChurn += minChurn
+	p.Cost.MinChurn += minChurn
 	p.Cost.ImbalanceBefore = max(p.Cost.ImbalanceBefore, placement.Imbalance(nodes, items))
 	p.Cost.ImbalanceAfter = max(p.Cost.ImbalanceAfter, placement.Imbalance(nodes, after))
 	if len(moves) > 0 {
@@ -285,7 +285,7 @@
 		leaveMoves(&p, c, u, nodes, v)
 		p.Basis = append(p.Basis, basis(v, c.Name)...)
 	}
-	p.Why = "the ranges of " + strings.Join(spec.Names, ", ") + " move to the least loaded upstreams of the cell"
+	p.Explanation = "the ranges of " + strings.Join(spec.Names, ", ") + " move to the least loaded upstreams of the cell"
 	return p, nil
 }
 
@@ -346,11 +346,11 @@
 		p.Steps = append(p.Steps, step)
 		p.Cost.Ranges++
 		p.Cost.Churn += part.Fraction()
-		p.Cost.LeastChurn += part.Fraction()
+		p.Cost.MinChurn += part.Fraction()
 	}
 	p.Cost.Unavailable = jsonc.Duration(expectedUnavailable)
 	p.Basis = basis(v, sortedNames(cells)...)
-	p.Why = fmt.Sprintf("span %s is assigned to %s as requested", span, spec.To)
+	p.Explanation = fmt.Sprintf("span %s is assigned to %s as requested", span, spec.To)
 	return p, nil
 }
 
@@ -376,7 +376,7 @@
 		return p, answer.New(answer.NotFound, "no directory has a segment of %s", strings.Join(spec.Names, ", "))
 	}
 	p.Basis = basis(v, spec.Names...)
-	p.Why = "the spans of the lost cells are divided among the remaining cells in proportion to their upstreams; " +
+	p.Explanation = "the spans of the lost cells are divided among the remaining cells in proportion to their upstreams; " +
 		"confirm only when nothing in the lost cells is running any more"
 	return p, nil
 }
--- a/ctl/print.go
+++ b/ctl/print.go
@@ -22,13 +22,13 @@
 		return err
 	}
 	head := process.NewText(o.out)
-	head.Printf("intent   %s\nkind     %s\nstate    %s\nwhy      %s\n", i.ID, i.Spec.Kind, i.State, i.Plan.Why)
+	head.Printf("intent   %s\nkind     %s\nstate    %s\nwhy      %s\n", i.ID, i.Spec.Kind, i.State, i.Plan.Explanation)
 	c := i.Plan.Cost
 	head.Printf("cost     %d ranges, churn %.3f (least %.3f), unavailable %s a key\n",
-		c.Ranges, c.Churn, c.LeastChurn, c.Unavailable.D())
+		c.Ranges, c.Churn, c.MinChurn, c.Unavailable.D())
 	head.Printf("balance  %.3f before, %.3f after\n", c.ImbalanceBefore, c.ImbalanceAfter)
-	if len(i.Progress) > 0 {
-		head.Printf("done in  %s\n", strings.Join(i.Progress, ", "))
+	if len(i.CompletedCells) > 0 {
+		head.Printf("done in  %s\n", strings.Join(i.CompletedCells, ", "))
 	}
 	t := process.NewTable(o.out)
 	t.Printf("\nCELL\tACTION\tSERVICE\tSPAN\tFROM\tTO\n")
@@ -54,7 +54,7 @@
 			return err
 		}
 		t.Printf("%s\t%s\t%s\t%s\t%d\t%s\t%s\n", i.ID, i.Created.Format(time.RFC3339),
-			i.Spec.Kind, i.State, len(i.Plan.Steps), strings.Join(i.Progress, ","), i.By)
+			i.Spec.Kind, i.State, len(i.Plan.Steps), strings.Join(i.CompletedCells, ","), i.Operator)
 	}
 	return t.Close()
 }
--- a/entry/bed_test.go
+++ b/entry/bed_test.go
@@ -259,7 +259,7 @@
 		}
 		i, err := intent.Decode(resp.Intent)
 		if err == nil && i.State != intent.Done {
-			err = fmt.Errorf("is %s, done in %v", i.State, i.Progress)
+			err = fmt.Errorf("is %s, done in %v", i.State, i.CompletedCells)
 		}
 		return err
 	})
--- a/entry/intents.go
+++ b/entry/intents.go
@@ -42,7 +42,7 @@
 	var out []storedIntent
 	for _, s := range b.byID {
 		i := s.intent
-		if i.State == intent.Confirmed && slices.Contains(i.Cells(), cellName) && !slices.Contains(i.Progress, cellName) {
+		if i.State == intent.Confirmed && slices.Contains(i.Cells(), cellName) && !slices.Contains(i.CompletedCells, cellName) {
 			out = append(out, s)
 		}
 	}
@@ -166,8 +166,8 @@
 	defer cancel()
 	next := *s.intent
 	next.WriteID = newID()
-	next.Progress = append(slices.Clone(next.Progress), c.e.self.Cell)
-	if len(next.Progress) >= len(next.Cells()) {
+	next.CompletedCells = append(slices.Clone(next.CompletedCells), c.e.self.Cell)
+	if len(next.CompletedCells) >= len(next.Cells()) {
 		next.State = intent.Done
 	}
 	version, err := platform.PutOwn(ctx, c.e.store, platform.KindIntent, next.ID, &next, s.version)
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -141,7 +141,7 @@
 		ID:      "i-" + newID()[:10],
 		WriteID: newID(),
 		Created: o.e.clock().UTC(),
-		By:      req.By,
+		Operator:      req.By,
 		State:   intent.Planned,
 		Spec:    spec,
 		Plan:    plan,
@@ -220,7 +220,7 @@
 }
 
 // changedBasis says which documents changed between two plans.
-func changedBasis(old, now []intent.Basis) string {
+func changedBasis(old, now []intent.BasisDocument) string {
 	for _, b := range now {
 		for _, a := range old {
 			if a.Kind == b.Kind && a.Name == b.Name && a.Version != b.Version {
--- a/gateway/placements.go
+++ b/gateway/placements.go
@@ -67,7 +67,7 @@
 	p.intents = make(map[string]*stored, len(objects))
 	for _, o := range objects {
 		s := &stored{revision: o.Revision}
-		if err := platform.Decode(o, &s.Intent); err != nil || s.Check() != nil {
+		if err := platform.Decode(o, &s.Intent); err != nil || s.Validate() != nil {
 			p.log.Error("intent cannot be read, it is left alone", "intent", o.Name, "error", err)
 			continue
 		}
@@ -152,10 +152,10 @@
 		return passOn(ctx, err, r, other, placementpb.Placement.State)
 	}
 	i := placement.Intent{
-		ID: incarnation(), Kind: placement.Kind(r.Kind), Service: r.Service, Upstream: r.Upstream, By: r.By,
+		ID: incarnation(), Kind: placement.Kind(r.Kind), Service: r.Service, Upstream: r.Upstream, Operator: r.By,
 		Keys: spans.Keys{First: uint16(min(r.First, spans.MaxKey)), Last: uint16(min(r.Last, spans.MaxKey))}, State: placement.Planned,
 	}
-	if err := i.Check(); err != nil {
+	if err := i.Validate(); err != nil {
 		return nil, rpcError(answer.BadRequest, err.Error())
 	}
 	plan, err := p.plan(i)
@@ -200,7 +200,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.intents[i.ID] = &stored{Intent: i, revision: revision}
-	p.log.Info("intent", "intent", i.ID, "kind", i.Kind, "state", i.State, "service", i.Service, "upstream", i.Upstream, "moves", len(i.Plan), "by", i.By)
+	p.log.Info("intent", "intent", i.ID, "kind", i.Kind, "state", i.State, "service", i.Service, "upstream", i.Upstream, "moves", len(i.Plan), "by", i.Operator)
 	return intentMessage(i)
 }
 
@@ -286,7 +286,7 @@
 func intentMessage(i placement.Intent) *placementpb.Intent {
 	m := &placementpb.Intent{
 		Id: i.ID, Kind: string(i.Kind), Service: i.Service, Upstream: i.Upstream,
-		First: uint32(i.Keys.First), Last: uint32(i.Keys.Last), State: string(i.State), By: i.By,
+		First: uint32(i.Keys.First), Last: uint32(i.Keys.Last), State: string(i.State), By: i.Operator,
 	}
 	for _, s := range i.Plan {
 		m.Plan = append(m.Plan, &placementpb.Step{First: uint32(s.First), Last: uint32(s.Last), From: s.From, To: s.To})
--- a/state/intent/intent.go
+++ b/state/intent/intent.go
@@ -114,8 +114,8 @@
 	return out
 }
 
-// Basis is a document that a plan was computed from.
-type Basis struct {
+// BasisDocument is a document that a plan was computed from.
+type BasisDocument struct {
 	Kind    string `json:"kind"`
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
@@ -140,7 +140,7 @@
 	// Churn is the share of the load that changes owner, and LeastChurn the
 	// least that the intent needs.
 	Churn      float64 `json:"churn"`
-	LeastChurn float64 `json:"least_churn"`
+	MinChurn float64 `json:"least_churn"`
 	// ImbalanceBefore and ImbalanceAfter are busiest over mean.
 	ImbalanceBefore float64 `json:"imbalance_before"`
 	ImbalanceAfter  float64 `json:"imbalance_after"`
@@ -150,11 +150,11 @@
 
 // Plan answers an intent.
 type Plan struct {
-	Basis []Basis `json:"basis"`
+	Basis []BasisDocument `json:"basis"`
 	Steps []Step  `json:"steps"`
 	Cost  Cost    `json:"cost"`
-	// Why explains the proposal in a sentence.
-	Why string `json:"why"`
+	// Explanation explains the proposal in a sentence.
+	Explanation string `json:"why"`
 }
 
 // Intent is the stored document.
@@ -162,13 +162,13 @@
 	ID      string    `json:"id"`
 	WriteID string    `json:"write_id"`
 	Created time.Time `json:"created"`
-	// By names the operator.
-	By    string `json:"by,omitempty"`
+	// Operator names the operator.
+	Operator    string `json:"by,omitempty"`
 	State State  `json:"state"`
 	Spec  Spec   `json:"spec"`
 	Plan  Plan   `json:"plan"`
-	// Progress names the cells that have carried out their part.
-	Progress []string `json:"progress,omitempty"`
+	// CompletedCells names the cells that have carried out their part.
+	CompletedCells []string `json:"progress,omitempty"`
 }
 
 // Cells returns the cells that have a part in the plan, each once. Steps without
--- a/state/placement/placement.go
+++ b/state/placement/placement.go
@@ -51,15 +51,15 @@
 	// Keys are those of a Pin.
 	Keys  spans.Keys `json:"keys"`
 	State State      `json:"state"`
-	// By names the operator.
-	By string `json:"by"`
+	// Operator names the operator.
+	Operator string `json:"by"`
 	// Plan are the moves that the intent causes, computed when it was stated.
 	// A drain of an upstream without keys has none.
 	Plan []Step `json:"plan"`
 }
 
-// Check reports what is wrong with an intent, or nil.
-func (i *Intent) Check() error {
+// Validate reports what is wrong with an intent, or nil.
+func (i *Intent) Validate() error {
 	switch {
 	case i.Kind != Drain && i.Kind != Pin:
 		return fmt.Errorf("unknown kind %q", i.Kind)
