--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -121,10 +121,10 @@
 
 // warmUp is the bound of requests to an upstream of the service that warms up.
 func (t *traffic) warmUp(service *routing.Service) dispatch.WarmUp {
-	if service.StartRate <= 0 {
+	if service.WarmUpRate <= 0 {
 		return dispatch.WarmUp{}
 	}
-	return dispatch.WarmUp{MaxPerSecond: t.conf.WarmUpRateFactor*service.StartRate + t.conf.WarmUpRateSlack, Keyed: service.Keyed}
+	return dispatch.WarmUp{MaxPerSecond: t.conf.WarmUpRateFactor*service.WarmUpRate + t.conf.WarmUpRateSlack, Keyed: service.Keyed}
 }
 
 // needRights returns the upstreams of all services to which a gateway sends by a right only.
--- a/state/docstore/docstore.go
+++ b/state/docstore/docstore.go
@@ -73,21 +73,21 @@
 	name string
 }
 
-// Buckets is the number of parts in which two stores are compared, so that
+// BucketCount is the number of parts in which two stores are compared, so that
 // one changed document does not send all.
-const Buckets = 64
+const BucketCount = 64
 
 func (id docID) bucket() int {
-	return int(xxhash.Sum64String(string(id.kind)+"/"+id.name) % Buckets)
+	return int(xxhash.Sum64String(string(id.kind)+"/"+id.name) % BucketCount)
 }
 
 // Store holds documents. It is safe for concurrent use.
 type Store struct {
-	// changes orders the reports of changes. It is taken before mu.
-	changes  sync.Mutex
+	// notifyMu orders the reports of notifyMu. It is taken before mu.
+	notifyMu  sync.Mutex
 	mu       sync.Mutex
 	docs     map[docID]*Document
-	buckets  [Buckets]uint64
+	buckets  [BucketCount]uint64
 	onChange func(*Document)
 }
 
@@ -102,17 +102,17 @@
 // The change is reported without the lock that readers need: whoever is told may
 // hold locks under which others read documents.
 func (l *Store) Add(d *Document) bool {
-	l.changes.Lock()
-	defer l.changes.Unlock()
-	if !l.put(d) {
+	l.notifyMu.Lock()
+	defer l.notifyMu.Unlock()
+	if !l.replaceIfNewer(d) {
 		return false
 	}
 	l.onChange(d)
 	return true
 }
 
-// put replaces an older version and reports whether it did.
-func (l *Store) put(d *Document) bool {
+// replaceIfNewer replaces an older version and reports whether it did.
+func (l *Store) replaceIfNewer(d *Document) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	id := docID{d.Kind, d.Name}
@@ -122,9 +122,9 @@
 	// Digests are sums of one hash a document, so that a change costs the same
 	// however many documents there are.
 	sum := &l.buckets[id.bucket()]
-	*sum += d.fingerprint()
+	*sum += d.versionHash()
 	if known := l.docs[id]; known != nil {
-		*sum -= known.fingerprint()
+		*sum -= known.versionHash()
 	}
 	l.docs[id] = d
 	return true
@@ -160,7 +160,7 @@
 // another number of digests it returns all.
 func (l *Store) Differing(digests []uint64) []*Document {
 	all := l.All()
-	if len(digests) != Buckets {
+	if len(digests) != BucketCount {
 		return all
 	}
 	mine := l.BucketDigests()
@@ -170,8 +170,8 @@
 	})
 }
 
-// fingerprint identifies kind, name and version.
-func (d *Document) fingerprint() uint64 {
+// versionHash identifies kind, name and version.
+func (d *Document) versionHash() uint64 {
 	return xxhash.Sum64String(string(d.Kind) + "/" + d.Name + "@" + strconv.FormatUint(d.Version, 10))
 }
 
--- a/state/routing/routing.go
+++ b/state/routing/routing.go
@@ -62,25 +62,25 @@
 	Keyed bool
 	// WarmUp is how long keys are slow that came without their state.
 	WarmUp time.Duration
-	// StartRate is how many requests a second an upstream bears while it warms up; zero
+	// WarmUpRate is how many requests a second an upstream bears while it warms up; zero
 	// when that is not bounded.
-	StartRate float64
+	WarmUpRate float64
 }
 
 // Table finds routes. It is immutable.
 type Table struct {
 	*Configuration
-	hosts map[string]map[string]*Route
+	routesByHost map[string]map[string]*Route
 }
 
 // NewTable indexes a configuration.
 func NewTable(c *Configuration) *Table {
-	t := &Table{Configuration: c, hosts: make(map[string]map[string]*Route)}
+	t := &Table{Configuration: c, routesByHost: make(map[string]map[string]*Route)}
 	for _, r := range c.Routes {
-		byPrefix := t.hosts[r.Host]
+		byPrefix := t.routesByHost[r.Host]
 		if byPrefix == nil {
 			byPrefix = make(map[string]*Route)
-			t.hosts[r.Host] = byPrefix
+			t.routesByHost[r.Host] = byPrefix
 		}
 		byPrefix[r.Prefix] = r
 	}
@@ -90,7 +90,7 @@
 // Match returns the route of the host with the longest prefix that begins the
 // path, or nil.
 func (t *Table) Match(host, path string) *Route {
-	byPrefix := t.hosts[strings.ToLower(hostName(host))]
+	byPrefix := t.routesByHost[strings.ToLower(stripPort(host))]
 	if byPrefix == nil {
 		return nil
 	}
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// hostName takes the port off.
-func hostName(host string) string {
+// stripPort takes the port off.
+func stripPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		return host[:i]
 	}
--- a/state/routing/splitter.go
+++ b/state/routing/splitter.go
@@ -7,18 +7,18 @@
 // use.
 type Splitter struct {
 	mu     sync.Mutex
-	routes map[string]*deal
+	routes map[string]*roundRobin
 }
 
-// deal is the state of one route's round robin.
-type deal struct {
+// roundRobin is the state of one route's round robin.
+type roundRobin struct {
 	targets []Target
-	credit  []float64
+	currentWeights  []float64
 }
 
 // NewSplitter returns a splitter. Offset, between 0 and 1, shifts where a
 // route's round begins, so that many processes do not begin alike.
-func NewSplitter() *Splitter { return &Splitter{routes: make(map[string]*deal)} }
+func NewSplitter() *Splitter { return &Splitter{routes: make(map[string]*roundRobin)} }
 
 // Pick returns the service for the next request of the route.
 func (s *Splitter) Pick(r *Route) string {
@@ -29,22 +29,22 @@
 	defer s.mu.Unlock()
 	d := s.routes[r.Name]
 	if d == nil || !sameTargets(d.targets, r.Targets) {
-		d = &deal{targets: r.Targets, credit: make([]float64, len(r.Targets))}
+		d = &roundRobin{targets: r.Targets, currentWeights: make([]float64, len(r.Targets))}
 		s.routes[r.Name] = d
 	}
 	return r.Targets[d.next()].Service
 }
 
-func (d *deal) next() int {
+func (d *roundRobin) next() int {
 	total, best := 0.0, 0
 	for i, t := range d.targets {
-		d.credit[i] += t.Weight
+		d.currentWeights[i] += t.Weight
 		total += t.Weight
-		if d.credit[i] > d.credit[best] {
+		if d.currentWeights[i] > d.currentWeights[best] {
 			best = i
 		}
 	}
-	d.credit[best] -= total
+	d.currentWeights[best] -= total
 	return best
 }
 
