--- a/state/cell/cell_test.go
+++ b/state/cell/cell_test.go
@@ -9,12 +9,13 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
+// FuzzDecode checks that Find returns every range of a document that Decode accepts.
 func FuzzDecode(f *testing.F) {
-	good := Cell{
+	valid := Cell{
 		Name: "c", Version: 3, Fence: 2, Upstreams: []Upstream{{ID: "u", Service: "s"}},
 		Services: []Service{{Name: "s", Ranges: []Range{{Span: keyspace.FullSpan(), Epoch: 1, Phase: Owned, Owner: "u"}}}},
 	}
-	data, err := json.Marshal(good)
+	data, err := json.Marshal(valid)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -28,13 +29,14 @@
 		for _, s := range c.Services {
 			for _, r := range s.Ranges {
 				if i := s.Find(r.First); i < 0 || !s.Ranges[i].Contains(r.Last) {
-					t.Errorf("range %s is not found", r.Span)
+					t.Errorf("Find does not return range %s", r.Span)
 				}
 			}
 		}
 	})
 }
 
+// FuzzDecodeDirectory checks that Assign keeps a directory valid and assigns the span.
 func FuzzDecodeDirectory(f *testing.F) {
 	f.Add([]byte(`{"service":"s","version":1,"segments":[{"first":"0","last":"ffffffffffffffff","cell":"a"}]}`), uint64(5), uint64(9))
 	f.Fuzz(func(t *testing.T, data []byte, first, last uint64) {
@@ -47,12 +49,13 @@
 			t.Error(err)
 		}
 		if seg := d.Find(keyspace.Hash(first)); seg.Cell != "new" {
-			t.Errorf("%x is with %s", first, seg.Cell)
+			t.Errorf("point %x is assigned to cell %s, want new", first, seg.Cell)
 		}
 	})
 }
 
-func TestCarveKeepsGrants(t *testing.T) {
+// TestSplitAroundKeepsGrants checks that the parts of a split range keep its epoch and owner.
+func TestSplitAroundKeepsGrants(t *testing.T) {
 	s := Service{Ranges: []Range{
 		{Span: keyspace.Span{First: 0, Last: 99}, Epoch: 3, Phase: Owned, Owner: "u"},
 		{Span: keyspace.Span{First: 100, Last: keyspace.Max}, Epoch: 4, Phase: Owned, Owner: "v"},
@@ -67,6 +70,6 @@
 		t.Error(diff)
 	}
 	if s.Ranges[1].Epoch != 3 || s.Ranges[2].Owner != "v" {
-		t.Errorf("grants changed: %+v", s.Ranges)
+		t.Errorf("SplitAround changed grants: %+v", s.Ranges)
 	}
 }
--- a/state/cell/roster.go
+++ b/state/cell/roster.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// Roster lists the entries of a cell for the entries of other cells, which
-// forward requests to them and may ask them to be witnesses.
+// Roster lists the entries of a cell. Entries of other cells use it to forward
+// requests to them and to choose witnesses among them.
 type Roster struct {
 	Cell    string   `json:"cell"`
 	Domain  string   `json:"domain"`
@@ -15,14 +15,14 @@
 	Members []Member `json:"members"`
 }
 
-// DecodeRoster parses a roster document.
+// DecodeRoster parses and validates a roster document.
 func DecodeRoster(data []byte) (*Roster, error) {
 	var r Roster
 	if err := json.Unmarshal(data, &r); err != nil {
-		return nil, fmt.Errorf("roster document: %w", err)
+		return nil, fmt.Errorf("decode roster document: %w", err)
 	}
 	if r.Cell == "" || r.Version == 0 {
-		return nil, fmt.Errorf("roster %q: version %d", r.Cell, r.Version)
+		return nil, fmt.Errorf("roster %q: invalid cell name or version %d", r.Cell, r.Version)
 	}
 	return &r, nil
 }
