--- a/state/placement/placement.go
+++ b/state/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement holds what operators state about upstreams on the platform:
-// where keys should live and which upstreams are about to stop, with the plan
-// that answers it.
+// Package placement defines the operator's placement intents: pinning keys to an
+// upstream, or draining an upstream before it stops. Each intent has a plan of the
+// key moves that it causes.
 package placement
 
 import (
@@ -10,70 +10,70 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// Kind says what an intent asks for.
+// Kind is the operation that an intent requests.
 type Kind string
 
-// The kinds of intents.
+// Kinds of intents.
 const (
-	// Drain takes all keys and new requests away from an upstream before a
-	// planned stop.
+	// Drain moves all keys and new requests off an upstream before a planned
+	// stop.
 	Drain Kind = "drain"
-	// Pin keeps keys on an upstream as long as it lives.
+	// Pin keeps keys on an upstream for as long as the upstream is alive.
 	Pin Kind = "pin"
 )
 
 // State is the progress of an intent.
 type State string
 
-// The states of an intent.
+// States of an intent.
 const (
-	// Planned: the plan waits for a confirm.
+	// Planned: the plan is waiting for confirmation.
 	Planned State = "planned"
-	// Confirmed: it is in force.
+	// Confirmed: the intent is in effect.
 	Confirmed State = "confirmed"
-	// Cancelled: it is withdrawn.
+	// Cancelled: the intent was withdrawn.
 	Cancelled State = "cancelled"
 )
 
-// Step is one move of a plan.
+// Step moves a span of keys from one upstream to another.
 type Step struct {
 	spans.Keys
 	From string `json:"from"`
 	To   string `json:"to"`
 }
 
-// Intent is one statement with its plan.
+// Intent is an operator's placement request with its plan.
 type Intent struct {
 	ID       string `json:"id"`
 	Kind     Kind   `json:"kind"`
 	Service  string `json:"service"`
 	Upstream string `json:"upstream"`
-	// Keys are those of a Pin.
+	// Keys is the span of keys to pin. It is used only for Pin.
 	Keys  spans.Keys `json:"keys"`
 	State State      `json:"state"`
-	// Operator names the operator.
+	// Operator is the name of the operator who created the intent.
 	Operator string `json:"by"`
-	// Plan are the moves that the intent causes, computed when it was stated.
-	// A drain of an upstream without keys has none.
+	// Plan lists the moves that the intent causes, computed when it was created.
+	// It is empty for a drain of an upstream without keys.
 	Plan []Step `json:"plan"`
 }
 
-// Validate reports what is wrong with an intent, or nil.
+// Validate returns an error for the first problem in the intent.
 func (i *Intent) Validate() error {
 	switch {
 	case i.Kind != Drain && i.Kind != Pin:
 		return fmt.Errorf("unknown kind %q", i.Kind)
 	case i.Service == "":
-		return errors.New("the service is missing")
+		return errors.New("service is required")
 	case i.Upstream == "":
-		return errors.New("the upstream is missing")
+		return errors.New("upstream is required")
 	case i.Kind == Pin && i.Keys.Last < i.Keys.First:
-		return fmt.Errorf("the keys %d-%d are no span", i.Keys.First, i.Keys.Last)
+		return fmt.Errorf("invalid key span %d-%d: the last key is before the first", i.Keys.First, i.Keys.Last)
 	}
 	return nil
 }
 
-// SamePlan reports whether two plans make the same moves.
+// SamePlan reports whether two plans have the same moves in the same order.
 func SamePlan(a, b []Step) bool {
 	if len(a) != len(b) {
 		return false
