--- a/state/jsonc/jsonc.go
+++ b/state/jsonc/jsonc.go
@@ -1,5 +1,5 @@
-// Package jsonc reads settings in JSON with comments and reports every finding
-// at once, each with its path in the file and its line.
+// Package jsonc decodes settings written in JSON with comments. It reports all
+// problems of a file at once, each with its field path and line.
 package jsonc
 
 import (
@@ -14,56 +14,57 @@
 	"github.com/tailscale/hujson"
 )
 
-// Diagnostic is one fault of a settings file.
+// Diagnostic describes one problem in a settings file.
 type Diagnostic struct {
-	// Path names the field, such as "limits.queue".
+	// Path is the path of the field, such as "limits.queue".
 	Path string
-	// Line is counted from one; zero means the whole file.
+	// Line is the line number, starting at one. Zero refers to the entire file.
 	Line    int
 	Message string
 }
 
-// String returns the finding on one line.
-func (f Diagnostic) String() string {
+// String formats the diagnostic on one line.
+func (d Diagnostic) String() string {
 	switch {
-	case f.Line == 0:
-		return fmt.Sprintf("%s: %s", f.Path, f.Message)
-	case f.Path == "":
-		return fmt.Sprintf("line %d: %s", f.Line, f.Message)
+	case d.Line == 0:
+		return fmt.Sprintf("%s: %s", d.Path, d.Message)
+	case d.Path == "":
+		return fmt.Sprintf("line %d: %s", d.Line, d.Message)
 	}
-	return fmt.Sprintf("line %d: %s: %s", f.Line, f.Path, f.Message)
+	return fmt.Sprintf("line %d: %s: %s", d.Line, d.Path, d.Message)
 }
 
-// Diagnostics is the error returned for a file with faults.
+// Diagnostics is the error returned for a file that has problems.
 type Diagnostics []Diagnostic
 
-// Error returns all findings, one a line.
-func (f Diagnostics) Error() string {
-	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.String()
+// Error returns all diagnostics, one per line.
+func (d Diagnostics) Error() string {
+	lines := make([]string, len(d))
+	for i, diagnostic := range d {
+		lines[i] = diagnostic.String()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Checker is implemented by settings that check the relations of their fields.
-// The line of each finding is filled in from its path.
+// Checker is implemented by settings that validate their values and the relations
+// between their fields. Check leaves Line unset; Decode fills it in from Path.
 type Checker interface{ Check() []Diagnostic }
 
-// Load reads a file into settings and checks it. All faults are returned as
-// Findings.
+// Load reads a file into settings and validates them. An error for invalid contents
+// wraps Diagnostics.
 func Load(path string, settings Checker) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return fmt.Errorf("settings: %w", err)
+		return fmt.Errorf("read settings: %w", err)
 	}
 	if err := Decode(data, settings); err != nil {
-		return fmt.Errorf("settings %s:\n%w", path, err)
+		return fmt.Errorf("invalid settings in %s:\n%w", path, err)
 	}
 	return nil
 }
 
-// Decode parses data into settings and checks them.
+// Decode parses data into settings and validates them. Check is called only if all
+// fields were decoded without problems. The error, if any, is of type Diagnostics.
 func Decode(data []byte, settings Checker) error {
 	root, err := hujson.Parse(data)
 	if err != nil {
@@ -74,9 +75,9 @@
 	if len(d.diagnostics) > 0 {
 		return d.diagnostics
 	}
-	for _, f := range settings.Check() {
-		f.Line = d.lineOf(f.Path)
-		d.diagnostics = append(d.diagnostics, f)
+	for _, diagnostic := range settings.Check() {
+		diagnostic.Line = d.lineOf(diagnostic.Path)
+		d.diagnostics = append(d.diagnostics, diagnostic)
 	}
 	if len(d.diagnostics) > 0 {
 		return d.diagnostics
@@ -84,13 +85,15 @@
 	return nil
 }
 
+// decoder decodes parsed JSON into Go values. It collects diagnostics and records the
+// line of each field path.
 type decoder struct {
-	data     []byte
+	data        []byte
 	diagnostics Diagnostics
-	lines    map[string]int
+	lines       map[string]int
 }
 
-// lineOf returns the line of the path or of its nearest parent in the file.
+// lineOf returns the line of path, or of its nearest ancestor in the file.
 func (d *decoder) lineOf(path string) int {
 	for {
 		if line, ok := d.lines[path]; ok {
@@ -108,10 +111,13 @@
 	d.diagnostics = append(d.diagnostics, Diagnostic{Path: path, Line: d.line(v), Message: fmt.Sprintf(format, args...)})
 }
 
+// line returns the line on which v starts.
 func (d *decoder) line(v *hujson.Value) int {
 	return 1 + bytes.Count(d.data[:min(v.StartOffset, len(d.data))], []byte("\n"))
 }
 
+// decodeValue decodes v into target. Types that implement encoding.TextUnmarshaler are
+// decoded as literals.
 func (d *decoder) decodeValue(v *hujson.Value, target reflect.Value, path string) {
 	d.lines[path] = d.line(v)
 	if _, ok := target.Addr().Interface().(encoding.TextUnmarshaler); ok {
@@ -134,18 +140,18 @@
 func (d *decoder) decodeLiteral(v *hujson.Value, target reflect.Value, path string) {
 	lit, ok := v.Value.(hujson.Literal)
 	if !ok {
-		d.addDiagnostic(v, path, "want %s", describeType(target.Type()))
+		d.addDiagnostic(v, path, "expected %s", describeType(target.Type()))
 		return
 	}
 	if err := json.Unmarshal(lit, target.Addr().Interface()); err != nil {
-		d.addDiagnostic(v, path, "want %s: %v", describeType(target.Type()), err)
+		d.addDiagnostic(v, path, "expected %s: %v", describeType(target.Type()), err)
 	}
 }
 
 func (d *decoder) decodeArray(v *hujson.Value, target reflect.Value, path string) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
-		d.addDiagnostic(v, path, "want a list")
+		d.addDiagnostic(v, path, "expected a list")
 		return
 	}
 	list := reflect.MakeSlice(target.Type(), len(arr.Elements), len(arr.Elements))
@@ -158,7 +164,7 @@
 func (d *decoder) decodeObject(v *hujson.Value, target reflect.Value, path string) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.addDiagnostic(v, path, "want an object")
+		d.addDiagnostic(v, path, "expected an object")
 		return
 	}
 	seen := make(map[string]bool)
@@ -171,7 +177,7 @@
 		case !ok:
 			d.addDiagnostic(&m.Name, child, "unknown field")
 		case seen[name]:
-			d.addDiagnostic(&m.Name, child, "field stands twice")
+			d.addDiagnostic(&m.Name, child, "duplicate field")
 		default:
 			d.decodeValue(&m.Value, field, child)
 		}
@@ -186,6 +192,7 @@
 	return path + "." + name
 }
 
+// fieldByName returns the field of target whose json tag has the given name.
 func fieldByName(target reflect.Value, name string) (reflect.Value, bool) {
 	for i := range target.NumField() {
 		tag, _, _ := strings.Cut(target.Type().Field(i).Tag.Get("json"), ",")
@@ -196,6 +203,7 @@
 	return reflect.Value{}, false
 }
 
+// describeType describes the expected JSON value of a type for diagnostics.
 func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
@@ -206,10 +214,10 @@
 		return "a number"
 	}
 	if t == reflect.TypeFor[Duration]() {
-		return "a time with its unit"
+		return "a duration with a unit"
 	}
 	if t == reflect.TypeFor[Addr]() {
-		return "an IP number with port"
+		return "an IP address and port"
 	}
-	return "a whole number"
+	return "an integer"
 }
--- a/state/jsonc/jsonc_test.go
+++ b/state/jsonc/jsonc_test.go
@@ -11,9 +11,10 @@
 	"github.com/rockcroft/rockcroft/state/settings"
 )
 
-func TestEveryFindingAtOnce(t *testing.T) {
+// TestDecodeReportsAllDiagnostics guards against decoding that stops at the first problem.
+func TestDecodeReportsAllDiagnostics(t *testing.T) {
 	text := `{
-  // An entry with many faults.
+  // Entry settings with many problems.
   "id": "e1", "domain": "d",
   "callers": "localhost:1",
   "peers": "127.0.0.1:2",
@@ -27,7 +28,7 @@
 	err := jsonc.Decode([]byte(text), &conf)
 	var findings jsonc.Diagnostics
 	if !errors.As(err, &findings) {
-		t.Fatalf("error %v", err)
+		t.Fatalf("got error %v, want Diagnostics", err)
 	}
 	var got []string
 	for _, f := range findings {
@@ -38,11 +39,13 @@
 		t.Error(diff)
 	}
 	if findings[0].Line != 4 || findings[4].Line != 10 {
-		t.Errorf("lines %d and %d", findings[0].Line, findings[4].Line)
+		t.Errorf("got lines %d and %d, want 4 and 10", findings[0].Line, findings[4].Line)
 	}
 }
 
-func TestRelationsAreChecked(t *testing.T) {
+// TestCheckDiagnosticsHaveLines checks that diagnostics returned by Check get the line of
+// their field, or of its parent if the field is absent.
+func TestCheckDiagnosticsHaveLines(t *testing.T) {
 	text := `{
   "id": "e1", "domain": "d",
   "callers": "127.0.0.1:1",
@@ -57,17 +60,18 @@
 	err := jsonc.Decode([]byte(text), &conf)
 	for _, want := range []string{
 		"line 5: admin: has the same address as peers",
-		"line 7: beat_interval: must fit",
+		"line 7: beat_interval: must be at most 400ms",
 		"line 8: trace.endpoint: is required",
-		"line 9: peer_tls: cert and key go together",
+		"line 9: peer_tls: cert and key must be set together",
 		"peer_tls.authority: is required",
 	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("no finding %q in:\n%v", want, err)
+			t.Errorf("missing diagnostic %q in:\n%v", want, err)
 		}
 	}
 }
 
+// FuzzDecode checks that Decode does not panic on any input.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"id": "a", "seeds": ["127.0.0.1:1"], "trace": {"exporter": "off"}}`))
 	f.Add([]byte(`{"id": [1, {"x": null}], /* c */ "seeds": 3}`))
--- a/state/jsonc/types.go
+++ b/state/jsonc/types.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// Duration is a time with its unit, such as "250ms".
+// Duration is a duration that is written with a unit, such as "250ms".
 type Duration time.Duration
 
 // D returns the value as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// UnmarshalText parses a Go duration. A bare number is refused.
+// UnmarshalText parses a Go duration. A number without a unit is rejected, even 0.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q has no valid unit (ms, s, m, h)", text)
+		return fmt.Errorf("invalid duration %q: must be a number with a unit such as ms, s, m or h", text)
 	}
 	if string(text) == "0" {
-		return errors.New("0 has no unit")
+		return errors.New("invalid duration \"0\": missing unit")
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// MarshalText formats the time with its unit.
+// MarshalText formats the duration with units.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// Addr is an IP number with a port, such as "127.0.0.1:8080".
+// Addr is an IP address and port, such as "127.0.0.1:8080".
 type Addr struct{ netip.AddrPort }
 
-// UnmarshalText parses an address. A host name is refused.
+// UnmarshalText parses an IP address and port. Host names are rejected.
 func (a *Addr) UnmarshalText(text []byte) error {
 	v, err := netip.ParseAddrPort(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is no IP number with port", text)
+		return fmt.Errorf("invalid address %q: must be an IP address and port", text)
 	}
 	a.AddrPort = v
 	return nil
@@ -47,7 +47,7 @@
 // MarshalText formats the address.
 func (a Addr) MarshalText() ([]byte, error) { return a.AddrPort.MarshalText() }
 
-// String returns the address, or "" when it is not set.
+// String returns the address, or "" if it is not set.
 func (a Addr) String() string {
 	if !a.IsValid() {
 		return ""
--- a/state/settings/entry.go
+++ b/state/settings/entry.go
@@ -1,4 +1,5 @@
-// Package settings holds the settings of the system's programs.
+// Package settings defines the settings of the entry and gateway processes, with
+// their defaults and validation.
 package settings
 
 import (
@@ -7,97 +8,106 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// TLS names the key pair and authority of one listener. Files are read again
-// when they change.
+// TLS configures the key pair and certificate authority of a listener. The files
+// are reloaded when they change.
 type TLS struct {
-	// Cert and Key are PEM files. Empty means plain TCP.
+	// Cert and Key are the paths of PEM files. If they are empty, the listener
+	// uses plain TCP.
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
-	// Authority is the PEM file of the authority that peers must be signed
-	// by. It is required between entries.
+	// Authority is the path of a PEM file with the certificate authority that
+	// must have signed the certificates of peers. It is required between entries.
 	Authority string `json:"authority"`
 }
 
-// Enabled reports whether the listener uses TLS.
+// Enabled reports whether TLS is configured.
 func (t TLS) Enabled() bool { return t.Cert != "" }
 
-// Trace says where spans go.
+// Trace configures the export of trace spans.
 type Trace struct {
-	// Exporter is "off", "stdout" or "otlp". Default "off".
+	// Exporter is "off", "stdout" or "otlp". The default is "off".
 	Exporter string `json:"exporter"`
-	// Endpoint is the address of the OTLP receiver over HTTP.
+	// Endpoint is the address of the OTLP/HTTP receiver.
 	Endpoint jsonc.Addr `json:"endpoint,omitzero"`
-	// SampleShare is the share of requests traced, 0 to 1. Default 0.01.
+	// SampleShare is the fraction of requests that are traced, between 0 and 1.
+	// The default is 0.01.
 	SampleShare float64 `json:"sample_share"`
 }
 
 // Entry configures an entry process.
 type Entry struct {
-	// ID names the VM of the entry. It must be unique.
+	// ID is the name of the VM that the entry runs on. It must be unique.
 	ID string `json:"id"`
-	// Domain is the failure domain.
+	// Domain is the failure domain of the entry.
 	Domain string `json:"domain"`
-	// Cell is the unit of authority. Default: the failure domain.
+	// Cell is the name of the cell that the entry belongs to. The default is the
+	// failure domain.
 	Cell string `json:"cell"`
-	// Callers is the address that serves callers.
+	// Callers is the address that accepts requests from callers.
 	Callers jsonc.Addr `json:"callers"`
-	// Peers is the address that serves other entries.
+	// Peers is the address that accepts messages and requests from other entries.
 	Peers jsonc.Addr `json:"peers"`
-	// Admin is the address that serves operators, readiness and counters.
+	// Admin is the address that serves operator requests, readiness and metrics.
 	Admin jsonc.Addr `json:"admin"`
 	// Platform is the address of the platform's object service.
 	Platform jsonc.Addr `json:"platform"`
-	// PlatformTimeout bounds one call to the platform. Default 1s.
+	// PlatformTimeout is the timeout of one call to the platform. The default is
+	// 1s.
 	PlatformTimeout jsonc.Duration `json:"platform_timeout"`
-	// Seeds are peer addresses of other entries, to learn from at the start.
+	// Seeds are peer addresses of other entries, from which the entry fetches
+	// documents at startup.
 	Seeds []jsonc.Addr `json:"seeds"`
-	// HeartbeatInterval is the time between beats to voters. Default 400ms.
+	// HeartbeatInterval is the time between heartbeats to voters. The default is
+	// 400ms.
 	HeartbeatInterval jsonc.Duration `json:"beat_interval"`
-	// RenewInterval is the time between lease renewals. Default 300ms.
+	// RenewInterval is the time between lease renewals. The default is 300ms.
 	RenewInterval jsonc.Duration `json:"renew_interval"`
-	// DrainNotice is how long a stopping entry goes on serving after it turned
-	// unready, until the balancer has noticed. Default 1s.
+	// DrainNotice is how long a stopping entry continues to serve requests after
+	// it reports not ready, so that the load balancer notices. The default is 1s.
 	DrainNotice jsonc.Duration `json:"drain_notice"`
-	// DrainLimit bounds the graceful stop. Default 15s.
+	// DrainLimit is the timeout of a graceful shutdown. The default is 15s.
 	DrainLimit jsonc.Duration `json:"drain_limit"`
-	// CallerTLS protects the callers' listener.
+	// CallerTLS configures TLS on the listener for callers.
 	CallerTLS TLS `json:"caller_tls"`
-	// PeerTLS protects messages between entries, both ways.
+	// PeerTLS configures mutual TLS between entries.
 	PeerTLS TLS `json:"peer_tls"`
-	// Trace says where spans go.
+	// Trace configures the export of trace spans.
 	Trace Trace `json:"trace"`
-	// LogLevel is "debug", "info", "warn" or "error". Default "info".
+	// LogLevel is "debug", "info", "warn" or "error". The default is "info".
 	LogLevel string `json:"log_level"`
-	// Seed makes the random choices repeatable; zero takes a random one.
+	// Seed seeds the random number generator, which makes random choices
+	// reproducible. Zero selects a random seed.
 	Seed uint64 `json:"seed"`
 }
 
-// promiseTTL is the least time that beats have to fit into.
+// promiseTTL is the lifetime of voter promises and upstream leases that the intervals
+// are validated against: three heartbeats or three renewals must fit into it.
 const promiseTTL = 1200 * time.Millisecond
 
-// The defaults of an entry's times. Beats and renewals fit three times into promiseTTL.
+// Default intervals and timeouts of an entry. Each interval fits into promiseTTL three
+// times.
 const (
-	defaultHeartbeatInterval  = 400 * time.Millisecond
-	defaultRenewInterval = 300 * time.Millisecond
-	// defaultDrainLimit is longer than the longest deadline of a request, 10 s, and the
-	// notice before it.
+	defaultHeartbeatInterval = 400 * time.Millisecond
+	defaultRenewInterval     = 300 * time.Millisecond
+	// defaultDrainLimit exceeds the sum of the longest request deadline, 10 s, and the
+	// default DrainNotice.
 	defaultDrainLimit = 15 * time.Second
 )
 
-// DefaultEntry returns the defaults.
+// DefaultEntry returns the default settings of an entry.
 func DefaultEntry() Entry {
 	return Entry{
-		PlatformTimeout: jsonc.Duration(time.Second),
-		HeartbeatInterval:    jsonc.Duration(defaultHeartbeatInterval),
-		RenewInterval:   jsonc.Duration(defaultRenewInterval),
-		DrainNotice:     jsonc.Duration(time.Second),
-		DrainLimit:      jsonc.Duration(defaultDrainLimit),
-		Trace:           Trace{Exporter: "off", SampleShare: 0.01},
-		LogLevel:        "info",
+		PlatformTimeout:   jsonc.Duration(time.Second),
+		HeartbeatInterval: jsonc.Duration(defaultHeartbeatInterval),
+		RenewInterval:     jsonc.Duration(defaultRenewInterval),
+		DrainNotice:       jsonc.Duration(time.Second),
+		DrainLimit:        jsonc.Duration(defaultDrainLimit),
+		Trace:             Trace{Exporter: "off", SampleShare: 0.01},
+		LogLevel:          "info",
 	}
 }
 
-// Check implements jsonc.Checker.
+// Check implements jsonc.Checker. It also sets Cell to its default.
 func (e *Entry) Check() []jsonc.Diagnostic {
 	if e.Cell == "" {
 		e.Cell = e.Domain
@@ -119,37 +129,42 @@
 	add(sameAddr(e.Peers, e.Admin), "admin", "has the same address as peers")
 	add(e.PlatformTimeout <= 0, "platform_timeout", "must be positive")
 	add(e.HeartbeatInterval <= 0, "beat_interval", "must be positive")
-	add(e.HeartbeatInterval.D()*3 > promiseTTL, "beat_interval", "must fit three times into the promise of 1.2s")
+	add(e.HeartbeatInterval.D()*3 > promiseTTL, "beat_interval", "must be at most 400ms, a third of the promise lifetime of 1.2s")
 	add(e.RenewInterval <= 0, "renew_interval", "must be positive")
-	add(e.RenewInterval.D()*3 > promiseTTL, "renew_interval", "must fit three times into the lease of 1.2s")
+	add(e.RenewInterval.D()*3 > promiseTTL, "renew_interval", "must be at most 400ms, a third of the lease lifetime of 1.2s")
 	add(e.DrainNotice < 0, "drain_notice", "must not be negative")
 	add(e.DrainLimit < e.DrainNotice, "drain_limit", "must be at least drain_notice")
-	add(e.Trace.SampleShare < 0 || e.Trace.SampleShare > 1, "trace.sample_share", "must lie between 0 and 1")
+	add(e.Trace.SampleShare < 0 || e.Trace.SampleShare > 1, "trace.sample_share", "must be between 0 and 1")
 	add(!oneOf(e.Trace.Exporter, "off", "stdout", "otlp"), "trace.exporter", `must be "off", "stdout" or "otlp"`)
-	add(e.Trace.Exporter == "otlp" && !e.Trace.Endpoint.IsValid(), "trace.endpoint", "is required for otlp")
+	add(e.Trace.Exporter == "otlp" && !e.Trace.Endpoint.IsValid(), "trace.endpoint", "is required for the otlp exporter")
 	add(!oneOf(e.LogLevel, "debug", "info", "warn", "error"), "log_level", `must be "debug", "info", "warn" or "error"`)
 	out = append(out, checkTLS("caller_tls", e.CallerTLS, false)...)
 	return append(out, checkTLS("peer_tls", e.PeerTLS, true)...)
 }
 
+// checkTLS checks the TLS settings of a listener. With mutual TLS, an authority is
+// required too.
 func checkTLS(path string, t TLS, mutual bool) []jsonc.Diagnostic {
 	var out []jsonc.Diagnostic
 	if (t.Cert == "") != (t.Key == "") {
-		out = append(out, jsonc.Diagnostic{Path: path, Message: "cert and key go together"})
+		out = append(out, jsonc.Diagnostic{Path: path, Message: "cert and key must be set together"})
 	}
 	if mutual && t.Enabled() && t.Authority == "" {
-		out = append(out, jsonc.Diagnostic{Path: path + ".authority", Message: "is required between entries"})
+		out = append(out, jsonc.Diagnostic{Path: path + ".authority", Message: "is required for TLS between entries"})
 	}
 	return out
 }
 
+// sameAddr reports whether a and b are the same address. Port 0 selects a free port, so
+// such addresses never conflict.
 func sameAddr(a, b jsonc.Addr) bool {
 	return a.IsValid() && b.IsValid() && a.Port() != 0 && a.AddrPort == b.AddrPort
 }
 
-func oneOf(v string, list ...string) bool {
-	for _, one := range list {
-		if v == one {
+// oneOf reports whether v is one of the allowed values.
+func oneOf(v string, allowed ...string) bool {
+	for _, a := range allowed {
+		if v == a {
 			return true
 		}
 	}
--- a/state/settings/gateway.go
+++ b/state/settings/gateway.go
@@ -6,69 +6,72 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// Gateway configures a gateway process. The deployment fills it in from the
-// machine's description (deploy/gateway.jsonc).
+// Gateway configures a gateway process. The deployment renders the settings file
+// from the template deploy/gateway.jsonc and the description of the VM.
 type Gateway struct {
-	// Node names the VM.
+	// Node is the name of the VM that the gateway runs on.
 	Node string `json:"node"`
-	// Domain is the failure domain.
+	// Domain is the failure domain of the gateway.
 	Domain string `json:"domain"`
-	// Callers is the address that serves callers.
+	// Callers is the address that accepts requests from callers.
 	Callers jsonc.Addr `json:"callers"`
-	// Ready is the address on which the balancer asks for readiness.
+	// Ready is the address that serves the load balancer's readiness checks.
 	Ready jsonc.Addr `json:"ready"`
-	// Peers is the address that serves other gateways and operators.
+	// Peers is the address that accepts requests from other gateways and operators.
 	Peers jsonc.Addr `json:"peers"`
-	// Metrics is the address that serves counters. Empty means none.
+	// Metrics is the address that serves metrics. If it is empty, metrics are not
+	// served.
 	Metrics jsonc.Addr `json:"metrics"`
 	// Store is the address of the platform's metadata store.
 	Store jsonc.Addr `json:"store"`
-	// Seeds are the peer addresses of some gateways, to begin with.
+	// Seeds are the peer addresses of some gateways to contact at startup.
 	Seeds []jsonc.Addr `json:"seeds"`
-	// DrainNotice is how long a stopping gateway goes on taking connections
-	// after it turned unready: the balancer notices after two misses of one
-	// second. Default 2.4s.
+	// DrainNotice is how long a stopping gateway continues to accept connections
+	// after it reports not ready. The load balancer checks once per second and
+	// stops sending connections after two failed checks. The default is 2.4s.
 	DrainNotice jsonc.Duration `json:"drain_notice"`
-	// StopLimit bounds the whole stop; the platform kills after it.
+	// StopLimit is the timeout of the entire shutdown. The platform kills the
+	// process when it expires.
 	StopLimit jsonc.Duration `json:"stop_limit"`
-	// UpstreamDrainTimeout is the time within which an upstream that is leaving must
-	// get no more requests.
+	// UpstreamDrainTimeout is the time within which gateways must stop sending
+	// requests to an upstream that is leaving.
 	UpstreamDrainTimeout jsonc.Duration `json:"upstream_drain"`
-	// MaxGrantDuration is the longest time for which upstreams take grants.
+	// MaxGrantDuration is the longest duration of a grant that upstreams accept.
 	MaxGrantDuration jsonc.Duration `json:"longest_hold"`
-	// RetryShare, RetryAllowance and RetryWindow bound second tries of all
-	// gateways: in each window, per service, a share of the requests plus an
-	// allowance.
+	// RetryShare, RetryAllowance and RetryWindow define the retry budget of each
+	// service across all gateways: within each RetryWindow, RetryShare times the
+	// number of requests plus RetryAllowance.
 	RetryShare     float64        `json:"retry_share"`
 	RetryAllowance float64        `json:"retry_allowance"`
 	RetryWindow    jsonc.Duration `json:"retry_window"`
-	// WarmUpRateFactor and WarmUpSlack bound the requests that reach an upstream in any second
-	// while it warms up, from all gateways: the rate that the configuration names times the
-	// overage, plus the slack. Default 1 and 0.
+	// WarmUpRateFactor and WarmUpRateSlack limit the requests that all gateways together send
+	// to an upstream in any second while it warms up: the configured rate times the factor,
+	// plus the slack. The defaults are 1 and 0.
 	WarmUpRateFactor float64 `json:"warm_up_overage"`
-	WarmUpRateSlack   float64 `json:"warm_up_slack"`
-	// CPUCores is the share of a core that the machine has, 1 for a whole one.
-	// Stronger machines lead and report for others.
+	WarmUpRateSlack  float64 `json:"warm_up_slack"`
+	// CPUCores is the CPU capacity of the VM in cores; it may be a fraction, and 1 is
+	// a whole core. Gateways with more CPU are preferred as leaders and for sending
+	// the reports of other gateways.
 	CPUCores float64 `json:"strength"`
-	// MemoryMB is the memory that the process may use, in MB.
+	// MemoryMB is the memory limit of the process in MB.
 	MemoryMB int `json:"memory_mb"`
-	// LogLevel is "debug", "info", "warn" or "error". Default "info".
+	// LogLevel is "debug", "info", "warn" or "error". The default is "info".
 	LogLevel string `json:"log_level"`
-	// Trace says where spans go.
+	// Trace configures the export of trace spans.
 	Trace Trace `json:"trace"`
 }
 
-// defaultGatewayDrainNotice is how long a stopping gateway still takes connections: the
-// balancer asks once a second and takes it out after two misses.
+// defaultGatewayDrainNotice exceeds the 2 s that the load balancer needs to notice: it
+// checks readiness once per second and removes the gateway after two failed checks.
 const defaultGatewayDrainNotice = 2400 * time.Millisecond
 
-// DefaultGateway returns the defaults.
+// DefaultGateway returns the default settings of a gateway.
 func DefaultGateway() Gateway {
 	return Gateway{
 		WarmUpRateFactor: 1,
-		DrainNotice:   jsonc.Duration(defaultGatewayDrainNotice),
-		LogLevel:      "info",
-		Trace:         Trace{Exporter: "off", SampleShare: 0.01},
+		DrainNotice:      jsonc.Duration(defaultGatewayDrainNotice),
+		LogLevel:         "info",
+		Trace:            Trace{Exporter: "off", SampleShare: 0.01},
 	}
 }
 
@@ -89,7 +92,7 @@
 	add(g.StopLimit <= g.DrainNotice, "stop_limit", "must be longer than drain_notice")
 	add(g.UpstreamDrainTimeout <= 0, "upstream_drain", "must be positive")
 	add(g.MaxGrantDuration <= 0, "longest_hold", "must be positive")
-	add(g.RetryShare < 0 || g.RetryShare > 1, "retry_share", "must lie between 0 and 1")
+	add(g.RetryShare < 0 || g.RetryShare > 1, "retry_share", "must be between 0 and 1")
 	add(g.RetryAllowance < 0, "retry_allowance", "must not be negative")
 	add(g.RetryWindow <= 0, "retry_window", "must be positive")
 	add(g.WarmUpRateFactor < 1, "warm_up_overage", "must be at least 1")
--- a/state/settings/gateway_test.go
+++ b/state/settings/gateway_test.go
@@ -7,36 +7,38 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-const gatewayFile = `{
-  // as the deploy file makes it
+const gatewaySettings = `{
+  // The same fields as a file rendered from deploy/gateway.jsonc.
   "node": "edge-1", "domain": "a", "callers": "127.0.0.1:1", "ready": "127.0.0.1:2", "peers": "127.0.0.1:3",
   "metrics": "127.0.0.1:4", "store": "127.0.0.1:5", "seeds": ["127.0.0.1:3"],
   "stop_limit": "6s", "upstream_drain": "2s", "longest_hold": "10s",
   "retry_share": 0.2, "retry_allowance": 62, "retry_window": "10s", "strength": 0.32, "memory_mb": 284,
 }`
 
+// TestGatewaySettings checks that valid settings decode and that the error for an invalid
+// field names the field.
 func TestGatewaySettings(t *testing.T) {
 	g := DefaultGateway()
-	if err := jsonc.Decode([]byte(gatewayFile), &g); err != nil {
+	if err := jsonc.Decode([]byte(gatewaySettings), &g); err != nil {
 		t.Fatal(err)
 	}
-	for name, c := range map[string]struct{ old, now, path string }{
+	for name, c := range map[string]struct{ old, replacement, path string }{
 		"missing":          {`"node": "edge-1", `, ``, "node"},
-		"empty in deploy":  {`"stop_limit": "6s"`, `"stop_limit": "s"`, "stop_limit"},
+		"empty template":   {`"stop_limit": "6s"`, `"stop_limit": "s"`, "stop_limit"},
 		"too short":        {`"stop_limit": "6s"`, `"stop_limit": "1s"`, "stop_limit"},
-		"wrong kind":       {`"memory_mb": 284`, `"memory_mb": "284"`, "memory_mb"},
+		"wrong type":       {`"memory_mb": 284`, `"memory_mb": "284"`, "memory_mb"},
 		"no address":       {`"store": "127.0.0.1:5"`, `"store": ""`, "store"},
 		"out of range":     {`"retry_share": 0.2`, `"retry_share": 2`, "retry_share"},
 		"unknown field":    {`"node"`, `"nodes": 1, "node"`, "nodes"},
 		"negative":         {`"strength": 0.32`, `"strength": -1`, "strength"},
-		"no name":          {`"127.0.0.1:1"`, `"localhost:1"`, "callers"},
+		"host name":        {`"127.0.0.1:1"`, `"localhost:1"`, "callers"},
 		"missing duration": {`"longest_hold": "10s",`, ``, "longest_hold"},
 	} {
-		text := strings.Replace(gatewayFile, c.old, c.now, 1)
+		text := strings.Replace(gatewaySettings, c.old, c.replacement, 1)
 		g := DefaultGateway()
 		err := jsonc.Decode([]byte(text), &g)
 		if err == nil || !strings.Contains(err.Error(), c.path) {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: got error %v", name, err)
 		}
 	}
 }
