--- a/state/docstore/docstore.go
+++ b/state/docstore/docstore.go
@@ -1,6 +1,6 @@
-// Package docstore keeps the newest version of each shared document that a
-// process has seen. A version never goes back: an older document is ignored, in
-// whatever order and from whomever documents arrive.
+// Package docstore keeps the newest known version of each document that processes
+// share. Older versions are ignored, so documents may arrive in any order and from
+// any source.
 package docstore
 
 import (
@@ -16,30 +16,30 @@
 	"github.com/rockcroft/rockcroft/state/service"
 )
 
-// Kind is the kind of a shared document.
+// Kind is the type of a shared document.
 type Kind string
 
-// The kinds of shared documents.
+// Kinds of shared documents.
 const (
 	Directory Kind = "directory"
 	Service   Kind = "service"
 	Roster    Kind = "roster"
 )
 
-// Document is one version of a shared document, in its JSON form and parsed.
+// Document is one version of a shared document, both encoded as JSON and parsed.
 type Document struct {
 	Kind    Kind
 	Name    string
 	Version uint64
 	Data    []byte
 
-	// Exactly one of these is set, by the kind.
+	// Exactly one of these is set, depending on Kind.
 	Directory *cell.Directory
 	Service   *service.Config
 	Roster    *cell.Roster
 }
 
-// Parse reads a document of the given kind and checks it.
+// Parse parses and validates a document of the given kind.
 func Parse(kind Kind, data []byte) (*Document, error) {
 	d := &Document{Kind: kind, Data: data}
 	var err error
@@ -68,119 +68,123 @@
 	return d, nil
 }
 
+// docID identifies a document regardless of its version.
 type docID struct {
 	kind Kind
 	name string
 }
 
-// BucketCount is the number of parts in which two stores are compared, so that
-// one changed document does not send all.
+// BucketCount is the number of buckets by which two stores are compared, so that
+// one changed document does not cause all documents to be sent.
 const BucketCount = 64
 
+// bucket returns the index of the bucket that the document belongs to.
 func (id docID) bucket() int {
 	return int(xxhash.Sum64String(string(id.kind)+"/"+id.name) % BucketCount)
 }
 
-// Store holds documents. It is safe for concurrent use.
+// Store holds the newest known version of each document. It is safe for concurrent use.
 type Store struct {
-	// notifyMu orders the reports of notifyMu. It is taken before mu.
-	notifyMu  sync.Mutex
+	// notifyMu serializes the calls of onChange. It is locked before mu.
+	notifyMu sync.Mutex
 	mu       sync.Mutex
 	docs     map[docID]*Document
 	buckets  [BucketCount]uint64
 	onChange func(*Document)
 }
 
-// New returns an empty store. OnChange is called with each document that
-// replaced an older one, one at a time and in order.
+// New returns an empty store. It calls onChange with each document that is new or
+// replaces an older version, one at a time and in the order of the changes.
 func New(onChange func(*Document)) *Store {
 	return &Store{docs: make(map[docID]*Document), onChange: onChange}
 }
 
-// Add takes a document unless a version at least as new is known.
+// Add stores a document and reports true, unless the store already has the same or
+// a newer version.
 //
-// The change is reported without the lock that readers need: whoever is told may
-// hold locks under which others read documents.
-func (l *Store) Add(d *Document) bool {
-	l.notifyMu.Lock()
-	defer l.notifyMu.Unlock()
-	if !l.replaceIfNewer(d) {
+// It calls onChange without holding the lock that readers need: onChange may wait
+// for locks whose holders are reading documents from the store, which would deadlock.
+func (s *Store) Add(d *Document) bool {
+	s.notifyMu.Lock()
+	defer s.notifyMu.Unlock()
+	if !s.replaceIfNewer(d) {
 		return false
 	}
-	l.onChange(d)
+	s.onChange(d)
 	return true
 }
 
-// replaceIfNewer replaces an older version and reports whether it did.
-func (l *Store) replaceIfNewer(d *Document) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// replaceIfNewer stores d if no version at least as new is known, and reports whether
+// it did.
+func (s *Store) replaceIfNewer(d *Document) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	id := docID{d.Kind, d.Name}
-	if known := l.docs[id]; known != nil && known.Version >= d.Version {
+	if known := s.docs[id]; known != nil && known.Version >= d.Version {
 		return false
 	}
-	// Digests are sums of one hash a document, so that a change costs the same
-	// however many documents there are.
-	sum := &l.buckets[id.bucket()]
+	// A digest is the sum of one hash per document, so that the cost of updating it
+	// does not depend on the number of documents.
+	sum := &s.buckets[id.bucket()]
 	*sum += d.versionHash()
-	if known := l.docs[id]; known != nil {
+	if known := s.docs[id]; known != nil {
 		*sum -= known.versionHash()
 	}
-	l.docs[id] = d
+	s.docs[id] = d
 	return true
 }
 
-// Empty reports whether no document is known.
-func (l *Store) Empty() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.docs) == 0
+// Empty reports whether the store holds no documents.
+func (s *Store) Empty() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.docs) == 0
 }
 
-// Digest identifies the set of versions. Two stores with equal digests hold
-// the same versions.
-func (l *Store) Digest() uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// Digest returns a digest of the kinds, names and versions of all documents. Two
+// stores with equal digests hold the same versions, except for hash collisions.
+func (s *Store) Digest() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var sum uint64
-	for _, b := range l.buckets {
+	for _, b := range s.buckets {
 		sum += b
 	}
 	return sum
 }
 
-// BucketDigests returns one digest for each bucket of document names.
-func (l *Store) BucketDigests() []uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Clone(l.buckets[:])
+// BucketDigests returns the digest of each bucket.
+func (s *Store) BucketDigests() []uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.buckets[:])
 }
 
-// Differing returns the documents in buckets whose digest is not as given. With
-// another number of digests it returns all.
-func (l *Store) Differing(digests []uint64) []*Document {
-	all := l.All()
+// Differing returns the documents in buckets whose digests differ from the given
+// ones. If the number of digests is not BucketCount, it returns all documents.
+func (s *Store) Differing(digests []uint64) []*Document {
+	all := s.All()
 	if len(digests) != BucketCount {
 		return all
 	}
-	mine := l.BucketDigests()
+	own := s.BucketDigests()
 	return slices.DeleteFunc(all, func(d *Document) bool {
 		b := docID{d.Kind, d.Name}.bucket()
-		return mine[b] == digests[b]
+		return own[b] == digests[b]
 	})
 }
 
-// versionHash identifies kind, name and version.
+// versionHash returns a hash of the kind, name and version.
 func (d *Document) versionHash() uint64 {
 	return xxhash.Sum64String(string(d.Kind) + "/" + d.Name + "@" + strconv.FormatUint(d.Version, 10))
 }
 
-// All returns the documents, ordered by kind and name.
-func (l *Store) All() []*Document {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := make([]*Document, 0, len(l.docs))
-	for _, d := range l.docs {
+// All returns all documents, sorted by kind and name.
+func (s *Store) All() []*Document {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	out := make([]*Document, 0, len(s.docs))
+	for _, d := range s.docs {
 		out = append(out, d)
 	}
 	slices.SortFunc(out, func(a, b *Document) int {
@@ -192,31 +196,31 @@
 	return out
 }
 
-func (l *Store) get(kind Kind, name string) *Document {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.docs[docID{kind, name}]
+func (s *Store) get(kind Kind, name string) *Document {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.docs[docID{kind, name}]
 }
 
-// Service returns the configuration in force, or nil.
-func (l *Store) Service(name string) *service.Config {
-	if d := l.get(Service, name); d != nil {
+// Service returns the newest known configuration of a service, or nil.
+func (s *Store) Service(name string) *service.Config {
+	if d := s.get(Service, name); d != nil {
 		return d.Service
 	}
 	return nil
 }
 
-// Directory returns the directory in force, or nil.
-func (l *Store) Directory(name string) *cell.Directory {
-	if d := l.get(Directory, name); d != nil {
+// Directory returns the newest known directory of a service, or nil.
+func (s *Store) Directory(name string) *cell.Directory {
+	if d := s.get(Directory, name); d != nil {
 		return d.Directory
 	}
 	return nil
 }
 
-// Roster returns the member list of a cell, or nil.
-func (l *Store) Roster(name string) *cell.Roster {
-	if d := l.get(Roster, name); d != nil {
+// Roster returns the newest known roster of a cell, or nil.
+func (s *Store) Roster(name string) *cell.Roster {
+	if d := s.get(Roster, name); d != nil {
 		return d.Roster
 	}
 	return nil
--- a/state/docstore/docstore_test.go
+++ b/state/docstore/docstore_test.go
@@ -14,64 +14,65 @@
 	return d
 }
 
-// TestVersionsNeverGoBack adds documents in every order.
-func TestVersionsNeverGoBack(t *testing.T) {
+// TestOlderVersionsAreIgnored adds versions out of order: the newest one stays, and changes
+// are reported with increasing versions only.
+func TestOlderVersionsAreIgnored(t *testing.T) {
 	seen := uint64(0)
-	l := New(func(d *Document) {
+	s := New(func(d *Document) {
 		if d.Version <= seen {
-			t.Errorf("version %d after %d", d.Version, seen)
+			t.Errorf("version %d reported after version %d", d.Version, seen)
 		}
 		seen = d.Version
 	})
 	for _, v := range []int{2, 1, 3, 3, 2, 5, 4} {
-		l.Add(roster(t, "c", v))
+		s.Add(roster(t, "c", v))
 	}
-	if got := l.Roster("c").Version; got != 5 {
-		t.Errorf("version %d", got)
+	if got := s.Roster("c").Version; got != 5 {
+		t.Errorf("got version %d, want 5", got)
 	}
 }
 
 // TestDiffering changes one of many documents: the digests differ, and only a
-// few documents are sent.
+// small part of the documents is sent.
 func TestDiffering(t *testing.T) {
 	a, b := New(func(*Document) {}), New(func(*Document) {})
-	const many = 640
-	for i := range many {
+	const documents = 640
+	for i := range documents {
 		a.Add(roster(t, fmt.Sprint(i), 1))
-		b.Add(roster(t, fmt.Sprint(many-1-i), 1))
+		b.Add(roster(t, fmt.Sprint(documents-1-i), 1))
 	}
 	if a.Digest() != b.Digest() {
-		t.Fatal("equal stores differ")
+		t.Fatal("stores with equal documents have different digests")
 	}
 	a.Add(roster(t, "7", 2))
 	if a.Digest() == b.Digest() {
-		t.Fatal("a newer version does not show")
+		t.Fatal("a newer version does not change the digest")
 	}
 	docs := a.Differing(b.BucketDigests())
-	if len(docs) == 0 || len(docs) > many/10 {
-		t.Fatalf("%d documents are sent for one", len(docs))
+	if len(docs) == 0 || len(docs) > documents/10 {
+		t.Fatalf("%d documents would be sent for one changed document", len(docs))
 	}
 	for _, d := range docs {
 		b.Add(d)
 	}
 	if a.Digest() != b.Digest() {
-		t.Error("still different after the exchange")
+		t.Error("digests still differ after the exchange")
 	}
 }
 
-// TestReadersAreNotHeldUpByReports reads documents while a change is being
-// reported, as a controller does that is told of the change.
-func TestReadersAreNotHeldUpByReports(t *testing.T) {
-	var l *Store
-	l = New(func(d *Document) {
+// TestReadersAreNotBlockedByOnChange guards against a deadlock: a controller reads documents
+// while onChange reports a change to it.
+func TestReadersAreNotBlockedByOnChange(t *testing.T) {
+	var s *Store
+	s = New(func(d *Document) {
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			if l.Roster("c") == nil {
-				t.Error("the reported document is not there")
+			if s.Roster("c") == nil {
+				t.Error("the reported document is not in the store")
 			}
 		}()
 		<-done
 	})
-	l.Add(roster(t, "c", 1))
+	s.Add(roster(t, "c", 1))
 }
