--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -148,9 +148,9 @@
 		return intent.Plan{}, answer.New(answer.NotFound, "service %q does not exist", spec.Service.Name)
 	}
 	return intent.Plan{
-		Basis: []intent.BasisDocument{{Kind: "service", Name: current.Name, Version: current.Version}},
-		Steps: []intent.Step{{Action: ActionConfigure, Service: current.Name, Span: keyspace.FullSpan()}},
-		Explanation:   fmt.Sprintf("version %d of the configuration replaces version %d", current.Version+1, current.Version),
+		Basis:       []intent.BasisDocument{{Kind: "service", Name: current.Name, Version: current.Version}},
+		Steps:       []intent.Step{{Action: ActionConfigure, Service: current.Name, Span: keyspace.FullSpan()}},
+		Explanation: fmt.Sprintf("version %d of the configuration replaces version %d", current.Version+1, current.Version),
 	}, nil
 }
 
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -138,13 +138,13 @@
 		return nil, twirpError(err)
 	}
 	i := &intent.Intent{
-		ID:      "i-" + newID()[:10],
-		WriteID: newID(),
-		Created: o.e.clock().UTC(),
-		Operator:      req.By,
-		State:   intent.Planned,
-		Spec:    spec,
-		Plan:    plan,
+		ID:       "i-" + newID()[:10],
+		WriteID:  newID(),
+		Created:  o.e.clock().UTC(),
+		Operator: req.By,
+		State:    intent.Planned,
+		Spec:     spec,
+		Plan:     plan,
 	}
 	if _, err := platform.PutOwn(ctx, o.e.store, platform.KindIntent, i.ID, i, 0); err != nil {
 		return nil, twirpError(platformError(err))
--- a/state/intent/intent.go
+++ b/state/intent/intent.go
@@ -1,5 +1,5 @@
-// Package intent holds the documents by which operators state what should
-// hold, the plan that answers an intent, and its progress.
+// Package intent defines the documents with which operators request changes: the
+// requested change, the plan that was computed for it, and its progress.
 package intent
 
 import (
@@ -12,39 +12,40 @@
 	"github.com/rockcroft/rockcroft/state/service"
 )
 
-// Kind says what an intent asks for.
+// Kind is the operation that an intent requests.
 type Kind string
 
-// The kinds of intents.
+// Kinds of intents.
 const (
-	// CreateService brings a service with its first upstreams.
+	// CreateService adds a service with its first upstreams.
 	CreateService Kind = "create-service"
 	// Configure replaces the configuration of a service.
 	Configure Kind = "configure"
-	// Join adds upstreams.
+	// Join adds upstreams to existing services.
 	Join Kind = "join"
-	// Leave drains upstreams for a planned stop.
+	// Leave drains upstreams before a planned stop.
 	Leave Kind = "leave"
-	// Evict declares that upstreams have ended and will not come back.
+	// Evict declares that upstreams have terminated and will not return.
 	Evict Kind = "evict"
-	// Move places a span on an upstream.
+	// Move moves a span to an upstream.
 	Move Kind = "move"
-	// EvictCell declares that a whole cell is lost and gives its spans away.
+	// EvictCell declares that an entire cell is lost and assigns its spans to
+	// other cells.
 	EvictCell Kind = "evict-cell"
 )
 
 // State is the progress of an intent.
 type State string
 
-// The states of an intent.
+// States of an intent.
 const (
-	// Planned: the plan waits for a confirm.
+	// Planned: the plan is waiting for confirmation.
 	Planned State = "planned"
-	// Confirmed: the plan is being carried out.
+	// Confirmed: the plan is being executed.
 	Confirmed State = "confirmed"
-	// Done: every cell has carried out its part.
+	// Done: every cell has completed its part of the plan.
 	Done State = "done"
-	// Cancelled: withdrawn before the confirm.
+	// Cancelled: the intent was withdrawn before confirmation.
 	Cancelled State = "cancelled"
 )
 
@@ -56,16 +57,17 @@
 	Cell    string     `json:"cell"`
 }
 
-// Spec is what the operator states.
+// Spec is the change that the operator requests.
 type Spec struct {
 	Kind Kind `json:"kind"`
-	// Service is the configuration for CreateService and Configure.
+	// Service is the service configuration, for CreateService and Configure.
 	Service *service.Config `json:"service,omitempty"`
-	// Upstreams are those to add for CreateService and Join.
+	// Upstreams are the upstreams to add, for CreateService and Join.
 	Upstreams []Upstream `json:"upstreams,omitempty"`
-	// Names are the upstreams for Leave and Evict, or the cell for EvictCell.
+	// Names lists the upstreams for Leave and Evict, or the cell for EvictCell.
 	Names []string `json:"names,omitempty"`
-	// ServiceName, Span and To describe a Move. Key may stand for Span.
+	// ServiceName, Span and To define a Move: To is the target upstream. Key can be
+	// given in place of Span.
 	ServiceName string         `json:"service_name,omitempty"`
 	Span        *keyspace.Span `json:"span,omitempty"`
 	Key         string         `json:"key,omitempty"`
@@ -75,55 +77,56 @@
 // Check implements jsonc.Checker.
 func (s *Spec) Check() []jsonc.Diagnostic {
 	var out []jsonc.Diagnostic
-	need := func(ok bool, path string) {
+	require := func(ok bool, path string) {
 		if !ok {
 			out = append(out, jsonc.Diagnostic{Path: path, Message: fmt.Sprintf("is required for %s", s.Kind)})
 		}
 	}
 	switch s.Kind {
 	case CreateService:
-		need(s.Service != nil, "service")
-		need(len(s.Upstreams) > 0, "upstreams")
+		require(s.Service != nil, "service")
+		require(len(s.Upstreams) > 0, "upstreams")
 	case Configure:
-		need(s.Service != nil, "service")
+		require(s.Service != nil, "service")
 	case Join:
-		need(len(s.Upstreams) > 0, "upstreams")
+		require(len(s.Upstreams) > 0, "upstreams")
 	case Leave, Evict, EvictCell:
-		need(len(s.Names) > 0, "names")
+		require(len(s.Names) > 0, "names")
 	case Move:
-		need(s.ServiceName != "", "service_name")
-		need(s.Span != nil || s.Key != "", "span")
-		need(s.To != "", "to")
+		require(s.ServiceName != "", "service_name")
+		require(s.Span != nil || s.Key != "", "span")
+		require(s.To != "", "to")
 	default:
 		out = append(out, jsonc.Diagnostic{Path: "kind", Message: fmt.Sprintf("unknown kind %q", s.Kind)})
 	}
 	if s.Service != nil {
-		for _, f := range s.Service.Check() {
-			f.Path = "service." + f.Path
-			out = append(out, f)
+		for _, d := range s.Service.Check() {
+			d.Path = "service." + d.Path
+			out = append(out, d)
 		}
 	}
 	for i, u := range s.Upstreams {
 		if u.ID == "" || u.Service == "" || u.Cell == "" || !u.Addr.IsValid() {
 			out = append(out, jsonc.Diagnostic{
 				Path:    fmt.Sprintf("upstreams[%d]", i),
-				Message: "needs id, service, addr and cell",
+				Message: "id, service, addr and cell are required",
 			})
 		}
 	}
 	return out
 }
 
-// BasisDocument is a document that a plan was computed from.
+// BasisDocument identifies the version of a document that a plan was computed from.
 type BasisDocument struct {
 	Kind    string `json:"kind"`
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
 }
 
-// Step is one change that a plan proposes.
+// Step is one change proposed by a plan.
 type Step struct {
-	// Cell carries the step out.
+	// Cell is the cell that executes the step. If it is empty, the step is executed
+	// when the intent is confirmed.
 	Cell    string        `json:"cell"`
 	Action  string        `json:"action"`
 	Service string        `json:"service,omitempty"`
@@ -133,46 +136,47 @@
 	ToCell  string        `json:"to_cell,omitempty"`
 }
 
-// Cost is what a plan costs and gains.
+// Cost estimates the cost and the benefit of a plan.
 type Cost struct {
 	// Ranges is the number of ranges that change owner.
 	Ranges int `json:"ranges"`
-	// Churn is the share of the load that changes owner, and LeastChurn the
-	// least that the intent needs.
-	Churn      float64 `json:"churn"`
+	// Churn is the fraction of the load that changes owner. MinChurn is the
+	// smallest fraction with which the intent can be fulfilled.
+	Churn    float64 `json:"churn"`
 	MinChurn float64 `json:"least_churn"`
-	// ImbalanceBefore and ImbalanceAfter are busiest over mean.
+	// ImbalanceBefore and ImbalanceAfter are the load of the busiest upstream
+	// divided by the mean load, before and after the plan.
 	ImbalanceBefore float64 `json:"imbalance_before"`
 	ImbalanceAfter  float64 `json:"imbalance_after"`
-	// Unavailable is the expected time without an owner per moved key.
+	// Unavailable is the expected time for which each moved key has no owner.
 	Unavailable jsonc.Duration `json:"unavailable"`
 }
 
-// Plan answers an intent.
+// Plan lists the steps that fulfill an intent, with their cost.
 type Plan struct {
 	Basis []BasisDocument `json:"basis"`
-	Steps []Step  `json:"steps"`
-	Cost  Cost    `json:"cost"`
-	// Explanation explains the proposal in a sentence.
+	Steps []Step          `json:"steps"`
+	Cost  Cost            `json:"cost"`
+	// Explanation gives the reason for the proposed steps in one sentence.
 	Explanation string `json:"why"`
 }
 
-// Intent is the stored document.
+// Intent is the stored document of an operator's request.
 type Intent struct {
 	ID      string    `json:"id"`
 	WriteID string    `json:"write_id"`
 	Created time.Time `json:"created"`
-	// Operator names the operator.
-	Operator    string `json:"by,omitempty"`
-	State State  `json:"state"`
-	Spec  Spec   `json:"spec"`
-	Plan  Plan   `json:"plan"`
-	// CompletedCells names the cells that have carried out their part.
+	// Operator is the name of the operator who created the intent.
+	Operator string `json:"by,omitempty"`
+	State    State  `json:"state"`
+	Spec     Spec   `json:"spec"`
+	Plan     Plan   `json:"plan"`
+	// CompletedCells lists the cells that have completed their part of the plan.
 	CompletedCells []string `json:"progress,omitempty"`
 }
 
-// Cells returns the cells that have a part in the plan, each once. Steps without
-// a cell are carried out by the confirm itself.
+// Cells returns the cells that have steps in the plan, without duplicates. Steps
+// without a cell are executed when the intent is confirmed.
 func (i *Intent) Cells() []string {
 	var out []string
 	seen := make(map[string]bool)
@@ -185,14 +189,14 @@
 	return out
 }
 
-// Decode parses an intent document.
+// Decode parses an intent document. The document must have an ID.
 func Decode(data []byte) (*Intent, error) {
 	var i Intent
 	if err := json.Unmarshal(data, &i); err != nil {
-		return nil, fmt.Errorf("intent document: %w", err)
+		return nil, fmt.Errorf("decode intent document: %w", err)
 	}
 	if i.ID == "" {
-		return nil, fmt.Errorf("intent document without id")
+		return nil, fmt.Errorf("decode intent document: missing id")
 	}
 	return &i, nil
 }
