--- a/state/service/service.go
+++ b/state/service/service.go
@@ -1,5 +1,5 @@
-// Package service holds the configuration document of a service, kept by the
-// platform and in force in every failure domain.
+// Package service defines the configuration document of a service. The platform
+// stores it, and it applies in every failure domain.
 package service
 
 import (
@@ -10,61 +10,67 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// Weights say what the service minds most when its ranges move. They need not
-// add up to anything.
+// Weights are the relative weights of the costs that are considered when ranges of
+// the service move. Their sum does not matter.
 type Weights struct {
-	// Imbalance weighs the load of the busiest upstream over the mean.
+	// Imbalance weights the load of the busiest upstream divided by the mean load.
 	Imbalance float64 `json:"imbalance"`
-	// Churn weighs the share of load that changes owner.
+	// Churn weights the fraction of the load that changes owner.
 	Churn float64 `json:"churn"`
-	// Unavailable weighs the time that moved keys have no owner.
+	// Unavailable weights the time for which moved keys have no owner.
 	Unavailable float64 `json:"unavailable"`
 }
 
 // Config is the configuration of one service.
 type Config struct {
 	Name string `json:"name"`
-	// Version rises by one with each accepted change. Set by the system.
+	// Version increases by one with each accepted change. It is set by the system.
 	Version uint64 `json:"version,omitempty"`
-	// WriteID identifies the write. Set by the system.
+	// WriteID identifies the write. It is set by the system.
 	WriteID string `json:"write_id,omitempty"`
-	// ChecksFences says that the upstreams refuse requests without a valid
-	// lease and epoch. Otherwise the entries are the only fence.
+	// ChecksFences is true if the upstreams reject requests without a valid
+	// lease and epoch. Otherwise fencing relies on the entries alone.
 	ChecksFences bool `json:"checks_fences"`
-	// Slots is the number of requests one upstream runs at once. Default 4.
+	// Slots is the number of requests that one upstream executes concurrently. The
+	// default is 4.
 	Slots int `json:"slots"`
-	// Connections bounds the connections of all entries of a cell to one
-	// upstream. Default 130.
+	// Connections is the maximum number of connections from all entries of a cell
+	// to one upstream. The default is 130.
 	Connections int `json:"connections"`
-	// DefaultDeadline applies when the caller names none. Default 2s.
+	// DefaultDeadline applies to requests without a deadline. The default is 2s.
 	DefaultDeadline jsonc.Duration `json:"default_deadline"`
-	// MaxDeadline bounds what callers may ask for. Default 10s.
+	// MaxDeadline is the longest deadline that callers may request. The default is
+	// 10s.
 	MaxDeadline jsonc.Duration `json:"max_deadline"`
-	// QueueLength bounds the requests that wait per upstream and entry.
-	// Default 128.
+	// QueueLength is the maximum number of requests that wait at one entry for one
+	// upstream. The default is 128.
 	QueueLength int `json:"queue_length"`
-	// MaxBody bounds the body of a request, in bytes. Default 1048576.
+	// MaxBody is the maximum size of a request body in bytes. The default is 1048576.
 	MaxBody int64 `json:"max_body"`
-	// RetryShare is the number of retries allowed per request. Default 0.1.
+	// RetryShare is the number of retries allowed per request, on average. The
+	// default is 0.1.
 	RetryShare float64 `json:"retry_share"`
-	// CallerRate bounds the requests a second of one caller at one entry;
-	// zero means no bound.
+	// CallerRate is the maximum number of requests per second from one caller to one
+	// entry. Zero means no limit.
 	CallerRate float64 `json:"caller_rate"`
-	// Rebalance lets the system move ranges by itself, within MovesPerMinute.
+	// Rebalance allows the system to move ranges automatically, limited by
+	// MovesPerMinute.
 	Rebalance bool `json:"rebalance"`
-	// MovesPerMinute bounds the ranges moved by rebalancing in one cell.
-	// Default 30.
+	// MovesPerMinute is the maximum number of ranges that rebalancing moves per
+	// minute in one cell. The default is 30.
 	MovesPerMinute int `json:"moves_per_minute"`
-	// Weights say what matters most. Default 1 each.
+	// Weights are the relative weights of the costs of a move. The default of each
+	// is 1.
 	Weights Weights `json:"weights"`
 }
 
-// LongestDeadline bounds the deadline of any request. A controller waits this
-// long for requests of silent entries to upstreams that check nothing.
+// LongestDeadline is the upper limit of MaxDeadline. If upstreams do not enforce
+// fencing, a controller waits this long until requests that unresponsive entries may
+// have sent to them have ended.
 const LongestDeadline = 10 * time.Second
 
-// defaultDeadline holds when neither the caller nor the operator names one: a few times
-// the longest work on the users' sheets.
+// defaultDeadline applies if neither the caller nor the operator specifies a deadline. It
+// is several times the longest processing time in the users' workload descriptions.
 const defaultDeadline = 2 * time.Second
 
 // Default returns a configuration with all defaults set.
@@ -93,30 +99,30 @@
 	}
 	add(c.Name == "", "name", "is required")
 	add(c.Slots < 1, "slots", "must be at least 1")
-	add(c.Connections < c.Slots, "connections", "must be at least the slots")
+	add(c.Connections < c.Slots, "connections", "must be at least slots")
 	add(c.DefaultDeadline <= 0, "default_deadline", "must be positive")
 	add(c.MaxDeadline < c.DefaultDeadline, "max_deadline", "must be at least default_deadline")
-	add(c.MaxDeadline.D() > LongestDeadline, "max_deadline", "must be at most 10s: hand-overs count on it")
+	add(c.MaxDeadline.D() > LongestDeadline, "max_deadline", "must be at most 10s, because handovers wait that long for running requests")
 	add(c.QueueLength < 0, "queue_length", "must not be negative")
 	add(c.MaxBody < 0, "max_body", "must not be negative")
-	add(c.RetryShare < 0 || c.RetryShare > 1, "retry_share", "must lie between 0 and 1")
+	add(c.RetryShare < 0 || c.RetryShare > 1, "retry_share", "must be between 0 and 1")
 	add(c.CallerRate < 0, "caller_rate", "must not be negative")
 	add(c.MovesPerMinute < 0, "moves_per_minute", "must not be negative")
-	add(c.Rebalance && c.MovesPerMinute == 0, "moves_per_minute", "is 0 while rebalance is on")
+	add(c.Rebalance && c.MovesPerMinute == 0, "moves_per_minute", "must be positive if rebalance is enabled")
 	w := c.Weights
 	add(w.Imbalance < 0 || w.Churn < 0 || w.Unavailable < 0, "weights", "must not be negative")
-	add(c.Rebalance && w.Imbalance == 0, "weights.imbalance", "is 0 while rebalance is on")
+	add(c.Rebalance && w.Imbalance == 0, "weights.imbalance", "must be positive if rebalance is enabled")
 	return out
 }
 
-// Decode parses and checks a service document.
+// Decode parses and validates a service document. Missing fields get their defaults.
 func Decode(data []byte) (*Config, error) {
 	c := Default()
 	if err := json.Unmarshal(data, &c); err != nil {
-		return nil, fmt.Errorf("service document: %w", err)
+		return nil, fmt.Errorf("decode service document: %w", err)
 	}
-	if findings := c.Check(); len(findings) > 0 {
-		return nil, jsonc.Diagnostics(findings)
+	if diagnostics := c.Check(); len(diagnostics) > 0 {
+		return nil, jsonc.Diagnostics(diagnostics)
 	}
 	return &c, nil
 }
