--- a/state/routing/routing.go
+++ b/state/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing holds the operator's configuration and finds the route of a
-// request.
+// Package routing defines the operator's routing configuration, matches requests to
+// routes and splits the requests of a route between services.
 package routing
 
 import (
@@ -7,73 +7,78 @@
 	"time"
 )
 
-// Configuration is one version of what the operator wants.
+// Configuration is one version of the operator's configuration.
 type Configuration struct {
-	// Version only rises, in uneven steps.
+	// Version increases with each change, but not necessarily by one.
 	Version  uint64
 	Routes   map[string]*Route
 	Services map[string]*Service
 	Limits   Limits
 }
 
-// Limits bound what a client may send.
+// Limits are the limits on requests and connections of clients.
 type Limits struct {
-	// MaxHeader and MaxBody are in bytes.
+	// MaxHeader and MaxBody are the maximum sizes of the headers and the body of a
+	// request, in bytes.
 	MaxHeader int
 	MaxBody   int64
-	// HeaderTimeout bounds the time for the headers of a request,
-	// IdleTimeout the time that a connection may stay without requests.
+	// HeaderTimeout is the timeout for reading the headers of a request.
+	// IdleTimeout is how long a connection may be idle before it is closed.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
-// Route says where the requests of a host and path go.
+// Route defines how requests for a host and path prefix are handled.
 type Route struct {
 	Name string
-	// Host is in lower case. Prefix begins and ends with a slash.
+	// Host is in lower case. Prefix is a path prefix that begins and ends with a
+	// slash.
 	Host   string
 	Prefix string
-	// Idempotent requests may run more than once.
+	// Idempotent is true if requests can safely be executed more than once.
 	Idempotent bool
-	// Timeout is the longest time that a client is kept waiting.
+	// Timeout is the longest time that a client waits for a response.
 	Timeout time.Duration
-	// Objective is the latency within which an answer is on time.
+	// Objective is the latency objective: slower responses count as late.
 	Objective time.Duration
-	// Priority ranks routes; zero is the most important.
+	// Priority is the priority of the route's requests; zero is the highest.
 	Priority int
-	// MaxAttempts bounds the upstreams that one request is sent to.
+	// MaxAttempts is the maximum number of upstreams to which one request is sent.
 	MaxAttempts int
-	// Targets are the services, with their shares; one for most routes.
+	// Targets are the services that handle the requests, with their weights. Most
+	// routes have one target.
 	Targets []Target
 }
 
-// Target is a service that gets a share of a route's requests.
+// Target is a service that receives a share of a route's requests in proportion to
+// its weight.
 type Target struct {
 	Service string
 	Weight  float64
 }
 
-// Service is a group of upstreams that do the same work.
+// Service is a group of upstreams that handle the same kind of requests.
 type Service struct {
 	Name string
-	// MaxConns bounds the connections of all callers to one upstream.
+	// MaxConns is the maximum number of connections from all callers to one upstream.
 	MaxConns int
-	// Keyed says that each key has one owner among the upstreams.
+	// Keyed is true if each key is owned by one of the upstreams.
 	Keyed bool
-	// WarmUp is how long keys are slow that came without their state.
+	// WarmUp is how long requests for a key remain slow after the key moved to an
+	// upstream without its state.
 	WarmUp time.Duration
-	// WarmUpRate is how many requests a second an upstream bears while it warms up; zero
-	// when that is not bounded.
+	// WarmUpRate is the number of requests per second that an upstream can handle while
+	// it warms up. Zero means no limit.
 	WarmUpRate float64
 }
 
-// Table finds routes. It is immutable.
+// Table finds the route of a request by host and path. It is immutable.
 type Table struct {
 	*Configuration
 	routesByHost map[string]map[string]*Route
 }
 
-// NewTable indexes a configuration.
+// NewTable returns a table of the routes of a configuration.
 func NewTable(c *Configuration) *Table {
 	t := &Table{Configuration: c, routesByHost: make(map[string]map[string]*Route)}
 	for _, r := range c.Routes {
@@ -87,8 +92,8 @@
 	return t
 }
 
-// Match returns the route of the host with the longest prefix that begins the
-// path, or nil.
+// Match returns the route of the host with the longest prefix that matches the path,
+// or nil if there is none. The host may have a port, and its case is ignored.
 func (t *Table) Match(host, path string) *Route {
 	byPrefix := t.routesByHost[strings.ToLower(stripPort(host))]
 	if byPrefix == nil {
@@ -107,7 +112,7 @@
 	return nil
 }
 
-// stripPort takes the port off.
+// stripPort returns host without its port, if any.
 func stripPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		return host[:i]
--- a/state/routing/routing_test.go
+++ b/state/routing/routing_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-func table(prefixes ...string) *Table {
+// newTestTable returns a table with one route per prefix for the host h.example.
+func newTestTable(prefixes ...string) *Table {
 	c := &Configuration{Routes: make(map[string]*Route)}
 	for _, p := range prefixes {
 		c.Routes[p] = &Route{Name: p, Host: "h.example", Prefix: p}
@@ -15,29 +16,29 @@
 	return NewTable(c)
 }
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
-	tab := table("/", "/a/", "/a/b/")
+func TestMatchPrefersTheLongestPrefix(t *testing.T) {
+	tab := newTestTable("/", "/a/", "/a/b/")
 	for path, want := range map[string]string{
 		"/": "/", "/x": "/", "/a": "/", "/a/": "/a/", "/a/x/y": "/a/", "/a/b/": "/a/b/", "/a/bc": "/a/", "/a/b/c": "/a/b/",
 	} {
 		r := tab.Match("H.Example:80", path)
 		if r == nil || r.Prefix != want {
-			t.Errorf("%s: %v", path, r)
+			t.Errorf("path %s: matched the wrong route %v", path, r)
 		}
 	}
 	for _, c := range [][2]string{{"other.example", "/a/"}, {"", "/"}, {"h.example", ""}, {"h.example", "a/"}} {
 		if r := tab.Match(c[0], c[1]); r != nil {
-			t.Errorf("%v matches %s", c, r.Prefix)
+			t.Errorf("host and path %v match route %s, want none", c, r.Prefix)
 		}
 	}
-	if r := table("/a/").Match("h.example", "/b/"); r != nil {
-		t.Error("a path without a route matches")
+	if r := newTestTable("/a/").Match("h.example", "/b/"); r != nil {
+		t.Error("a path without a route matched one")
 	}
 }
 
-// TestSplitKeepsTheWeights: after any number of requests no target is more than
-// one request off its share.
-func TestSplitKeepsTheWeights(t *testing.T) {
+// TestSplitterFollowsWeights checks that the requests of each target stay close to its
+// share: the difference is at most one request per target of the route.
+func TestSplitterFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &Route{Name: "r"}
 		total := 0.0
@@ -55,13 +56,13 @@
 		for _, target := range r.Targets {
 			want := target.Weight / total * float64(requests)
 			if math.Abs(float64(counts[target.Service])-want) > float64(len(r.Targets)) {
-				t.Fatalf("%s got %d of %d, its share is %.1f", target.Service, counts[target.Service], requests, want)
+				t.Fatalf("target %s got %d of %d requests, want about %.1f", target.Service, counts[target.Service], requests, want)
 			}
 		}
 	})
 }
 
-func TestSplitFollowsNewWeights(t *testing.T) {
+func TestSplitterFollowsChangedTargets(t *testing.T) {
 	s := NewSplitter()
 	old := &Route{Name: "r", Targets: []Target{{"a", 1}, {"b", 1}}}
 	for range 10 {
@@ -70,7 +71,7 @@
 	next := &Route{Name: "r", Targets: []Target{{"a", 1}, {"c", 0}}}
 	for range 10 {
 		if got := s.Pick(next); got != "a" {
-			t.Fatalf("picked %s", got)
+			t.Fatalf("picked target %s, want a", got)
 		}
 	}
 }
