--- a/coordination/planner/planner.go
+++ b/coordination/planner/planner.go
@@ -73,7 +73,7 @@
 	if v.Services[name] != nil || v.Directories[name] != nil {
 		return intent.Plan{}, answer.New(answer.Conflict, "service %s exists", name)
 	}
-	p := intent.Plan{Steps: []intent.Step{{Action: ActionConfigure, Service: name, Span: keyspace.Whole()}}}
+	p := intent.Plan{Steps: []intent.Step{{Action: ActionConfigure, Service: name, Span: keyspace.FullSpan()}}}
 	counts := make(map[string]int)
 	for _, u := range spec.Upstreams {
 		if u.Service != name {
@@ -94,7 +94,7 @@
 	}
 	p.Basis = basis(v, sortedNames(counts)...)
 	p.Cost.ImbalanceBefore, p.Cost.ImbalanceAfter = 1, 1
-	p.Why = fmt.Sprintf("the hash space of %s is divided among its cells by their number of upstreams", name)
+	p.Explanation = fmt.Sprintf("the hash space of %s is divided among its cells by their number of upstreams", name)
 	return p, nil
 }
 
@@ -108,7 +108,7 @@
 	if total == 0 {
 		return nil
 	}
-	parts := keyspace.Whole().Split(total)
+	parts := keyspace.FullSpan().Split(total)
 	var out []cell.Segment
 	next := 0
 	for _, name := range sortedNames(weights) {
@@ -132,11 +132,11 @@
 	return out
 }
 
-func basis(v View, cells ...string) []intent.Basis {
-	var out []intent.Basis
+func basis(v View, cells ...string) []intent.BasisDocument {
+	var out []intent.BasisDocument
 	for _, name := range cells {
 		if c := v.Cells[name]; c != nil {
-			out = append(out, intent.Basis{Kind: "cell", Name: name, Version: c.Version})
+			out = append(out, intent.BasisDocument{Kind: "cell", Name: name, Version: c.Version})
 		}
 	}
 	return out
@@ -148,9 +148,9 @@
 		return intent.Plan{}, answer.New(answer.NotFound, "no service %q", spec.Service.Name)
 	}
 	return intent.Plan{
-		Basis: []intent.Basis{{Kind: "service", Name: current.Name, Version: current.Version}},
-		Steps: []intent.Step{{Action: ActionConfigure, Service: current.Name, Span: keyspace.Whole()}},
-		Why:   fmt.Sprintf("version %d of the configuration takes the place of version %d", current.Version+1, current.Version),
+		Basis:       []intent.BasisDocument{{Kind: "service", Name: current.Name, Version: current.Version}},
+		Steps:       []intent.Step{{Action: ActionConfigure, Service: current.Name, Span: keyspace.FullSpan()}},
+		Explanation: fmt.Sprintf("version %d of the configuration takes the place of version %d", current.Version+1, current.Version),
 	}, nil
 }
 
@@ -188,7 +188,7 @@
 		return out
 	}
 	for i := range out {
-		out[i].Load = out[i].Width()
+		out[i].Load = out[i].Fraction()
 	}
 	return out
 }
@@ -210,7 +210,7 @@
 		joinMoves(&p, c, u, v)
 		p.Basis = append(p.Basis, basis(v, u.Cell)...)
 	}
-	p.Why = "each joining upstream takes its share from those that carry most in its cell"
+	p.Explanation = "each joining upstream takes its share from those that carry most in its cell"
 	return p, nil
 }
 
@@ -250,7 +250,7 @@
 	if total > 0 {
 		p.Cost.Churn += moved / total
 	}
-	p.Cost.LeastChurn += minChurn
+	p.Cost.MinChurn += minChurn
 	p.Cost.ImbalanceBefore = max(p.Cost.ImbalanceBefore, placement.Imbalance(nodes, items))
 	p.Cost.ImbalanceAfter = max(p.Cost.ImbalanceAfter, placement.Imbalance(nodes, after))
 	if len(moves) > 0 {
@@ -285,7 +285,7 @@
 		leaveMoves(&p, c, u, nodes, v)
 		p.Basis = append(p.Basis, basis(v, c.Name)...)
 	}
-	p.Why = "the ranges of " + strings.Join(spec.Names, ", ") + " go to those that carry least in the cell"
+	p.Explanation = "the ranges of " + strings.Join(spec.Names, ", ") + " go to those that carry least in the cell"
 	return p, nil
 }
 
@@ -313,7 +313,7 @@
 }
 
 func planMove(spec intent.Spec, v View) (intent.Plan, error) {
-	span := keyspace.Span{First: keyspace.Of(spec.Key), Last: keyspace.Of(spec.Key)}
+	span := keyspace.Span{First: keyspace.HashKey(spec.Key), Last: keyspace.HashKey(spec.Key)}
 	if spec.Span != nil {
 		span = *spec.Span
 	}
@@ -345,12 +345,12 @@
 		}
 		p.Steps = append(p.Steps, step)
 		p.Cost.Ranges++
-		p.Cost.Churn += part.Width()
-		p.Cost.LeastChurn += part.Width()
+		p.Cost.Churn += part.Fraction()
+		p.Cost.MinChurn += part.Fraction()
 	}
 	p.Cost.Unavailable = jsonc.Duration(expectedUnavailable)
 	p.Basis = basis(v, sortedNames(cells)...)
-	p.Why = fmt.Sprintf("the span %s is given to %s as stated", span, spec.To)
+	p.Explanation = fmt.Sprintf("the span %s is given to %s as stated", span, spec.To)
 	return p, nil
 }
 
@@ -376,7 +376,7 @@
 		return p, answer.New(answer.NotFound, "no directory names %s", strings.Join(spec.Names, ", "))
 	}
 	p.Basis = basis(v, spec.Names...)
-	p.Why = "the spans of the lost cells go to the remaining ones by their number of upstreams; " +
+	p.Explanation = "the spans of the lost cells go to the remaining ones by their number of upstreams; " +
 		"confirm only when nothing of the lost cells runs any more"
 	return p, nil
 }
--- a/entry/bed_test.go
+++ b/entry/bed_test.go
@@ -259,7 +259,7 @@
 		}
 		i, err := intent.Decode(resp.Intent)
 		if err == nil && i.State != intent.Done {
-			err = fmt.Errorf("is %s, done in %v", i.State, i.Progress)
+			err = fmt.Errorf("is %s, done in %v", i.State, i.CompletedCells)
 		}
 		return err
 	})
@@ -363,6 +363,6 @@
 	wait.Wait()
 }
 
-func hashOf(key string) keyspace.Hash { return keyspace.Of(key) }
+func hashOf(key string) keyspace.Hash { return keyspace.HashKey(key) }
 
 var frozenFaults = upstream.Faults{Frozen: true}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -181,7 +181,7 @@
 	g.limits.onChange = g.limitsChanged
 	self := &syncpb.Member{
 		Node: conf.Node, Address: listeners.Peers.Addr().String(), Domain: conf.Domain, Incarnation: incarnation(),
-		Strength: uint32(strengthUnits * conf.Strength),
+		Strength: uint32(strengthUnits * conf.CPUCores),
 	}
 	client := &http.Client{Transport: &progressTransport{base: &http.Transport{
 		DialContext:         countReads((&net.Dialer{Timeout: reportTimeout}).DialContext, g.meters.counter(newsBytesIn)),
@@ -215,14 +215,14 @@
 	g.conns = pool.New(upstreamLimits, g.now)
 	g.steward = &assignmentSupervisor{
 		view: g.view, cluster: g.cluster, traffic: g.traffic, store: store, calls: g.storeCalls,
-		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newCallSlots(maxGrantCalls), maxHold: conf.LongestHold.D(),
+		owners: platform.NewOwners(pool.New(upstreamLimits, g.now)), turns: newCallSlots(maxGrantCalls), maxHold: conf.MaxGrantDuration.D(),
 		now: g.now, log: log, meters: g.meters, workTimes: newWorkTimes(g.view, g.now), limits: g.limits,
 		rights: &warmUpRights{view: g.view, cluster: g.cluster, traffic: g.traffic, now: g.now},
 	}
 	g.leading = &leaderElector{
 		store: store, calls: g.storeCalls, cluster: g.cluster, follower: g.follower, watcher: g.watcher,
 		assignments: g.steward, now: g.now, log: log, initialRank: firstRank(conf),
-		promises: newPromises(g.now), maxHold: conf.LongestHold.D(),
+		promises: newPromises(g.now), maxHold: conf.MaxGrantDuration.D(),
 	}
 	g.steward.elector = g.leading
 	g.steward.placements = &placements{
@@ -234,7 +234,7 @@
 	g.proxy = &proxy{
 		view: g.view, traffic: g.traffic, splitter: routing.NewSplitter(), conns: g.conns, now: g.now,
 		log: log, meters: g.meters, domain: conf.Domain, gaps: g.gaps, limits: g.limits, suspects: g.suspects, unread: unread, openRequests: newOpenRequests(),
-		maxBodyBytes: int64(conf.Memory) * megabyte / bodyMemoryDivisor, configurationAge: g.configurationAge,
+		maxBodyBytes: int64(conf.MemoryMB) * megabyte / bodyMemoryDivisor, configurationAge: g.configurationAge,
 	}
 	g.clock.OnSuspended(g.handleWakeUp)
 	return g
@@ -276,7 +276,7 @@
 
 // Run serves until ctx ends, then stops gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
-	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(g.conf.Memory) * megabyte))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(g.conf.MemoryMB) * megabyte))
 	tracer, flush, err := telemetry.Tracer(ctx, g.conf.Trace, "rockcroft-gateway")
 	if err != nil {
 		return err
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -69,7 +69,7 @@
 	if s == nil {
 		seed := rand.NewPCG(t.rng.Uint64(), t.rng.Uint64())
 		s = &serviceTraffic{
-			dispatch: dispatch.NewService(t.conf.Domain, t.conf.UpstreamDrain.D(), rand.New(seed)),
+			dispatch: dispatch.NewService(t.conf.Domain, t.conf.UpstreamDrainTimeout.D(), rand.New(seed)),
 			budget: retry.NewWindowBudget(t.now(), t.conf.RetryWindow.D(),
 				retryBudgetFraction*t.conf.RetryShare, retryBudgetFraction*t.conf.RetryAllowance),
 		}
@@ -120,10 +120,10 @@
 
 // warmUp returns the limit on requests to an upstream of the service while it warms up.
 func (t *traffic) warmUp(service *routing.Service) dispatch.WarmUp {
-	if service.StartRate <= 0 {
+	if service.WarmUpRate <= 0 {
 		return dispatch.WarmUp{}
 	}
-	return dispatch.WarmUp{MaxPerSecond: t.conf.WarmUpOverage*service.StartRate + t.conf.WarmUpSlack, Keyed: service.Keyed}
+	return dispatch.WarmUp{MaxPerSecond: t.conf.WarmUpRateFactor*service.WarmUpRate + t.conf.WarmUpRateSlack, Keyed: service.Keyed}
 }
 
 // needRights returns the upstreams of all services to which this gateway may send only while it
