--- a/state/intent/intent.go
+++ b/state/intent/intent.go
@@ -109,7 +109,7 @@
 		if u.ID == "" || u.Service == "" || u.Cell == "" || !u.Addr.IsValid() {
 			out = append(out, jsonc.Diagnostic{
 				Path:    fmt.Sprintf("upstreams[%d]", i),
-				Message: "id, service, addr and cell are required",
+				Message: "needs id, service, addr and cell",
 			})
 		}
 	}
--- a/state/jsonc/jsonc.go
+++ b/state/jsonc/jsonc.go
@@ -140,18 +140,18 @@
 func (d *decoder) decodeLiteral(v *hujson.Value, target reflect.Value, path string) {
 	lit, ok := v.Value.(hujson.Literal)
 	if !ok {
-		d.addDiagnostic(v, path, "expected %s", describeType(target.Type()))
+		d.addDiagnostic(v, path, "want %s", describeType(target.Type()))
 		return
 	}
 	if err := json.Unmarshal(lit, target.Addr().Interface()); err != nil {
-		d.addDiagnostic(v, path, "expected %s: %v", describeType(target.Type()), err)
+		d.addDiagnostic(v, path, "want %s: %v", describeType(target.Type()), err)
 	}
 }
 
 func (d *decoder) decodeArray(v *hujson.Value, target reflect.Value, path string) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
-		d.addDiagnostic(v, path, "expected a list")
+		d.addDiagnostic(v, path, "want a list")
 		return
 	}
 	list := reflect.MakeSlice(target.Type(), len(arr.Elements), len(arr.Elements))
@@ -164,7 +164,7 @@
 func (d *decoder) decodeObject(v *hujson.Value, target reflect.Value, path string) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.addDiagnostic(v, path, "expected an object")
+		d.addDiagnostic(v, path, "want an object")
 		return
 	}
 	seen := make(map[string]bool)
@@ -177,7 +177,7 @@
 		case !ok:
 			d.addDiagnostic(&m.Name, child, "unknown field")
 		case seen[name]:
-			d.addDiagnostic(&m.Name, child, "duplicate field")
+			d.addDiagnostic(&m.Name, child, "field stands twice")
 		default:
 			d.decodeValue(&m.Value, field, child)
 		}
@@ -214,10 +214,10 @@
 		return "a number"
 	}
 	if t == reflect.TypeFor[Duration]() {
-		return "a duration with a unit"
+		return "a time with its unit"
 	}
 	if t == reflect.TypeFor[Addr]() {
-		return "an IP address and port"
+		return "an IP number with port"
 	}
-	return "an integer"
+	return "a whole number"
 }
--- a/state/jsonc/types.go
+++ b/state/jsonc/types.go
@@ -17,10 +17,10 @@
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("invalid duration %q: must be a number with a unit such as ms, s, m or h", text)
+		return fmt.Errorf("%q has no valid unit (ms, s, m, h)", text)
 	}
 	if string(text) == "0" {
-		return errors.New("invalid duration \"0\": missing unit")
+		return errors.New("0 has no unit")
 	}
 	*d = Duration(v)
 	return nil
@@ -38,7 +38,7 @@
 func (a *Addr) UnmarshalText(text []byte) error {
 	v, err := netip.ParseAddrPort(string(text))
 	if err != nil {
-		return fmt.Errorf("invalid address %q: must be an IP address and port", text)
+		return fmt.Errorf("%q is no IP number with port", text)
 	}
 	a.AddrPort = v
 	return nil
--- a/state/keyspace/keyspace.go
+++ b/state/keyspace/keyspace.go
@@ -28,7 +28,7 @@
 func (h *Hash) UnmarshalText(text []byte) error {
 	v, err := strconv.ParseUint(string(text), 16, 64)
 	if err != nil {
-		return fmt.Errorf("invalid hash point %q: %w", text, err)
+		return fmt.Errorf("hash point %q: %w", text, err)
 	}
 	*h = Hash(v)
 	return nil
--- a/state/placement/placement.go
+++ b/state/placement/placement.go
@@ -64,11 +64,11 @@
 	case i.Kind != Drain && i.Kind != Pin:
 		return fmt.Errorf("unknown kind %q", i.Kind)
 	case i.Service == "":
-		return errors.New("service is required")
+		return errors.New("the service is missing")
 	case i.Upstream == "":
-		return errors.New("upstream is required")
+		return errors.New("the upstream is missing")
 	case i.Kind == Pin && i.Keys.Last < i.Keys.First:
-		return fmt.Errorf("invalid key span %d-%d: the last key is before the first", i.Keys.First, i.Keys.Last)
+		return fmt.Errorf("the keys %d-%d are no span", i.Keys.First, i.Keys.Last)
 	}
 	return nil
 }
--- a/state/service/service.go
+++ b/state/service/service.go
@@ -99,19 +99,19 @@
 	}
 	add(c.Name == "", "name", "is required")
 	add(c.Slots < 1, "slots", "must be at least 1")
-	add(c.Connections < c.Slots, "connections", "must be at least slots")
+	add(c.Connections < c.Slots, "connections", "must be at least the slots")
 	add(c.DefaultDeadline <= 0, "default_deadline", "must be positive")
 	add(c.MaxDeadline < c.DefaultDeadline, "max_deadline", "must be at least default_deadline")
-	add(c.MaxDeadline.D() > LongestDeadline, "max_deadline", "must be at most 10s, because handovers wait that long for running requests")
+	add(c.MaxDeadline.D() > LongestDeadline, "max_deadline", "must be at most 10s: hand-overs count on it")
 	add(c.QueueLength < 0, "queue_length", "must not be negative")
 	add(c.MaxBody < 0, "max_body", "must not be negative")
-	add(c.RetryShare < 0 || c.RetryShare > 1, "retry_share", "must be between 0 and 1")
+	add(c.RetryShare < 0 || c.RetryShare > 1, "retry_share", "must lie between 0 and 1")
 	add(c.CallerRate < 0, "caller_rate", "must not be negative")
 	add(c.MovesPerMinute < 0, "moves_per_minute", "must not be negative")
-	add(c.Rebalance && c.MovesPerMinute == 0, "moves_per_minute", "must be positive if rebalance is enabled")
+	add(c.Rebalance && c.MovesPerMinute == 0, "moves_per_minute", "is 0 while rebalance is on")
 	w := c.Weights
 	add(w.Imbalance < 0 || w.Churn < 0 || w.Unavailable < 0, "weights", "must not be negative")
-	add(c.Rebalance && w.Imbalance == 0, "weights.imbalance", "must be positive if rebalance is enabled")
+	add(c.Rebalance && w.Imbalance == 0, "weights.imbalance", "is 0 while rebalance is on")
 	return out
 }
 
