--- a/bench/lab/control.go
+++ b/bench/lab/control.go
@@ -50,7 +50,7 @@
 	// balanced is when a plan last balanced, by service.
 	balanced map[string]time.Duration
 	// gaps are the keys without an owner as the gateways know them.
-	gaps    map[string]*spans.Gaps
+	gaps    map[string]*spans.UnownedTracker
 	coldTo  map[string]map[uint16]time.Duration
 	waiters []func()
 	// book names who may send to upstreams that warm up.
@@ -72,7 +72,7 @@
 		w: w, tables: make(map[string]*spans.Table), heat: make(map[string]*ownership.RateEstimator),
 		total: make(map[string]report), work: make(map[string]*worktime.Estimator), last: make([]map[string]report, w.sc.Gateways),
 		demand: make([]map[string]float64, w.sc.Gateways), admit: make(map[string]map[uint16]float64), balanced: make(map[string]time.Duration),
-		gaps: make(map[string]*spans.Gaps), settled: make(map[string]map[uint16]time.Duration), coldTo: make(map[string]map[uint16]time.Duration),
+		gaps: make(map[string]*spans.UnownedTracker), settled: make(map[string]map[uint16]time.Duration), coldTo: make(map[string]map[uint16]time.Duration),
 	}
 	c.limits, c.wanted = limits.NewBook(), make([]map[string]float64, w.sc.Gateways)
 	c.book = warmup.NewAssignments(w.now().Add(-warmup.RightDuration))
@@ -88,7 +88,7 @@
 			one.Owner, one.Fence, one.Next, one.NextFence = one.Next, one.NextFence, "", 0
 		}
 		c.tables[s.Name] = t
-		c.gaps[s.Name] = &spans.Gaps{}
+		c.gaps[s.Name] = &spans.UnownedTracker{}
 		c.heat[s.Name] = ownership.NewRateEstimator(w.now())
 		c.settled[s.Name], c.coldTo[s.Name] = make(map[uint16]time.Duration), make(map[uint16]time.Duration)
 	}
@@ -239,7 +239,7 @@
 	case owner != nil && lost && c.w.at-owner.lostAt < c.holdOf(owner):
 		c.w.after(moveLook, func() { c.move(s, one) })
 		return
-	case owner != nil && !lost && owner.busyWith(one.Keys):
+	case owner != nil && !lost && owner.busyWith(one.KeyRange):
 		c.w.after(moveLook, func() { c.move(s, one) })
 		return
 	}
@@ -287,7 +287,7 @@
 			return
 		}
 		c.w.view[s.Name] = t
-		c.gaps[s.Name].Note(c.w.now(), t)
+		c.gaps[s.Name].Update(c.w.now(), t)
 		waiting := c.waiters
 		c.waiters = nil
 		for _, wake := range waiting {
--- a/bench/lab/delivery.go
+++ b/bench/lab/delivery.go
@@ -145,7 +145,7 @@
 
 // comeBackToKey is when a caller may come back whose key has no owner.
 func (d *delivery) comeBackToKey() time.Duration {
-	without := d.w.control.gaps[d.route.Service].Without(d.w.now(), d.try.call.key)
+	without := d.w.control.gaps[d.route.Service].UnownedFor(d.w.now(), d.try.call.key)
 	return patience.RetryAfterNoOwner(without)
 }
 
@@ -179,7 +179,7 @@
 
 // awaitMove waits for the owner of a key that moves.
 func (d *delivery) awaitMove(s spans.Span) {
-	if lost := d.w.control.gaps[d.route.Service].Without(d.w.now(), d.try.call.key); lost > d.route.Objective.D() {
+	if lost := d.w.control.gaps[d.route.Service].UnownedFor(d.w.now(), d.try.call.key); lost > d.route.Objective.D() {
 		d.refuseFor(d.comeBackToKey())
 		return
 	}
--- a/bench/lab/upstream.go
+++ b/bench/lab/upstream.go
@@ -214,9 +214,9 @@
 func (u *upstream) back() { u.dark, u.gone, u.suspectedLost = false, false, false }
 
 // busyWith reports whether a request for one of the keys runs.
-func (u *upstream) busyWith(k spans.Keys) bool {
+func (u *upstream) busyWith(k spans.KeyRange) bool {
 	for _, r := range u.running {
-		if k.Has(r.call.key) {
+		if k.Contains(r.call.key) {
 			return true
 		}
 	}
--- a/bench/lab/warmup.go
+++ b/bench/lab/warmup.go
@@ -19,7 +19,7 @@
 // start lets the upstream serve again, as another start of it that warms up.
 func (u *upstream) start() {
 	u.back()
-	u.one.BornMs++
+	u.one.StartedMs++
 	u.warmUntil = u.w.at + u.service.WarmUp.D()
 	u.lately = nil
 	u.enter(u.service.WarmUp.D())
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -221,7 +221,7 @@
 // waiting for it are kept.
 func TestRestartedUpstreamStartsFresh(t *testing.T) {
 	s := newService("a1")
-	s.upstreams["a1"].BornMs = 1
+	s.upstreams["a1"].StartedMs = 1
 	var before []Grant
 	for {
 		w := newWant()
@@ -237,7 +237,7 @@
 	}
 	s.Done(start, before[0], Unreachable)
 	again := instanceList("a1")
-	again[0].BornMs = 2
+	again[0].StartedMs = 2
 	s.SetUpstreams(at(ms), again)
 	u := s.upstreams["a1"]
 	if u.backoff != 0 || u.ownInFlight != 1 || s.waiting != 0 {
--- a/coordination/dispatch/notices.go
+++ b/coordination/dispatch/notices.go
@@ -26,7 +26,7 @@
 // grantedUpstream returns the upstream of a grant, or nil if it is no longer listed or has restarted.
 func (s *Service) grantedUpstream(g Grant) *Upstream {
 	u := s.upstreams[g.Instance.ID]
-	if u == nil || u.Incarnation().Other(g.Instance.Incarnation()) {
+	if u == nil || u.Incarnation().DiffersFrom(g.Instance.Incarnation()) {
 		return nil
 	}
 	return u
--- a/coordination/dispatch/notices_test.go
+++ b/coordination/dispatch/notices_test.go
@@ -82,7 +82,7 @@
 func TestNoticesOutlastMissingEntries(t *testing.T) {
 	s := newService("a1", "b1")
 	born := instanceList("a1", "b1")
-	born[0].BornMs = 1000
+	born[0].StartedMs = 1000
 	s.SetUpstreams(start, born)
 	answerWithNotice(s, start, Grant{Instance: *born[0], GrantedAt: start}, notice.Notice{Leaving: true})
 	s.SetUpstreams(at(ms), instanceList("b1"))
@@ -91,7 +91,7 @@
 		t.Error("the leaving notice is lost")
 	}
 	again := instanceList("a1", "b1")
-	again[0].BornMs = 2000
+	again[0].StartedMs = 2000
 	s.SetUpstreams(at(2*time.Minute), again)
 	if r := s.blockedReason(at(time.Hour), s.upstreams["a1"]); r != 0 {
 		t.Errorf("next incarnation: refusal %v", r)
@@ -204,7 +204,7 @@
 func TestNoticesOfUnlistedUpstream(t *testing.T) {
 	s := newService("a1")
 	born := instanceList("a1")
-	born[0].BornMs = 2000
+	born[0].StartedMs = 2000
 	s.SetUpstreams(start, born)
 	now, later := mustGrant(t, s, start, newWant()), mustGrant(t, s, start, wantOwner("a1"))
 	s.SetUpstreams(at(ms), nil)
@@ -213,7 +213,7 @@
 	}
 	answerWithNotice(s, at(2*ms), now, notice.Notice{Leaving: true, Rest: 3 * time.Second})
 	former := now
-	former.Instance.BornMs = 1000
+	former.Instance.StartedMs = 1000
 	answerWithNotice(s, at(3*ms), former, notice.Notice{Rest: time.Minute})
 	s.SetUpstreams(at(time.Second), born)
 	if left := s.RestRemaining(at(time.Second), newWant()); left != 2*time.Second+2*ms {
--- a/coordination/dispatch/service.go
+++ b/coordination/dispatch/service.go
@@ -108,7 +108,7 @@
 	s.ordered = s.ordered[:0]
 	for _, instance := range list {
 		u := s.upstreams[instance.ID]
-		if u == nil || u.Incarnation().Other(instance.Incarnation()) {
+		if u == nil || u.Incarnation().DiffersFrom(instance.Incarnation()) {
 			u = s.newUpstreamState(now, *instance, u)
 		}
 		s.updateEntry(now, u, *instance)
--- a/coordination/dispatch/words_test.go
+++ b/coordination/dispatch/words_test.go
@@ -39,7 +39,7 @@
 	byIncarnation map[string]*modelIncarnation
 }
 
-func incarnationKey(i instances.Instance) string { return fmt.Sprint(i.ID, "/", i.BornMs) }
+func incarnationKey(i instances.Instance) string { return fmt.Sprint(i.ID, "/", i.StartedMs) }
 
 func newNoticeModel(t *testing.T, seed uint64) *noticeModel {
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -57,7 +57,7 @@
 
 // startUpstream starts a new incarnation of an upstream.
 func (m *noticeModel) startUpstream(id string, born uint64) {
-	upstream := &modelIncarnation{Instance: instances.Instance{ID: id, Domain: id[:1], Slots: 2, BornMs: born}}
+	upstream := &modelIncarnation{Instance: instances.Instance{ID: id, Domain: id[:1], Slots: 2, StartedMs: born}}
 	m.current[id] = upstream
 	m.byIncarnation[incarnationKey(upstream.Instance)] = upstream
 }
@@ -174,7 +174,7 @@
 		m.updateList()
 	case n == 36:
 		id := []string{"a1", "a2", "b1", "b2"}[m.rng.IntN(4)]
-		m.startUpstream(id, m.current[id].BornMs+1)
+		m.startUpstream(id, m.current[id].StartedMs+1)
 		m.updateList()
 	case n == 37:
 		m.toggleEvacuation()
--- a/coordination/ownership/balance.go
+++ b/coordination/ownership/balance.go
@@ -111,7 +111,7 @@
 		if s.Moving() || s.Owner != from.ID || p.recentlyMoved[s.First] || p.pinned(s) {
 			continue
 		}
-		if load := p.loadOf(s.Keys); load > bestLoad {
+		if load := p.loadOf(s.KeyRange); load > bestLoad {
 			best, bestLoad = i, load
 		}
 	}
@@ -136,7 +136,7 @@
 // splitOff splits the span so that a part with about the wanted load becomes a span of its own, and
 // returns its index. Keys whose own load is higher than that are not part of it.
 func (p *draft) splitOff(i int, wanted float64) (int, bool) {
-	k := p.table.Spans[i].Keys
+	k := p.table.Spans[i].KeyRange
 	begin, sum := int(k.First), 0.0
 	for j := p.firstLoadedKey(k.First); j < len(p.sortedKeys) && p.sortedKeys[j] <= k.Last; j++ {
 		key := p.sortedKeys[j]
@@ -159,7 +159,7 @@
 // splitOffKey isolates the busiest key of the span whose load does not exceed maxLoad, give or take
 // a tenth, and returns the index of its span.
 func (p *draft) splitOffKey(i int, maxLoad float64) (int, bool) {
-	k := p.table.Spans[i].Keys
+	k := p.table.Spans[i].KeyRange
 	best, bestLoad := -1, 0.0
 	for j := p.firstLoadedKey(k.First); j < len(p.sortedKeys) && p.sortedKeys[j] <= k.Last; j++ {
 		if load := p.keyLoad[p.sortedKeys[j]]; load <= maxLoad*1.1 && load > bestLoad {
--- a/coordination/ownership/imbalance_test.go
+++ b/coordination/ownership/imbalance_test.go
@@ -10,7 +10,7 @@
 // upstream is usable.
 func TestBusiest(t *testing.T) {
 	table := &spans.Table{Spans: []spans.Span{
-		{Keys: spans.Keys{First: 0, Last: 99}, Owner: "a"}, {Keys: spans.Keys{First: 100, Last: spans.MaxKey}, Owner: "b"},
+		{KeyRange: spans.KeyRange{First: 0, Last: 99}, Owner: "a"}, {KeyRange: spans.KeyRange{First: 100, Last: spans.MaxKey}, Owner: "b"},
 	}}
 	owners := []Owner{{ID: "a", Capacity: 50}, {ID: "b", Capacity: 50, Usable: true}, {ID: "c", Capacity: 50}}
 	if u, imbalanced := Busiest(table, owners, map[uint16]float64{5: 20, 200: 100}); !imbalanced || u.Owner != "b" || u.Utilization != 2 || u.Mean != 0.8 {
--- a/coordination/ownership/limits_test.go
+++ b/coordination/ownership/limits_test.go
@@ -14,8 +14,8 @@
 // limits.
 func TestLimitsSpareColdKeys(t *testing.T) {
 	table := &spans.Table{Spans: []spans.Span{
-		{Keys: spans.Keys{First: 0, Last: 99}, Owner: "a"},
-		{Keys: spans.Keys{First: 100, Last: spans.MaxKey}, Owner: "b"},
+		{KeyRange: spans.KeyRange{First: 0, Last: 99}, Owner: "a"},
+		{KeyRange: spans.KeyRange{First: 100, Last: spans.MaxKey}, Owner: "b"},
 	}}
 	load := map[uint16]float64{1: 2, 2: 3, 3: 700, 4: 15, 200: 9}
 	list := []Owner{{ID: "a", Capacity: 15 / overloadLimitFactor}, {ID: "b", Capacity: 10 / overloadLimitFactor}}
@@ -27,7 +27,7 @@
 
 // TestLimitsKeepTheHottestKeys checks that the list is cut to maxLimitedKeys and keeps the hottest.
 func TestLimitsKeepTheHottestKeys(t *testing.T) {
-	table := &spans.Table{Spans: []spans.Span{{Keys: spans.Keys{Last: spans.MaxKey}, Owner: "a"}}}
+	table := &spans.Table{Spans: []spans.Span{{KeyRange: spans.KeyRange{Last: spans.MaxKey}, Owner: "a"}}}
 	load := make(map[uint16]float64)
 	for k := range uint16(2 * maxLimitedKeys) {
 		load[k] = float64(1 + k)
--- a/coordination/ownership/plan.go
+++ b/coordination/ownership/plan.go
@@ -57,7 +57,7 @@
 
 // restarted reports whether the owner has restarted since it was granted the span. In that case no
 // process holds the keys.
-func (o *Owner) restarted(s spans.Span) bool { return o.Incarnation.Other(s.Incarnation) }
+func (o *Owner) restarted(s spans.Span) bool { return o.Incarnation.DiffersFrom(s.Incarnation) }
 
 // PlanInput is the input of MakePlan.
 type PlanInput struct {
@@ -81,7 +81,7 @@
 
 // Pin assigns keys to an upstream for as long as that upstream may be assigned keys.
 type Pin struct {
-	spans.Keys
+	spans.KeyRange
 	Owner string
 }
 
@@ -90,7 +90,7 @@
 	t := &spans.Table{Service: service}
 	usable := usableIDs(owners)
 	if len(usable) == 0 {
-		t.Spans = []spans.Span{{Keys: spans.Keys{First: 0, Last: spans.MaxKey}}}
+		t.Spans = []spans.Span{{KeyRange: spans.KeyRange{First: 0, Last: spans.MaxKey}}}
 		return t
 	}
 	minPerUpstream := minInitialSpansPerUpstream
@@ -103,8 +103,8 @@
 		last := (i+1)*(spans.MaxKey+1)/count - 1
 		t.LastFence++
 		t.Spans = append(t.Spans, spans.Span{
-			Keys: spans.Keys{First: uint16(first), Last: uint16(last)},
-			Next: usable[i%len(usable)], NextFence: t.LastFence,
+			KeyRange: spans.KeyRange{First: uint16(first), Last: uint16(last)},
+			Next:     usable[i%len(usable)], NextFence: t.LastFence,
 		})
 	}
 	return t
@@ -201,7 +201,7 @@
 		}
 	}
 	for _, s := range p.table.Spans {
-		p.loads[futureOwner(s)] += p.loadOf(s.Keys)
+		p.loads[futureOwner(s)] += p.loadOf(s.KeyRange)
 	}
 	p.targetUtilization = p.meanUtilization()
 	return p
@@ -216,7 +216,7 @@
 }
 
 // loadOf returns the load of a range of keys.
-func (p *draft) loadOf(k spans.Keys) float64 {
+func (p *draft) loadOf(k spans.KeyRange) float64 {
 	sum := baseKeyLoad * float64(k.Count())
 	for i := p.firstLoadedKey(k.First); i < len(p.sortedKeys) && p.sortedKeys[i] <= k.Last; i++ {
 		sum += p.keyLoad[p.sortedKeys[i]]
@@ -251,7 +251,7 @@
 // move starts a move of the span at index i to the owner, with a new fence.
 func (p *draft) move(i int, to *Owner) {
 	s := &p.table.Spans[i]
-	load := p.loadOf(s.Keys)
+	load := p.loadOf(s.KeyRange)
 	p.loads[futureOwner(*s)] -= load
 	p.loads[to.ID] += load
 	p.table.LastFence++
@@ -267,7 +267,7 @@
 		if owner == nil || !owner.Usable {
 			continue
 		}
-		for i := p.table.At(pin.First); i < len(p.table.Spans) && p.table.Spans[i].First <= pin.Last; i++ {
+		for i := p.table.Index(pin.First); i < len(p.table.Spans) && p.table.Spans[i].First <= pin.Last; i++ {
 			s := p.table.Spans[i]
 			if s.Moving() || s.Owner == pin.Owner {
 				continue
@@ -307,11 +307,11 @@
 		}
 	}
 	sort.Slice(orphans, func(a, b int) bool {
-		return p.loadOf(p.table.Spans[orphans[a]].Keys) > p.loadOf(p.table.Spans[orphans[b]].Keys)
+		return p.loadOf(p.table.Spans[orphans[a]].KeyRange) > p.loadOf(p.table.Spans[orphans[b]].KeyRange)
 	})
 	for _, i := range orphans {
 		s := p.table.Spans[i]
-		if to := p.leastUtilized(p.loadOf(s.Keys), s.Owner); to != nil {
+		if to := p.leastUtilized(p.loadOf(s.KeyRange), s.Owner); to != nil {
 			p.move(i, to)
 		}
 	}
@@ -331,7 +331,7 @@
 	if hottestLoad == 0 {
 		return
 	}
-	i := p.table.At(hot)
+	i := p.table.Index(hot)
 	s := p.table.Spans[i]
 	owner := p.owners[s.Owner]
 	if s.Moving() || owner == nil || hottestLoad < hotKeyCapacityShare*owner.Capacity || p.recentlyMoved[s.First] && s.Count() == 1 || p.pinned(s) {
--- a/coordination/ownership/plan_test.go
+++ b/coordination/ownership/plan_test.go
@@ -34,7 +34,7 @@
 
 func TestInitialTableAlternatesOwners(t *testing.T) {
 	table := InitialTable("s", owners(11))
-	if err := table.Check(); err != nil {
+	if err := table.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	counts := make(map[string]int)
@@ -138,11 +138,11 @@
 func TestNewUpstreamGetsKeysBesideAHotKey(t *testing.T) {
 	table := settledTable(4)
 	load := map[uint16]float64{100: 5, 20000: 5, 40000: 5, 60000: 5, 100 + 4096: 900}
-	table.Split(table.At(100+4096), 100+4096)
-	table.Split(table.At(100+4096), 100+4096+1)
+	table.Split(table.Index(100+4096), 100+4096)
+	table.Split(table.Index(100+4096), 100+4096+1)
 	for i := range table.Spans {
 		// The hot key has a span of its own and is all that its owner has.
-		if table.Spans[i].Owner == table.Find(100+4096).Owner && !table.Spans[i].Has(100+4096) {
+		if table.Spans[i].Owner == table.Find(100+4096).Owner && !table.Spans[i].Contains(100+4096) {
 			table.Spans[i].Owner = "u0"
 		}
 	}
@@ -281,7 +281,7 @@
 // upstreams appear stronger, and the key would move every two seconds.
 func TestIsolatedHotKeyStays(t *testing.T) {
 	table, list := settledTable(4), owners(4)
-	i := table.At(500)
+	i := table.Index(500)
 	table.Split(i, 501)
 	table.Split(i, 500)
 	hot := table.Find(500).Owner
@@ -329,7 +329,7 @@
 }
 
 func checkPlan(t *rapid.T, before, next *spans.Table, list []Owner) {
-	if err := next.Check(); err != nil {
+	if err := next.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	usable := make(map[string]bool)
@@ -394,7 +394,7 @@
 // elsewhere when that upstream is lost.
 func TestPins(t *testing.T) {
 	table, list := settledTable(4), owners(4)
-	pins := []Pin{{Keys: spans.Keys{First: 1000, Last: 9000}, Owner: "u2"}}
+	pins := []Pin{{KeyRange: spans.KeyRange{First: 1000, Last: 9000}, Owner: "u2"}}
 	load := map[uint16]float64{1500: 55, 1600: 55}
 	next := MakePlan(PlanInput{BalanceDue: true, Table: table, Owners: list, Pins: pins})
 	if next == nil {
--- a/coordination/warmup/warmup.go
+++ b/coordination/warmup/warmup.go
@@ -106,7 +106,7 @@
 	}
 	for id, h := range a.holders {
 		incarnation, found := incarnations[id]
-		if (!found || incarnation.Other(h.Incarnation)) && !now.Before(h.assignedAt.Add(RightDuration)) {
+		if (!found || incarnation.DiffersFrom(h.Incarnation)) && !now.Before(h.assignedAt.Add(RightDuration)) {
 			delete(a.holders, id)
 		}
 	}
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -92,7 +92,7 @@
 	owners := platform.NewOwners(pool.New(upstreamLimits, time.Now))
 	b.ReportAllocs()
 	for b.Loop() {
-		verdict, _, err := owners.Release(context.Background(), "i-1", address, spans.Keys{Last: 9}, 1)
+		verdict, _, err := owners.Release(context.Background(), "i-1", address, spans.KeyRange{Last: 9}, 1)
 		if err != nil || verdict != platform.Granted {
 			b.Fatal(err)
 		}
@@ -110,8 +110,8 @@
 			for i := range n {
 				width := (spans.MaxKey + 1) / n
 				t.Spans = append(t.Spans, spans.Span{
-					Keys:  spans.Keys{First: uint16(i * width), Last: uint16((i+1)*width - 1)},
-					Owner: fmt.Sprintf("i-%08x", i%100), Fence: uint64(i + 1),
+					KeyRange: spans.KeyRange{First: uint16(i * width), Last: uint16((i+1)*width - 1)},
+					Owner:    fmt.Sprintf("i-%08x", i%100), Fence: uint64(i + 1),
 				})
 			}
 			p.view.setSpans(t)
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -89,7 +89,7 @@
 
 // ownerGap is the part of one service.
 type ownerGap struct {
-	spans.Gaps
+	spans.UnownedTracker
 	table   *spans.Table
 	changed time.Time
 }
@@ -109,7 +109,7 @@
 	}
 	now := o.now()
 	one.table, one.changed = t, now
-	for _, without := range one.Note(now, t) {
+	for _, without := range one.Update(now, t) {
 		o.meters.took(o.meters.service(ownersWithout, t.Service), without)
 	}
 }
@@ -122,7 +122,7 @@
 	if one == nil {
 		return 0
 	}
-	return one.Without(o.now(), key)
+	return one.UnownedFor(o.now(), key)
 }
 
 // gauges sets what is read at the moment of the question.
@@ -131,8 +131,8 @@
 	defer o.mu.Unlock()
 	now := o.now()
 	for name, one := range o.services {
-		o.meters.gauge(o.meters.service(ownersNone, name), int64(one.table.Unowned()))
-		o.meters.gauge(o.meters.service(ownersLongest, name), one.Longest(now).Milliseconds())
+		o.meters.gauge(o.meters.service(ownersNone, name), int64(one.table.UnownedKeys()))
+		o.meters.gauge(o.meters.service(ownersLongest, name), one.LongestUnowned(now).Milliseconds())
 		o.meters.gauge(o.meters.service(ownersSpans, name), int64(len(one.table.Spans)))
 		o.meters.gauge(o.meters.service(ownersAge, name), now.Sub(one.changed).Milliseconds())
 	}
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -96,7 +96,7 @@
 		owner := k.instance(s.Owner)
 		if limit := k.releaseCallTimeout(s); owner != nil && limit > 0 {
 			call, cancel := context.WithTimeout(ctx, limit)
-			verdict, token, err := k.owners.Release(call, owner.ID, owner.Address, s.Keys, s.NextFence)
+			verdict, token, err := k.owners.Release(call, owner.ID, owner.Address, s.KeyRange, s.NextFence)
 			cancel()
 			if err == nil && verdict == platform.Granted {
 				return token, true
@@ -155,7 +155,7 @@
 func (k *keeper) grantWithRetries(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.Verdict, error) {
 	arrived := false
 	for {
-		verdict, err := k.grant(ctx, s.Keys, next, s.NextFence, token)
+		verdict, err := k.grant(ctx, s.KeyRange, next, s.NextFence, token)
 		if err == nil {
 			return verdict, nil
 		}
@@ -179,7 +179,7 @@
 
 // grant makes one grant call and records until when the upstream may hold the keys. The right to
 // lead is checked last, right before the call is sent.
-func (k *keeper) grant(ctx context.Context, keys spans.Keys, to *instances.Instance, fence uint64, token string) (platform.Verdict, error) {
+func (k *keeper) grant(ctx context.Context, keys spans.KeyRange, to *instances.Instance, fence uint64, token string) (platform.Verdict, error) {
 	releaseSlot, ok := k.turns.acquire(ctx)
 	if !ok {
 		return 0, errNoCallSlot
@@ -334,11 +334,11 @@
 // renewGrant renews one grant and reports whether the owner's other grants may be renewed after
 // it.
 func (k *keeper) renewGrant(ctx context.Context, owner *instances.Instance, s spans.Span) bool {
-	if !k.spanUnchanged(s) || owner.Incarnation().Other(s.Incarnation) {
+	if !k.spanUnchanged(s) || owner.Incarnation().DiffersFrom(s.Incarnation) {
 		// The owner has other keys by now, or has restarted and holds none.
 		return true
 	}
-	verdict, err := k.grant(ctx, s.Keys, owner, s.Fence, "")
+	verdict, err := k.grant(ctx, s.KeyRange, owner, s.Fence, "")
 	switch {
 	case errors.Is(err, errLeadershipExpired) || ctx.Err() != nil:
 		return false
@@ -395,13 +395,13 @@
 
 // unrelatedKey returns a key that the upstream neither owns nor is about to be granted. The lock
 // is held.
-func (k *keeper) unrelatedKey(id string) spans.Keys {
+func (k *keeper) unrelatedKey(id string) spans.KeyRange {
 	for _, s := range k.table.Spans {
 		if s.Owner != id && s.Next != id {
-			return spans.Keys{First: s.First, Last: s.First}
+			return spans.KeyRange{First: s.First, Last: s.First}
 		}
 	}
-	return spans.Keys{}
+	return spans.KeyRange{}
 }
 
 // probeFence is the fence of probes. All fences in use are higher, so releasing a key that the
@@ -409,7 +409,7 @@
 const probeFence = 1
 
 // probe sends a release that changes nothing, to learn whether the upstream answers.
-func (k *keeper) probe(ctx context.Context, to *instances.Instance, keys spans.Keys) {
+func (k *keeper) probe(ctx context.Context, to *instances.Instance, keys spans.KeyRange) {
 	call, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	if _, _, err := k.owners.Release(call, to.ID, to.Address, keys, probeFence); err != nil {
@@ -431,7 +431,7 @@
 func (k *keeper) markUnowned(s spans.Span) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	i := k.table.At(s.First)
+	i := k.table.Index(s.First)
 	if k.table.Spans[i] == s {
 		k.table.Spans[i].Owner = ""
 		k.table.LastFence += fenceLeap
--- a/gateway/keeperstore.go
+++ b/gateway/keeperstore.go
@@ -51,7 +51,7 @@
 
 // commit writes a table with new moves and adopts it when it is stored.
 func (k *keeper) commit(ctx context.Context, next *spans.Table) {
-	if err := next.Check(); err != nil {
+	if err := next.Validate(); err != nil {
 		k.log.Error("plan dropped", "error", err)
 		return
 	}
--- a/gateway/keyowner_test.go
+++ b/gateway/keyowner_test.go
@@ -19,7 +19,7 @@
 	now := time.Now()
 	clock := func() time.Time { return now }
 	gaps := newOwnerGaps(clock, newMeters())
-	gaps.note(&spans.Table{Service: "status", Spans: []spans.Span{{Keys: spans.Keys{Last: spans.MaxKey}, Owner: "i", Next: "k"}}})
+	gaps.note(&spans.Table{Service: "status", Spans: []spans.Span{{KeyRange: spans.KeyRange{Last: spans.MaxKey}, Owner: "i", Next: "k"}}})
 	f := &front{view: newView(), now: clock, gaps: gaps}
 	ask := func() error {
 		q := &request{
--- a/gateway/limitnews.go
+++ b/gateway/limitnews.go
@@ -78,7 +78,7 @@
 	out := make(map[string]dispatch.Limit)
 	for _, l := range n.list() {
 		one := v.Get(l.Upstream)
-		if one == nil || l.Ended || l.Incarnation.Other(one.Incarnation()) {
+		if one == nil || l.Ended || l.Incarnation.DiffersFrom(one.Incarnation()) {
 			continue
 		}
 		wanted, known := elsewhere(l.Upstream)
--- a/gateway/loss_test.go
+++ b/gateway/loss_test.go
@@ -75,7 +75,7 @@
 	before := k.holds[owned(s)]
 	k.mu.Unlock()
 	b.ups["i-s1"].Set(instance.Silent)
-	if _, err := k.grant(t.Context(), s.Keys, k.instance("i-s1"), s.Fence+fenceLeap, ""); err == nil {
+	if _, err := k.grant(t.Context(), s.KeyRange, k.instance("i-s1"), s.Fence+fenceLeap, ""); err == nil {
 		t.Fatal("a silent upstream answered")
 	}
 	k.mu.Lock()
@@ -117,8 +117,8 @@
 // TestMarksOfColdKeysAreTold: a difference between two versions carries them.
 func TestMarksOfColdKeysAreTold(t *testing.T) {
 	v := newView()
-	keys := spans.Keys{Last: spans.MaxKey}
-	before := &spans.Table{Service: "a", Version: 1, LastFence: 2, Spans: []spans.Span{{Keys: keys, Owner: "i", Fence: 2, Cold: true}}}
+	keys := spans.KeyRange{Last: spans.MaxKey}
+	before := &spans.Table{Service: "a", Version: 1, LastFence: 2, Spans: []spans.Span{{KeyRange: keys, Owner: "i", Fence: 2, Cold: true}}}
 	after := before.Clone()
 	after.Version, after.Spans[0].Cold = 2, false
 	v.setSpans(before)
--- a/gateway/placements.go
+++ b/gateway/placements.go
@@ -109,7 +109,7 @@
 	sort.Strings(ids)
 	var out []ownership.Pin
 	for _, id := range ids {
-		out = append(out, ownership.Pin{Keys: p.intents[id].Keys, Owner: p.intents[id].Upstream})
+		out = append(out, ownership.Pin{KeyRange: p.intents[id].Keys, Owner: p.intents[id].Upstream})
 	}
 	return out
 }
@@ -153,7 +153,7 @@
 	}
 	i := placement.Intent{
 		ID: incarnation(), Kind: placement.Kind(r.Kind), Service: r.Service, Upstream: r.Upstream, By: r.By,
-		Keys: spans.Keys{First: uint16(min(r.First, spans.MaxKey)), Last: uint16(min(r.Last, spans.MaxKey))}, State: placement.Planned,
+		Keys: spans.KeyRange{First: uint16(min(r.First, spans.MaxKey)), Last: uint16(min(r.Last, spans.MaxKey))}, State: placement.Planned,
 	}
 	if err := i.Check(); err != nil {
 		return nil, rpcError(answer.BadRequest, err.Error())
@@ -300,7 +300,7 @@
 	in := ownership.PlanInput{Pins: k.steward.placements.pins(k.service), Owners: owners}
 	switch i.Kind {
 	case placement.Pin:
-		in.Pins = append(in.Pins, ownership.Pin{Keys: i.Keys, Owner: i.Upstream})
+		in.Pins = append(in.Pins, ownership.Pin{KeyRange: i.Keys, Owner: i.Upstream})
 	case placement.Drain:
 		for n := range owners {
 			if owners[n].ID == i.Upstream {
@@ -321,7 +321,7 @@
 	var out []placement.Step
 	for _, s := range next.Spans {
 		if s.Moving() && !k.table.Find(s.First).Moving() {
-			out = append(out, placement.Step{Keys: s.Keys, From: s.Owner, To: s.Next})
+			out = append(out, placement.Step{KeyRange: s.KeyRange, From: s.Owner, To: s.Next})
 		}
 	}
 	return out
--- a/gateway/publish_test.go
+++ b/gateway/publish_test.go
@@ -39,7 +39,7 @@
 	}
 	now = now.Add(publishInterval)
 	k.publishPending()
-	if n := v.spansOf("s").Unowned(); n != 0 {
+	if n := v.spansOf("s").UnownedKeys(); n != 0 {
 		t.Errorf("%d keys without an owner as told", n)
 	}
 }
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -38,7 +38,7 @@
 	b := newBedWithStartTimes(t)
 	before := b.gateways[0].view.spansOf("status")
 	now := b.restart(b.ups["i-s0"])
-	granted := instances.Instance{ID: now.ID, BornMs: now.born}
+	granted := instances.Instance{ID: now.ID, StartedMs: now.born}
 	b.eventually("its keys are granted to it again", func() bool {
 		for _, s := range b.gateways[2].view.spansOf("status").Spans {
 			if s.Owner == now.ID && s.Incarnation != granted.Incarnation() {
@@ -68,13 +68,13 @@
 	b.eventually("the assignment is saved", func() bool {
 		var stored spans.Table
 		err := platform.Decode(platform.Object{Spec: b.store.Spec(spansKind, "status")}, &stored)
-		return err == nil && stored.Unowned() == 0
+		return err == nil && stored.UnownedKeys() == 0
 	})
 	for _, g := range b.gateways {
 		g.kill()
 	}
 	now := b.restart(b.ups["i-s0"])
-	granted := instances.Instance{ID: now.ID, BornMs: now.born}
+	granted := instances.Instance{ID: now.ID, StartedMs: now.born}
 	g := b.gateway("g9")
 	b.eventually("granted to the new incarnation", func() bool {
 		table := g.view.spansOf("status")
@@ -123,10 +123,10 @@
 func TestSieve(t *testing.T) {
 	now := time.Now()
 	v, m := newView(), newMeters()
-	one := instances.Instance{ID: "i", Service: "s", Address: "10.0.0.1:1", BornMs: 5}
+	one := instances.Instance{ID: "i", Service: "s", Address: "10.0.0.1:1", StartedMs: 5}
 	v.setInstances(1, instances.NewView(1, []instances.Instance{one}))
 	s := newPeerValidator(v, func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)), m)
-	former := instances.Instance{BornMs: 4}
+	former := instances.Instance{StartedMs: 4}
 	kept := s.filterLoads([]*syncpb.Load{
 		{Instance: "i", Incarnation: uint32(one.Incarnation()), Inflight: 1},
 		{Instance: "i", Incarnation: uint32(former.Incarnation()), Inflight: 2},
--- a/gateway/rights.go
+++ b/gateway/rights.go
@@ -99,7 +99,7 @@
 	out := make(map[string]time.Time)
 	for _, one := range list {
 		u := v.Get(one.Upstream)
-		if one.Gateway == node && u != nil && !u.Incarnation().Other(one.Incarnation) {
+		if one.Gateway == node && u != nil && !u.Incarnation().DiffersFrom(one.Incarnation) {
 			out[one.Upstream] = assigned.Add(warmup.RightDuration)
 		}
 	}
--- a/gateway/rights_test.go
+++ b/gateway/rights_test.go
@@ -79,7 +79,7 @@
 // TestHeldRights checks that a gateway uses the rights assigned to it, for the current
 // incarnation of an upstream, until they expire after their assignment.
 func TestHeldRights(t *testing.T) {
-	v := instances.NewView(1, []instances.Instance{{ID: "u1", BornMs: 7}, {ID: "u2", BornMs: 7}, {ID: "u3"}})
+	v := instances.NewView(1, []instances.Instance{{ID: "u1", StartedMs: 7}, {ID: "u2", StartedMs: 7}, {ID: "u3"}})
 	now := v.Get("u1").Incarnation()
 	list := decodeRights([]*syncpb.Right{
 		{Upstream: "u1", Incarnation: uint32(now), Node: "g"}, {Upstream: "u2", Incarnation: uint32(now) + 1, Node: "g"},
--- a/gateway/sieve.go
+++ b/gateway/sieve.go
@@ -62,7 +62,7 @@
 	if inst.Id == "" || inst.Service == "" || inst.Address == "" {
 		return errMissingField
 	}
-	if !instances.Believable(inst.BornMs, s.now()) {
+	if !instances.PlausibleStart(inst.BornMs, s.now()) {
 		return errStartInFuture
 	}
 	return nil
@@ -79,7 +79,7 @@
 			continue
 		}
 		if known != nil {
-			if inst := known.Get(l.Instance); inst != nil && inst.Incarnation().Other(instances.Incarnation(l.Incarnation)) {
+			if inst := known.Get(l.Instance); inst != nil && inst.Incarnation().DiffersFrom(instances.Incarnation(l.Incarnation)) {
 				continue
 			}
 		}
--- a/gateway/steward.go
+++ b/gateway/steward.go
@@ -205,7 +205,7 @@
 	if err := platform.Decode(object, t); err != nil {
 		return nil, 0, err
 	}
-	return t, object.Revision, t.Check()
+	return t, object.Revision, t.Validate()
 }
 
 // save writes an assignment if the stored one still has the revision, and
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -31,9 +31,9 @@
 				b.upstream(id, "status")
 			}
 			b.upstream("i-p0", "pay")
-			all := spans.Keys{First: 0, Last: spans.MaxKey}
+			all := spans.KeyRange{First: 0, Last: spans.MaxKey}
 			b.store.Put(spansKind, "status", spans.Table{Service: "status", LastFence: 2, Version: 1 << termShift, Spans: []spans.Span{
-				{Keys: all, Owner: "i-s0", Fence: 1, Next: "i-s1", NextFence: 2},
+				{KeyRange: all, Owner: "i-s0", Fence: 1, Next: "i-s1", NextFence: 2},
 			}})
 			owners := platform.NewOwners(pool.New(upstreamLimits, time.Now))
 			to := b.ups["i-s1"]
@@ -169,7 +169,7 @@
 	table := func(term, write uint64, owner string) *spans.Table {
 		return &spans.Table{
 			Service: "status", Version: term<<termShift | write, LastFence: 10 + write,
-			Spans: []spans.Span{{Keys: spans.Keys{Last: spans.MaxKey}, Owner: owner, Fence: 10}},
+			Spans: []spans.Span{{KeyRange: spans.KeyRange{Last: spans.MaxKey}, Owner: owner, Fence: 10}},
 		}
 	}
 	for name, c := range map[string]struct {
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -137,7 +137,7 @@
 	var crashes []poison.Crash
 	s.mu.Lock()
 	for _, end := range s.book.UnconfirmedEnds() {
-		if one := v.Get(end.Upstream); one == nil || one.Incarnation().Other(end.Incarnation) {
+		if one := v.Get(end.Upstream); one == nil || one.Incarnation().DiffersFrom(end.Incarnation) {
 			crashes = append(crashes, s.book.UpstreamEnded(s.now(), end.Upstream, end.Incarnation)...)
 		}
 	}
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -266,7 +266,7 @@
 		}
 	}
 	w.tracker.List(w.now(), list)
-	w.tracker.Settle(w.now())
+	w.tracker.ExpireAbsent(w.now())
 	w.publish()
 }
 
@@ -284,11 +284,11 @@
 			w.tracker.Remove(w.now(), o.Name)
 			continue
 		}
-		w.log.Info("upstream entry", "upstream", one.ID, "service", one.Service, "address", one.Address, "leaving", one.Leaving, "born_ms", one.BornMs)
+		w.log.Info("upstream entry", "upstream", one.ID, "service", one.Service, "address", one.Address, "leaving", one.Leaving, "born_ms", one.StartedMs)
 		w.tracker.Put(one)
 	}
-	w.tracker.Advance(revision)
-	w.tracker.Settle(w.now())
+	w.tracker.AdvanceRevision(revision)
+	w.tracker.ExpireAbsent(w.now())
 	w.publish()
 }
 
@@ -333,7 +333,7 @@
 // until it is sound, and is counted and logged once.
 func (w *watcher) decode(o platform.Object) (instances.Instance, bool) {
 	one, err := platform.DecodeInstance(o)
-	if err == nil && !instances.Believable(one.BornMs, w.now()) {
+	if err == nil && !instances.PlausibleStart(one.StartedMs, w.now()) {
 		err = errStartInFuture
 	}
 	if err == nil {
@@ -353,7 +353,7 @@
 		pause(ctx, settleInterval)
 		w.ages.check()
 		w.mu.Lock()
-		if settled, drained := w.tracker.Settle(w.now()), w.leaversChanged(); settled || drained {
+		if settled, drained := w.tracker.ExpireAbsent(w.now()), w.leaversChanged(); settled || drained {
 			w.publish()
 		}
 		w.mu.Unlock()
@@ -365,6 +365,6 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.tracker != nil {
-		w.tracker.Returned(w.now())
+		w.tracker.StoreReconnected(w.now())
 	}
 }
--- a/gateway/wire.go
+++ b/gateway/wire.go
@@ -62,7 +62,7 @@
 		m.List = append(m.List, &syncpb.Instance{
 			Id: inst.ID, Service: inst.Service, Address: inst.Address, Domain: inst.Domain,
 			Slots: uint32(inst.Slots), Leaving: inst.Leaving,
-			WarmUpMs: uint32(inst.WarmUp.Milliseconds()), Revision: inst.Revision, BornMs: inst.BornMs,
+			WarmUpMs: uint32(inst.WarmUp.Milliseconds()), Revision: inst.Revision, BornMs: inst.StartedMs,
 		})
 	}
 	return m
@@ -86,7 +86,7 @@
 		list = append(list, instances.Instance{
 			ID: inst.Id, Service: inst.Service, Address: inst.Address, Domain: inst.Domain,
 			Slots: int(inst.Slots), Leaving: inst.Leaving,
-			WarmUp: time.Duration(inst.WarmUpMs) * time.Millisecond, Revision: inst.Revision, BornMs: inst.BornMs,
+			WarmUp: time.Duration(inst.WarmUpMs) * time.Millisecond, Revision: inst.Revision, StartedMs: inst.BornMs,
 		})
 	}
 	return list
@@ -146,7 +146,7 @@
 		whole.Version, whole.LastFence = m.Version, m.LastFence
 		t = whole
 	}
-	if err := t.Check(); err != nil {
+	if err := t.Validate(); err != nil {
 		return err
 	}
 	v.setSpans(t)
@@ -157,8 +157,8 @@
 	t := &spans.Table{Service: m.Service, Version: m.Version, LastFence: m.LastFence}
 	for _, s := range m.List {
 		t.Spans = append(t.Spans, spans.Span{
-			Keys:  spans.Keys{First: uint16(s.First), Last: uint16(s.Last)},
-			Owner: s.Owner, Fence: s.Fence, Next: s.Next, NextFence: s.NextFence, Cold: s.Cold,
+			KeyRange: spans.KeyRange{First: uint16(s.First), Last: uint16(s.Last)},
+			Owner:    s.Owner, Fence: s.Fence, Next: s.Next, NextFence: s.NextFence, Cold: s.Cold,
 			Incarnation: instances.Incarnation(s.Incarnation),
 		})
 	}
--- a/standin/instance/grants.go
+++ b/standin/instance/grants.go
@@ -13,13 +13,13 @@
 // This file grants keys to the instance and takes them back.
 
 type hold struct {
-	spans.Keys
+	spans.KeyRange
 	fence uint64
 	until time.Time
 }
 
 type seen struct {
-	spans.Keys
+	spans.KeyRange
 	fence uint64
 }
 
@@ -33,7 +33,7 @@
 func (i *Instance) holdsLocked(key uint16) bool {
 	now := time.Now()
 	for _, h := range i.holds {
-		if h.Has(key) && now.Before(h.until) {
+		if h.Contains(key) && now.Before(h.until) {
 			return true
 		}
 	}
@@ -47,7 +47,7 @@
 	defer i.mu.Unlock()
 	longest := time.Duration(0)
 	for _, h := range i.holds {
-		if h.Has(key) {
+		if h.Contains(key) {
 			longest = max(longest, time.Until(h.until))
 		}
 	}
@@ -87,7 +87,7 @@
 
 // release drops the keys of a call. The lock is held.
 func (i *Instance) release(c platform.GrantCall) {
-	keys := spans.Keys{First: c.From, Last: c.Target}
+	keys := spans.KeyRange{First: c.From, Last: c.Target}
 	i.drop(keys)
 	i.seen = append(i.seen, seen{keys, c.Fence})
 	i.Oracle.released(i.ID, keys)
@@ -113,9 +113,9 @@
 	if i.ended {
 		return http.StatusServiceUnavailable
 	}
-	keys := spans.Keys{First: c.From, Last: c.Target}
+	keys := spans.KeyRange{First: c.From, Last: c.Target}
 	for _, s := range i.seen {
-		if overlap(s.Keys, keys) && s.fence > c.Fence {
+		if overlap(s.KeyRange, keys) && s.fence > c.Fence {
 			return http.StatusConflict
 		}
 	}
@@ -126,13 +126,13 @@
 	return http.StatusOK
 }
 
-func overlap(a, b spans.Keys) bool { return a.First <= b.Last && b.First <= a.Last }
+func overlap(a, b spans.KeyRange) bool { return a.First <= b.Last && b.First <= a.Last }
 
 // drop cuts the keys out of all holds.
-func (i *Instance) drop(keys spans.Keys) {
+func (i *Instance) drop(keys spans.KeyRange) {
 	var kept []hold
 	for _, h := range i.holds {
-		if !overlap(h.Keys, keys) {
+		if !overlap(h.KeyRange, keys) {
 			kept = append(kept, h)
 			continue
 		}
@@ -159,15 +159,15 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.release(c)
-	for i.busy(spans.Keys{First: c.From, Last: c.Target}) {
+	for i.busy(spans.KeyRange{First: c.From, Last: c.Target}) {
 		i.idle.Wait()
 	}
 	w.Header().Set(platform.Handover, "h-"+i.ID+"-"+strconv.FormatUint(c.Fence, 10))
 }
 
-func (i *Instance) busy(keys spans.Keys) bool {
+func (i *Instance) busy(keys spans.KeyRange) bool {
 	for key, n := range i.running {
-		if n > 0 && keys.Has(key) {
+		if n > 0 && keys.Contains(key) {
 			return true
 		}
 	}
--- a/standin/instance/oracle.go
+++ b/standin/instance/oracle.go
@@ -24,7 +24,7 @@
 }
 
 type owned struct {
-	spans.Keys
+	spans.KeyRange
 	owner string
 	fence uint64
 }
@@ -34,19 +34,19 @@
 	return &Oracle{holds: make(map[string][]hold), runs: make(map[string]int), by: make(map[string]int)}
 }
 
-func (o *Oracle) granted(id string, keys spans.Keys, fence uint64, until time.Time) {
+func (o *Oracle) granted(id string, keys spans.KeyRange, fence uint64, until time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
 	for other, holds := range o.holds {
 		for _, h := range holds {
-			if other != id && overlap(h.Keys, keys) && now.Before(h.until) {
+			if other != id && overlap(h.KeyRange, keys) && now.Before(h.until) {
 				o.violate("keys %d-%d granted to %s while %s holds %d-%d", keys.First, keys.Last, id, other, h.First, h.Last)
 			}
 		}
 	}
 	for _, f := range o.fences {
-		if f.owner != id && overlap(f.Keys, keys) && f.fence >= fence {
+		if f.owner != id && overlap(f.KeyRange, keys) && f.fence >= fence {
 			o.violate("keys %d-%d granted to %s with fence %d, %s had %d", keys.First, keys.Last, id, fence, f.owner, f.fence)
 		}
 	}
@@ -55,13 +55,13 @@
 	o.fences = append(o.fences, owned{keys, id, fence})
 }
 
-func (o *Oracle) released(id string, keys spans.Keys) {
+func (o *Oracle) released(id string, keys spans.KeyRange) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.drop(id, keys)
 }
 
-func (o *Oracle) drop(id string, keys spans.Keys) {
+func (o *Oracle) drop(id string, keys spans.KeyRange) {
 	scratch := Instance{holds: o.holds[id]}
 	scratch.drop(keys)
 	o.holds[id] = scratch.holds
--- a/state/instances/incarnation.go
+++ b/state/instances/incarnation.go
@@ -13,23 +13,23 @@
 	// clockTolerance is how far in the future an upstream's start may seem: clocks of
 	// machines are stepped by seconds, in rare faults by hours. What is beyond is not a
 	// start.
-	clockTolerance = 24 * time.Hour
+	maxClockSkew = 24 * time.Hour
 )
 
 // Incarnation returns which start of the upstream this is.
 func (i *Instance) Incarnation() Incarnation {
-	if i.BornMs == 0 {
+	if i.StartedMs == 0 {
 		return 0
 	}
 	// Zero is kept for those that do not say.
-	return Incarnation(i.BornMs&(1<<incarnationBits-1)) + 1
+	return Incarnation(i.StartedMs&(1<<incarnationBits-1)) + 1
 }
 
 // Other reports whether both are known and tell different starts.
-func (a Incarnation) Other(b Incarnation) bool { return a != 0 && b != 0 && a != b }
+func (a Incarnation) DiffersFrom(b Incarnation) bool { return a != 0 && b != 0 && a != b }
 
 // Believable reports whether a start may have been at that Unix millisecond; zero is an
 // upstream that does not say.
-func Believable(bornMs uint64, now time.Time) bool {
-	return bornMs <= uint64(max(0, now.Add(clockTolerance).UnixMilli()))
+func PlausibleStart(bornMs uint64, now time.Time) bool {
+	return bornMs <= uint64(max(0, now.Add(maxClockSkew).UnixMilli()))
 }
--- a/state/instances/instances.go
+++ b/state/instances/instances.go
@@ -15,9 +15,9 @@
 	ID string
 	// BornMs is the Unix millisecond of its start, by its own clock; zero when it does not
 	// say: then each start has an ID of its own.
-	BornMs  uint64
-	Service string
-	Address string
+	StartedMs uint64
+	Service   string
+	Address   string
 	// Domain is the failure domain.
 	Domain string
 	// Slots is how many requests it runs at once.
@@ -50,14 +50,14 @@
 func (v *View) next(revision uint64, list []Instance) *View {
 	next := &View{Revision: revision, byID: make(map[string]*Instance, len(list))}
 	for i := range list {
-		next.put(v.byID[list[i].ID], &list[i])
+		next.putShared(v.byID[list[i].ID], &list[i])
 	}
-	next.group()
+	next.groupByService()
 	return next
 }
 
 // put adds an instance as it is now; kept is as it was in another view, or nil.
-func (v *View) put(kept, now *Instance) {
+func (v *View) putShared(kept, now *Instance) {
 	if kept == nil || *kept != *now {
 		changed := *now
 		kept = &changed
@@ -66,7 +66,7 @@
 }
 
 // group lists the instances by service, in the order of their IDs.
-func (v *View) group() {
+func (v *View) groupByService() {
 	v.services = make(map[string][]*Instance)
 	for _, one := range v.byID {
 		v.services[one.Service] = append(v.services[one.Service], one)
@@ -94,18 +94,18 @@
 
 // IDs returns the IDs of all instances in order. They are not to be changed.
 func (v *View) IDs() []string {
-	v.index()
+	v.indexIDs()
 	return v.ids
 }
 
 // Position returns the place of an ID in IDs.
 func (v *View) Position(id string) (int, bool) {
-	v.index()
+	v.indexIDs()
 	i, ok := v.positions[id]
 	return i, ok
 }
 
-func (v *View) index() {
+func (v *View) indexIDs() {
 	v.once.Do(func() {
 		v.ids = slices.Sorted(maps.Keys(v.byID))
 		v.positions = make(map[string]int, len(v.ids))
@@ -149,11 +149,11 @@
 		next.byID = make(map[string]*Instance, len(changed))
 	}
 	for i := range changed {
-		next.put(v.byID[changed[i].ID], &changed[i])
+		next.putShared(v.byID[changed[i].ID], &changed[i])
 	}
 	for _, id := range removed {
 		delete(next.byID, id)
 	}
-	next.group()
+	next.groupByService()
 	return next
 }
--- a/state/instances/instances_test.go
+++ b/state/instances/instances_test.go
@@ -10,9 +10,9 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-func one(id string) Instance { return Instance{ID: id, Service: "s", Address: id + ":1"} }
+func newInstance(id string) Instance { return Instance{ID: id, Service: "s", Address: id + ":1"} }
 
-func leaving(t *testing.T, tr *Tracker, id string) bool {
+func isLeaving(t *testing.T, tr *Tracker, id string) bool {
 	t.Helper()
 	v, _ := tr.View()
 	i := v.Get(id)
@@ -22,14 +22,14 @@
 	return i.Leaving
 }
 
-func TestRemovedEntryIsLeaving(t *testing.T) {
+func TestRemovedEntryIsMarkedLeaving(t *testing.T) {
 	tr := NewTracker(nil, start, 0)
-	tr.List(start, []Instance{one("a"), one("b")})
+	tr.List(start, []Instance{newInstance("a"), newInstance("b")})
 	tr.Remove(at(time.Second), "a")
-	if !tr.Settle(at(time.Second)) || !leaving(t, tr, "a") || leaving(t, tr, "b") {
+	if !tr.ExpireAbsent(at(time.Second)) || !isLeaving(t, tr, "a") || isLeaving(t, tr, "b") {
 		t.Error("an upstream whose entry is gone is not leaving")
 	}
-	tr.Settle(at(time.Second + keepGone + 1))
+	tr.ExpireAbsent(at(time.Second + removedRetention + 1))
 	if v, _ := tr.View(); v.Get("a") != nil || v.Len() != 1 {
 		t.Error("it is kept for ever")
 	}
@@ -37,48 +37,48 @@
 
 // TestLapsedEntriesAreWaitedFor: entries missing right after an outage stay in
 // service until the store has been back for lapseGrace.
-func TestLapsedEntriesAreWaitedFor(t *testing.T) {
+func TestAbsentEntriesHaveGraceAfterReconnect(t *testing.T) {
 	tr := NewTracker(nil, start, 0)
-	tr.List(start, []Instance{one("a"), one("b")})
-	tr.Returned(at(10 * time.Second))
+	tr.List(start, []Instance{newInstance("a"), newInstance("b")})
+	tr.StoreReconnected(at(10 * time.Second))
 	tr.List(at(10*time.Second), nil)
-	if tr.Settle(at(10*time.Second+lapseGrace-1)) || leaving(t, tr, "a") {
+	if tr.ExpireAbsent(at(10*time.Second+reconnectGrace-1)) || isLeaving(t, tr, "a") {
 		t.Error("given up before its time")
 	}
-	tr.Put(one("a"))
-	tr.Settle(at(10*time.Second + lapseGrace))
-	if leaving(t, tr, "a") || !leaving(t, tr, "b") {
+	tr.Put(newInstance("a"))
+	tr.ExpireAbsent(at(10*time.Second + reconnectGrace))
+	if isLeaving(t, tr, "a") || !isLeaving(t, tr, "b") {
 		t.Error("one that came back leaves, or one that did not stays")
 	}
 }
 
 // TestViewGoesOn: a tracker that begins with a view made elsewhere goes on from
 // it, and its list replaces what has gone since.
-func TestViewGoesOn(t *testing.T) {
-	gone := one("gone")
+func TestTrackerContinuesFromView(t *testing.T) {
+	gone := newInstance("gone")
 	gone.Leaving = true
-	tr := NewTracker(NewView(7, []Instance{one("a"), one("b"), gone}), start, 0)
+	tr := NewTracker(NewView(7, []Instance{newInstance("a"), newInstance("b"), gone}), start, 0)
 	if v, _ := tr.View(); v.Revision != 7 {
 		t.Errorf("revision %d", v.Revision)
 	}
-	tr.List(start, []Instance{one("b"), one("c")})
-	tr.Settle(start)
-	if !leaving(t, tr, "a") || leaving(t, tr, "b") || leaving(t, tr, "c") || !leaving(t, tr, "gone") {
+	tr.List(start, []Instance{newInstance("b"), newInstance("c")})
+	tr.ExpireAbsent(start)
+	if !isLeaving(t, tr, "a") || isLeaving(t, tr, "b") || isLeaving(t, tr, "c") || !isLeaving(t, tr, "gone") {
 		t.Error("the list is not what counts")
 	}
 }
 
 // TestListIsAsNewAsItsEntries: a list gives the view the revision of its newest entry,
 // as watching the same entries does, and never one below that it had.
-func TestListIsAsNewAsItsEntries(t *testing.T) {
-	newest := one("b")
+func TestListRevisionIsThatOfNewestEntry(t *testing.T) {
+	newest := newInstance("b")
 	newest.Revision = 4
 	listed := NewTracker(nil, start, 0)
-	listed.List(start, []Instance{one("a"), newest})
+	listed.List(start, []Instance{newInstance("a"), newest})
 	watched := NewTracker(nil, start, 1)
-	watched.Put(one("a"))
+	watched.Put(newInstance("a"))
 	watched.Put(newest)
-	watched.Advance(newest.Revision)
+	watched.AdvanceRevision(newest.Revision)
 	byList, _ := listed.View()
 	byWatch, _ := watched.View()
 	if byList.Revision != newest.Revision || byWatch.Revision != byList.Revision {
@@ -94,38 +94,38 @@
 // TestEarlierStartIsNotTaken: an entry that was written by an earlier start of the upstream
 // and comes late changes nothing; one that counts anew under the same start does not look
 // like another.
-func TestEarlierStartIsNotTaken(t *testing.T) {
+func TestEntryOfEarlierStartIsIgnored(t *testing.T) {
 	tr := NewTracker(nil, start, 0)
-	first, second := one("a"), one("a")
-	first.BornMs, second.BornMs = 1000, 2000
+	first, second := newInstance("a"), newInstance("a")
+	first.StartedMs, second.StartedMs = 1000, 2000
 	first.Leaving = true
 	tr.Put(second)
 	tr.Put(first)
 	tr.List(start, []Instance{first})
-	if leaving(t, tr, "a") {
+	if isLeaving(t, tr, "a") {
 		t.Error("the earlier start counts")
 	}
-	if first.Incarnation() == second.Incarnation() || first.Incarnation() == 0 || !first.Incarnation().Other(second.Incarnation()) {
+	if first.Incarnation() == second.Incarnation() || first.Incarnation() == 0 || !first.Incarnation().DiffersFrom(second.Incarnation()) {
 		t.Errorf("starts look alike: %d, %d", first.Incarnation(), second.Incarnation())
 	}
-	unknown := one("a")
-	if unknown.Incarnation().Other(second.Incarnation()) {
+	unknown := newInstance("a")
+	if unknown.Incarnation().DiffersFrom(second.Incarnation()) {
 		t.Error("one that does not say looks like another")
 	}
 }
 
-func TestBelievable(t *testing.T) {
+func TestPlausibleStart(t *testing.T) {
 	now := uint64(start.UnixMilli())
-	day := uint64(clockTolerance.Milliseconds())
-	if !Believable(0, start) || !Believable(now, start) || !Believable(now+day-1, start) || Believable(now+day+1, start) {
+	day := uint64(maxClockSkew.Milliseconds())
+	if !PlausibleStart(0, start) || !PlausibleStart(now, start) || !PlausibleStart(now+day-1, start) || PlausibleStart(now+day+1, start) {
 		t.Error("what can be is not told from what cannot")
 	}
 }
 
 // TestVersionsShareWhatStays: a version costs what has changed, not all upstreams.
-func TestVersionsShareWhatStays(t *testing.T) {
-	old := NewView(1, []Instance{one("a"), one("b")})
-	changed := one("b")
+func TestViewsShareUnchangedInstances(t *testing.T) {
+	old := NewView(1, []Instance{newInstance("a"), newInstance("b")})
+	changed := newInstance("b")
 	changed.Leaving = true
 	next := old.Apply(2, []Instance{changed}, nil)
 	if next.Get("a") != old.Get("a") || next.Get("b") == old.Get("b") || old.Get("b").Leaving {
@@ -144,21 +144,21 @@
 func BenchmarkVersions(b *testing.B) {
 	var list []Instance
 	for i := range 1200 {
-		list = append(list, one(fmt.Sprintf("i-%08x", i)))
+		list = append(list, newInstance(fmt.Sprintf("i-%08x", i)))
 	}
 	v := NewView(1, list)
 	b.ReportAllocs()
 	for b.Loop() {
-		v = v.Apply(v.Revision+1, []Instance{one("i-00000007")}, nil)
+		v = v.Apply(v.Revision+1, []Instance{newInstance("i-00000007")}, nil)
 	}
 }
 
 func TestVersionsDiffer(t *testing.T) {
 	tr := NewTracker(nil, start, 0)
-	tr.List(start, []Instance{one("a")})
+	tr.List(start, []Instance{newInstance("a")})
 	_, first := tr.View()
 	_, second := tr.View()
-	tr.Advance(6)
+	tr.AdvanceRevision(6)
 	_, third := tr.View()
 	if first == second || third <= second {
 		t.Errorf("versions %d, %d, %d", first, second, third)
@@ -166,9 +166,9 @@
 }
 
 func TestViewByService(t *testing.T) {
-	other := one("x")
+	other := newInstance("x")
 	other.Service = "t"
-	v := NewView(1, []Instance{one("b"), one("a"), other})
+	v := NewView(1, []Instance{newInstance("b"), newInstance("a"), other})
 	if got := v.Service("s"); len(got) != 2 || got[0].ID != "a" {
 		t.Errorf("service s: %v", got)
 	}
@@ -178,10 +178,10 @@
 }
 
 func TestDiffAndApply(t *testing.T) {
-	changed := one("b")
+	changed := newInstance("b")
 	changed.Leaving = true
-	old := NewView(1, []Instance{one("a"), one("b"), one("c")})
-	next := NewView(2, []Instance{one("a"), changed, one("d")})
+	old := NewView(1, []Instance{newInstance("a"), newInstance("b"), newInstance("c")})
+	next := NewView(2, []Instance{newInstance("a"), changed, newInstance("d")})
 	list, removed := Diff(old, next)
 	if len(list) != 2 || len(removed) != 1 {
 		t.Errorf("changed %v, removed %v", list, removed)
--- a/state/instances/tracker.go
+++ b/state/instances/tracker.go
@@ -5,10 +5,10 @@
 const (
 	// lapseGrace is how long after the store's return entries that are missing
 	// are waited for: those that lapsed while it was away are back by then.
-	lapseGrace = 2 * time.Second
+	reconnectGrace = 2 * time.Second
 	// keepGone is how long an upstream whose entry is gone is kept as leaving,
 	// so that it can still hand its keys over.
-	keepGone = 15 * time.Second
+	removedRetention = 15 * time.Second
 )
 
 // Tracker follows the entries of upstreams in the store. It is not safe for
@@ -18,23 +18,23 @@
 	known    map[string]Instance
 	// missing are upstreams without an entry: since when, and until when the
 	// entry may come back.
-	missing map[string]missing
+	unregistered map[string]absence
 	// returned is when the store was last reached again after an outage.
-	returned time.Time
-	sub      uint64
+	reconnectedAt time.Time
+	sequence      uint64
 	// last is the view returned last.
-	last *View
+	lastView *View
 }
 
-type missing struct {
-	since   time.Time
-	settles time.Time
+type absence struct {
+	since    time.Time
+	graceEnd time.Time
 }
 
 // NewTracker returns a tracker that knows what the view shows. Trackers of
 // different processes are given different salts, so that their versions differ.
 func NewTracker(v *View, now time.Time, salt uint64) *Tracker {
-	t := &Tracker{sub: salt, last: &View{}, known: make(map[string]Instance), missing: make(map[string]missing)}
+	t := &Tracker{sequence: salt, lastView: &View{}, known: make(map[string]Instance), unregistered: make(map[string]absence)}
 	if v == nil {
 		return t
 	}
@@ -42,14 +42,14 @@
 	for _, one := range v.All() {
 		t.known[one.ID] = one
 		if one.Leaving {
-			t.missing[one.ID] = missing{since: now, settles: now}
+			t.unregistered[one.ID] = absence{since: now, graceEnd: now}
 		}
 	}
 	return t
 }
 
 // Returned notes that the store is reached again after an outage.
-func (t *Tracker) Returned(now time.Time) { t.returned = now }
+func (t *Tracker) StoreReconnected(now time.Time) { t.reconnectedAt = now }
 
 // List takes over the whole list of entries. The view is as new as its newest entry and
 // not as the store when it listed: a process that has watched the same entries has not
@@ -75,11 +75,11 @@
 
 // put takes over an entry. One of an earlier start than the known one came late.
 func (t *Tracker) put(one Instance) {
-	if one.BornMs < t.known[one.ID].BornMs {
+	if one.StartedMs < t.known[one.ID].StartedMs {
 		return
 	}
 	t.known[one.ID] = one
-	delete(t.missing, one.ID)
+	delete(t.unregistered, one.ID)
 }
 
 // Remove notes that the entry of an upstream has gone.
@@ -89,13 +89,13 @@
 	if _, ok := t.known[id]; !ok {
 		return
 	}
-	if _, ok := t.missing[id]; ok {
+	if _, ok := t.unregistered[id]; ok {
 		return
 	}
-	t.missing[id] = missing{since: now, settles: later(now, t.returned.Add(lapseGrace))}
+	t.unregistered[id] = absence{since: now, graceEnd: latest(now, t.reconnectedAt.Add(reconnectGrace))}
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
@@ -103,20 +103,20 @@
 }
 
 // Advance notes the revision up to which changes are known.
-func (t *Tracker) Advance(revision uint64) { t.revision = max(t.revision, revision) }
+func (t *Tracker) AdvanceRevision(revision uint64) { t.revision = max(t.revision, revision) }
 
 // Settle turns missing upstreams into leaving ones when their time is over,
 // forgets those that are long gone, and reports whether anything changed.
-func (t *Tracker) Settle(now time.Time) bool {
+func (t *Tracker) ExpireAbsent(now time.Time) bool {
 	changed := false
-	for id, m := range t.missing {
+	for id, m := range t.unregistered {
 		one := t.known[id]
 		switch {
-		case now.Sub(m.since) > keepGone:
+		case now.Sub(m.since) > removedRetention:
 			delete(t.known, id)
-			delete(t.missing, id)
+			delete(t.unregistered, id)
 			changed = true
-		case !one.Leaving && !now.Before(m.settles):
+		case !one.Leaving && !now.Before(m.graceEnd):
 			one.Leaving = true
 			t.known[id] = one
 			changed = true
@@ -132,10 +132,10 @@
 	for _, one := range t.known {
 		list = append(list, one)
 	}
-	t.sub++
-	t.last = t.last.next(t.revision, list)
-	return t.last, t.revision<<versionBits | t.sub%(1<<versionBits)
+	t.sequence++
+	t.lastView = t.lastView.next(t.revision, list)
+	return t.lastView, t.revision<<sequenceBits | t.sequence%(1<<sequenceBits)
 }
 
 // versionBits are the bits of a version that tell views of one revision apart.
-const versionBits = 16
+const sequenceBits = 16
--- a/state/limits/limits.go
+++ b/state/limits/limits.go
@@ -43,7 +43,7 @@
 
 // same reports whether both say the same but for the time.
 func (l Limit) same(other Limit) bool {
-	if l.Ended != other.Ended || l.Incarnation.Other(other.Incarnation) {
+	if l.Ended != other.Ended || l.Incarnation.DiffersFrom(other.Incarnation) {
 		return false
 	}
 	return l.Ended || math.Abs(l.PerSecond-other.PerSecond) <= change*other.PerSecond
@@ -90,7 +90,7 @@
 // Of returns the limit of an upstream's start; ok is false when it names none.
 func (b *Book) Of(upstream string, incarnation instances.Incarnation) (perSecond float64, ok bool) {
 	l, ok := b.known[upstream]
-	if !ok || l.Ended || l.Incarnation.Other(incarnation) {
+	if !ok || l.Ended || l.Incarnation.DiffersFrom(incarnation) {
 		return 0, false
 	}
 	return l.PerSecond, true
--- a/state/placement/placement.go
+++ b/state/placement/placement.go
@@ -37,7 +37,7 @@
 
 // Step is one move of a plan.
 type Step struct {
-	spans.Keys
+	spans.KeyRange
 	From string `json:"from"`
 	To   string `json:"to"`
 }
@@ -49,8 +49,8 @@
 	Service  string `json:"service"`
 	Upstream string `json:"upstream"`
 	// Keys are those of a Pin.
-	Keys  spans.Keys `json:"keys"`
-	State State      `json:"state"`
+	Keys  spans.KeyRange `json:"keys"`
+	State State          `json:"state"`
 	// By names the operator.
 	By string `json:"by"`
 	// Plan are the moves that the intent causes, computed when it was stated.
--- a/state/spans/spans.go
+++ b/state/spans/spans.go
@@ -13,20 +13,20 @@
 const MaxKey = 65535
 
 // Keys is a span of keys, both ends inclusive.
-type Keys struct {
+type KeyRange struct {
 	First uint16 `json:"first"`
 	Last  uint16 `json:"last"`
 }
 
 // Count returns the number of keys.
-func (k Keys) Count() int { return int(k.Last) - int(k.First) + 1 }
+func (k KeyRange) Count() int { return int(k.Last) - int(k.First) + 1 }
 
 // Has reports whether the key lies in the span.
-func (k Keys) Has(key uint16) bool { return key >= k.First && key <= k.Last }
+func (k KeyRange) Contains(key uint16) bool { return key >= k.First && key <= k.Last }
 
 // Span is a span of keys with its owner.
 type Span struct {
-	Keys
+	KeyRange
 	// Owner is the upstream that holds the keys, or may hold them; empty when
 	// none does.
 	Owner string `json:"owner,omitempty"`
@@ -62,15 +62,15 @@
 }
 
 // At returns the index of the span that has the key.
-func (t *Table) At(key uint16) int {
+func (t *Table) Index(key uint16) int {
 	return sort.Search(len(t.Spans), func(i int) bool { return t.Spans[i].Last >= key })
 }
 
 // Find returns the span that has the key.
-func (t *Table) Find(key uint16) Span { return t.Spans[t.At(key)] }
+func (t *Table) Find(key uint16) Span { return t.Spans[t.Index(key)] }
 
 // Unowned returns the number of keys that nobody holds at the moment.
-func (t *Table) Unowned() int {
+func (t *Table) UnownedKeys() int {
 	n := 0
 	for _, s := range t.Spans {
 		if s.Moving() || s.Owner == "" {
@@ -88,7 +88,7 @@
 }
 
 // Check reports what is wrong with a table, or nil.
-func (t *Table) Check() error {
+func (t *Table) Validate() error {
 	next := 0
 	for _, s := range t.Spans {
 		switch {
@@ -138,7 +138,7 @@
 	next := *t
 	next.Spans = make([]Span, 0, len(t.Spans)+len(list))
 	for _, s := range t.Spans {
-		if !overlapsAny(list, s.Keys) {
+		if !overlapsAny(list, s.KeyRange) {
 			next.Spans = append(next.Spans, s)
 		}
 	}
@@ -148,7 +148,7 @@
 }
 
 // overlapsAny reports whether one of the spans, which are in order, has keys of k.
-func overlapsAny(list []Span, k Keys) bool {
+func overlapsAny(list []Span, k KeyRange) bool {
 	i := sort.Search(len(list), func(i int) bool { return list[i].Last >= k.First })
 	return i < len(list) && list[i].First <= k.Last
 }
--- a/state/spans/spans_test.go
+++ b/state/spans/spans_test.go
@@ -7,15 +7,15 @@
 	"pgregory.net/rapid"
 )
 
-func whole() *Table {
+func validTable() *Table {
 	return &Table{Service: "s", LastFence: 3, Spans: []Span{
-		{Keys: Keys{0, 99}, Owner: "a", Fence: 1},
-		{Keys: Keys{100, 65535}, Owner: "b", Fence: 2, Next: "c", NextFence: 3},
+		{KeyRange: KeyRange{0, 99}, Owner: "a", Fence: 1},
+		{KeyRange: KeyRange{100, 65535}, Owner: "b", Fence: 2, Next: "c", NextFence: 3},
 	}}
 }
 
-func TestCheckFindsFaults(t *testing.T) {
-	if err := whole().Check(); err != nil {
+func TestValidateRejectsInvalidTables(t *testing.T) {
+	if err := validTable().Validate(); err != nil {
 		t.Fatal(err)
 	}
 	for name, spoil := range map[string]func(*Table){
@@ -28,23 +28,23 @@
 		"backwards":            func(t *Table) { t.Spans[0].Last, t.Spans[1].First = 0, 1; t.Spans[0].First = 1 },
 		"owner's fence is new": func(t *Table) { t.Spans[0].Fence = 9 },
 	} {
-		table := whole()
+		table := validTable()
 		spoil(table)
-		if table.Check() == nil {
+		if table.Validate() == nil {
 			t.Errorf("%s is not found", name)
 		}
 	}
 }
 
 // TestSplitKeepsOwners: splits anywhere keep every key's owner and the order.
-func TestSplitKeepsOwners(t *testing.T) {
+func TestSplitPreservesOwnersAndOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := whole()
+		table := validTable()
 		for range rapid.IntRange(0, 20).Draw(t, "splits") {
 			key := rapid.Uint16().Draw(t, "key")
-			table.Split(table.At(key), key)
+			table.Split(table.Index(key), key)
 		}
-		if err := table.Check(); err != nil {
+		if err := table.Validate(); err != nil {
 			t.Fatal(err)
 		}
 		key := rapid.Uint16().Draw(t, "probe")
@@ -52,31 +52,31 @@
 		if key < 100 {
 			want = "a"
 		}
-		if s := table.Find(key); s.Owner != want || !s.Has(key) {
+		if s := table.Find(key); s.Owner != want || !s.Contains(key) {
 			t.Fatalf("key %d: %+v", key, s)
 		}
 	})
 }
 
 // TestDiffAndOverlay: a difference laid over the old table gives the new one.
-func TestDiffAndOverlay(t *testing.T) {
+func TestOverlayOfDiffGivesNewTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		old := whole()
+		old := validTable()
 		for range rapid.IntRange(0, 10).Draw(t, "splits") {
 			key := rapid.Uint16().Draw(t, "key")
-			old.Split(old.At(key), key)
+			old.Split(old.Index(key), key)
 		}
 		next := old.Clone()
 		for range rapid.IntRange(0, 10).Draw(t, "changes") {
 			key := rapid.Uint16().Draw(t, "key")
-			next.Split(next.At(key), key)
+			next.Split(next.Index(key), key)
 			next.LastFence++
-			s := &next.Spans[next.At(key)]
+			s := &next.Spans[next.Index(key)]
 			s.Owner, s.Fence, s.Next, s.NextFence = "d", next.LastFence, "", 0
 		}
 		got := old.Overlay(Diff(old, next))
 		got.LastFence = next.LastFence
-		if err := got.Check(); err != nil {
+		if err := got.Validate(); err != nil {
 			t.Fatal(err)
 		}
 		if d := cmp.Diff(next, got); d != "" {
