--- a/bench/lab/control.go
+++ b/bench/lab/control.go
@@ -57,7 +57,7 @@
 	book *warmup.Assignments
 	// limits are those that upstreams name, wanted what each gateway is asked for that these
 	// would get.
-	limits *limits.Book
+	limits *limits.Registry
 	wanted []map[string]float64
 }
 
@@ -74,7 +74,7 @@
 		demand: make([]map[string]float64, w.sc.Gateways), admit: make(map[string]map[uint16]float64), balanced: make(map[string]time.Duration),
 		gaps: make(map[string]*spans.UnownedTracker), settled: make(map[string]map[uint16]time.Duration), coldTo: make(map[string]map[uint16]time.Duration),
 	}
-	c.limits, c.wanted = limits.NewBook(), make([]map[string]float64, w.sc.Gateways)
+	c.limits, c.wanted = limits.NewRegistry(), make([]map[string]float64, w.sc.Gateways)
 	c.book = warmup.NewAssignments(w.now().Add(-warmup.RightDuration))
 	for i := range w.sc.Services {
 		s := &w.sc.Services[i]
@@ -112,7 +112,7 @@
 
 // capacity is how many requests a second the upstream can run, as far as it takes them.
 func (c *control) capacity(u *upstream, rate float64) float64 {
-	if limit, ok := c.limits.Of(u.one.ID, 0); ok && !c.w.sc.Off.NoNamedLimits {
+	if limit, ok := c.limits.Get(u.one.ID, 0); ok && !c.w.sc.Off.NoNamedLimits {
 		return min(rate, quota.TargetUtilization*limit)
 	}
 	return rate
--- a/bench/lab/gateway.go
+++ b/bench/lab/gateway.go
@@ -42,7 +42,7 @@
 	open  []*delivery
 	// limits are those that upstreams name, wantedElsewhere what the other gateways are asked for
 	// that these would get.
-	limits          *limits.Book
+	limits          *limits.Registry
 	wantedElsewhere map[string]float64
 }
 
@@ -51,7 +51,7 @@
 	for i := range w.sc.Gateways {
 		g := &gateway{
 			w: w, index: i, dispatch: make(map[string]*dispatch.Service), budget: make(map[string]*retry.WindowBudget),
-			keys: make(map[string][]uint16), limits: limits.NewBook(),
+			keys: make(map[string][]uint16), limits: limits.NewRegistry(),
 		}
 		for j := range w.sc.Services {
 			s := &w.sc.Services[j]
--- a/bench/lab/limits.go
+++ b/bench/lab/limits.go
@@ -68,9 +68,9 @@
 func (g *gateway) hears(u *upstream, sent time.Time, perSecond float64, named bool) {
 	changed := false
 	if named {
-		changed = g.limits.Note(limits.Limit{Upstream: u.one.ID, PerSecond: perSecond, At: g.w.now()})
+		changed = g.limits.Update(limits.Limit{Upstream: u.one.ID, PerSecond: perSecond, ReceivedAt: g.w.now()})
 	} else {
-		changed = g.limits.Unnamed(u.one.ID, 0, sent, g.w.now())
+		changed = g.limits.RecordAbsent(u.one.ID, 0, sent, g.w.now())
 	}
 	if changed {
 		g.setLimits()
@@ -83,7 +83,7 @@
 	c.w.after(c.w.hop(), func() {
 		changed := false
 		for _, l := range list {
-			changed = c.limits.Note(l) || changed
+			changed = c.limits.Update(l) || changed
 		}
 		if changed {
 			c.w.after(c.w.hop(), func() { c.w.policy.limited(c.limits.List(), from) })
@@ -98,7 +98,7 @@
 			continue
 		}
 		for _, l := range list {
-			g.limits.Note(l)
+			g.limits.Update(l)
 		}
 		g.setLimits()
 	}
--- a/ctl/capacity.go
+++ b/ctl/capacity.go
@@ -10,7 +10,7 @@
 )
 
 func capacityCommand(o *options) *cobra.Command {
-	shape := capacity.Shape{}
+	shape := capacity.DeploymentSize{}
 	cmd := &cobra.Command{
 		Use:   "capacity",
 		Short: "Work out what gateways cost at a size, from measured slopes",
@@ -19,7 +19,7 @@
 		Example: "  rockcroftctl capacity --gateways 78 --domains 3 --upstreams 346 --keyed 119 --rate 1400",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if err := shape.Check(); err != nil {
+			if err := shape.Validate(); err != nil {
 				return usageError{err}
 			}
 			lines := capacity.Estimate(shape)
--- a/gateway/cluster_test.go
+++ b/gateway/cluster_test.go
@@ -81,7 +81,7 @@
 	}
 	v, packer := instances.NewView(1, []instances.Instance{{ID: "a"}, {ID: "i"}}), &fleetEncoder{}
 	sent := packer.encode(head.sum(own), "b1", v, 7, map[string]worktime.Estimate{"i": {Work: 90 * time.Millisecond, Slowness: 1}}, true)
-	if got := smallfloat.FromByte(sent.InFlight[1]); got != 16 || sent.InFlight[0] != 0 {
+	if got := smallfloat.DecodeByte(sent.InFlight[1]); got != 16 || sent.InFlight[0] != 0 {
 		t.Errorf("sent %v to a child, want 2+4+10", got)
 	}
 	if got := head.inFlightElsewhere()["i"]; got != 13 {
--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -32,7 +32,7 @@
 
 // take takes over what is newer, and logs which failure domains have changed. from tells in
 // the log who said it.
-func (e *evacuations) take(marks []evacuation.Mark, from string) {
+func (e *evacuations) take(marks []evacuation.Record, from string) {
 	before := e.view.evac.Load()
 	if before.Covers(marks) {
 		return
@@ -51,7 +51,7 @@
 func (e *evacuations) note(before, now *evacuation.Set, from string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, m := range now.Marks() {
+	for _, m := range now.Records() {
 		switch active := !m.Ended; {
 		case active && !before.Active(m.Domain):
 			e.since[m.Domain] = e.now()
@@ -79,7 +79,7 @@
 
 // listed takes over all entries of the store, as of a revision.
 func (e *evacuations) listed(objects []platform.Object, at uint64) {
-	e.take(e.view.evac.Load().Listed(decodeEvacuations(objects), at), "store")
+	e.take(e.view.evac.Load().RecordsOfList(decodeEvacuations(objects), at), "store")
 }
 
 // changed takes over entries of the store that have changed.
@@ -87,8 +87,8 @@
 	e.take(decodeEvacuations(objects), "store")
 }
 
-func decodeEvacuations(objects []platform.Object) []evacuation.Mark {
-	out := make([]evacuation.Mark, 0, len(objects))
+func decodeEvacuations(objects []platform.Object) []evacuation.Record {
+	out := make([]evacuation.Record, 0, len(objects))
 	for _, o := range objects {
 		out = append(out, platform.DecodeEvacuation(o))
 	}
--- a/gateway/evacuationstate.go
+++ b/gateway/evacuationstate.go
@@ -19,7 +19,7 @@
 	}
 	set := p.steward.view.evac.Load()
 	state := &placementpb.EvacuationsState{Revision: set.Revision()}
-	for _, m := range set.Marks() {
+	for _, m := range set.Records() {
 		if !m.Ended {
 			state.Domains = append(state.Domains, p.evacuated(m))
 		}
@@ -37,7 +37,7 @@
 }
 
 // evacuated tells how far the evacuation of one failure domain is.
-func (p *placements) evacuated(m evacuation.Mark) *placementpb.EvacuatedDomain {
+func (p *placements) evacuated(m evacuation.Record) *placementpb.EvacuatedDomain {
 	out := &placementpb.EvacuatedDomain{
 		Domain: m.Domain, Revision: m.Revision, KnownMs: uint64(p.evac.knownFor(m.Domain).Milliseconds()),
 	}
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -113,7 +113,7 @@
 	}
 	for _, l := range sum.byChild[except] {
 		if i, ok := v.Position(l.Instance); ok {
-			out.InFlight[i] = smallfloat.Byte(e.inFlight[i] - float64(l.Inflight))
+			out.InFlight[i] = smallfloat.EncodeByte(e.inFlight[i] - float64(l.Inflight))
 		}
 	}
 	return out
@@ -127,9 +127,9 @@
 	for i, id := range ids {
 		if l := sum.loads[id]; l != nil {
 			e.inFlight[i] = float64(l.Inflight)
-			e.encoded[i] = smallfloat.Byte(e.inFlight[i])
+			e.encoded[i] = smallfloat.EncodeByte(e.inFlight[i])
 		}
-		binary.BigEndian.PutUint16(e.work[workTimeSize*i:], smallfloat.Word(workTimes[id].Work.Seconds()))
+		binary.BigEndian.PutUint16(e.work[workTimeSize*i:], smallfloat.EncodeWord(workTimes[id].Work.Seconds()))
 		e.setSlowness(i, len(ids), workTimes[id])
 	}
 }
@@ -143,7 +143,7 @@
 	if e.slowness == nil {
 		e.slowness = make([]byte, of)
 	}
-	e.slowness[i] = smallfloat.Byte(estimate.Slowness)
+	e.slowness[i] = smallfloat.EncodeByte(estimate.Slowness)
 }
 
 // decodeFleet returns the loads and work times in a message. It returns false if the message is
@@ -162,7 +162,7 @@
 	for i, id := range ids {
 		if m.InFlight[i] > 0 {
 			loads = append(loads, &syncpb.Load{
-				Instance: id, Incarnation: uint32(known.Get(id).Incarnation()), Inflight: float32(smallfloat.FromByte(m.InFlight[i])),
+				Instance: id, Incarnation: uint32(known.Get(id).Incarnation()), Inflight: float32(smallfloat.DecodeByte(m.InFlight[i])),
 			})
 		}
 	}
@@ -178,13 +178,13 @@
 	}
 	workTimes := make(map[string]worktime.Estimate)
 	for i, id := range ids {
-		work := smallfloat.FromWord(binary.BigEndian.Uint16(m.Work[workTimeSize*i:]))
+		work := smallfloat.DecodeWord(binary.BigEndian.Uint16(m.Work[workTimeSize*i:]))
 		if work == 0 {
 			continue
 		}
 		estimate := worktime.Estimate{Work: time.Duration(work * float64(time.Second)), Slowness: 1}
 		if len(m.Slowness) > 0 && m.Slowness[i] > 0 {
-			estimate.Slowness = smallfloat.FromByte(m.Slowness[i])
+			estimate.Slowness = smallfloat.DecodeByte(m.Slowness[i])
 		}
 		workTimes[id] = estimate
 	}
--- a/gateway/limitnews.go
+++ b/gateway/limitnews.go
@@ -24,7 +24,7 @@
 	for _, l := range list {
 		out = append(out, &syncpb.NamedLimit{
 			Upstream: l.Upstream, Incarnation: uint32(l.Incarnation), PerSecond: float32(l.PerSecond), Ended: l.Ended,
-			AgeMs: milliseconds(n.now().Sub(l.At)), Wanted: float32(wanted(l.Upstream)),
+			AgeMs: milliseconds(n.now().Sub(l.ReceivedAt)), Wanted: float32(wanted(l.Upstream)),
 		})
 	}
 	return out
@@ -43,7 +43,7 @@
 	for _, m := range list {
 		out = append(out, limits.Limit{
 			Upstream: m.Upstream, Incarnation: instances.Incarnation(m.Incarnation), PerSecond: float64(m.PerSecond), Ended: m.Ended,
-			At: now.Add(-time.Duration(m.AgeMs) * time.Millisecond),
+			ReceivedAt: now.Add(-time.Duration(m.AgeMs) * time.Millisecond),
 		})
 	}
 	return out
@@ -56,12 +56,12 @@
 	if len(known) == 0 {
 		return false
 	}
-	theirs := limits.NewBook()
+	theirs := limits.NewRegistry()
 	for _, l := range n.decode(list) {
-		theirs.Note(l)
+		theirs.Update(l)
 	}
 	for _, l := range known {
-		if theirs.Note(l) {
+		if theirs.Update(l) {
 			return true
 		}
 	}
--- a/gateway/limitnews_test.go
+++ b/gateway/limitnews_test.go
@@ -101,7 +101,7 @@
 	if n.hasNewerThan(nil) {
 		t.Error("an empty book has newer limits")
 	}
-	n.record(limitFromAnswer, limits.Limit{Upstream: "u", PerSecond: 10, At: n.now()})
+	n.record(limitFromAnswer, limits.Limit{Upstream: "u", PerSecond: 10, ReceivedAt: n.now()})
 	say := func(perSecond float32, age time.Duration) []*syncpb.NamedLimit {
 		return []*syncpb.NamedLimit{{Upstream: "u", PerSecond: perSecond, AgeMs: milliseconds(age)}}
 	}
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -32,11 +32,11 @@
 	onChange func()
 
 	mu   sync.Mutex
-	book *limits.Book
+	book *limits.Registry
 }
 
 func newNamedLimits(v *view, now func() time.Time, log *slog.Logger, m *meters) *namedLimits {
-	return &namedLimits{view: v, now: now, log: log, meters: m, onChange: func() {}, book: limits.NewBook()}
+	return &namedLimits{view: v, now: now, log: log, meters: m, onChange: func() {}, book: limits.NewRegistry()}
 }
 
 // countSent counts a request that is sent to an upstream with a limit.
@@ -53,7 +53,7 @@
 	if n.book.Empty() {
 		return 0, false
 	}
-	return n.book.Of(one.ID, one.Incarnation())
+	return n.book.Get(one.ID, one.Incarnation())
 }
 
 // recordAnswer records what an upstream's answer to a try says about its limit. An invalid value
@@ -65,7 +65,7 @@
 		n.meters.inc(limitsUnsound)
 	case named:
 		n.record(limitFromAnswer, limits.Limit{
-			Upstream: g.Instance.ID, Incarnation: g.Instance.Incarnation(), PerSecond: perSecond, At: n.now(),
+			Upstream: g.Instance.ID, Incarnation: g.Instance.Incarnation(), PerSecond: perSecond, ReceivedAt: n.now(),
 		})
 	case platform.Genuine(h):
 		// Only a genuine answer of the upstream ends its limit: another server may refuse requests
@@ -76,7 +76,7 @@
 
 func (n *namedLimits) recordNoLimit(g dispatch.Grant) {
 	n.mu.Lock()
-	ended := !n.book.Empty() && n.book.Unnamed(g.Instance.ID, g.Instance.Incarnation(), g.GrantedAt, n.now())
+	ended := !n.book.Empty() && n.book.RecordAbsent(g.Instance.ID, g.Instance.Incarnation(), g.GrantedAt, n.now())
 	n.mu.Unlock()
 	if ended {
 		n.notifyChanged(limitFromAnswer, limits.Limit{Upstream: g.Instance.ID, Ended: true})
@@ -88,7 +88,7 @@
 	var changed []limits.Limit
 	n.mu.Lock()
 	for _, l := range list {
-		if n.book.Note(l) {
+		if n.book.Update(l) {
 			changed = append(changed, l)
 		}
 	}
@@ -127,7 +127,7 @@
 		return nil
 	}
 	if v := n.view.inst.Load(); v != nil {
-		n.book.Forget(n.now(), func(upstream string) bool { return v.Get(upstream) != nil })
+		n.book.Prune(n.now(), func(upstream string) bool { return v.Get(upstream) != nil })
 	}
 	return n.book.List()
 }
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -138,7 +138,7 @@
 // hasNewerEvacuations reports whether this process knows evacuations that the sender does not.
 func (p *peerServer) hasNewerEvacuations(r *syncpb.SyncRequest) bool {
 	theirs, _ := (*evacuation.Set)(nil).Merge(evacuationMarks(r.Evacuations))
-	return !theirs.Covers(p.view.evac.Load().Marks())
+	return !theirs.Covers(p.view.evac.Load().Records())
 }
 
 // hasNewerUpstreams reports whether this process has another version of the upstreams than the
--- a/gateway/unread.go
+++ b/gateway/unread.go
@@ -23,11 +23,11 @@
 	meters *meters
 
 	mu   sync.Mutex
-	book *unread.Book
+	book *unread.Counter
 }
 
 func newUnreadHeaders(now func() time.Time, log *slog.Logger, m *meters) *unreadHeaders {
-	return &unreadHeaders{now: now, log: log, meters: m, book: unread.NewBook()}
+	return &unreadHeaders{now: now, log: log, meters: m, book: unread.NewCounter()}
 }
 
 // note counts the headers of an answer that no code reads.
@@ -43,7 +43,7 @@
 	service, upstream := g.Instance.Service, g.Instance.ID
 	u.meters.inc(u.meters.service(answersUnread, service))
 	u.mu.Lock()
-	begins := u.book.Note(u.now(), service, upstream, name)
+	begins := u.book.Record(u.now(), service, upstream, name)
 	u.mu.Unlock()
 	if begins {
 		u.log.Warn("answers bear a header that is not read", "service", service, "header", name, "upstream", upstream)
@@ -63,8 +63,8 @@
 	now := p.now()
 	for _, h := range p.unread.list() {
 		out.Headers = append(out.Headers, &placementpb.UnreadHeader{
-			Service: h.Service, Name: h.Name, Upstream: h.Upstream, Answers: h.Answers,
-			LastMs: uint64(now.Sub(h.Last).Milliseconds()), Sent: h.Sent(now),
+			Service: h.Service, Name: h.Name, Upstream: h.Upstream, Answers: h.Responses,
+			LastMs: uint64(now.Sub(h.Last).Milliseconds()), Sent: h.Active(now),
 		})
 	}
 	return out, nil
--- a/gateway/view.go
+++ b/gateway/view.go
@@ -159,7 +159,7 @@
 
 // mergeEvacuations merges newer evacuation marks into the known ones. It returns whether anything
 // changed and how many marks were dropped.
-func (v *view) mergeEvacuations(marks []evacuation.Mark) (changed bool, dropped int) {
+func (v *view) mergeEvacuations(marks []evacuation.Record) (changed bool, dropped int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	known := v.evac.Load()
--- a/gateway/wire.go
+++ b/gateway/wire.go
@@ -95,17 +95,17 @@
 // evacuationMessages returns the messages for all known evacuations.
 func evacuationMessages(set *evacuation.Set) []*syncpb.Evacuation {
 	var out []*syncpb.Evacuation
-	for _, m := range set.Marks() {
+	for _, m := range set.Records() {
 		out = append(out, &syncpb.Evacuation{Domain: m.Domain, Revision: m.Revision, Ended: m.Ended})
 	}
 	return out
 }
 
 // evacuationMarks converts messages about evacuations to marks.
-func evacuationMarks(list []*syncpb.Evacuation) []evacuation.Mark {
-	out := make([]evacuation.Mark, 0, len(list))
+func evacuationMarks(list []*syncpb.Evacuation) []evacuation.Record {
+	out := make([]evacuation.Record, 0, len(list))
 	for _, m := range list {
-		out = append(out, evacuation.Mark{Domain: m.Domain, Revision: m.Revision, Ended: m.Ended})
+		out = append(out, evacuation.Record{Domain: m.Domain, Revision: m.Revision, Ended: m.Ended})
 	}
 	return out
 }
--- a/state/capacity/capacity.go
+++ b/state/capacity/capacity.go
@@ -10,7 +10,7 @@
 )
 
 // Shape is the size of a deployment.
-type Shape struct {
+type DeploymentSize struct {
 	Gateways int
 	Domains  int
 	// Upstreams are all of them, Keyed those of the largest service that is divided
@@ -22,7 +22,7 @@
 }
 
 // Check reports what is wrong with a shape, or nil.
-func (s Shape) Check() error {
+func (s DeploymentSize) Validate() error {
 	switch {
 	case s.Gateways < 1 || s.Domains < 1 || s.Domains > s.Gateways:
 		return fmt.Errorf("%d gateways in %d failure domains: at least one each", s.Gateways, s.Domains)
@@ -51,8 +51,8 @@
 	planUpstreamCost = 950 * time.Nanosecond
 	// baseMemory and upstreamMemory are the peak of a gateway and the part of each upstream
 	// in it, in MB.
-	baseMemory     = 17.2
-	upstreamMemory = 0.0232
+	baseMemoryMB     = 17.2
+	upstreamMemoryMB = 0.0232
 	// reportBytes and loadBytes are the encoded sizes of a report and of a load in it.
 	reportBytes = 200
 	loadBytes   = 23
@@ -68,16 +68,16 @@
 	watchesPerSecond  = 2 / 1.2
 	// treeLeast is the number of gateways from which one of each failure domain
 	// reports for the rest.
-	treeLeast = 24
+	minTreeGateways = 24
 	// spansEach, spansTotal and spansLeast bound the first assignment.
-	spansEach, spansTotal, spansLeast = 16, 256, 2
+	spansPerUpstream, maxInitialSpans, minSpansPerUpstream = 16, 256, 2
 )
 
 // Limits of one node for control, from the size to design for.
 const (
-	coreLimit   = 0.022
-	memoryLimit = 256.0
-	bytesLimit  = 24e3
+	maxControlCores = 0.022
+	maxMemoryMB     = 256.0
+	maxControlBytes = 24e3
 )
 
 // Line is one figure of an estimate.
@@ -95,45 +95,45 @@
 func (l Line) Fits() bool { return l.Limit == 0 || l.Value <= l.Limit }
 
 // Estimate works the figures of all roles out.
-func Estimate(s Shape) []Line {
-	ordinary := s.control(1, 0)
-	leader := s.control(s.children(), s.spans())
+func Estimate(s DeploymentSize) []Line {
+	ordinary := s.controlCost(1, 0)
+	leader := s.controlCost(s.reportersToLeader(), s.initialSpans())
 	lines := []Line{
 		{"gateway", "serving", "cores", s.Rate / float64(s.Gateways) * forwardCost.Seconds(), 0, "requests of its own"},
-		{"gateway", "control", "cores", ordinary.cores, coreLimit, "loads it reports"},
-		{"gateway", "control", "bytes/s", ordinary.bytes, bytesLimit, "loads it reports"},
-		{"gateway", "memory", "MB", baseMemory + upstreamMemory*float64(s.Upstreams), memoryLimit, "upstreams"},
-		{"leader", "control", "cores", leader.cores, coreLimit, "gateways of its failure domain, spans"},
-		{"leader", "control", "bytes/s", leader.bytes, bytesLimit, "gateways of its failure domain"},
-		{"leader", "renewals", "calls/s", float64(s.spans()) * renewalsPerSecond, 0, "spans of the largest keyed service"},
+		{"gateway", "control", "cores", ordinary.cores, maxControlCores, "loads it reports"},
+		{"gateway", "control", "bytes/s", ordinary.bytes, maxControlBytes, "loads it reports"},
+		{"gateway", "memory", "MB", baseMemoryMB + upstreamMemoryMB*float64(s.Upstreams), maxMemoryMB, "upstreams"},
+		{"leader", "control", "cores", leader.cores, maxControlCores, "gateways of its failure domain, spans"},
+		{"leader", "control", "bytes/s", leader.bytes, maxControlBytes, "gateways of its failure domain"},
+		{"leader", "renewals", "calls/s", float64(s.initialSpans()) * renewalsPerSecond, 0, "spans of the largest keyed service"},
 		{"all", "store calls", "calls/s", leasesPerSecond + watchesPerSecond, 0, "nothing; changes and moves come on top"},
 	}
-	if s.Gateways < treeLeast {
+	if s.Gateways < minTreeGateways {
 		return lines
 	}
-	head := s.control(s.perDomain(), 0)
+	head := s.controlCost(s.gatewaysPerDomain(), 0)
 	return append(lines,
-		Line{"head", "control", "cores", head.cores, coreLimit, "gateways of its failure domain"},
-		Line{"head", "control", "bytes/s", head.bytes, bytesLimit, "gateways of its failure domain"})
+		Line{"head", "control", "cores", head.cores, maxControlCores, "gateways of its failure domain"},
+		Line{"head", "control", "bytes/s", head.bytes, maxControlBytes, "gateways of its failure domain"})
 }
 
 // perDomain is the number of gateways in one failure domain.
-func (s Shape) perDomain() int { return (s.Gateways + s.Domains - 1) / s.Domains }
+func (s DeploymentSize) gatewaysPerDomain() int { return (s.Gateways + s.Domains - 1) / s.Domains }
 
 // children are the gateways that report to the leader.
-func (s Shape) children() int {
-	if s.Gateways < treeLeast {
+func (s DeploymentSize) reportersToLeader() int {
+	if s.Gateways < minTreeGateways {
 		return s.Gateways - 1
 	}
-	return s.perDomain() - 1 + s.Domains - 1
+	return s.gatewaysPerDomain() - 1 + s.Domains - 1
 }
 
 // spans of the largest keyed service at first.
-func (s Shape) spans() int {
+func (s DeploymentSize) initialSpans() int {
 	if s.Keyed == 0 {
 		return 0
 	}
-	return s.Keyed * max(min(spansEach, spansTotal/s.Keyed), spansLeast)
+	return s.Keyed * max(min(spansPerUpstream, maxInitialSpans/s.Keyed), minSpansPerUpstream)
 }
 
 // cost of control in one process.
@@ -141,8 +141,8 @@
 
 // control is the cost of reports sent or received each quarter second, each with the
 // loads of all upstreams at most, and of the spans that are kept.
-func (s Shape) control(reports, spans int) cost {
-	loads := float64(s.loads())
+func (s DeploymentSize) controlCost(reports, spans int) cost {
+	loads := float64(s.loadsPerReport())
 	each := reportCost.Seconds() + loads*reportLoadCost.Seconds()
 	c := cost{
 		cores: float64(reports) * reportsPerSecond * each,
@@ -156,7 +156,7 @@
 }
 
 // loads is the number of upstreams in a report: those with requests of one gateway.
-func (s Shape) loads() int {
+func (s DeploymentSize) loadsPerReport() int {
 	const workTime = 0.2 // seconds, of the users' services
 	inFlight := s.Rate / float64(s.Gateways) * workTime
 	return min(s.Upstreams, int(inFlight)+1)
--- a/state/delta/delta.go
+++ b/state/delta/delta.go
@@ -13,13 +13,13 @@
 const (
 	// dictionary is the number under which the earlier version goes with the encoder
 	// and the decoder; any but zero.
-	dictionary = 1
+	dictionaryID = 1
 	// leastWindow and mostWindow bound how far back, in bytes, an encoder looks for
 	// what it has seen: an earlier version and the document, of a megabyte each.
-	leastWindow = 1 << 10
-	mostWindow  = 4 << 20
+	minWindow = 1 << 10
+	maxWindow = 4 << 20
 	// mostDecoder bounds the memory of a decoder in bytes.
-	mostDecoder = 16 << 20
+	maxDecoderMemory = 16 << 20
 )
 
 // Digest tells documents apart by their bytes. It is zero only for no document.
@@ -35,10 +35,10 @@
 func Encode(base, document []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
-		zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(window(len(base) + len(document))),
+		zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(windowSize(len(base) + len(document))),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithEncoderDictRaw(dictionary, base))
+		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
 	encoder, err := zstd.NewWriter(nil, options...)
 	if err != nil {
@@ -54,9 +54,9 @@
 // Decode returns the document that was encoded with the same base. It fails when the
 // data are damaged, or when the base is another one.
 func Decode(base, data []byte) ([]byte, error) {
-	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(mostDecoder)}
+	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoderMemory)}
 	if len(base) > 0 {
-		options = append(options, zstd.WithDecoderDictRaw(dictionary, base))
+		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	decoder, err := zstd.NewReader(nil, options...)
 	if err != nil {
@@ -71,6 +71,6 @@
 }
 
 // window returns the power of two, within its bounds, that holds so many bytes.
-func window(size int) int {
-	return min(max(1<<bits.Len(uint(size)), leastWindow), mostWindow)
+func windowSize(size int) int {
+	return min(max(1<<bits.Len(uint(size)), minWindow), maxWindow)
 }
--- a/state/delta/delta_test.go
+++ b/state/delta/delta_test.go
@@ -20,7 +20,7 @@
 
 // TestDifference: a document comes back from its difference, which is about as large
 // as what has changed, and not from one to another base.
-func TestDifference(t *testing.T) {
+func TestDecodeWithBase(t *testing.T) {
 	const unchanged, added = 8000, 100
 	base, next := document(unchanged), document(unchanged+added)
 	if len(base) < 1<<19 {
@@ -48,7 +48,7 @@
 }
 
 // TestWhole: without a base the document is compressed, and damage is noticed.
-func TestWhole(t *testing.T) {
+func TestDecodeWithoutBase(t *testing.T) {
 	whole := document(3000)
 	data, err := Encode(nil, whole)
 	if err != nil {
--- a/state/evacuation/evacuation_test.go
+++ b/state/evacuation/evacuation_test.go
@@ -10,8 +10,8 @@
 
 // TestMergeNeverGoesBack: the newest mark of a domain stands, in whichever order and from
 // whomever the marks come.
-func TestMergeNeverGoesBack(t *testing.T) {
-	history := []Mark{
+func TestMergeKeepsNewestRecord(t *testing.T) {
+	history := []Record{
 		{"a", 10, false}, {"a", 12, false}, {"a", 12, true}, {"a", 20, false}, {"a", 31, true},
 		{"b", 11, false}, {"b", 15, true}, {"b", 18, false},
 	}
@@ -32,38 +32,38 @@
 
 // TestListedEndsWhatIsGone: an entry that a list lacks has ended, unless it is younger than
 // the list.
-func TestListedEndsWhatIsGone(t *testing.T) {
-	s, _ := (*Set)(nil).Merge([]Mark{{"gone", 5, false}, {"kept", 6, false}, {"young", 40, false}})
-	s, _ = s.Merge(s.Listed([]Mark{{"kept", 6, false}}, 30))
-	want := []Mark{{"gone", 30, true}, {"kept", 6, false}, {"young", 40, false}}
-	if d := cmp.Diff(want, s.Marks()); d != "" {
+func TestRecordsOfListEndUnlistedEvacuations(t *testing.T) {
+	s, _ := (*Set)(nil).Merge([]Record{{"gone", 5, false}, {"kept", 6, false}, {"young", 40, false}})
+	s, _ = s.Merge(s.RecordsOfList([]Record{{"kept", 6, false}}, 30))
+	want := []Record{{"gone", 30, true}, {"kept", 6, false}, {"young", 40, false}}
+	if d := cmp.Diff(want, s.Records()); d != "" {
 		t.Error(d)
 	}
 	// A late word of the entry that was gone changes nothing.
-	if s, _ = s.Merge([]Mark{{"gone", 12, false}}); s.Active("gone") {
+	if s, _ = s.Merge([]Record{{"gone", 12, false}}); s.Active("gone") {
 		t.Error("an ended evacuation is back by a late word")
 	}
 }
 
 // TestMergeDropsWhatCannotBe: marks without a name or revision, and those beyond the bound,
 // are dropped and counted.
-func TestMergeDropsWhatCannotBe(t *testing.T) {
-	s, dropped := (*Set)(nil).Merge([]Mark{{"", 3, false}, {"a", 0, false}, {string(make([]byte, mostName+1)), 4, false}, {"b", 5, false}})
-	if dropped != 3 || len(s.Marks()) != 1 {
-		t.Errorf("dropped %d, kept %v", dropped, s.Marks())
+func TestMergeDropsInvalidAndExcessRecords(t *testing.T) {
+	s, dropped := (*Set)(nil).Merge([]Record{{"", 3, false}, {"a", 0, false}, {string(make([]byte, maxNameLength+1)), 4, false}, {"b", 5, false}})
+	if dropped != 3 || len(s.Records()) != 1 {
+		t.Errorf("dropped %d, kept %v", dropped, s.Records())
 	}
-	for i := range 2 * mostDomains {
-		s, _ = s.Merge([]Mark{{fmt.Sprint("d", i), 7, false}})
+	for i := range 2 * maxDomains {
+		s, _ = s.Merge([]Record{{fmt.Sprint("d", i), 7, false}})
 	}
-	if len(s.Marks()) != mostDomains || !s.Active("b") {
-		t.Errorf("%d domains", len(s.Marks()))
+	if len(s.Records()) != maxDomains || !s.Active("b") {
+		t.Errorf("%d domains", len(s.Records()))
 	}
 }
 
 // TestNoneKnown: nil knows of no evacuation.
-func TestNoneKnown(t *testing.T) {
+func TestNilSet(t *testing.T) {
 	var s *Set
-	if s.Active("a") || s.Marks() != nil || s.Revision() != 0 || !s.Covers(nil) {
+	if s.Active("a") || s.Records() != nil || s.Revision() != 0 || !s.Covers(nil) {
 		t.Error("nil knows something")
 	}
 }
--- a/state/smallfloat/smallfloat.go
+++ b/state/smallfloat/smallfloat.go
@@ -8,28 +8,28 @@
 const (
 	byteMantissa = 4
 	byteBias     = 5
-	byteMost     = math.MaxUint8
+	maxByteCode  = math.MaxUint8
 )
 
 // Of two bytes, 5 bits are the exponent: numbers from 1/10^9 to 4095 within a 4000th.
 const (
 	wordMantissa = 11
 	wordBias     = 20
-	wordMost     = math.MaxUint16
+	maxWordCode  = math.MaxUint16
 )
 
 // Byte returns the code of a number. Those below zero and no numbers count as zero, those
 // beyond the highest as the highest.
-func Byte(x float64) byte { return byte(encode(x, byteMantissa, byteBias, byteMost)) }
+func EncodeByte(x float64) byte { return byte(encode(x, byteMantissa, byteBias, maxByteCode)) }
 
 // FromByte returns the number of a code.
-func FromByte(code byte) float64 { return decode(uint32(code), byteMantissa, byteBias) }
+func DecodeByte(code byte) float64 { return decode(uint32(code), byteMantissa, byteBias) }
 
 // Word is Byte in two bytes.
-func Word(x float64) uint16 { return uint16(encode(x, wordMantissa, wordBias, wordMost)) }
+func EncodeWord(x float64) uint16 { return uint16(encode(x, wordMantissa, wordBias, maxWordCode)) }
 
 // FromWord returns the number of a code.
-func FromWord(code uint16) float64 { return decode(uint32(code), wordMantissa, wordBias) }
+func DecodeWord(code uint16) float64 { return decode(uint32(code), wordMantissa, wordBias) }
 
 // encode rounds to the nearest code. A code is the exponent, raised by the bias, before the
 // mantissa; with the exponent zero the mantissa counts from zero.
--- a/state/unread/unread.go
+++ b/state/unread/unread.go
@@ -11,9 +11,9 @@
 
 const (
 	// mostHeaders bounds the headers that are kept of one service.
-	mostHeaders = 64
+	maxHeadersPerService = 64
 	// quietAfter is how long after the last answer with it a header counts as not sent any more.
-	quietAfter = 30 * time.Second
+	inactiveAfter = 30 * time.Second
 )
 
 // Header is one header that no code reads.
@@ -22,7 +22,7 @@
 	// Upstream sent the first answer with it since it was last quiet.
 	Upstream string
 	// Answers is how many bore it.
-	Answers uint64
+	Responses uint64
 	// First and Last are when the first and the last of them came.
 	First, Last time.Time
 }
@@ -30,42 +30,44 @@
 type key struct{ service, name string }
 
 // Book counts headers that no code reads. It is not safe for concurrent use.
-type Book struct {
+type Counter struct {
 	headers map[key]*Header
 	// names counts the headers of each service.
-	names map[string]int
+	perService map[string]int
 }
 
 // NewBook returns an empty book.
-func NewBook() *Book { return &Book{headers: make(map[key]*Header), names: make(map[string]int)} }
+func NewCounter() *Counter {
+	return &Counter{headers: make(map[key]*Header), perService: make(map[string]int)}
+}
 
 // Note counts one answer with a header and reports whether the service has begun to send it: never
 // before, or not for a while.
-func (b *Book) Note(now time.Time, service, upstream, name string) (begins bool) {
+func (b *Counter) Record(now time.Time, service, upstream, name string) (begins bool) {
 	k := key{service, name}
 	h := b.headers[k]
 	if h == nil {
-		if b.names[service] >= mostHeaders {
+		if b.perService[service] >= maxHeadersPerService {
 			return false
 		}
-		b.names[service]++
+		b.perService[service]++
 		h = &Header{Service: service, Name: name, First: now}
 		b.headers[k] = h
 	}
-	begins = h.Answers == 0 || now.Sub(h.Last) > quietAfter
+	begins = h.Responses == 0 || now.Sub(h.Last) > inactiveAfter
 	if begins {
 		h.Upstream = upstream
 	}
-	h.Answers++
+	h.Responses++
 	h.Last = now
 	return begins
 }
 
 // Sent reports whether a header still comes.
-func (h Header) Sent(now time.Time) bool { return now.Sub(h.Last) <= quietAfter }
+func (h Header) Active(now time.Time) bool { return now.Sub(h.Last) <= inactiveAfter }
 
 // List returns all that were seen, by service and name.
-func (b *Book) List() []Header {
+func (b *Counter) List() []Header {
 	out := make([]Header, 0, len(b.headers))
 	for _, h := range b.headers {
 		out = append(out, *h)
