--- a/bench/rockload/report.go
+++ b/bench/rockload/report.go
@@ -177,7 +177,7 @@
 	if err := r.summary.Print(out); err != nil {
 		return err
 	}
-	t := process.NewTable(out)
+	t := process.NewTableWriter(out)
 	for _, service := range services(r.runs) {
 		for _, way := range []struct {
 			name  string
--- a/bench/rockload/summary.go
+++ b/bench/rockload/summary.go
@@ -62,7 +62,7 @@
 
 // Print writes the summary as a table.
 func (s Summary) Print(out io.Writer) error {
-	t := process.NewTable(out)
+	t := process.NewTableWriter(out)
 	t.Printf("requests\t%d\nanswered\t%d\nnot offered\t%d\n", s.Total, s.Answered, s.NotOffered)
 	t.Printf("not idempotent\t%d, answered %d\n", s.Writes, s.WritesAnswered)
 	kinds := make([]string, 0, len(s.Kinds))
--- a/bench/soak/site.go
+++ b/bench/soak/site.go
@@ -147,7 +147,7 @@
 	s.version++
 	route := func(path, kind, service string, priority int) platform.RouteBody {
 		return platform.RouteBody{
-			Host: host, Path: path, Kind: kind, Timeout: 2, Objective: 1, Priority: priority,
+			Host: host, Path: path, Kind: kind, Timeout: 2, TargetLatency: 1, Priority: priority,
 			Service: service, MaxAttempts: 2,
 		}
 	}
@@ -236,7 +236,7 @@
 
 func (s *site) register(u *upstream, state string) {
 	var body platform.InstanceBody
-	body.Address, body.Born = u.relay.Addr(), uint64(u.born.UnixMilli())
+	body.Address, body.StartedMs = u.relay.Addr(), uint64(u.born.UnixMilli())
 	body.Info.Service, body.Info.Zone, body.Info.Slots = u.service, u.domain, slots
 	body.Status.State = state
 	s.store.Put(platform.InstancesKind, u.ID, body)
--- a/ctl/capacity.go
+++ b/ctl/capacity.go
@@ -38,7 +38,7 @@
 }
 
 func (o *options) printCapacity(lines []capacity.Line) error {
-	t := process.NewTable(o.out)
+	t := process.NewTableWriter(o.out)
 	t.Printf("ROLE\tWHAT\tVALUE\tLIMIT\tGROWS WITH\n")
 	for _, l := range lines {
 		limit := "-"
--- a/ctl/print.go
+++ b/ctl/print.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	head := process.NewText(o.out)
+	head := process.NewTextWriter(o.out)
 	head.Printf("intent   %s\nkind     %s\nstate    %s\nwhy      %s\n", i.ID, i.Spec.Kind, i.State, i.Plan.Why)
 	c := i.Plan.Cost
 	head.Printf("cost     %d ranges, churn %.3f (least %.3f), unavailable %s a key\n",
@@ -30,7 +30,7 @@
 	if len(i.Progress) > 0 {
 		head.Printf("done in  %s\n", strings.Join(i.Progress, ", "))
 	}
-	t := process.NewTable(o.out)
+	t := process.NewTableWriter(o.out)
 	t.Printf("\nCELL\tACTION\tSERVICE\tSPAN\tFROM\tTO\n")
 	for _, s := range i.Plan.Steps {
 		t.Printf("%s\t%s\t%s\t%s\t%s\t%s%s\n", s.Cell, s.Action, s.Service, s.Span, s.From, s.To, s.ToCell)
@@ -46,7 +46,7 @@
 		}
 		return writeJSON(o.out, raw)
 	}
-	t := process.NewTable(o.out)
+	t := process.NewTableWriter(o.out)
 	t.Printf("ID\tCREATED\tKIND\tSTATE\tSTEPS\tDONE IN\tBY\n")
 	for _, data := range list {
 		i, err := intent.Decode(data)
@@ -82,13 +82,13 @@
 
 func (o *options) printStatus(r *operatorpb.StatusResponse) error {
 	e := r.Entry
-	head := process.NewText(o.out)
+	head := process.NewTextWriter(o.out)
 	head.Printf("entry %s of cell %s: controller %v, may send %v, version %d\n",
 		e.Id, e.Cell, e.Leads, e.MaySend, e.Version)
 	if r.PlatformError != "" {
 		head.Printf("platform: %s\n", r.PlatformError)
 	}
-	t := process.NewTable(o.out)
+	t := process.NewTableWriter(o.out)
 	t.Printf("\nCELL\tDOMAIN\tVERSION\tFENCE\tENTRIES\n")
 	for _, c := range r.Cells {
 		t.Printf("%s\t%s\t%d\t%d\t%s\n", c.Name, c.Domain, c.Version, c.Fence, strings.Join(c.Members, " "))
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -74,7 +74,7 @@
 func config(version uint64) platform.ConfigBody {
 	route := func(path, kind, service string, priority int) platform.RouteBody {
 		return platform.RouteBody{
-			Host: "h.example", Path: path, Kind: kind, Timeout: 2, Objective: 1, Priority: priority,
+			Host: "h.example", Path: path, Kind: kind, Timeout: 2, TargetLatency: 1, Priority: priority,
 			Service: service, MaxAttempts: 2,
 		}
 	}
@@ -153,7 +153,7 @@
 
 func (b *bed) register(u *upstream, state string) {
 	var body platform.InstanceBody
-	body.Address, body.Born = u.address, u.born
+	body.Address, body.StartedMs = u.address, u.born
 	body.Info.Service, body.Info.Zone, body.Info.Slots = u.service, u.domain, 4
 	body.Status.State = state
 	b.store.Put(platform.InstancesKind, u.ID, body)
--- a/gateway/classify.go
+++ b/gateway/classify.go
@@ -41,10 +41,10 @@
 	switch {
 	case resp.Status == http.StatusMisdirectedRequest:
 		return nil, dispatch.NotOwner, errNotOwner
-	case platform.NotRun(resp.Status, resp.Header) && resp.Status != http.StatusBadRequest:
+	case platform.IsNotExecuted(resp.Status, resp.Header) && resp.Status != http.StatusBadRequest:
 		return nil, dispatch.Overloaded, errNotRun
 	case resp.Status < http.StatusMultipleChoices:
-		if !platform.Genuine(resp.Header) || resp.Header.Get("Content-Encoding") != "" {
+		if !platform.HasSignature(resp.Header) || resp.Header.Get("Content-Encoding") != "" {
 			return nil, dispatch.Failed, errNoProof
 		}
 		return resp, dispatch.Answered, nil
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -178,7 +178,7 @@
 	}
 	q := &request{Request: r, id: platform.ID(r.Header), route: route, target: target, began: began}
 	left := route.Timeout
-	if l, ok := platform.Left(r.Header); ok {
+	if l, ok := platform.RemainingTime(r.Header); ok {
 		left = min(left, l)
 	}
 	q.deadline = began.Add(left)
@@ -194,7 +194,7 @@
 	}
 	q.traffic = f.traffic.get(name)
 	if q.service.Keyed {
-		key, ok := platform.Key(r.Header)
+		key, ok := platform.RequestKey(r.Header)
 		if !ok {
 			return q, answer.New(answer.NoKey, "the request has no valid key")
 		}
@@ -311,7 +311,7 @@
 	ctx, span := f.tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	span.SetAttributes(attribute.String("rockcroft.upstream", grant.Instance.ID))
-	h := platform.ForwardHeader(q.Header)
+	h := platform.EndToEndHeaders(q.Header)
 	telemetry.Inject(ctx, h)
 	platform.SetTarget(h, grant.Instance.ID)
 	f.limits.countSent(grant)
@@ -350,7 +350,7 @@
 	if left <= 0 {
 		return context.DeadlineExceeded
 	}
-	platform.SetLeft(h, left)
+	platform.SetRemainingTime(h, left)
 	return nil
 }
 
@@ -370,7 +370,7 @@
 // pass hands an upstream's answer on as it is.
 func (f *front) pass(w http.ResponseWriter, resp *pool.Response) {
 	h := w.Header()
-	for name, values := range platform.ForwardHeader(resp.Header) {
+	for name, values := range platform.EndToEndHeaders(resp.Header) {
 		h[name] = values
 	}
 	h["Content-Length"] = []string{strconv.Itoa(len(resp.Body))}
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -104,7 +104,7 @@
 			if err != nil {
 				k.fails(s.Owner)
 			}
-			if err == nil && verdict == platform.Elsewhere {
+			if err == nil && verdict == platform.WrongUpstream {
 				k.ended(owner)
 				return "", true
 			}
@@ -152,7 +152,7 @@
 // answered. Repeating is safe: a later call renews what an earlier one granted. It gives up once
 // calls to the upstream have failed for ownership.SilentOwnerTimeout, after which an owner would
 // be given up too.
-func (k *keeper) grantWithRetries(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.Verdict, error) {
+func (k *keeper) grantWithRetries(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.GrantResult, error) {
 	arrived := false
 	for {
 		verdict, err := k.grant(ctx, s.KeyRange, next, s.NextFence, token)
@@ -179,7 +179,7 @@
 
 // grant makes one grant call and records until when the upstream may hold the keys. The right to
 // lead is checked last, right before the call is sent.
-func (k *keeper) grant(ctx context.Context, keys spans.KeyRange, to *instances.Instance, fence uint64, token string) (platform.Verdict, error) {
+func (k *keeper) grant(ctx context.Context, keys spans.KeyRange, to *instances.Instance, fence uint64, token string) (platform.GrantResult, error) {
 	releaseSlot, ok := k.turns.acquire(ctx)
 	if !ok {
 		return 0, errNoCallSlot
@@ -345,7 +345,7 @@
 	case err != nil:
 		k.fails(owner.ID)
 		return false
-	case verdict == platform.Elsewhere:
+	case verdict == platform.WrongUpstream:
 		k.ended(owner)
 		return false
 	case verdict == platform.Fenced:
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -67,7 +67,7 @@
 		n.record(limitFromAnswer, limits.Limit{
 			Upstream: g.Instance.ID, Incarnation: g.Instance.Incarnation(), PerSecond: perSecond, ReceivedAt: n.now(),
 		})
-	case platform.Genuine(h):
+	case platform.HasSignature(h):
 		// Only a genuine answer of the upstream ends its limit: another server may refuse requests
 		// at the upstream's former address.
 		n.recordNoLimit(g)
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -46,7 +46,7 @@
 			name[i] = letters[rng.IntN(len(letters))]
 		}
 		cfg.Routes["r-"+string(name)] = platform.RouteBody{
-			Host: "h.example", Path: "/" + string(name) + "/", Kind: "safe", Timeout: secondsBefore, Objective: 1,
+			Host: "h.example", Path: "/" + string(name) + "/", Kind: "safe", Timeout: secondsBefore, TargetLatency: 1,
 			Priority: rng.IntN(3), Service: "pay", MaxAttempts: 2,
 		}
 	}
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -14,11 +14,11 @@
 // decodeNotice returns the notice in an upstream's answer. An invalid rest is counted and
 // dropped.
 func (f *front) decodeNotice(status int, h http.Header) notice.Notice {
-	rest, err := platform.DecodeRest(status, h)
+	rest, err := platform.DecodeRetryAfter(status, h)
 	if err != nil {
 		f.meters.inc(restsUnsound)
 	}
-	return notice.Notice{Leaving: platform.Leaving(h), Rest: rest}
+	return notice.Notice{Leaving: platform.IsLeaving(h), Rest: rest}
 }
 
 // logNotice logs what a notice has changed.
--- a/gateway/rights_test.go
+++ b/gateway/rights_test.go
@@ -30,7 +30,7 @@
 // registerWarming registers an upstream as warming up for the given number of seconds.
 func (b *bed) registerWarming(u *upstream, left platform.Seconds) {
 	var body platform.InstanceBody
-	body.Address, body.Born = u.address, u.born
+	body.Address, body.StartedMs = u.address, u.born
 	body.Info.Service, body.Info.Zone, body.Info.Slots = u.service, u.domain, 4
 	body.Status.State, body.Status.WarmUpLeft = "ready", left
 	b.store.Put(platform.InstancesKind, u.ID, body)
--- a/gateway/storecall.go
+++ b/gateway/storecall.go
@@ -116,7 +116,7 @@
 		Header:  http.Header{"Content-Type": {"application/json"}},
 		Arrived: func(int) { heard(); arrived() },
 	})
-	kind, operation := c.Describe()
+	kind, operation := c.KindAndOperation()
 	if err != nil {
 		s.meters.inc(fill(storeCall, kind, operation, "none"))
 		return 0, nil, err
--- a/gateway/storeseek.go
+++ b/gateway/storeseek.go
@@ -46,7 +46,7 @@
 // seek begins the next round, in which other gateways are asked without a wait, and the store from
 // here with the first of them.
 func (w *callWays) seek(ctx context.Context) int {
-	call := w.call.WithoutWait()
+	call := w.call.NonBlocking()
 	begun := 0
 	if !w.chosen {
 		w.peers, w.chosen = w.store.relays(mostSought), true
--- a/gateway/unread.go
+++ b/gateway/unread.go
@@ -33,7 +33,7 @@
 // note counts the headers of an answer that no code reads.
 func (u *unreadHeaders) note(g dispatch.Grant, h http.Header) {
 	for name := range h {
-		if !platform.KnownHeader(name) {
+		if !platform.IsKnownHeader(name) {
 			u.noteOne(g, name)
 		}
 	}
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -28,7 +28,7 @@
 // at counts what goes to a handler.
 func (r *callRecord) at(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		kind, operation := platform.Call{Method: q.Method, Target: q.URL.RequestURI()}.Describe()
+		kind, operation := platform.Call{Method: q.Method, Target: q.URL.RequestURI()}.KindAndOperation()
 		r.mu.Lock()
 		r.calls[kind+"."+operation]++
 		r.mu.Unlock()
@@ -229,7 +229,7 @@
 
 // Call implements platform.Transport.
 func (e *endlessWatch) Call(ctx context.Context, c platform.Call) (status int, body []byte, err error) {
-	if kind, operation := c.Describe(); kind == platform.ConfigKind && operation == "watch" {
+	if kind, operation := c.KindAndOperation(); kind == platform.ConfigKind && operation == "watch" {
 		e.once.Do(func() { err = errTooLong })
 	}
 	if err != nil {
--- a/process/http.go
+++ b/process/http.go
@@ -10,7 +10,7 @@
 )
 
 // stopLimit bounds the graceful stop of a simple server.
-const stopLimit = 5 * time.Second
+const shutdownTimeout = 5 * time.Second
 
 // ServeHTTP serves a handler at addr until ctx ends, then stops gracefully.
 func ServeHTTP(ctx context.Context, addr string, h http.Handler) error {
@@ -18,7 +18,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	return ServeListener(ctx, l, &http.Server{Handler: h, ReadHeaderTimeout: stopLimit})
+	return ServeListener(ctx, l, &http.Server{Handler: h, ReadHeaderTimeout: shutdownTimeout})
 }
 
 // ServeListener serves on an open listener until ctx ends, then stops
@@ -31,7 +31,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	limit, cancel := context.WithTimeout(context.Background(), stopLimit)
+	limit, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	err := s.Shutdown(limit)
 	if errors.Is(err, context.DeadlineExceeded) {
--- a/process/text_test.go
+++ b/process/text_test.go
@@ -9,9 +9,9 @@
 var errFull = errors.New("full")
 
 // full takes some bytes and then fails.
-type full struct{ left int }
+type limitedWriter struct{ left int }
 
-func (f *full) Write(p []byte) (int, error) {
+func (f *limitedWriter) Write(p []byte) (int, error) {
 	if len(p) > f.left {
 		return 0, errFull
 	}
@@ -19,8 +19,8 @@
 	return len(p), nil
 }
 
-func TestTextKeepsTheFirstError(t *testing.T) {
-	for name, text := range map[string]*Text{"lines": NewText(&full{left: 4}), "table": NewTable(&full{left: 4})} {
+func TestTextWriterKeepsFirstError(t *testing.T) {
+	for name, text := range map[string]*TextWriter{"lines": NewTextWriter(&limitedWriter{left: 4}), "table": NewTableWriter(&limitedWriter{left: 4})} {
 		text.Printf("abc\n")
 		text.Printf("too much\n")
 		text.Printf("x")
@@ -30,9 +30,9 @@
 	}
 }
 
-func TestTableIsAligned(t *testing.T) {
+func TestTableColumnsAreAligned(t *testing.T) {
 	var out strings.Builder
-	table := NewTable(&out)
+	table := NewTableWriter(&out)
 	table.Printf("a\tb\nlong\tc\n")
 	if err := table.Close(); err != nil || out.String() != "a     b\nlong  c\n" {
 		t.Errorf("%q, %v", out.String(), err)
--- a/standin/instance/grants.go
+++ b/standin/instance/grants.go
@@ -67,7 +67,7 @@
 
 // carryOutLater carries a control call out after a time.
 func (i *Instance) carryOutLater(path string, body []byte, delay time.Duration) {
-	var c platform.GrantCall
+	var c platform.GrantRequest
 	if json.Unmarshal(body, &c) != nil {
 		return
 	}
@@ -86,7 +86,7 @@
 }
 
 // release drops the keys of a call. The lock is held.
-func (i *Instance) release(c platform.GrantCall) {
+func (i *Instance) release(c platform.GrantRequest) {
 	keys := spans.KeyRange{First: c.From, Last: c.Target}
 	i.drop(keys)
 	i.seen = append(i.seen, seen{keys, c.Fence})
@@ -94,7 +94,7 @@
 }
 
 func (i *Instance) grantCall(w http.ResponseWriter, body []byte) {
-	var c platform.GrantCall
+	var c platform.GrantRequest
 	if json.Unmarshal(body, &c) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -107,7 +107,7 @@
 	w.WriteHeader(i.grant(c, until))
 }
 
-func (i *Instance) grant(c platform.GrantCall, until time.Time) int {
+func (i *Instance) grant(c platform.GrantRequest, until time.Time) int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.ended {
@@ -151,7 +151,7 @@
 }
 
 func (i *Instance) releaseCall(w http.ResponseWriter, body []byte) {
-	var c platform.GrantCall
+	var c platform.GrantRequest
 	if json.Unmarshal(body, &c) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
--- a/standin/instance/instance.go
+++ b/standin/instance/instance.go
@@ -185,7 +185,7 @@
 	}
 	w.Header().Set(platform.RequestID, id)
 	i.arrived(id, w.Header())
-	key, hasKey := platform.Key(r.Header)
+	key, hasKey := platform.RequestKey(r.Header)
 	if i.get() == Sheds {
 		w.Header().Set(platform.NotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/standin/instance/words.go
+++ b/standin/instance/words.go
@@ -87,7 +87,7 @@
 		h.Set(platform.LeavingHeader, "1")
 	}
 	if i.mode == Sheds && len(i.rest) > 0 {
-		h[platform.RestHeader] = i.rest
+		h[platform.RetryAfterHeader] = i.rest
 		now.Rest = i.longestRest()
 	}
 	h.Set(StartHeader, i.start)
