--- a/state/instances/instances.go
+++ b/state/instances/instances.go
@@ -1,4 +1,4 @@
-// Package instances is the view of the upstreams that registered themselves.
+// Package instances holds the view of the upstreams that have registered themselves.
 package instances
 
 import (
@@ -11,42 +11,43 @@
 
 // Instance is one incarnation of an upstream.
 type Instance struct {
-	// ID is that of the upstream. It may start again under it.
+	// ID identifies the upstream. A restarted upstream may keep its ID.
 	ID string
-	// BornMs is the Unix millisecond of its start, by its own clock; zero when it does not
-	// say: then each start has an ID of its own.
+	// StartedMs is the Unix time in milliseconds at which the upstream started, by its own clock.
+	// It is zero if the upstream does not report it; each start then has an ID of its own.
 	StartedMs uint64
 	Service   string
 	Address   string
 	// Domain is the failure domain.
 	Domain string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the upstream runs concurrently.
 	Slots int
-	// Leaving says that it announced its end or that its entry is gone.
+	// Leaving is set if the upstream announced its shutdown or its entry was removed.
 	Leaving bool
-	// WarmUp is how much longer it was slow when it registered.
+	// WarmUp is the remaining warm-up time at registration, during which the upstream is slow.
 	WarmUp time.Duration
 	// Revision is the store's revision of the entry.
 	Revision uint64
 }
 
-// View is what is known of all upstreams. It is immutable once shared.
+// View is the set of all known upstreams. It must not be modified once it is shared.
 type View struct {
-	// Revision is the store's revision up to which the view is complete.
+	// Revision is the store revision up to which the view is complete.
 	Revision uint64
 	byID     map[string]*Instance
 	services map[string][]*Instance
-	// ids are in order, positions those of the IDs therein; made when they are asked for.
+	// ids holds all IDs in ascending order, positions the index of each ID in ids. Both are built
+	// on first use.
 	once      sync.Once
 	ids       []string
 	positions map[string]int
 }
 
-// NewView returns the view of the instances.
+// NewView returns the view of the given instances.
 func NewView(revision uint64, list []Instance) *View { return (&View{}).next(revision, list) }
 
-// next returns the view of the instances that follows this one. What has not changed is
-// shared: a gateway keeps dozens of versions of a view of a thousand upstreams.
+// next returns the successor of this view with the given instances. Unchanged instances are shared:
+// a gateway keeps dozens of versions of a view of a thousand upstreams.
 func (v *View) next(revision uint64, list []Instance) *View {
 	next := &View{Revision: revision, byID: make(map[string]*Instance, len(list))}
 	for i := range list {
@@ -56,7 +57,8 @@
 	return next
 }
 
-// put adds an instance as it is now; kept is as it was in another view, or nil.
+// putShared adds an instance. It reuses kept, the instance in the previous view, if that is equal;
+// kept may be nil.
 func (v *View) putShared(kept, now *Instance) {
 	if kept == nil || *kept != *now {
 		changed := *now
@@ -65,24 +67,24 @@
 	v.byID[now.ID] = kept
 }
 
-// group lists the instances by service, in the order of their IDs.
+// groupByService builds the lists of instances by service, ordered by ID.
 func (v *View) groupByService() {
 	v.services = make(map[string][]*Instance)
-	for _, one := range v.byID {
-		v.services[one.Service] = append(v.services[one.Service], one)
+	for _, instance := range v.byID {
+		v.services[instance.Service] = append(v.services[instance.Service], instance)
 	}
 	for _, group := range v.services {
 		sort.Slice(group, func(i, j int) bool { return group[i].ID < group[j].ID })
 	}
 }
 
-// Get returns the instance of the ID, or nil.
+// Get returns the instance with the ID, or nil.
 func (v *View) Get(id string) *Instance { return v.byID[id] }
 
-// Service returns the instances of a service, in the order of their IDs.
+// Service returns the instances of a service, ordered by ID.
 func (v *View) Service(name string) []*Instance { return v.services[name] }
 
-// Services returns the names of all services that have instances.
+// Services returns the names of all services that have instances, in ascending order.
 func (v *View) Services() []string {
 	out := make([]string, 0, len(v.services))
 	for name := range v.services {
@@ -92,13 +94,13 @@
 	return out
 }
 
-// IDs returns the IDs of all instances in order. They are not to be changed.
+// IDs returns the IDs of all instances in ascending order. The slice must not be modified.
 func (v *View) IDs() []string {
 	v.indexIDs()
 	return v.ids
 }
 
-// Position returns the place of an ID in IDs.
+// Position returns the index of an ID in IDs.
 func (v *View) Position(id string) (int, bool) {
 	v.indexIDs()
 	i, ok := v.positions[id]
@@ -118,20 +120,20 @@
 // Len returns the number of instances.
 func (v *View) Len() int { return len(v.byID) }
 
-// All returns all instances, in no order.
+// All returns all instances in no particular order.
 func (v *View) All() []Instance {
 	out := make([]Instance, 0, len(v.byID))
-	for _, one := range v.byID {
-		out = append(out, *one)
+	for _, instance := range v.byID {
+		out = append(out, *instance)
 	}
 	return out
 }
 
-// Diff returns what changes the old view into the new one.
+// Diff returns the changes that turn the old view into the next one.
 func Diff(old, next *View) (changed []Instance, removed []string) {
-	for id, one := range next.byID {
-		if was := old.byID[id]; was == nil || *was != *one {
-			changed = append(changed, *one)
+	for id, instance := range next.byID {
+		if previous := old.byID[id]; previous == nil || *previous != *instance {
+			changed = append(changed, *instance)
 		}
 	}
 	for id := range old.byID {
@@ -142,7 +144,7 @@
 	return changed, removed
 }
 
-// Apply returns the view with changes made to it.
+// Apply returns a new view with the changes applied.
 func (v *View) Apply(revision uint64, changed []Instance, removed []string) *View {
 	next := &View{Revision: revision, byID: maps.Clone(v.byID)}
 	if next.byID == nil {
--- a/state/instances/instances_test.go
+++ b/state/instances/instances_test.go
@@ -27,33 +27,33 @@
 	tr.List(start, []Instance{newInstance("a"), newInstance("b")})
 	tr.Remove(at(time.Second), "a")
 	if !tr.ExpireAbsent(at(time.Second)) || !isLeaving(t, tr, "a") || isLeaving(t, tr, "b") {
-		t.Error("an upstream whose entry is gone is not leaving")
+		t.Error("an upstream whose entry was removed is not leaving")
 	}
 	tr.ExpireAbsent(at(time.Second + removedRetention + 1))
 	if v, _ := tr.View(); v.Get("a") != nil || v.Len() != 1 {
-		t.Error("it is kept for ever")
+		t.Error("a removed upstream is kept after its retention")
 	}
 }
 
-// TestLapsedEntriesAreWaitedFor: entries missing right after an outage stay in
-// service until the store has been back for lapseGrace.
+// Entries that are missing right after a store outage count as registered until reconnectGrace has
+// passed.
 func TestAbsentEntriesHaveGraceAfterReconnect(t *testing.T) {
 	tr := NewTracker(nil, start, 0)
 	tr.List(start, []Instance{newInstance("a"), newInstance("b")})
 	tr.StoreReconnected(at(10 * time.Second))
 	tr.List(at(10*time.Second), nil)
 	if tr.ExpireAbsent(at(10*time.Second+reconnectGrace-1)) || isLeaving(t, tr, "a") {
-		t.Error("given up before its time")
+		t.Error("an absent upstream is leaving before its grace period is over")
 	}
 	tr.Put(newInstance("a"))
 	tr.ExpireAbsent(at(10*time.Second + reconnectGrace))
 	if isLeaving(t, tr, "a") || !isLeaving(t, tr, "b") {
-		t.Error("one that came back leaves, or one that did not stays")
+		t.Error("an upstream that registered again is leaving, or one that did not is not")
 	}
 }
 
-// TestViewGoesOn: a tracker that begins with a view made elsewhere goes on from
-// it, and its list replaces what has gone since.
+// A tracker that starts from an existing view keeps its state, and the next list replaces entries
+// that were removed in the meantime.
 func TestTrackerContinuesFromView(t *testing.T) {
 	gone := newInstance("gone")
 	gone.Leaving = true
@@ -64,12 +64,12 @@
 	tr.List(start, []Instance{newInstance("b"), newInstance("c")})
 	tr.ExpireAbsent(start)
 	if !isLeaving(t, tr, "a") || isLeaving(t, tr, "b") || isLeaving(t, tr, "c") || !isLeaving(t, tr, "gone") {
-		t.Error("the list is not what counts")
+		t.Error("the view does not match the list")
 	}
 }
 
-// TestListIsAsNewAsItsEntries: a list gives the view the revision of its newest entry,
-// as watching the same entries does, and never one below that it had.
+// A list gives the view the revision of its newest entry, as watching the same entries does, and
+// never a lower revision than before.
 func TestListRevisionIsThatOfNewestEntry(t *testing.T) {
 	newest := newInstance("b")
 	newest.Revision = 4
@@ -82,18 +82,17 @@
 	byList, _ := listed.View()
 	byWatch, _ := watched.View()
 	if byList.Revision != newest.Revision || byWatch.Revision != byList.Revision {
-		t.Errorf("revision %d by a list, %d by a watch of the same entries", byList.Revision, byWatch.Revision)
+		t.Errorf("revision %d from a list, %d from a watch of the same entries", byList.Revision, byWatch.Revision)
 	}
 	later := NewTracker(NewView(7, nil), start, 0)
 	later.List(start, []Instance{newest})
 	if v, _ := later.View(); v.Revision != 7 {
-		t.Errorf("back to revision %d", v.Revision)
+		t.Errorf("revision went back to %d", v.Revision)
 	}
 }
 
-// TestEarlierStartIsNotTaken: an entry that was written by an earlier start of the upstream
-// and comes late changes nothing; one that counts anew under the same start does not look
-// like another.
+// A delayed entry that an earlier start of the upstream wrote changes nothing. Different starts
+// have different incarnations, and an unknown start differs from none.
 func TestEntryOfEarlierStartIsIgnored(t *testing.T) {
 	tr := NewTracker(nil, start, 0)
 	first, second := newInstance("a"), newInstance("a")
@@ -103,14 +102,14 @@
 	tr.Put(first)
 	tr.List(start, []Instance{first})
 	if isLeaving(t, tr, "a") {
-		t.Error("the earlier start counts")
+		t.Error("the entry of the earlier start was recorded")
 	}
 	if first.Incarnation() == second.Incarnation() || first.Incarnation() == 0 || !first.Incarnation().DiffersFrom(second.Incarnation()) {
-		t.Errorf("starts look alike: %d, %d", first.Incarnation(), second.Incarnation())
+		t.Errorf("incarnations of different starts: %d, %d", first.Incarnation(), second.Incarnation())
 	}
 	unknown := newInstance("a")
 	if unknown.Incarnation().DiffersFrom(second.Incarnation()) {
-		t.Error("one that does not say looks like another")
+		t.Error("an unknown incarnation differs from a known one")
 	}
 }
 
@@ -118,29 +117,29 @@
 	now := uint64(start.UnixMilli())
 	day := uint64(maxClockSkew.Milliseconds())
 	if !PlausibleStart(0, start) || !PlausibleStart(now, start) || !PlausibleStart(now+day-1, start) || PlausibleStart(now+day+1, start) {
-		t.Error("what can be is not told from what cannot")
+		t.Error("plausible and implausible start times are not distinguished")
 	}
 }
 
-// TestVersionsShareWhatStays: a version costs what has changed, not all upstreams.
+// A new version of a view copies only the instances that changed.
 func TestViewsShareUnchangedInstances(t *testing.T) {
 	old := NewView(1, []Instance{newInstance("a"), newInstance("b")})
 	changed := newInstance("b")
 	changed.Leaving = true
 	next := old.Apply(2, []Instance{changed}, nil)
 	if next.Get("a") != old.Get("a") || next.Get("b") == old.Get("b") || old.Get("b").Leaving {
-		t.Error("what stays is copied, or what has changed is shared")
+		t.Error("an unchanged instance was copied, or a changed one is shared")
 	}
 	tr := NewTracker(old, start, 0)
 	first, _ := tr.View()
 	tr.Put(changed)
 	if second, _ := tr.View(); second.Get("a") != first.Get("a") {
-		t.Error("the tracker copies what stays")
+		t.Error("the tracker copied an unchanged instance")
 	}
 }
 
-// BenchmarkVersions is one upstream of 1,200 that changes: what a version costs. When each
-// version was a copy: 533 KB and 670 us; shared: 85 KB and 291 us.
+// BenchmarkVersions measures a new version of a view in which one of 1,200 upstreams changes.
+// Copying all instances took 533 KB and 670 us per version; sharing them takes 85 KB and 291 us.
 func BenchmarkVersions(b *testing.B) {
 	var list []Instance
 	for i := range 1200 {
--- a/state/instances/load.go
+++ b/state/instances/load.go
@@ -1,10 +1,11 @@
 package instances
 
-// Load is what an upstream says of itself with an answer.
+// Load is the load that an upstream reports in a response.
 type Load struct {
-	// Running and Waiting are the requests that it has, Slots how many it runs at once.
+	// Running and Waiting are the numbers of requests running and queued at the upstream, Slots the
+	// number it runs concurrently.
 	Running, Waiting, Slots int
-	// Slowness is how many times as long as usual work takes on its machine at the moment;
-	// zero when it does not say.
+	// Slowness is the factor by which work currently takes longer than usual on the upstream's
+	// machine; zero if it is not reported.
 	Slowness float64
 }
--- a/state/instances/tracker.go
+++ b/state/instances/tracker.go
@@ -3,26 +3,25 @@
 import "time"
 
 const (
-	// lapseGrace is how long after the store's return entries that are missing
-	// are waited for: those that lapsed while it was away are back by then.
+	// reconnectGrace is how long after the store is reachable again missing entries are still
+	// considered registered. Upstreams whose entries expired during the outage have registered
+	// again by then.
 	reconnectGrace = 2 * time.Second
-	// keepGone is how long an upstream whose entry is gone is kept as leaving,
-	// so that it can still hand its keys over.
+	// removedRetention is how long an upstream whose entry was removed is kept as leaving, so that
+	// it can still hand over its keys.
 	removedRetention = 15 * time.Second
 )
 
-// Tracker follows the entries of upstreams in the store. It is not safe for
-// concurrent use.
+// Tracker tracks the entries of upstreams in the store. It is not safe for concurrent use.
 type Tracker struct {
 	revision uint64
 	known    map[string]Instance
-	// missing are upstreams without an entry: since when, and until when the
-	// entry may come back.
+	// unregistered holds the known upstreams that have no entry.
 	unregistered map[string]absence
-	// returned is when the store was last reached again after an outage.
+	// reconnectedAt is when the store was last reachable again after an outage.
 	reconnectedAt time.Time
 	sequence      uint64
-	// last is the view returned last.
+	// lastView is the view that was returned last.
 	lastView *View
 }
 
@@ -31,37 +30,37 @@
 	graceEnd time.Time
 }
 
-// NewTracker returns a tracker that knows what the view shows. Trackers of
-// different processes are given different salts, so that their versions differ.
+// NewTracker returns a tracker that starts from the given view, which may be nil. Trackers in
+// different processes must get different salts, so that their versions differ.
 func NewTracker(v *View, now time.Time, salt uint64) *Tracker {
 	t := &Tracker{sequence: salt, lastView: &View{}, known: make(map[string]Instance), unregistered: make(map[string]absence)}
 	if v == nil {
 		return t
 	}
 	t.revision = v.Revision
-	for _, one := range v.All() {
-		t.known[one.ID] = one
-		if one.Leaving {
-			t.unregistered[one.ID] = absence{since: now, graceEnd: now}
+	for _, instance := range v.All() {
+		t.known[instance.ID] = instance
+		if instance.Leaving {
+			t.unregistered[instance.ID] = absence{since: now, graceEnd: now}
 		}
 	}
 	return t
 }
 
-// Returned notes that the store is reached again after an outage.
+// StoreReconnected records that the store is reachable again after an outage.
 func (t *Tracker) StoreReconnected(now time.Time) { t.reconnectedAt = now }
 
-// List takes over the whole list of entries. The view is as new as its newest entry and
-// not as the store when it listed: a process that has watched the same entries has not
-// heard of the store's other changes, and its view must not look older.
+// List replaces all entries by the given list. The revision of the view becomes that of the newest
+// entry and not that of the store at the time of listing: a process that watches the same entries
+// does not see the store's other changes, and its view must not look older.
 func (t *Tracker) List(now time.Time, list []Instance) {
-	for _, one := range list {
-		t.revision = max(t.revision, one.Revision)
+	for _, instance := range list {
+		t.revision = max(t.revision, instance.Revision)
 	}
 	listed := make(map[string]bool, len(list))
-	for _, one := range list {
-		listed[one.ID] = true
-		t.put(one)
+	for _, instance := range list {
+		listed[instance.ID] = true
+		t.put(instance)
 	}
 	for id := range t.known {
 		if !listed[id] {
@@ -70,19 +69,19 @@
 	}
 }
 
-// Put takes over one entry that was added or changed.
-func (t *Tracker) Put(one Instance) { t.put(one) }
+// Put records one entry that was added or changed.
+func (t *Tracker) Put(instance Instance) { t.put(instance) }
 
-// put takes over an entry. One of an earlier start than the known one came late.
-func (t *Tracker) put(one Instance) {
-	if one.StartedMs < t.known[one.ID].StartedMs {
+// put records an entry. An entry of an earlier start than the known one was delayed and is ignored.
+func (t *Tracker) put(instance Instance) {
+	if instance.StartedMs < t.known[instance.ID].StartedMs {
 		return
 	}
-	t.known[one.ID] = one
-	delete(t.unregistered, one.ID)
+	t.known[instance.ID] = instance
+	delete(t.unregistered, instance.ID)
 }
 
-// Remove notes that the entry of an upstream has gone.
+// Remove records that the entry of an upstream was removed.
 func (t *Tracker) Remove(now time.Time, id string) { t.remove(now, id) }
 
 func (t *Tracker) remove(now time.Time, id string) {
@@ -102,40 +101,40 @@
 	return a
 }
 
-// Advance notes the revision up to which changes are known.
+// AdvanceRevision records the revision up to which changes are known.
 func (t *Tracker) AdvanceRevision(revision uint64) { t.revision = max(t.revision, revision) }
 
-// Settle turns missing upstreams into leaving ones when their time is over,
-// forgets those that are long gone, and reports whether anything changed.
+// ExpireAbsent marks unregistered upstreams as leaving once their grace period is over, forgets
+// those whose retention has passed, and reports whether anything changed.
 func (t *Tracker) ExpireAbsent(now time.Time) bool {
 	changed := false
 	for id, m := range t.unregistered {
-		one := t.known[id]
+		instance := t.known[id]
 		switch {
 		case now.Sub(m.since) > removedRetention:
 			delete(t.known, id)
 			delete(t.unregistered, id)
 			changed = true
-		case !one.Leaving && !now.Before(m.graceEnd):
-			one.Leaving = true
-			t.known[id] = one
+		case !instance.Leaving && !now.Before(m.graceEnd):
+			instance.Leaving = true
+			t.known[id] = instance
 			changed = true
 		}
 	}
 	return changed
 }
 
-// View returns the present view and a version that differs from former ones of
+// View returns the current view and a version that differs from the versions of earlier views of
 // the same revision.
 func (t *Tracker) View() (*View, uint64) {
 	list := make([]Instance, 0, len(t.known))
-	for _, one := range t.known {
-		list = append(list, one)
+	for _, instance := range t.known {
+		list = append(list, instance)
 	}
 	t.sequence++
 	t.lastView = t.lastView.next(t.revision, list)
 	return t.lastView, t.revision<<sequenceBits | t.sequence%(1<<sequenceBits)
 }
 
-// versionBits are the bits of a version that tell views of one revision apart.
+// sequenceBits is the number of low bits of a version that distinguish views of the same revision.
 const sequenceBits = 16
