--- a/state/spans/gaps.go
+++ b/state/spans/gaps.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Gaps follows how long keys are without an owner, over the versions of one table. It
-// is not safe for concurrent use.
+// UnownedTracker tracks how long keys have been without an owner, over successive versions of one
+// table. It is not safe for concurrent use.
 type UnownedTracker struct {
-	// open are the spans without an owner at the moment, by first key.
+	// unowned holds the key ranges that currently have no owner, by first key.
 	unowned map[uint16]unownedRange
 }
 
@@ -14,33 +14,33 @@
 	since time.Time
 }
 
-// Note takes a table over and returns how long each span was without an owner that
-// has one now. Parts of a span that was split go on from when the whole lost its
-// owner.
-func (g *UnownedTracker) Update(now time.Time, t *Table) []time.Duration {
+// Update records a new version of the table. It returns how long each range that now has an owner
+// again was without one. The parts of a span that was split keep the time at which the whole span
+// lost its owner.
+func (u *UnownedTracker) Update(now time.Time, t *Table) []time.Duration {
 	next := make(map[uint16]unownedRange)
 	for _, s := range t.Spans {
 		if s.hasSettledOwner() {
 			continue
 		}
-		next[s.First] = unownedRange{KeyRange: s.KeyRange, since: g.unownedSince(s.First, now)}
+		next[s.First] = unownedRange{KeyRange: s.KeyRange, since: u.unownedSince(s.First, now)}
 	}
 	var ended []time.Duration
-	for first, old := range g.unowned {
+	for first, old := range u.unowned {
 		if t.Find(first).hasSettledOwner() {
 			ended = append(ended, now.Sub(old.since))
 		}
 	}
-	g.unowned = next
+	u.unowned = next
 	return ended
 }
 
-// held reports whether the span's owner holds it and is not about to lose it.
+// hasSettledOwner reports whether the span has an owner that is not about to lose it.
 func (s Span) hasSettledOwner() bool { return s.Owner != "" && !s.Moving() }
 
-// since returns when the key lost its owner, at the latest now.
-func (g *UnownedTracker) unownedSince(key uint16, now time.Time) time.Time {
-	for _, old := range g.unowned {
+// unownedSince returns when the key lost its owner, or now if it has one.
+func (u *UnownedTracker) unownedSince(key uint16, now time.Time) time.Time {
+	for _, old := range u.unowned {
 		if old.Contains(key) {
 			return old.since
 		}
@@ -48,17 +48,17 @@
 	return now
 }
 
-// Without returns how long the key has been without an owner; zero when it has one.
-func (g *UnownedTracker) UnownedFor(now time.Time, key uint16) time.Duration {
-	return now.Sub(g.unownedSince(key, now))
+// UnownedFor returns how long the key has been without an owner; zero if it has one.
+func (u *UnownedTracker) UnownedFor(now time.Time, key uint16) time.Duration {
+	return now.Sub(u.unownedSince(key, now))
 }
 
-// Longest returns how long the keys that have been without an owner for longest are
-// so; zero when all have one.
-func (g *UnownedTracker) LongestUnowned(now time.Time) time.Duration {
+// LongestUnowned returns the longest time that any key has been without an owner; zero if all keys
+// have one.
+func (u *UnownedTracker) LongestUnowned(now time.Time) time.Duration {
 	longest := time.Duration(0)
-	for _, one := range g.unowned {
-		longest = max(longest, now.Sub(one.since))
+	for _, current := range u.unowned {
+		longest = max(longest, now.Sub(current.since))
 	}
 	return longest
 }
--- a/state/spans/spans.go
+++ b/state/spans/spans.go
@@ -1,5 +1,5 @@
-// Package spans holds who owns which keys of one service: consecutive spans of
-// keys, each with an owner and the fence of its grant.
+// Package spans holds the assignment of one service's keys to upstreams: consecutive spans of keys,
+// each with its owner and the fence of the owner's grant.
 package spans
 
 import (
@@ -12,64 +12,63 @@
 // MaxKey is the largest key.
 const MaxKey = 65535
 
-// Keys is a span of keys, both ends inclusive.
+// KeyRange is a range of keys, both ends inclusive.
 type KeyRange struct {
 	First uint16 `json:"first"`
 	Last  uint16 `json:"last"`
 }
 
-// Count returns the number of keys.
+// Count returns the number of keys in the range.
 func (k KeyRange) Count() int { return int(k.Last) - int(k.First) + 1 }
 
-// Has reports whether the key lies in the span.
+// Contains reports whether the key lies in the range.
 func (k KeyRange) Contains(key uint16) bool { return key >= k.First && key <= k.Last }
 
-// Span is a span of keys with its owner.
+// Span is a range of keys with its owner.
 type Span struct {
 	KeyRange
-	// Owner is the upstream that holds the keys, or may hold them; empty when
-	// none does.
+	// Owner is the ID of the upstream that holds or may hold the keys; empty if no upstream does.
 	Owner string `json:"owner,omitempty"`
-	// Fence is the fence of the owner's grant.
+	// Fence is the fencing token of the owner's grant.
 	Fence uint64 `json:"fence,omitempty"`
-	// Incarnation tells which start of the owner was granted the keys: one that has
-	// started again since holds nothing. Zero when it is not known.
+	// Incarnation identifies the start of the owner that was granted the keys; after a restart the
+	// owner no longer holds them. Zero if it is not known.
 	Incarnation instances.Incarnation `json:"incarnation,omitempty"`
-	// Next is set while the keys move: the upstream that gets them, with the
-	// fence NextFence, which is above Fence.
+	// Next is set while the keys are moving: it is the upstream that will get them. NextFence is
+	// the fence of its grant and is greater than Fence.
 	Next      string `json:"next,omitempty"`
 	NextFence uint64 `json:"next_fence,omitempty"`
-	// Cold says that the owner got the keys without a handover a short time ago: it
-	// runs requests for them several times as long.
+	// Cold is set if the owner recently got the keys without a handover: requests for them then
+	// take several times as long.
 	Cold bool `json:"cold,omitempty"`
 }
 
-// Moving reports whether the keys are on their way to another owner.
+// Moving reports whether the keys are moving to another owner.
 func (s Span) Moving() bool { return s.Next != "" }
 
-// Table is the assignment of one service. It is immutable once shared.
+// Table is the key assignment of one service. It must not be modified once it is shared.
 type Table struct {
 	Service string `json:"service"`
-	// LastFence is the highest fence that was ever reserved.
+	// LastFence is the highest fence reserved so far.
 	LastFence uint64 `json:"last_fence"`
-	// Spans cover all keys in order.
+	// Spans cover all keys, in ascending order.
 	Spans []Span `json:"spans"`
-	// Writer names the write that made this version, so that its writer
-	// recognizes it when the answer was lost.
+	// Writer identifies the write that created this version, so that the writer recognizes its own
+	// write if the response was lost.
 	Writer string `json:"writer,omitempty"`
-	// Version counts changes, those not yet stored too.
+	// Version counts changes, including those that are not yet stored.
 	Version uint64 `json:"version"`
 }
 
-// At returns the index of the span that has the key.
+// Index returns the index of the span that contains the key.
 func (t *Table) Index(key uint16) int {
 	return sort.Search(len(t.Spans), func(i int) bool { return t.Spans[i].Last >= key })
 }
 
-// Find returns the span that has the key.
+// Find returns the span that contains the key.
 func (t *Table) Find(key uint16) Span { return t.Spans[t.Index(key)] }
 
-// Unowned returns the number of keys that nobody holds at the moment.
+// UnownedKeys returns the number of keys that have no settled owner.
 func (t *Table) UnownedKeys() int {
 	n := 0
 	for _, s := range t.Spans {
@@ -80,35 +79,35 @@
 	return n
 }
 
-// Clone returns a copy that can be changed.
+// Clone returns a copy that may be modified.
 func (t *Table) Clone() *Table {
 	c := *t
 	c.Spans = append([]Span(nil), t.Spans...)
 	return &c
 }
 
-// Check reports what is wrong with a table, or nil.
+// Validate returns an error if the table is inconsistent.
 func (t *Table) Validate() error {
 	next := 0
 	for _, s := range t.Spans {
 		switch {
 		case int(s.First) != next || s.Last < s.First:
-			return fmt.Errorf("spans of %s: span %d-%d where %d is due", t.Service, s.First, s.Last, next)
+			return fmt.Errorf("spans of %s: span %d-%d found where key %d was expected", t.Service, s.First, s.Last, next)
 		case s.Fence > t.LastFence || s.NextFence > t.LastFence:
-			return fmt.Errorf("spans of %s: span %d-%d has a fence that was not reserved", t.Service, s.First, s.Last)
+			return fmt.Errorf("spans of %s: span %d-%d has a fence above the last reserved one", t.Service, s.First, s.Last)
 		case s.Moving() && s.NextFence <= s.Fence:
-			return fmt.Errorf("spans of %s: span %d-%d does not raise its fence", t.Service, s.First, s.Last)
+			return fmt.Errorf("spans of %s: span %d-%d moves without raising its fence", t.Service, s.First, s.Last)
 		}
 		next = int(s.Last) + 1
 	}
 	if next != MaxKey+1 {
-		return fmt.Errorf("spans of %s: %d keys are covered", t.Service, next)
+		return fmt.Errorf("spans of %s: only the first %d keys are covered", t.Service, next)
 	}
 	return nil
 }
 
-// Split cuts the span at index i so that a new span begins at the key. Both
-// parts keep owner and fence.
+// Split divides the span at index i so that a new span begins at the key first. Both parts keep the
+// owner and the fence.
 func (t *Table) Split(i int, first uint16) {
 	s := t.Spans[i]
 	if first <= s.First || first > s.Last {
@@ -120,8 +119,7 @@
 	t.Spans = append(t.Spans[:i], append([]Span{low, high}, t.Spans[i+1:]...)...)
 }
 
-// Diff returns the spans of the next table that are not in the old one as they
-// are.
+// Diff returns the spans of the next table that are not identical in the old one.
 func Diff(old, next *Table) []Span {
 	var out []Span
 	for _, s := range next.Spans {
@@ -132,8 +130,7 @@
 	return out
 }
 
-// Overlay returns the table with the spans that the list overlaps replaced by
-// the list.
+// Overlay returns a copy of the table in which the listed spans replace those they overlap.
 func (t *Table) Overlay(list []Span) *Table {
 	next := *t
 	next.Spans = make([]Span, 0, len(t.Spans)+len(list))
@@ -147,7 +144,7 @@
 	return &next
 }
 
-// overlapsAny reports whether one of the spans, which are in order, has keys of k.
+// overlapsAny reports whether one of the spans, which must be sorted, overlaps k.
 func overlapsAny(list []Span, k KeyRange) bool {
 	i := sort.Search(len(list), func(i int) bool { return list[i].Last >= k.First })
 	return i < len(list) && list[i].First <= k.Last
--- a/state/spans/spans_test.go
+++ b/state/spans/spans_test.go
@@ -31,12 +31,12 @@
 		table := validTable()
 		spoil(table)
 		if table.Validate() == nil {
-			t.Errorf("%s is not found", name)
+			t.Errorf("%s is accepted", name)
 		}
 	}
 }
 
-// TestSplitKeepsOwners: splits anywhere keep every key's owner and the order.
+// Splits at any key preserve the order of the keys and the owner of each.
 func TestSplitPreservesOwnersAndOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := validTable()
@@ -58,7 +58,7 @@
 	})
 }
 
-// TestDiffAndOverlay: a difference laid over the old table gives the new one.
+// Overlaying the difference of two tables on the old one gives the new one.
 func TestOverlayOfDiffGivesNewTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old := validTable()
