--- a/state/capacity/capacity.go
+++ b/state/capacity/capacity.go
@@ -1,7 +1,7 @@
-// Package capacity works out what gateways cost for control at a given size, from
-// slopes at small sizes. It is arithmetic: nothing was run at the sizes that it is asked
-// about. Processor time is that of the machine of the slopes; docs/CAPACITY.md says which
-// that is and how far the estimate is off on others.
+// Package capacity estimates the cost of the gateways' control work at a given size by
+// extrapolating linearly from measurements at small sizes; nothing was run at the estimated sizes.
+// Processor times apply to the machine of the measurements; docs/CAPACITY.md names it and gives the
+// error of the estimate on other machines.
 package capacity
 
 import (
@@ -9,48 +9,48 @@
 	"time"
 )
 
-// Shape is the size of a deployment.
+// DeploymentSize is the size of a deployment.
 type DeploymentSize struct {
 	Gateways int
 	Domains  int
-	// Upstreams are all of them, Keyed those of the largest service that is divided
-	// by key.
+	// Upstreams is the number of all upstreams, Keyed that of the largest sharded service.
 	Upstreams int
 	Keyed     int
-	// Rate is requests a second over all gateways.
+	// Rate is the number of requests per second across all gateways.
 	Rate float64
 }
 
-// Check reports what is wrong with a shape, or nil.
+// Validate returns an error if the size is not possible.
 func (s DeploymentSize) Validate() error {
 	switch {
 	case s.Gateways < 1 || s.Domains < 1 || s.Domains > s.Gateways:
-		return fmt.Errorf("%d gateways in %d failure domains: at least one each", s.Gateways, s.Domains)
+		return fmt.Errorf("%d gateways in %d failure domains: each domain needs at least one gateway", s.Gateways, s.Domains)
 	case s.Upstreams < 1 || s.Keyed < 0 || s.Keyed > s.Upstreams:
-		return fmt.Errorf("%d upstreams, %d of them keyed: at least one, and no more keyed than all", s.Upstreams, s.Keyed)
+		return fmt.Errorf("%d upstreams, %d of them keyed: at least one upstream is required, and at most all can be keyed", s.Upstreams, s.Keyed)
 	case s.Rate < 0:
-		return fmt.Errorf("%g requests a second", s.Rate)
+		return fmt.Errorf("rate of %g requests per second is negative", s.Rate)
 	}
 	return nil
 }
 
-// Slopes; `make bench` shows those of the machine that it runs on. Where both ends of a
-// message run in one process, half is counted here.
+// Measured costs; `make bench` shows those of the current machine. Where both ends of a message run
+// in one benchmark process, half of the measured cost is used.
 const (
-	// forwardCost is a gateway's part of one request: BenchmarkForward, through a gateway
-	// less straight.
+	// forwardCost is the gateway's share of one request: in BenchmarkForward, the time through a
+	// gateway minus the time of a direct request.
 	forwardCost = 87 * time.Microsecond
-	// reportCost is one end of a report, reportLoadCost of each load in it:
-	// BenchmarkReport, with 10 loads and with 100.
+	// reportCost is the cost of a report at one end, reportLoadCost that of each load in it:
+	// BenchmarkReport with 10 and with 100 loads.
 	reportCost     = 50 * time.Microsecond
 	reportLoadCost = 520 * time.Nanosecond
-	// renewalCost is one renewal at the leader: BenchmarkRenewal.
+	// renewalCost is the cost of one lease renewal at the leader: BenchmarkRenewal.
 	renewalCost = 31 * time.Microsecond
-	// planCost is one plan, planUpstreamCost each keyed upstream in it: BenchmarkMake.
+	// planCost is the cost of computing one plan, planUpstreamCost that of each keyed upstream in
+	// it: BenchmarkMake.
 	planCost         = 440 * time.Microsecond
 	planUpstreamCost = 950 * time.Nanosecond
-	// baseMemory and upstreamMemory are the peak of a gateway and the part of each upstream
-	// in it, in MB.
+	// baseMemoryMB is the peak memory of a gateway, upstreamMemoryMB the share of each upstream in
+	// it.
 	baseMemoryMB     = 17.2
 	upstreamMemoryMB = 0.0232
 	// reportBytes and loadBytes are the encoded sizes of a report and of a load in it.
@@ -58,7 +58,7 @@
 	loadBytes   = 23
 )
 
-// How often things are done; the names in package gateway are reportInterval,
+// Frequencies of the control work. The corresponding names in package gateway are reportInterval,
 // renewInterval, planInterval, leadership.RenewInterval and watchWait.
 const (
 	reportsPerSecond  = 4
@@ -66,14 +66,15 @@
 	plansPerSecond    = 4
 	leasesPerSecond   = 1 / 0.6
 	watchesPerSecond  = 2 / 1.2
-	// treeLeast is the number of gateways from which one of each failure domain
-	// reports for the rest.
+	// minTreeGateways is the number of gateways from which on one gateway of each failure domain
+	// aggregates the reports of the others.
 	minTreeGateways = 24
-	// spansEach, spansTotal and spansLeast bound the first assignment.
+	// spansPerUpstream, maxInitialSpans and minSpansPerUpstream determine the number of spans in
+	// the initial assignment.
 	spansPerUpstream, maxInitialSpans, minSpansPerUpstream = 16, 256, 2
 )
 
-// Limits of one node for control, from the size to design for.
+// Limits for the control work of one node, from the size that the system is designed for.
 const (
 	maxControlCores = 0.022
 	maxMemoryMB     = 256.0
@@ -85,28 +86,28 @@
 	Role string
 	What string
 	Unit string
-	// Value is the estimate, Limit what is allowed; zero when there is no limit.
+	// Value is the estimate, Limit the allowed maximum; zero if there is no limit.
 	Value, Limit float64
-	// By names what it grows with.
+	// By names the quantity with which the value grows.
 	By string
 }
 
-// Fits reports whether the value keeps the limit.
+// Fits reports whether the value is within the limit.
 func (l Line) Fits() bool { return l.Limit == 0 || l.Value <= l.Limit }
 
-// Estimate works the figures of all roles out.
+// Estimate computes the figures of all roles.
 func Estimate(s DeploymentSize) []Line {
 	ordinary := s.controlCost(1, 0)
 	leader := s.controlCost(s.reportersToLeader(), s.initialSpans())
 	lines := []Line{
-		{"gateway", "serving", "cores", s.Rate / float64(s.Gateways) * forwardCost.Seconds(), 0, "requests of its own"},
+		{"gateway", "serving", "cores", s.Rate / float64(s.Gateways) * forwardCost.Seconds(), 0, "requests per gateway"},
 		{"gateway", "control", "cores", ordinary.cores, maxControlCores, "loads it reports"},
 		{"gateway", "control", "bytes/s", ordinary.bytes, maxControlBytes, "loads it reports"},
 		{"gateway", "memory", "MB", baseMemoryMB + upstreamMemoryMB*float64(s.Upstreams), maxMemoryMB, "upstreams"},
 		{"leader", "control", "cores", leader.cores, maxControlCores, "gateways of its failure domain, spans"},
 		{"leader", "control", "bytes/s", leader.bytes, maxControlBytes, "gateways of its failure domain"},
 		{"leader", "renewals", "calls/s", float64(s.initialSpans()) * renewalsPerSecond, 0, "spans of the largest keyed service"},
-		{"all", "store calls", "calls/s", leasesPerSecond + watchesPerSecond, 0, "nothing; changes and moves come on top"},
+		{"all", "store calls", "calls/s", leasesPerSecond + watchesPerSecond, 0, "constant, without changes and key moves"},
 	}
 	if s.Gateways < minTreeGateways {
 		return lines
@@ -117,10 +118,10 @@
 		Line{"head", "control", "bytes/s", head.bytes, maxControlBytes, "gateways of its failure domain"})
 }
 
-// perDomain is the number of gateways in one failure domain.
+// gatewaysPerDomain returns the number of gateways in one failure domain.
 func (s DeploymentSize) gatewaysPerDomain() int { return (s.Gateways + s.Domains - 1) / s.Domains }
 
-// children are the gateways that report to the leader.
+// reportersToLeader returns the number of gateways that report directly to the leader.
 func (s DeploymentSize) reportersToLeader() int {
 	if s.Gateways < minTreeGateways {
 		return s.Gateways - 1
@@ -128,7 +129,7 @@
 	return s.gatewaysPerDomain() - 1 + s.Domains - 1
 }
 
-// spans of the largest keyed service at first.
+// initialSpans returns the number of spans of the largest keyed service in the initial assignment.
 func (s DeploymentSize) initialSpans() int {
 	if s.Keyed == 0 {
 		return 0
@@ -136,11 +137,12 @@
 	return s.Keyed * max(min(spansPerUpstream, maxInitialSpans/s.Keyed), minSpansPerUpstream)
 }
 
-// cost of control in one process.
+// cost is the cost per second of the control work in one process.
 type cost struct{ cores, bytes float64 }
 
-// control is the cost of reports sent or received each quarter second, each with the
-// loads of all upstreams at most, and of the spans that are kept.
+// controlCost returns the cost of sending or receiving the given number of reports every quarter
+// second, each with the loads of at most all upstreams, and of maintaining the given number of
+// spans.
 func (s DeploymentSize) controlCost(reports, spans int) cost {
 	loads := float64(s.loadsPerReport())
 	each := reportCost.Seconds() + loads*reportLoadCost.Seconds()
@@ -155,9 +157,10 @@
 	return c
 }
 
-// loads is the number of upstreams in a report: those with requests of one gateway.
+// loadsPerReport returns the number of upstreams in a report: those with requests in flight from
+// one gateway.
 func (s DeploymentSize) loadsPerReport() int {
-	const workTime = 0.2 // seconds, of the users' services
+	const workTime = 0.2 // seconds; typical time per request in the users' services
 	inFlight := s.Rate / float64(s.Gateways) * workTime
 	return min(s.Upstreams, int(inFlight)+1)
 }
--- a/state/capacity/capacity_test.go
+++ b/state/capacity/capacity_test.go
@@ -13,8 +13,8 @@
 	return Line{}
 }
 
-// TestEstimateAtMeasuredSizes: at the sizes that were played the memory lies within a
-// factor of two of the peaks on the users' bench, 18 MB and 25 MB.
+// At the sizes that were measured, the memory estimate is within a factor of two of the measured
+// peaks of 18 MB and 25 MB.
 func TestEstimateMatchesMeasuredMemory(t *testing.T) {
 	small := Estimate(DeploymentSize{Gateways: 11, Domains: 3, Upstreams: 35, Keyed: 11, Rate: 569})
 	large := Estimate(DeploymentSize{Gateways: 78, Domains: 3, Upstreams: 346, Keyed: 119, Rate: 1400})
@@ -29,7 +29,7 @@
 		}
 	}
 	if findLine(t, small, "leader", "renewals", "calls/s").Value != 176 {
-		t.Error("spans of eleven upstreams")
+		t.Error("renewals for the initial spans of eleven upstreams are not 176 per second")
 	}
 }
 
@@ -39,13 +39,13 @@
 	larger.Gateways *= 10
 	a, b := Estimate(shape), Estimate(larger)
 	if findLine(t, b, "leader", "control", "cores").Value <= findLine(t, a, "leader", "control", "cores").Value {
-		t.Error("a leader of ten times the gateways costs no more")
+		t.Error("the leader's cost does not grow with the number of gateways")
 	}
 	if l := findLine(t, b, "leader", "control", "cores"); l.Fits() {
-		t.Errorf("%.3f cores are said to fit %.3f", l.Value, l.Limit)
+		t.Errorf("%.3f cores are reported to fit the limit of %.3f", l.Value, l.Limit)
 	}
 	if findLine(t, a, "all", "store calls", "calls/s") != findLine(t, b, "all", "store calls", "calls/s") {
-		t.Error("store calls grow with gateways")
+		t.Error("store calls grow with the number of gateways")
 	}
 }
 
