--- a/state/evacuation/evacuation.go
+++ b/state/evacuation/evacuation.go
@@ -1,5 +1,5 @@
-// Package evacuation is the view of the failure domains that operators have evacuated: to
-// upstreams there nothing more is sent until the evacuation has ended.
+// Package evacuation holds the view of the failure domains that operators have evacuated. Upstreams
+// in an evacuated domain receive no requests until the evacuation ends.
 package evacuation
 
 import (
@@ -8,30 +8,30 @@
 )
 
 const (
-	// mostDomains bounds the failure domains that are known, ended evacuations among them:
-	// some times what a deployment has, as anyone who writes to the store can name others.
+	// maxDomains bounds the number of failure domains in a set, including those whose evacuation
+	// has ended. It is several times the number in a deployment, because anyone who can write to
+	// the store can add further names.
 	maxDomains = 256
-	// mostName bounds the name of a failure domain, in bytes.
+	// maxNameLength bounds the name of a failure domain, in bytes.
 	maxNameLength = 256
 )
 
-// Mark is the newest that is known of the evacuation of one failure domain.
+// Record is the latest known state of the evacuation of one failure domain.
 type Record struct {
 	Domain string
-	// Revision is the store's: that of the entry, or one at which it was gone.
+	// Revision is the store revision of the entry, or a revision at which the entry did not exist.
 	Revision uint64
-	// Ended says that the entry was gone.
+	// Ended is set if the entry did not exist at Revision.
 	Ended bool
 }
 
-// sound reports whether the mark can be.
+// valid reports whether the record can come from a correct store.
 func (m Record) valid() bool {
 	return m.Domain != "" && len(m.Domain) <= maxNameLength && m.Revision > 0
 }
 
-// newerThan reports whether the mark tells something later than the other one of the same
-// domain. The end of an entry may bear the revision of its last change, and a new entry
-// always bears a higher one.
+// newerThan reports whether the record is newer than another one of the same domain. The removal of
+// an entry may carry the revision of the entry's last change; a new entry always has a higher one.
 func (m Record) newerThan(other Record) bool {
 	if m.Revision != other.Revision {
 		return m.Revision > other.Revision
@@ -39,13 +39,14 @@
 	return m.Ended && !other.Ended
 }
 
-// Set is what is known of all evacuations. It is immutable; the zero value and nil know of
-// none. Whoever tells what, in whichever order, the same marks make the same set: so nothing
-// goes back to an older view.
+// Set holds what is known of all evacuations. It is immutable; the zero value and nil are empty
+// sets. Merging the same records in any order and from any source gives the same set, so a view
+// never goes back to an older state.
 type Set struct{ records map[string]Record }
 
-// Merge returns the set with newer marks taken over, or itself when there are none, and the
-// number of marks that were dropped as they cannot be or exceed the bound.
+// Merge returns a set that includes the newer ones of the given records, or s itself if none is
+// newer. It also returns the number of records that were dropped because they are invalid or exceed
+// the bound.
 func (s *Set) Merge(marks []Record) (next *Set, dropped int) {
 	next = s
 	for _, m := range marks {
@@ -60,8 +61,8 @@
 	return next, dropped
 }
 
-// Listed returns the marks that follow from a list of all entries at a revision: those
-// that are known and not listed have ended.
+// RecordsOfList returns the records that follow from a list of all entries at the given revision:
+// evacuations that are known but not listed have ended.
 func (s *Set) RecordsOfList(entries []Record, at uint64) []Record {
 	listed := make(map[string]bool, len(entries))
 	for _, m := range entries {
@@ -76,13 +77,13 @@
 	return out
 }
 
-// Active reports whether the failure domain is evacuated.
+// Active reports whether the failure domain is currently evacuated.
 func (s *Set) Active(domain string) bool {
 	m, ok := s.record(domain)
 	return ok && !m.Ended
 }
 
-// Domains returns the failure domains that are evacuated, in their order.
+// Domains returns the evacuated failure domains in ascending order.
 func (s *Set) Domains() []string {
 	var out []string
 	for _, m := range s.Records() {
@@ -93,7 +94,7 @@
 	return out
 }
 
-// Covers reports whether the set has all that the marks tell.
+// Covers reports whether the set includes all given records or newer ones.
 func (s *Set) Covers(marks []Record) bool {
 	for _, m := range marks {
 		if known, ok := s.record(m.Domain); m.valid() && (!ok || m.newerThan(known)) {
@@ -103,7 +104,7 @@
 	return true
 }
 
-// Marks returns all marks in the order of their domains.
+// Records returns all records, ordered by domain.
 func (s *Set) Records() []Record {
 	if s == nil {
 		return nil
@@ -116,7 +117,7 @@
 	return out
 }
 
-// Revision returns the highest revision of all marks; zero when there are none.
+// Revision returns the highest revision of all records; zero if there are none.
 func (s *Set) Revision() uint64 {
 	newest := uint64(0)
 	for _, m := range s.Records() {
--- a/state/evacuation/evacuation_test.go
+++ b/state/evacuation/evacuation_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestMergeNeverGoesBack: the newest mark of a domain stands, in whichever order and from
-// whomever the marks come.
+// The newest record of a domain wins, in whichever order and from whichever source the records
+// arrive.
 func TestMergeKeepsNewestRecord(t *testing.T) {
 	history := []Record{
 		{"a", 10, false}, {"a", 12, false}, {"a", 12, true}, {"a", 20, false}, {"a", 31, true},
@@ -25,13 +25,12 @@
 			t.Fatalf("a %v, b %v, revision %d", s.Active("a"), s.Active("b"), s.Revision())
 		}
 		if !s.Covers(history) {
-			t.Fatal("the set lacks a mark that it has taken")
+			t.Fatal("the set lacks a record that was merged")
 		}
 	}
 }
 
-// TestListedEndsWhatIsGone: an entry that a list lacks has ended, unless it is younger than
-// the list.
+// An entry that is missing from a list has ended, unless it was created after the list.
 func TestRecordsOfListEndUnlistedEvacuations(t *testing.T) {
 	s, _ := (*Set)(nil).Merge([]Record{{"gone", 5, false}, {"kept", 6, false}, {"young", 40, false}})
 	s, _ = s.Merge(s.RecordsOfList([]Record{{"kept", 6, false}}, 30))
@@ -39,14 +38,14 @@
 	if d := cmp.Diff(want, s.Records()); d != "" {
 		t.Error(d)
 	}
-	// A late word of the entry that was gone changes nothing.
+	// A delayed record of a removed entry changes nothing.
 	if s, _ = s.Merge([]Record{{"gone", 12, false}}); s.Active("gone") {
-		t.Error("an ended evacuation is back by a late word")
+		t.Error("a delayed record reactivated an ended evacuation")
 	}
 }
 
-// TestMergeDropsWhatCannotBe: marks without a name or revision, and those beyond the bound,
-// are dropped and counted.
+// Records without a name or a revision, with too long a name, or beyond the bound are dropped and
+// counted.
 func TestMergeDropsInvalidAndExcessRecords(t *testing.T) {
 	s, dropped := (*Set)(nil).Merge([]Record{{"", 3, false}, {"a", 0, false}, {string(make([]byte, maxNameLength+1)), 4, false}, {"b", 5, false}})
 	if dropped != 3 || len(s.Records()) != 1 {
@@ -60,10 +59,10 @@
 	}
 }
 
-// TestNoneKnown: nil knows of no evacuation.
+// A nil set is empty.
 func TestNilSet(t *testing.T) {
 	var s *Set
 	if s.Active("a") || s.Records() != nil || s.Revision() != 0 || !s.Covers(nil) {
-		t.Error("nil knows something")
+		t.Error("a nil set is not empty")
 	}
 }
