--- a/state/limits/limits.go
+++ b/state/limits/limits.go
@@ -1,5 +1,6 @@
-// Package limits is what is known of the limits that upstreams in need name: how many
-// requests a second one takes from all gateways together, for as long as its answers say so.
+// Package limits holds the rate limits that overloaded upstreams announce: how many requests per
+// second an upstream accepts from all gateways together, for as long as its responses carry the
+// limit.
 package limits
 
 import (
@@ -12,36 +13,39 @@
 )
 
 const (
-	// mostKnown bounds the upstreams of which a limit is known, ended ones among them.
+	// maxEntries bounds the number of upstreams with a known limit, including limits that have
+	// ended.
 	maxEntries = 4096
-	// endedFor is how long the end of a limit is remembered, so that no other gateway's older
-	// word brings it back: several times what news take to all gateways.
+	// endedRetention is how long the end of a limit is remembered, so that no older report from
+	// another gateway restores the limit. It is several times as long as news takes to reach all
+	// gateways.
 	endedRetention = 5 * time.Second
-	// change is the part by which a limit must change to count as another one. Upstreams may
-	// name theirs anew with each answer.
+	// minRelativeChange is the fraction by which a limit must change to count as changed. Upstreams
+	// may announce a slightly different limit with every response.
 	minRelativeChange = 0.1
 )
 
-// Limit is what an upstream has said of itself with an answer.
+// Limit is the limit that an upstream announced in a response.
 type Limit struct {
 	Upstream string
-	// Incarnation tells which start of the upstream said so.
+	// Incarnation identifies the start of the upstream that announced the limit.
 	Incarnation instances.Incarnation
-	// PerSecond is how many requests a second it takes from all gateways together; zero for
-	// none at all.
+	// PerSecond is the number of requests per second that the upstream accepts from all gateways
+	// together; zero means none.
 	PerSecond float64
-	// Ended says that it named a limit and does not any more.
+	// Ended is set if the upstream announced a limit before and no longer does.
 	Ended bool
-	// At is when the answer came, here or at the gateway that tells.
+	// ReceivedAt is when the response was received, by this gateway or by the one that reported it.
 	ReceivedAt time.Time
 }
 
-// sound reports whether the limit can be.
+// valid reports whether the limit has an upstream and a finite, non-negative rate.
 func (l Limit) valid() bool {
 	return l.Upstream != "" && l.PerSecond >= 0 && !math.IsInf(l.PerSecond, 0)
 }
 
-// same reports whether both say the same but for the time.
+// equivalent reports whether both limits are the same, apart from the time and from rate
+// differences below minRelativeChange.
 func (l Limit) equivalent(other Limit) bool {
 	if l.Ended != other.Ended || l.Incarnation.DiffersFrom(other.Incarnation) {
 		return false
@@ -49,68 +53,67 @@
 	return l.Ended || math.Abs(l.PerSecond-other.PerSecond) <= minRelativeChange*other.PerSecond
 }
 
-// Book keeps the newest word of each upstream, from whomever. It is not safe for concurrent
+// Registry holds the newest limit of each upstream, from any source. It is not safe for concurrent
 // use.
 type Registry struct{ byUpstream map[string]Limit }
 
-// NewBook returns a book that knows of no limit.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{byUpstream: make(map[string]Limit)} }
 
-// Empty reports whether nothing is known of any upstream.
-func (b *Registry) Empty() bool { return len(b.byUpstream) == 0 }
+// Empty reports whether no limit is known, not even an ended one.
+func (r *Registry) Empty() bool { return len(r.byUpstream) == 0 }
 
-// Note takes over what an upstream has said if it is newer than what is known, and reports
-// whether that changes anything.
-func (b *Registry) Update(l Limit) (changed bool) {
-	known, ok := b.byUpstream[l.Upstream]
-	if !l.valid() || ok && !l.ReceivedAt.After(known.ReceivedAt) || !ok && len(b.byUpstream) >= maxEntries {
+// Update records a limit if it is newer than the known one, and reports whether anything changed.
+func (r *Registry) Update(l Limit) (changed bool) {
+	known, ok := r.byUpstream[l.Upstream]
+	if !l.valid() || ok && !l.ReceivedAt.After(known.ReceivedAt) || !ok && len(r.byUpstream) >= maxEntries {
 		return false
 	}
 	if ok && known.equivalent(l) && !l.Ended {
-		// The former figure stands until it has changed by enough, the time is the new one.
+		// Keep the former rate until it has changed enough, but record the new time.
 		l.PerSecond = known.PerSecond
-		b.byUpstream[l.Upstream] = l
+		r.byUpstream[l.Upstream] = l
 		return false
 	}
-	b.byUpstream[l.Upstream] = l
+	r.byUpstream[l.Upstream] = l
 	return !ok && !l.Ended || ok && !known.equivalent(l)
 }
 
-// Unnamed notes that an upstream has answered without a limit to a request that was sent at
-// a time, and reports whether that ends one. Answers to requests that were sent before the
-// limit was last named say nothing: they may have been made before it was.
-func (b *Registry) RecordAbsent(upstream string, incarnation instances.Incarnation, sent, now time.Time) (ended bool) {
-	known, ok := b.byUpstream[upstream]
+// RecordAbsent records that an upstream's response carried no limit, and reports whether that ends
+// a limit. sent is when the request was sent. Responses to requests that were sent before the limit
+// was last announced are ignored, because the upstream may have produced them before announcing it.
+func (r *Registry) RecordAbsent(upstream string, incarnation instances.Incarnation, sent, now time.Time) (ended bool) {
+	known, ok := r.byUpstream[upstream]
 	if !ok || known.Ended || !sent.After(known.ReceivedAt) {
 		return false
 	}
-	return b.Update(Limit{Upstream: upstream, Incarnation: incarnation, Ended: true, ReceivedAt: now})
+	return r.Update(Limit{Upstream: upstream, Incarnation: incarnation, Ended: true, ReceivedAt: now})
 }
 
-// Of returns the limit of an upstream's start; ok is false when it names none.
-func (b *Registry) Get(upstream string, incarnation instances.Incarnation) (perSecond float64, ok bool) {
-	l, ok := b.byUpstream[upstream]
+// Get returns the limit of the given start of an upstream; ok is false if there is none.
+func (r *Registry) Get(upstream string, incarnation instances.Incarnation) (perSecond float64, ok bool) {
+	l, ok := r.byUpstream[upstream]
 	if !ok || l.Ended || l.Incarnation.DiffersFrom(incarnation) {
 		return 0, false
 	}
 	return l.PerSecond, true
 }
 
-// List returns all that is known, ends of limits among them, in the order of the upstreams.
-func (b *Registry) List() []Limit {
-	out := make([]Limit, 0, len(b.byUpstream))
-	for _, l := range b.byUpstream {
+// List returns all entries, including ended limits, ordered by upstream.
+func (r *Registry) List() []Limit {
+	out := make([]Limit, 0, len(r.byUpstream))
+	for _, l := range r.byUpstream {
 		out = append(out, l)
 	}
 	slices.SortFunc(out, func(x, y Limit) int { return cmp.Compare(x.Upstream, y.Upstream) })
 	return out
 }
 
-// Forget drops ends that all have heard of, and upstreams that are not there any more.
-func (b *Registry) Prune(now time.Time, there func(upstream string) bool) {
-	for id, l := range b.byUpstream {
-		if !there(id) || l.Ended && now.Sub(l.ReceivedAt) > endedRetention {
-			delete(b.byUpstream, id)
+// Prune removes ended limits that all gateways have learned of, and upstreams that no longer exist.
+func (r *Registry) Prune(now time.Time, exists func(upstream string) bool) {
+	for id, l := range r.byUpstream {
+		if !exists(id) || l.Ended && now.Sub(l.ReceivedAt) > endedRetention {
+			delete(r.byUpstream, id)
 		}
 	}
 }
