--- a/state/unread/unread.go
+++ b/state/unread/unread.go
@@ -1,6 +1,6 @@
-// Package unread keeps which headers of upstreams' answers no code reads: an upstream that begins to
-// say something new is to be noticed by an operator before it matters. Values are not kept: they
-// may be callers' secrets.
+// Package unread counts the response headers of upstreams that no code reads, so that an operator
+// notices when an upstream starts to send something new. Values are not kept, because they may
+// contain secrets of callers.
 package unread
 
 import (
@@ -10,66 +10,66 @@
 )
 
 const (
-	// mostHeaders bounds the headers that are kept of one service.
+	// maxHeadersPerService bounds the number of headers kept for one service.
 	maxHeadersPerService = 64
-	// quietAfter is how long after the last answer with it a header counts as not sent any more.
+	// inactiveAfter is how long after its last response a header counts as no longer sent.
 	inactiveAfter = 30 * time.Second
 )
 
 // Header is one header that no code reads.
 type Header struct {
 	Service, Name string
-	// Upstream sent the first answer with it since it was last quiet.
+	// Upstream is the sender of the first response with the header since it last became active.
 	Upstream string
-	// Answers is how many bore it.
+	// Responses is the number of responses with the header.
 	Responses uint64
-	// First and Last are when the first and the last of them came.
+	// First and Last are the times of the first and the last of them.
 	First, Last time.Time
 }
 
 type key struct{ service, name string }
 
-// Book counts headers that no code reads. It is not safe for concurrent use.
+// Counter counts headers that no code reads. It is not safe for concurrent use.
 type Counter struct {
 	headers map[key]*Header
-	// names counts the headers of each service.
+	// perService is the number of headers of each service.
 	perService map[string]int
 }
 
-// NewBook returns an empty book.
+// NewCounter returns an empty counter.
 func NewCounter() *Counter {
 	return &Counter{headers: make(map[key]*Header), perService: make(map[string]int)}
 }
 
-// Note counts one answer with a header and reports whether the service has begun to send it: never
-// before, or not for a while.
-func (b *Counter) Record(now time.Time, service, upstream, name string) (begins bool) {
+// Record counts one response with a header. It reports whether the service has started to send the
+// header: for the first time, or again after a pause longer than inactiveAfter.
+func (c *Counter) Record(now time.Time, service, upstream, name string) (started bool) {
 	k := key{service, name}
-	h := b.headers[k]
+	h := c.headers[k]
 	if h == nil {
-		if b.perService[service] >= maxHeadersPerService {
+		if c.perService[service] >= maxHeadersPerService {
 			return false
 		}
-		b.perService[service]++
+		c.perService[service]++
 		h = &Header{Service: service, Name: name, First: now}
-		b.headers[k] = h
+		c.headers[k] = h
 	}
-	begins = h.Responses == 0 || now.Sub(h.Last) > inactiveAfter
-	if begins {
+	started = h.Responses == 0 || now.Sub(h.Last) > inactiveAfter
+	if started {
 		h.Upstream = upstream
 	}
 	h.Responses++
 	h.Last = now
-	return begins
+	return started
 }
 
-// Sent reports whether a header still comes.
+// Active reports whether the header is still being sent.
 func (h Header) Active(now time.Time) bool { return now.Sub(h.Last) <= inactiveAfter }
 
-// List returns all that were seen, by service and name.
-func (b *Counter) List() []Header {
-	out := make([]Header, 0, len(b.headers))
-	for _, h := range b.headers {
+// List returns all recorded headers, ordered by service and name.
+func (c *Counter) List() []Header {
+	out := make([]Header, 0, len(c.headers))
+	for _, h := range c.headers {
 		out = append(out, *h)
 	}
 	slices.SortFunc(out, func(x, y Header) int {
