--- a/state/delta/delta.go
+++ b/state/delta/delta.go
@@ -1,5 +1,5 @@
-// Package delta encodes documents for other processes: compressed, and as a
-// difference where the receiver has an earlier version. It decides nothing.
+// Package delta encodes documents for other processes: compressed, and as a difference if the
+// receiver has an earlier version.
 package delta
 
 import (
@@ -11,18 +11,18 @@
 )
 
 const (
-	// dictionary is the number under which the earlier version goes with the encoder
-	// and the decoder; any but zero.
+	// dictionaryID identifies the base document in the encoder and the decoder; any value except
+	// zero works.
 	dictionaryID = 1
-	// leastWindow and mostWindow bound how far back, in bytes, an encoder looks for
-	// what it has seen: an earlier version and the document, of a megabyte each.
+	// minWindow and maxWindow bound the encoder's window in bytes. It must cover the base and the
+	// document, of up to a megabyte each.
 	minWindow = 1 << 10
 	maxWindow = 4 << 20
-	// mostDecoder bounds the memory of a decoder in bytes.
+	// maxDecoderMemory bounds the memory of a decoder, in bytes.
 	maxDecoderMemory = 16 << 20
 )
 
-// Digest tells documents apart by their bytes. It is zero only for no document.
+// Digest returns a hash of the document. It is zero only for an empty document.
 func Digest(document []byte) uint64 {
 	if len(document) == 0 {
 		return 0
@@ -30,8 +30,8 @@
 	return max(xxhash.Sum64(document), 1)
 }
 
-// Encode returns the document compressed, as a difference from base unless that is
-// empty. The same arguments give the same bytes.
+// Encode returns the compressed document, as a difference from base unless base is empty. The same
+// arguments always give the same bytes.
 func Encode(base, document []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
@@ -51,8 +51,8 @@
 	return data, nil
 }
 
-// Decode returns the document that was encoded with the same base. It fails when the
-// data are damaged, or when the base is another one.
+// Decode returns the document that was encoded with the same base. It fails if the data is corrupt
+// or the base is a different one.
 func Decode(base, data []byte) ([]byte, error) {
 	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoderMemory)}
 	if len(base) > 0 {
@@ -70,7 +70,7 @@
 	return document, nil
 }
 
-// window returns the power of two, within its bounds, that holds so many bytes.
+// windowSize returns the smallest power of two above size, limited to minWindow and maxWindow.
 func windowSize(size int) int {
 	return min(max(1<<bits.Len(uint(size)), minWindow), maxWindow)
 }
--- a/state/delta/delta_test.go
+++ b/state/delta/delta_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// document has so many lines of random names; the first ones are the same for the
-// same seed.
+// document returns a document with the given number of lines of random names. Documents of
+// different lengths share their first lines.
 func document(lines int) []byte {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var b bytes.Buffer
@@ -18,13 +18,13 @@
 	return b.Bytes()
 }
 
-// TestDifference: a document comes back from its difference, which is about as large
-// as what has changed, and not from one to another base.
+// A document is restored from its difference, which is about as large as the change, but not with
+// another base.
 func TestDecodeWithBase(t *testing.T) {
 	const unchanged, added = 8000, 100
 	base, next := document(unchanged), document(unchanged+added)
 	if len(base) < 1<<19 {
-		t.Fatalf("the base has %d bytes only", len(base))
+		t.Fatalf("the base has only %d bytes", len(base))
 	}
 	data, err := Encode(base, next)
 	if err != nil {
@@ -35,19 +35,19 @@
 	}
 	back, err := Decode(base, data)
 	if err != nil || !bytes.Equal(back, next) {
-		t.Fatalf("another document came back: %v", err)
+		t.Fatalf("decoded document differs: %v", err)
 	}
 	again, err := Encode(base, next)
 	if err != nil || !bytes.Equal(again, data) {
-		t.Errorf("the same difference has other bytes: %v", err)
+		t.Errorf("encoding is not deterministic: %v", err)
 	}
 	other := document(unchanged + 1)
 	if back, err := Decode(other, data); err == nil && Digest(back) == Digest(next) {
-		t.Error("a difference to another base gave the document")
+		t.Error("decoding with another base gave the document")
 	}
 }
 
-// TestWhole: without a base the document is compressed, and damage is noticed.
+// Without a base the document is compressed, and corruption is detected.
 func TestDecodeWithoutBase(t *testing.T) {
 	whole := document(3000)
 	data, err := Encode(nil, whole)
@@ -59,13 +59,13 @@
 	}
 	back, err := Decode(nil, data)
 	if err != nil || Digest(back) != Digest(whole) {
-		t.Fatalf("another document came back: %v", err)
+		t.Fatalf("decoded document differs: %v", err)
 	}
 	data[len(data)/2] ^= 0xff
 	if back, err := Decode(nil, data); err == nil && bytes.Equal(back, whole) {
-		t.Error("damage gave the document")
+		t.Error("decoding corrupt data gave the document")
 	}
 	if Digest(nil) != 0 || Digest(whole) == 0 {
-		t.Error("digest of nothing, or of something, is wrong")
+		t.Error("the digest of an empty document is not zero, or that of another document is")
 	}
 }
