--- a/state/smallfloat/smallfloat.go
+++ b/state/smallfloat/smallfloat.go
@@ -1,39 +1,41 @@
-// Package smallfloat keeps numbers that are estimates anyway in one or two bytes, at a
-// precision that does not change with their size.
+// Package smallfloat encodes approximate numbers in one or two bytes as small floating-point codes,
+// with a constant relative precision.
 package smallfloat
 
 import "math"
 
-// Of a byte, 4 bits are the exponent: numbers from 1/256 to 1984 within a thirtieth.
+// Byte codes have a 4-bit exponent: numbers from 1/256 to 1984 with a relative error of at most
+// 1/30.
 const (
 	byteMantissa = 4
 	byteBias     = 5
 	maxByteCode  = math.MaxUint8
 )
 
-// Of two bytes, 5 bits are the exponent: numbers from 1/10^9 to 4095 within a 4000th.
+// Word codes have a 5-bit exponent: numbers from 1/10^9 to 4095 with a relative error of at most
+// 1/4000.
 const (
 	wordMantissa = 11
 	wordBias     = 20
 	maxWordCode  = math.MaxUint16
 )
 
-// Byte returns the code of a number. Those below zero and no numbers count as zero, those
-// beyond the highest as the highest.
+// EncodeByte returns the one-byte code of a number. Negative numbers and NaN become zero, numbers
+// above the maximum become the maximum.
 func EncodeByte(x float64) byte { return byte(encode(x, byteMantissa, byteBias, maxByteCode)) }
 
-// FromByte returns the number of a code.
+// DecodeByte returns the number of a one-byte code.
 func DecodeByte(code byte) float64 { return decode(uint32(code), byteMantissa, byteBias) }
 
-// Word is Byte in two bytes.
+// EncodeWord returns the two-byte code of a number, with the same rules as EncodeByte.
 func EncodeWord(x float64) uint16 { return uint16(encode(x, wordMantissa, wordBias, maxWordCode)) }
 
-// FromWord returns the number of a code.
+// DecodeWord returns the number of a two-byte code.
 func DecodeWord(code uint16) float64 { return decode(uint32(code), wordMantissa, wordBias) }
 
-// encode rounds to the nearest code. A code is the exponent, raised by the bias, before the
-// mantissa; with the exponent zero the mantissa counts from zero.
-func encode(x float64, mantissa, bias int, most uint32) uint32 {
+// encode rounds to the nearest code. A code consists of the biased exponent followed by the
+// mantissa; codes with a zero exponent are subnormal.
+func encode(x float64, mantissa, bias int, maxCode uint32) uint32 {
 	if !(x > 0) {
 		return 0
 	}
@@ -42,7 +44,7 @@
 	e := max(exponent-1+bias, 1)
 	steps := math.Round(math.Ldexp(x, mantissa-e+bias))
 	code := float64(uint32(e-1)<<mantissa) + steps
-	return uint32(min(code, float64(most)))
+	return uint32(min(code, float64(maxCode)))
 }
 
 func decode(code uint32, mantissa, bias int) float64 {
--- a/state/smallfloat/smallfloat_test.go
+++ b/state/smallfloat/smallfloat_test.go
@@ -8,12 +8,12 @@
 func TestCodesRoundTrip(t *testing.T) {
 	for code := range math.MaxUint8 + 1 {
 		if got := EncodeByte(DecodeByte(byte(code))); got != byte(code) {
-			t.Fatalf("byte %d comes back as %d", code, got)
+			t.Fatalf("byte %d is encoded again as %d", code, got)
 		}
 	}
 	for code := range math.MaxUint16 + 1 {
 		if got := EncodeWord(DecodeWord(uint16(code))); got != uint16(code) {
-			t.Fatalf("word %d comes back as %d", code, got)
+			t.Fatalf("word %d is encoded again as %d", code, got)
 		}
 	}
 }
@@ -32,10 +32,10 @@
 func TestOutOfRangeValues(t *testing.T) {
 	for _, x := range []float64{0, -1, math.NaN(), math.Inf(-1), 1e-12} {
 		if EncodeByte(x) != 0 || EncodeWord(x) != 0 {
-			t.Errorf("%g is not zero", x)
+			t.Errorf("the code of %g is not zero", x)
 		}
 	}
 	if EncodeByte(math.Inf(1)) != maxByteCode || EncodeWord(1e9) != maxWordCode {
-		t.Error("beyond the highest is not the highest")
+		t.Error("a number above the maximum does not have the highest code")
 	}
 }
