--- a/process/http.go
+++ b/process/http.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// stopLimit bounds the graceful stop of a simple server.
+// shutdownTimeout bounds the graceful shutdown, and the time to read the header of a request.
 const shutdownTimeout = 5 * time.Second
 
-// ServeHTTP serves a handler at addr until ctx ends, then stops gracefully.
+// ServeHTTP serves the handler at addr until ctx ends, then shuts down gracefully.
 func ServeHTTP(ctx context.Context, addr string, h http.Handler) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -21,19 +21,18 @@
 	return ServeListener(ctx, l, &http.Server{Handler: h, ReadHeaderTimeout: shutdownTimeout})
 }
 
-// ServeListener serves on an open listener until ctx ends, then stops
-// gracefully.
+// ServeListener serves on an open listener until ctx ends, then shuts down gracefully.
 func ServeListener(ctx context.Context, l net.Listener, s *http.Server) error {
-	failed := make(chan error, 1)
-	go func() { failed <- s.Serve(l) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- s.Serve(l) }()
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 	}
-	limit, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	err := s.Shutdown(limit)
+	err := s.Shutdown(shutdownCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		return s.Close()
 	}
--- a/process/process.go
+++ b/process/process.go
@@ -1,5 +1,5 @@
-// Package process holds what the mains of all programs share: the --settings
-// flag, logs on standard error, signals and exit codes.
+// Package process holds what all programs share in their main functions: the --settings flag,
+// logging to standard error, signals and exit codes.
 package process
 
 import (
@@ -18,15 +18,16 @@
 
 // Exit codes of all programs.
 const (
-	// ExitOK: the program did what it was asked.
+	// ExitOK means success.
 	ExitOK = 0
-	// ExitFailure: it failed while running.
+	// ExitFailure means that the program failed while running.
 	ExitFailure = 1
-	// ExitSettings: its settings or arguments are not valid.
+	// ExitSettings means that the settings or the arguments are invalid.
 	ExitSettings = 2
 )
 
-// Logger returns a logger of the level on standard error.
+// Logger returns a logger to standard error with the given minimum level; an invalid level means
+// info.
 func Logger(level string) *slog.Logger {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
@@ -39,10 +40,10 @@
 type Daemon struct {
 	Use   string
 	Short string
-	// Settings are filled from the file before Run is called.
+	// Settings is filled from the settings file before Run is called.
 	Settings jsonc.Checker
-	// Path is the settings file when the flag is not given; empty requires the
-	// flag.
+	// Path is the settings file used if the flag is not given; if it is empty, the flag is
+	// required.
 	Path string
 	// Run serves until ctx ends.
 	Run func(ctx context.Context) error
@@ -68,7 +69,7 @@
 	}
 	cmd.Flags().StringVar(&path, "settings", d.Path, "settings file, JSON with comments")
 	if d.Path == "" {
-		// The flag was defined on the line before, so marking cannot fail.
+		// The flag was just defined, so marking it required cannot fail.
 		_ = cmd.MarkFlagRequired("settings")
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/process/text.go
+++ b/process/text.go
@@ -6,26 +6,25 @@
 	"text/tabwriter"
 )
 
-// Text writes text and keeps the first error, so that what prints many lines checks
-// once, in Close.
+// TextWriter writes formatted text and keeps the first error, so that code that prints many lines
+// checks errors only once, in Close.
 type TextWriter struct {
 	w     io.Writer
 	table *tabwriter.Writer
 	err   error
 }
 
-// NewText returns a text that is written as it comes.
+// NewTextWriter returns a writer that writes without buffering.
 func NewTextWriter(w io.Writer) *TextWriter { return &TextWriter{w: w} }
 
-// The layout of tables: the least width of a column, the width of a tab, and the space
-// between columns.
+// Layout of tables, in characters.
 const (
 	minColumnWidth = 0
 	tabWidth       = 4
 	columnPadding  = 2
 )
 
-// NewTable returns a text whose columns, divided by tabs, are aligned when it is closed.
+// NewTableWriter returns a writer whose tab-separated columns are aligned when it is closed.
 func NewTableWriter(w io.Writer) *TextWriter {
 	table := tabwriter.NewWriter(w, minColumnWidth, tabWidth, columnPadding, ' ', 0)
 	return &TextWriter{w: table, table: table}
@@ -38,7 +37,7 @@
 	}
 }
 
-// Close writes what is left and returns the first error.
+// Close flushes buffered output and returns the first error.
 func (t *TextWriter) Close() error {
 	if t.table != nil && t.err == nil {
 		t.err = t.table.Flush()
--- a/process/text_test.go
+++ b/process/text_test.go
@@ -8,7 +8,7 @@
 
 var errFull = errors.New("full")
 
-// full takes some bytes and then fails.
+// limitedWriter fails after a number of bytes.
 type limitedWriter struct{ left int }
 
 func (f *limitedWriter) Write(p []byte) (int, error) {
