--- a/state/capacity/capacity.go
+++ b/state/capacity/capacity.go
@@ -13,7 +13,8 @@
 type DeploymentSize struct {
 	Gateways int
 	Domains  int
-	// Upstreams is the number of all upstreams, Keyed that of the largest sharded service.
+	// Upstreams is the number of all upstreams, Keyed that of the largest service that
+	// is divided by key.
 	Upstreams int
 	Keyed     int
 	// Rate is the number of requests per second across all gateways.
@@ -43,7 +44,7 @@
 	// BenchmarkReport with 10 and with 100 loads.
 	reportCost     = 50 * time.Microsecond
 	reportLoadCost = 520 * time.Nanosecond
-	// renewalCost is the cost of one lease renewal at the leader: BenchmarkRenewal.
+	// renewalCost is the cost of renewing the grant of one span at the leader: BenchmarkRenewal.
 	renewalCost = 31 * time.Microsecond
 	// planCost is the cost of computing one plan, planUpstreamCost that of each keyed upstream in
 	// it: BenchmarkMake.
