--- a/gateway/evacuations.go
+++ b/gateway/evacuations.go
@@ -33,7 +33,7 @@
 
 // apply applies the marks that are newer than the known ones, and logs which failure domains have
 // changed. from names the source in the log.
-func (e *evacuations) apply(marks []evacuation.Mark, from string) {
+func (e *evacuations) apply(marks []evacuation.Record, from string) {
 	before := e.view.evac.Load()
 	if before.Covers(marks) {
 		return
@@ -52,7 +52,7 @@
 func (e *evacuations) recordChanges(before, now *evacuation.Set, from string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, m := range now.Marks() {
+	for _, m := range now.Records() {
 		switch active := !m.Ended; {
 		case active && !before.Active(m.Domain):
 			e.since[m.Domain] = e.now()
@@ -82,7 +82,7 @@
 
 // applyList applies a list of all entries in the store, as of a revision.
 func (e *evacuations) applyList(objects []platform.Object, at uint64) {
-	e.apply(e.view.evac.Load().Listed(decodeEvacuations(objects), at), "store")
+	e.apply(e.view.evac.Load().RecordsOfList(decodeEvacuations(objects), at), "store")
 }
 
 // applyChanges applies entries of the store that have changed.
@@ -90,8 +90,8 @@
 	e.apply(decodeEvacuations(objects), "store")
 }
 
-func decodeEvacuations(objects []platform.Object) []evacuation.Mark {
-	out := make([]evacuation.Mark, 0, len(objects))
+func decodeEvacuations(objects []platform.Object) []evacuation.Record {
+	out := make([]evacuation.Record, 0, len(objects))
 	for _, o := range objects {
 		out = append(out, platform.DecodeEvacuation(o))
 	}
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -188,7 +188,7 @@
 	}
 	q := &request{Request: r, id: platform.ID(r.Header), route: route, target: target, receivedAt: began}
 	left := route.Timeout
-	if requested, ok := platform.Left(r.Header); ok {
+	if requested, ok := platform.RemainingTime(r.Header); ok {
 		left = min(left, requested)
 	}
 	q.deadline = began.Add(left)
@@ -204,7 +204,7 @@
 	}
 	q.traffic = f.traffic.get(name)
 	if q.service.Keyed {
-		key, ok := platform.Key(r.Header)
+		key, ok := platform.RequestKey(r.Header)
 		if !ok {
 			return q, answer.New(answer.NoKey, "the request has no valid key")
 		}
@@ -325,7 +325,7 @@
 	ctx, span := f.tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient))
 	defer span.End()
 	span.SetAttributes(attribute.String("rockcroft.upstream", grant.Instance.ID))
-	h := platform.ForwardHeader(q.Header)
+	h := platform.EndToEndHeaders(q.Header)
 	telemetry.Inject(ctx, h)
 	platform.SetTarget(h, grant.Instance.ID)
 	f.limits.countSent(grant)
@@ -365,7 +365,7 @@
 	if left <= 0 {
 		return context.DeadlineExceeded
 	}
-	platform.SetLeft(h, left)
+	platform.SetRemainingTime(h, left)
 	return nil
 }
 
@@ -385,7 +385,7 @@
 // writeResponse forwards an upstream's response to the caller unchanged.
 func (f *proxy) writeResponse(w http.ResponseWriter, resp *pool.Response) {
 	h := w.Header()
-	for name, values := range platform.ForwardHeader(resp.Header) {
+	for name, values := range platform.EndToEndHeaders(resp.Header) {
 		h[name] = values
 	}
 	h["Content-Length"] = []string{strconv.Itoa(len(resp.Body))}
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -89,7 +89,7 @@
 
 // ownerGap is the state of one service.
 type ownerGap struct {
-	spans.Gaps
+	spans.UnownedTracker
 	table     *spans.Table
 	changedAt time.Time
 }
@@ -109,7 +109,7 @@
 	}
 	now := o.now()
 	gap.table, gap.changedAt = t, now
-	for _, duration := range gap.Note(now, t) {
+	for _, duration := range gap.Update(now, t) {
 		o.meters.recordDuration(o.meters.service(ownerGapDuration, t.Service), duration)
 	}
 }
@@ -122,7 +122,7 @@
 	if gap == nil {
 		return 0
 	}
-	return gap.Without(o.now(), key)
+	return gap.UnownedFor(o.now(), key)
 }
 
 // updateGauges sets the gauges of all services.
@@ -131,8 +131,8 @@
 	defer o.mu.Unlock()
 	now := o.now()
 	for name, gap := range o.services {
-		o.meters.gauge(o.meters.service(keysWithoutOwner, name), int64(gap.table.Unowned()))
-		o.meters.gauge(o.meters.service(longestOwnerGap, name), gap.Longest(now).Milliseconds())
+		o.meters.gauge(o.meters.service(keysWithoutOwner, name), int64(gap.table.UnownedKeys()))
+		o.meters.gauge(o.meters.service(longestOwnerGap, name), gap.LongestUnowned(now).Milliseconds())
 		o.meters.gauge(o.meters.service(ownersSpans, name), int64(len(gap.table.Spans)))
 		o.meters.gauge(o.meters.service(ownersUnchanged, name), now.Sub(gap.changedAt).Milliseconds())
 	}
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -96,7 +96,7 @@
 		owner := k.instance(s.Owner)
 		if limit := k.releaseCallTimeout(s); owner != nil && limit > 0 {
 			call, cancel := context.WithTimeout(ctx, limit)
-			verdict, token, err := k.owners.Release(call, owner.ID, owner.Address, s.Keys, s.NextFence)
+			verdict, token, err := k.owners.Release(call, owner.ID, owner.Address, s.KeyRange, s.NextFence)
 			cancel()
 			if err == nil && verdict == platform.Granted {
 				return token, true
@@ -104,7 +104,7 @@
 			if err != nil {
 				k.recordFailure(s.Owner)
 			}
-			if err == nil && verdict == platform.Elsewhere {
+			if err == nil && verdict == platform.WrongUpstream {
 				k.markTerminated(owner)
 				return "", true
 			}
@@ -152,10 +152,10 @@
 // answered. Repeating is safe: a later call renews what an earlier one granted. It gives up once
 // calls to the upstream have failed for ownership.SilentOwnerTimeout, after which an owner would
 // be given up too.
-func (k *keyAssigner) grantWithRetries(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.Verdict, error) {
+func (k *keyAssigner) grantWithRetries(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.GrantResult, error) {
 	arrived := false
 	for {
-		verdict, err := k.grant(ctx, s.Keys, next, s.NextFence, token)
+		verdict, err := k.grant(ctx, s.KeyRange, next, s.NextFence, token)
 		if err == nil {
 			return verdict, nil
 		}
@@ -179,7 +179,7 @@
 
 // grant makes one grant call and records until when the upstream may hold the keys. The right to
 // lead is checked last, right before the call is sent.
-func (k *keyAssigner) grant(ctx context.Context, keys spans.Keys, to *instances.Instance, fence uint64, token string) (platform.Verdict, error) {
+func (k *keyAssigner) grant(ctx context.Context, keys spans.KeyRange, to *instances.Instance, fence uint64, token string) (platform.GrantResult, error) {
 	releaseSlot, ok := k.turns.acquire(ctx)
 	if !ok {
 		return 0, errNoCallSlot
@@ -334,18 +334,18 @@
 // renewGrant renews one grant and reports whether the owner's other grants may be renewed after
 // it.
 func (k *keyAssigner) renewGrant(ctx context.Context, owner *instances.Instance, s spans.Span) bool {
-	if !k.spanUnchanged(s) || owner.Incarnation().Other(s.Incarnation) {
+	if !k.spanUnchanged(s) || owner.Incarnation().DiffersFrom(s.Incarnation) {
 		// The owner has other keys by now, or has restarted and holds none.
 		return true
 	}
-	verdict, err := k.grant(ctx, s.Keys, owner, s.Fence, "")
+	verdict, err := k.grant(ctx, s.KeyRange, owner, s.Fence, "")
 	switch {
 	case errors.Is(err, errLeadershipExpired) || ctx.Err() != nil:
 		return false
 	case err != nil:
 		k.recordFailure(owner.ID)
 		return false
-	case verdict == platform.Elsewhere:
+	case verdict == platform.WrongUpstream:
 		k.markTerminated(owner)
 		return false
 	case verdict == platform.Fenced:
@@ -395,13 +395,13 @@
 
 // unrelatedKey returns a key that the upstream neither owns nor is about to be granted. The lock
 // is held.
-func (k *keyAssigner) unrelatedKey(id string) spans.Keys {
+func (k *keyAssigner) unrelatedKey(id string) spans.KeyRange {
 	for _, s := range k.table.Spans {
 		if s.Owner != id && s.Next != id {
-			return spans.Keys{First: s.First, Last: s.First}
+			return spans.KeyRange{First: s.First, Last: s.First}
 		}
 	}
-	return spans.Keys{}
+	return spans.KeyRange{}
 }
 
 // probeFence is the fence of probes. All fences in use are higher, so releasing a key that the
@@ -409,7 +409,7 @@
 const probeFence = 1
 
 // probe sends a release that changes nothing, to learn whether the upstream answers.
-func (k *keyAssigner) probe(ctx context.Context, to *instances.Instance, keys spans.Keys) {
+func (k *keyAssigner) probe(ctx context.Context, to *instances.Instance, keys spans.KeyRange) {
 	call, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	if _, _, err := k.owners.Release(call, to.ID, to.Address, keys, probeFence); err != nil {
@@ -431,7 +431,7 @@
 func (k *keyAssigner) markUnowned(s spans.Span) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	i := k.table.At(s.First)
+	i := k.table.Index(s.First)
 	if k.table.Spans[i] == s {
 		k.table.Spans[i].Owner = ""
 		k.table.LastFence += fenceIncrement
--- a/gateway/keeperstore.go
+++ b/gateway/keeperstore.go
@@ -51,7 +51,7 @@
 
 // commit stores a table with new moves and adopts it once it is stored.
 func (k *keyAssigner) commit(ctx context.Context, next *spans.Table) {
-	if err := next.Check(); err != nil {
+	if err := next.Validate(); err != nil {
 		k.log.Error("invalid plan dropped", "error", err)
 		return
 	}
--- a/gateway/loss_test.go
+++ b/gateway/loss_test.go
@@ -75,7 +75,7 @@
 	before := k.holdDeadlines[ownerGrant(s)]
 	k.mu.Unlock()
 	b.upstreams["i-s1"].Set(instance.Silent)
-	if _, err := k.grant(t.Context(), s.Keys, k.instance("i-s1"), s.Fence+fenceIncrement, ""); err == nil {
+	if _, err := k.grant(t.Context(), s.KeyRange, k.instance("i-s1"), s.Fence+fenceIncrement, ""); err == nil {
 		t.Fatal("a silent upstream answered")
 	}
 	k.mu.Lock()
@@ -117,8 +117,8 @@
 // TestColdMarksArePartOfTableDifferences: a difference between two table versions contains the cold marks.
 func TestColdMarksArePartOfTableDifferences(t *testing.T) {
 	v := newView()
-	keys := spans.Keys{Last: spans.MaxKey}
-	before := &spans.Table{Service: "a", Version: 1, LastFence: 2, Spans: []spans.Span{{Keys: keys, Owner: "i", Fence: 2, Cold: true}}}
+	keys := spans.KeyRange{Last: spans.MaxKey}
+	before := &spans.Table{Service: "a", Version: 1, LastFence: 2, Spans: []spans.Span{{KeyRange: keys, Owner: "i", Fence: 2, Cold: true}}}
 	after := before.Clone()
 	after.Version, after.Spans[0].Cold = 2, false
 	v.setSpans(before)
--- a/gateway/rights_test.go
+++ b/gateway/rights_test.go
@@ -30,7 +30,7 @@
 // registerWarming registers an upstream as warming up for the given number of seconds.
 func (b *testCluster) registerWarming(u *upstream, left platform.Seconds) {
 	var body platform.InstanceBody
-	body.Address, body.Born = u.address, u.born
+	body.Address, body.StartedMs = u.address, u.born
 	body.Info.Service, body.Info.Zone, body.Info.Slots = u.service, u.domain, 4
 	body.Status.State, body.Status.WarmUpLeft = "ready", left
 	b.store.Put(platform.InstancesKind, u.ID, body)
@@ -79,7 +79,7 @@
 // TestHeldRights checks that a gateway uses the rights assigned to it, for the current
 // incarnation of an upstream, until they expire after their assignment.
 func TestHeldRights(t *testing.T) {
-	v := instances.NewView(1, []instances.Instance{{ID: "u1", BornMs: 7}, {ID: "u2", BornMs: 7}, {ID: "u3"}})
+	v := instances.NewView(1, []instances.Instance{{ID: "u1", StartedMs: 7}, {ID: "u2", StartedMs: 7}, {ID: "u3"}})
 	now := v.Get("u1").Incarnation()
 	list := decodeRights([]*syncpb.Right{
 		{Upstream: "u1", Incarnation: uint32(now), Node: "g"}, {Upstream: "u2", Incarnation: uint32(now) + 1, Node: "g"},
--- a/gateway/steward.go
+++ b/gateway/steward.go
@@ -204,7 +204,7 @@
 	if err := platform.Decode(object, t); err != nil {
 		return nil, 0, err
 	}
-	return t, object.Revision, t.Check()
+	return t, object.Revision, t.Validate()
 }
 
 // save writes an assignment if the stored one still has the given revision, and returns the
--- a/gateway/storecall.go
+++ b/gateway/storecall.go
@@ -114,7 +114,7 @@
 		Header:  http.Header{"Content-Type": {"application/json"}},
 		Arrived: func(int) { noteArrival(); onProgress() },
 	})
-	kind, operation := c.Describe()
+	kind, operation := c.KindAndOperation()
 	if err != nil {
 		s.meters.inc(fillPattern(storeCall, kind, operation, "none"))
 		return 0, nil, err
--- a/gateway/storeseek.go
+++ b/gateway/storeseek.go
@@ -48,7 +48,7 @@
 // searchRound starts the next round, in which other gateways are asked without a wait. The first
 // round also makes a direct call without a wait.
 func (w *callPaths) searchRound(ctx context.Context) int {
-	call := w.call.WithoutWait()
+	call := w.call.NonBlocking()
 	started := 0
 	if !w.peersChosen {
 		w.peers, w.peersChosen = w.store.relayPeers(maxSearchPeers), true
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -139,7 +139,7 @@
 	var crashes []poison.Crash
 	s.mu.Lock()
 	for _, end := range s.book.UnconfirmedEnds() {
-		if inst := v.Get(end.Upstream); inst == nil || inst.Incarnation().Other(end.Incarnation) {
+		if inst := v.Get(end.Upstream); inst == nil || inst.Incarnation().DiffersFrom(end.Incarnation) {
 			crashes = append(crashes, s.book.UpstreamEnded(s.now(), end.Upstream, end.Incarnation)...)
 		}
 	}
--- a/gateway/unread.go
+++ b/gateway/unread.go
@@ -24,17 +24,17 @@
 	meters *meters
 
 	mu   sync.Mutex
-	seen *unread.Book
+	seen *unread.Counter
 }
 
 func newUnreadHeaders(now func() time.Time, log *slog.Logger, m *meters) *unreadHeaders {
-	return &unreadHeaders{now: now, log: log, meters: m, seen: unread.NewBook()}
+	return &unreadHeaders{now: now, log: log, meters: m, seen: unread.NewCounter()}
 }
 
 // record counts the headers of a response that no code interprets.
 func (u *unreadHeaders) record(g dispatch.Grant, h http.Header) {
 	for name := range h {
-		if !platform.KnownHeader(name) {
+		if !platform.IsKnownHeader(name) {
 			u.recordOne(g, name)
 		}
 	}
@@ -44,7 +44,7 @@
 	service, upstream := g.Instance.Service, g.Instance.ID
 	u.meters.inc(u.meters.service(unreadResponseHeaders, service))
 	u.mu.Lock()
-	begins := u.seen.Note(u.now(), service, upstream, name)
+	begins := u.seen.Record(u.now(), service, upstream, name)
 	u.mu.Unlock()
 	if begins {
 		u.log.Warn("responses have a header that no code reads", "service", service, "header", name, "upstream", upstream)
@@ -65,8 +65,8 @@
 	now := p.now()
 	for _, h := range p.unread.list() {
 		out.Headers = append(out.Headers, &placementpb.UnreadHeader{
-			Service: h.Service, Name: h.Name, Upstream: h.Upstream, Answers: h.Answers,
-			LastMs: uint64(now.Sub(h.Last).Milliseconds()), Sent: h.Sent(now),
+			Service: h.Service, Name: h.Name, Upstream: h.Upstream, Answers: h.Responses,
+			LastMs: uint64(now.Sub(h.Last).Milliseconds()), Sent: h.Active(now),
 		})
 	}
 	return out, nil
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -271,7 +271,7 @@
 		}
 	}
 	w.tracker.List(w.now(), list)
-	w.tracker.Settle(w.now())
+	w.tracker.ExpireAbsent(w.now())
 	w.publish()
 }
 
@@ -289,11 +289,11 @@
 			w.tracker.Remove(w.now(), o.Name)
 			continue
 		}
-		w.log.Info("upstream entry changed", "upstream", inst.ID, "service", inst.Service, "address", inst.Address, "leaving", inst.Leaving, "born_ms", inst.BornMs)
+		w.log.Info("upstream entry changed", "upstream", inst.ID, "service", inst.Service, "address", inst.Address, "leaving", inst.Leaving, "born_ms", inst.StartedMs)
 		w.tracker.Put(inst)
 	}
-	w.tracker.Advance(revision)
-	w.tracker.Settle(w.now())
+	w.tracker.AdvanceRevision(revision)
+	w.tracker.ExpireAbsent(w.now())
 	w.publish()
 }
 
@@ -338,7 +338,7 @@
 // until its entry is valid, and the invalid revision is counted and logged once.
 func (w *watcher) decode(o platform.Object) (instances.Instance, bool) {
 	inst, err := platform.DecodeInstance(o)
-	if err == nil && !instances.Believable(inst.BornMs, w.now()) {
+	if err == nil && !instances.PlausibleStart(inst.StartedMs, w.now()) {
 		err = errStartInFuture
 	}
 	if err == nil {
@@ -358,7 +358,7 @@
 		pause(ctx, settleInterval)
 		w.ages.check()
 		w.mu.Lock()
-		if settled, leaving := w.tracker.Settle(w.now()), w.leavingChanged(); settled || leaving {
+		if settled, leaving := w.tracker.ExpireAbsent(w.now()), w.leavingChanged(); settled || leaving {
 			w.publish()
 		}
 		w.mu.Unlock()
@@ -370,6 +370,6 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.tracker != nil {
-		w.tracker.Returned(w.now())
+		w.tracker.StoreReconnected(w.now())
 	}
 }
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -28,7 +28,7 @@
 // counting returns a handler that counts the calls to h.
 func (r *callCounter) counting(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		kind, operation := platform.Call{Method: q.Method, Target: q.URL.RequestURI()}.Describe()
+		kind, operation := platform.Call{Method: q.Method, Target: q.URL.RequestURI()}.KindAndOperation()
 		r.mu.Lock()
 		r.calls[kind+"."+operation]++
 		r.mu.Unlock()
@@ -233,7 +233,7 @@
 
 // Call implements platform.Transport.
 func (e *tooLargeWatch) Call(ctx context.Context, c platform.Call) (status int, body []byte, err error) {
-	if kind, operation := c.Describe(); kind == platform.ConfigKind && operation == "watch" {
+	if kind, operation := c.KindAndOperation(); kind == platform.ConfigKind && operation == "watch" {
 		e.once.Do(func() { err = errCallTooLong })
 	}
 	if err != nil {
--- a/process/http.go
+++ b/process/http.go
@@ -9,31 +9,30 @@
 	"time"
 )
 
-// stopLimit bounds the graceful stop of a simple server.
-const stopLimit = 5 * time.Second
+// shutdownTimeout bounds the graceful shutdown, and the time to read the header of a request.
+const shutdownTimeout = 5 * time.Second
 
-// ServeHTTP serves a handler at addr until ctx ends, then stops gracefully.
+// ServeHTTP serves the handler at addr until ctx ends, then shuts down gracefully.
 func ServeHTTP(ctx context.Context, addr string, h http.Handler) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	return ServeListener(ctx, l, &http.Server{Handler: h, ReadHeaderTimeout: stopLimit})
+	return ServeListener(ctx, l, &http.Server{Handler: h, ReadHeaderTimeout: shutdownTimeout})
 }
 
-// ServeListener serves on an open listener until ctx ends, then stops
-// gracefully.
+// ServeListener serves on an open listener until ctx ends, then shuts down gracefully.
 func ServeListener(ctx context.Context, l net.Listener, s *http.Server) error {
-	failed := make(chan error, 1)
-	go func() { failed <- s.Serve(l) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- s.Serve(l) }()
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 	}
-	limit, cancel := context.WithTimeout(context.Background(), stopLimit)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	err := s.Shutdown(limit)
+	err := s.Shutdown(shutdownCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		return s.Close()
 	}
--- a/state/placement/placement.go
+++ b/state/placement/placement.go
@@ -37,7 +37,7 @@
 
 // Step moves a span of keys from one upstream to another.
 type Step struct {
-	spans.Keys
+	spans.KeyRange
 	From string `json:"from"`
 	To   string `json:"to"`
 }
@@ -49,8 +49,8 @@
 	Service  string `json:"service"`
 	Upstream string `json:"upstream"`
 	// Keys is the span of keys to pin. It is used only for Pin.
-	Keys  spans.Keys `json:"keys"`
-	State State      `json:"state"`
+	Keys  spans.KeyRange `json:"keys"`
+	State State          `json:"state"`
 	// Operator is the name of the operator who created the intent.
 	Operator string `json:"by"`
 	// Plan lists the moves that the intent causes, computed when it was created.
--- a/state/unread/unread_test.go
+++ b/state/unread/unread_test.go
@@ -8,40 +8,39 @@
 
 var start = time.Unix(1000, 0)
 
-// TestHeadersAreCounted: the first answer with a header begins it, and so does one after a long
-// time without.
-func TestHeadersAreCounted(t *testing.T) {
-	b := NewBook()
+// The first response with a header counts as its start, and so does one after a long pause.
+func TestRecordReportsNewAndResumedHeaders(t *testing.T) {
+	counter := NewCounter()
 	for i, c := range []struct {
-		after  time.Duration
-		begins bool
-	}{{0, true}, {time.Second, false}, {time.Second + quietAfter, false}, {2*time.Second + 2*quietAfter, true}} {
-		if got := b.Note(start.Add(c.after), "pay", "i-1", "X-New"); got != c.begins {
-			t.Errorf("answer %d: begins %t", i, got)
+		after   time.Duration
+		started bool
+	}{{0, true}, {time.Second, false}, {time.Second + inactiveAfter, false}, {2*time.Second + 2*inactiveAfter, true}} {
+		if got := counter.Record(start.Add(c.after), "pay", "i-1", "X-New"); got != c.started {
+			t.Errorf("response %d: started %t", i, got)
 		}
 	}
-	if !b.Note(start, "status", "i-2", "X-New") {
-		t.Error("not told apart by service")
+	if !counter.Record(start, "status", "i-2", "X-New") {
+		t.Error("the same header of another service does not count as started")
 	}
-	list := b.List()
-	if len(list) != 2 || list[0].Answers != 4 {
+	list := counter.List()
+	if len(list) != 2 || list[0].Responses != 4 {
 		t.Errorf("%+v", list)
 	}
-	if list[0].Sent(list[0].Last.Add(quietAfter+1)) || !list[0].Sent(list[0].Last) {
-		t.Error("sent when it is not, or the other way round")
+	if list[0].Active(list[0].Last.Add(inactiveAfter+1)) || !list[0].Active(list[0].Last) {
+		t.Error("the header is active after a pause, or inactive right after a response")
 	}
 }
 
-// TestHeadersAreBounded: a service that makes names up takes no place of others.
-func TestHeadersAreBounded(t *testing.T) {
-	b := NewBook()
-	for i := range 10 * mostHeaders {
-		b.Note(start, "odd", "i-1", fmt.Sprint("X-", i))
+// A service that sends arbitrary header names does not use up the capacity of other services.
+func TestHeadersAreBoundedPerService(t *testing.T) {
+	counter := NewCounter()
+	for i := range 10 * maxHeadersPerService {
+		counter.Record(start, "odd", "i-1", fmt.Sprint("X-", i))
 	}
-	if n := len(b.List()); n != mostHeaders {
+	if n := len(counter.List()); n != maxHeadersPerService {
 		t.Errorf("%d kept", n)
 	}
-	if !b.Note(start, "pay", "i-1", "X-New") {
-		t.Error("another service's is not noticed")
+	if !counter.Record(start, "pay", "i-1", "X-New") {
+		t.Error("a header of another service was not reported")
 	}
 }
