--- a/state/capacity/capacity.go
+++ b/state/capacity/capacity.go
@@ -101,14 +101,14 @@
 	ordinary := s.controlCost(1, 0)
 	leader := s.controlCost(s.reportersToLeader(), s.initialSpans())
 	lines := []Line{
-		{"gateway", "serving", "cores", s.Rate / float64(s.Gateways) * forwardCost.Seconds(), 0, "requests per gateway"},
+		{"gateway", "serving", "cores", s.Rate / float64(s.Gateways) * forwardCost.Seconds(), 0, "requests of its own"},
 		{"gateway", "control", "cores", ordinary.cores, maxControlCores, "loads it reports"},
 		{"gateway", "control", "bytes/s", ordinary.bytes, maxControlBytes, "loads it reports"},
 		{"gateway", "memory", "MB", baseMemoryMB + upstreamMemoryMB*float64(s.Upstreams), maxMemoryMB, "upstreams"},
 		{"leader", "control", "cores", leader.cores, maxControlCores, "gateways of its failure domain, spans"},
 		{"leader", "control", "bytes/s", leader.bytes, maxControlBytes, "gateways of its failure domain"},
 		{"leader", "renewals", "calls/s", float64(s.initialSpans()) * renewalsPerSecond, 0, "spans of the largest keyed service"},
-		{"all", "store calls", "calls/s", leasesPerSecond + watchesPerSecond, 0, "constant, without changes and key moves"},
+		{"all", "store calls", "calls/s", leasesPerSecond + watchesPerSecond, 0, "nothing; changes and moves come on top"},
 	}
 	if s.Gateways < minTreeGateways {
 		return lines
