--- a/bench/check/check.go
+++ b/bench/check/check.go
@@ -67,7 +67,7 @@
 		if o.OK() {
 			r.checkAnswer(o, ran)
 		}
-		told := o.Ran == string(answer.NotRun)
+		told := o.Ran == string(answer.NotExecuted)
 		before, seen := notRun[o.RequestID]
 		notRun[o.RequestID] = told && (before || !seen)
 	}
--- a/bench/load/run.go
+++ b/bench/load/run.go
@@ -146,7 +146,7 @@
 		if !again || try > r.conf.AskAgain {
 			return
 		}
-		if one.Ran == string(answer.Unknown) {
+		if one.Ran == string(answer.ExecutionUnknown) {
 			repeat = one.Epoch
 		}
 		time.Sleep(wait)
@@ -187,7 +187,7 @@
 	if err != nil {
 		o.End = time.Now().UnixNano()
 		o.Kind = noAnswer
-		o.Ran = string(answer.Unknown)
+		o.Ran = string(answer.ExecutionUnknown)
 		return o, o.Idempotent, minPause
 	}
 	defer func() { _ = resp.Body.Close() }()
@@ -210,7 +210,7 @@
 	var b body
 	if err := json.Unmarshal(data, &b); err != nil {
 		o.Kind = noAnswer
-		o.Ran = string(answer.Unknown)
+		o.Ran = string(answer.ExecutionUnknown)
 		return o
 	}
 	o.AnswerKey, o.AnswerID, o.Epoch = b.Key, b.RequestID, b.Epoch
@@ -233,6 +233,6 @@
 	}
 	wait, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
 	// An answer of unknown outcome may be repeated with the epoch it names.
-	again := answer.Kind(o.Kind).Row().Again || o.Ran == string(answer.Unknown) && o.Epoch != 0
+	again := answer.Kind(o.Kind).Response().Retryable || o.Ran == string(answer.ExecutionUnknown) && o.Epoch != 0
 	return o, again, max(time.Duration(wait)*time.Second, minPause)
 }
--- a/entry/faults_test.go
+++ b/entry/faults_test.go
@@ -42,7 +42,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			id := fmt.Sprintf("once-%d", i)
 			resp := b.send(e.callers, tt.method, "svc", "k", nil, append(tt.headers, header.RequestID, id)...)
-			if got := resp.header.Get(header.Ran); got != string(answer.Unknown) {
+			if got := resp.header.Get(header.Ran); got != string(answer.ExecutionUnknown) {
 				t.Errorf("ran %q, want unknown", got)
 			}
 			if resp.header.Get(header.Epoch) == "" {
--- a/entry/serve_test.go
+++ b/entry/serve_test.go
@@ -53,8 +53,8 @@
 			if got := answer.Kind(resp.header.Get(header.Kind)); got != tt.want {
 				t.Fatalf("kind %q, want %q: %s", got, tt.want, resp.body)
 			}
-			if resp.status != tt.want.Row().Status {
-				t.Errorf("status %d, want %d", resp.status, tt.want.Row().Status)
+			if resp.status != tt.want.Response().Status {
+				t.Errorf("status %d, want %d", resp.status, tt.want.Response().Status)
 			}
 		})
 	}
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -183,7 +183,7 @@
 		return answer.Wrap(answer.Cancelled, err)
 	case !q.mayHaveRun && answer.KindOf(err) == answer.HarmfulOnce:
 		return err
-	case !q.mayHaveRun && errors.As(err, &known) && known.Kind.Row().Ran == answer.NotRun && known.Kind != answer.DeadlinePassed:
+	case !q.mayHaveRun && errors.As(err, &known) && known.Kind.Response().Execution == answer.NotExecuted && known.Kind != answer.DeadlinePassed:
 		return known
 	case !q.mayHaveRun && q.arrivals == 0:
 		return &answer.Error{Kind: answer.Unreachable, Err: err}
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -419,7 +419,7 @@
 	if id := platform.ID(r.Header); id != "" {
 		h.Set(platform.RequestID, id)
 	}
-	row := kind.Row()
+	row := kind.Response()
 	if row.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(f.comeBack(q, kind, err).Seconds(), 'f', 3, 64))
 	}
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -246,7 +246,7 @@
 		last = b.ask(disconnected, http.MethodGet, "/added/x", -1)
 		return last.status == http.StatusServiceUnavailable
 	})
-	if last.header.Get(header.Kind) != string(answer.NoRight) || last.header.Get(header.Ran) != string(answer.NotRun) || last.header.Get("Retry-After") == "" {
+	if last.header.Get(header.Kind) != string(answer.NoRight) || last.header.Get(header.Ran) != string(answer.NotExecuted) || last.header.Get("Retry-After") == "" {
 		t.Errorf("refused with %q: %v", last.body, last.header)
 	}
 	disconnected.door.Set(metastore.Open)
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -71,7 +71,7 @@
 	err := answer.New(kind, "%d upstreams crashed while running this request (digest %s)", s.book.CrashCount(q.digest()), digestText(q.digest()))
 	// Not the short default for a refusal for lack of capacity: this request is refused for at
 	// least a minute.
-	err.RetryAfter = kind.Row().RetryAfter
+	err.RetryAfter = kind.Response().RetryAfter
 	return err
 }
 
--- a/protocol/answer/kind.go
+++ b/protocol/answer/kind.go
@@ -46,83 +46,83 @@
 )
 
 // Ran says whether the request reached execution.
-type Ran string
+type Execution string
 
 // The values of Ran.
 const (
-	NotRun  Ran = "not-run"
-	DidRun  Ran = "ran"
-	Unknown Ran = "unknown"
+	NotExecuted      Execution = "not-run"
+	Executed         Execution = "ran"
+	ExecutionUnknown Execution = "unknown"
 )
 
 // Row is one line of the table from kind to answer.
-type Row struct {
+type Response struct {
 	// Status is the HTTP status code.
 	Status int
 	// Ran says whether the request was executed.
-	Ran Ran
+	Execution Execution
 	// Again says whether the caller may repeat the request as it is.
-	Again bool
+	Retryable bool
 	// RetryAfter is the default time to come back; zero means none.
 	RetryAfter time.Duration
 }
 
 const (
-	soon  = 1 * time.Second
-	later = 5 * time.Second
+	shortRetryDelay = 1 * time.Second
+	longRetryDelay  = 5 * time.Second
 	// muchLater is within the time for which such a request is remembered.
-	muchLater = time.Minute
+	harmfulRetryDelay = time.Minute
 )
 
-var table = map[Kind]Row{
-	BadRequest:     {Status: http.StatusBadRequest, Ran: NotRun},
-	NoKey:          {Status: http.StatusBadRequest, Ran: NotRun},
-	UnknownService: {Status: http.StatusNotFound, Ran: NotRun},
-	NotFound:       {Status: http.StatusNotFound, Ran: NotRun},
-	TooLarge:       {Status: http.StatusRequestEntityTooLarge, Ran: NotRun},
-	Forbidden:      {Status: http.StatusForbidden, Ran: NotRun},
-	DeadlinePassed: {Status: http.StatusGatewayTimeout, Ran: NotRun, Again: true},
-	Overloaded:     {Status: http.StatusServiceUnavailable, Ran: NotRun, Again: true, RetryAfter: soon},
-	CallerLimited:  {Status: http.StatusTooManyRequests, Ran: NotRun, Again: true, RetryAfter: soon},
-	NoOwner:        {Status: http.StatusServiceUnavailable, Ran: NotRun, Again: true, RetryAfter: soon},
-	NoRight:        {Status: http.StatusServiceUnavailable, Ran: NotRun, Again: true, RetryAfter: soon},
-	WrongCell:      {Status: http.StatusMisdirectedRequest, Ran: NotRun, Again: true, RetryAfter: soon},
-	NotOwner:       {Status: http.StatusServiceUnavailable, Ran: NotRun, Again: true, RetryAfter: soon},
-	Stopping:       {Status: http.StatusServiceUnavailable, Ran: NotRun, Again: true, RetryAfter: soon},
-	Unreachable:    {Status: http.StatusServiceUnavailable, Ran: NotRun, Again: true, RetryAfter: soon},
-	TimedOut:       {Status: http.StatusGatewayTimeout, Ran: Unknown},
-	Broken:         {Status: http.StatusBadGateway, Ran: Unknown},
-	RepeatUnsafe:   {Status: http.StatusConflict, Ran: Unknown},
-	Harmful:        {Status: http.StatusServiceUnavailable, Ran: NotRun, RetryAfter: muchLater},
-	HarmfulOnce:    {Status: http.StatusBadGateway, Ran: Unknown},
-	Cancelled:      {Status: 499, Ran: Unknown},
-	Conflict:       {Status: http.StatusConflict, Ran: NotRun, Again: true},
-	StalePlan:      {Status: http.StatusConflict, Ran: NotRun},
-	PlatformDown:   {Status: http.StatusServiceUnavailable, Ran: NotRun, Again: true, RetryAfter: later},
-	Internal:       {Status: http.StatusInternalServerError, Ran: Unknown},
+var responses = map[Kind]Response{
+	BadRequest:     {Status: http.StatusBadRequest, Execution: NotExecuted},
+	NoKey:          {Status: http.StatusBadRequest, Execution: NotExecuted},
+	UnknownService: {Status: http.StatusNotFound, Execution: NotExecuted},
+	NotFound:       {Status: http.StatusNotFound, Execution: NotExecuted},
+	TooLarge:       {Status: http.StatusRequestEntityTooLarge, Execution: NotExecuted},
+	Forbidden:      {Status: http.StatusForbidden, Execution: NotExecuted},
+	DeadlinePassed: {Status: http.StatusGatewayTimeout, Execution: NotExecuted, Retryable: true},
+	Overloaded:     {Status: http.StatusServiceUnavailable, Execution: NotExecuted, Retryable: true, RetryAfter: shortRetryDelay},
+	CallerLimited:  {Status: http.StatusTooManyRequests, Execution: NotExecuted, Retryable: true, RetryAfter: shortRetryDelay},
+	NoOwner:        {Status: http.StatusServiceUnavailable, Execution: NotExecuted, Retryable: true, RetryAfter: shortRetryDelay},
+	NoRight:        {Status: http.StatusServiceUnavailable, Execution: NotExecuted, Retryable: true, RetryAfter: shortRetryDelay},
+	WrongCell:      {Status: http.StatusMisdirectedRequest, Execution: NotExecuted, Retryable: true, RetryAfter: shortRetryDelay},
+	NotOwner:       {Status: http.StatusServiceUnavailable, Execution: NotExecuted, Retryable: true, RetryAfter: shortRetryDelay},
+	Stopping:       {Status: http.StatusServiceUnavailable, Execution: NotExecuted, Retryable: true, RetryAfter: shortRetryDelay},
+	Unreachable:    {Status: http.StatusServiceUnavailable, Execution: NotExecuted, Retryable: true, RetryAfter: shortRetryDelay},
+	TimedOut:       {Status: http.StatusGatewayTimeout, Execution: ExecutionUnknown},
+	Broken:         {Status: http.StatusBadGateway, Execution: ExecutionUnknown},
+	RepeatUnsafe:   {Status: http.StatusConflict, Execution: ExecutionUnknown},
+	Harmful:        {Status: http.StatusServiceUnavailable, Execution: NotExecuted, RetryAfter: harmfulRetryDelay},
+	HarmfulOnce:    {Status: http.StatusBadGateway, Execution: ExecutionUnknown},
+	Cancelled:      {Status: 499, Execution: ExecutionUnknown},
+	Conflict:       {Status: http.StatusConflict, Execution: NotExecuted, Retryable: true},
+	StalePlan:      {Status: http.StatusConflict, Execution: NotExecuted},
+	PlatformDown:   {Status: http.StatusServiceUnavailable, Execution: NotExecuted, Retryable: true, RetryAfter: longRetryDelay},
+	Internal:       {Status: http.StatusInternalServerError, Execution: ExecutionUnknown},
 }
 
 // Kinds returns every kind of the list.
 func Kinds() []Kind {
-	out := make([]Kind, 0, len(table))
-	for k := range table {
+	out := make([]Kind, 0, len(responses))
+	for k := range responses {
 		out = append(out, k)
 	}
 	return out
 }
 
 // Row returns the table line of the kind. An unknown kind answers as Internal.
-func (k Kind) Row() Row {
-	row, ok := table[k]
+func (k Kind) Response() Response {
+	response, ok := responses[k]
 	if !ok {
-		return table[Internal]
+		return responses[Internal]
 	}
-	return row
+	return response
 }
 
 // Valid reports whether the kind is on the list.
 func (k Kind) Valid() bool {
-	_, ok := table[k]
+	_, ok := responses[k]
 	return ok
 }
 
@@ -140,27 +140,27 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-var tag = errs.Tag("rockcroft")
+var errorTag = errs.Tag("rockcroft")
 
 // New returns an error of the kind with a formatted message.
 func New(kind Kind, format string, args ...any) *Error {
-	return &Error{Kind: kind, Err: tag.Errorf(format, args...)}
+	return &Error{Kind: kind, Err: errorTag.Errorf(format, args...)}
 }
 
 // Wrap gives err a kind unless it already has one.
 func Wrap(kind Kind, err error) *Error {
-	var known *Error
-	if errors.As(err, &known) {
-		return known
+	var typed *Error
+	if errors.As(err, &typed) {
+		return typed
 	}
-	return &Error{Kind: kind, Err: tag.Wrap(err)}
+	return &Error{Kind: kind, Err: errorTag.Wrap(err)}
 }
 
 // KindOf returns the kind of err, or Internal.
 func KindOf(err error) Kind {
-	var known *Error
-	if errors.As(err, &known) {
-		return known.Kind
+	var typed *Error
+	if errors.As(err, &typed) {
+		return typed.Kind
 	}
 	return Internal
 }
