--- a/bench/soak/faults.go
+++ b/bench/soak/faults.go
@@ -11,9 +11,9 @@
 
 // The variants of faults, picked by Step.Variant.
 var (
-	pathFaults = []relay.Fault{relay.Slow, relay.CutThere, relay.CutBack, relay.CutBoth, relay.Refuse}
+	pathFaults = []relay.Fault{relay.Slow, relay.DropToTarget, relay.DropFromTarget, relay.DropBoth, relay.Refuse}
 	storeModes = []metastore.Mode{
-		metastore.Busy, metastore.Many, metastore.Reset, metastore.Silent, metastore.Lose, metastore.Late,
+		metastore.Unavailable, metastore.TooManyRequests, metastore.ResetConnection, metastore.Unresponsive, metastore.LoseResponse, metastore.ApplyLate,
 	}
 	upstreamModes = []instance.Mode{
 		instance.Silent, instance.Loses, instance.Fails, instance.Sheds, instance.LateGrants,
@@ -31,18 +31,18 @@
 	case Kill, Stop, Pause:
 		return s.applyToProcess(g, step)
 	case StorePath:
-		lasting(step.For, func() { g.relay.Set(pick(pathFaults, step.Variant)) }, func() { g.relay.Set(relay.None) })
+		lasting(step.For, func() { g.relay.SetFault(pick(pathFaults, step.Variant)) }, func() { g.relay.SetFault(relay.None) })
 	case StoreSilent:
 		g.relay.SilenceAll()
 	case StoreMode:
-		lasting(step.For, func() { g.door.Set(pick(storeModes, step.Variant)) }, func() { g.door.Set(metastore.Open) })
+		lasting(step.For, func() { g.door.SetMode(pick(storeModes, step.Variant)) }, func() { g.door.SetMode(metastore.Healthy) })
 	case StoreAway:
-		lasting(step.For, func() { s.store.SetAll(pick(storeModes, step.Variant)) }, func() { s.store.SetAll(metastore.Open) })
+		lasting(step.For, func() { s.store.SetAllModes(pick(storeModes, step.Variant)) }, func() { s.store.SetAllModes(metastore.Healthy) })
 	case Compact:
 		s.store.Compact()
 	case UpstreamPath:
 		u.cuts.during(func() {
-			lasting(step.For, func() { u.relay.Set(pick(pathFaults, step.Variant)) }, func() { u.relay.Set(relay.None) })
+			lasting(step.For, func() { u.relay.SetFault(pick(pathFaults, step.Variant)) }, func() { u.relay.SetFault(relay.None) })
 		})
 	case UpstreamReset:
 		u.cuts.during(u.relay.ResetAll)
--- a/bench/soak/process.go
+++ b/bench/soak/process.go
@@ -23,7 +23,7 @@
 type gateway struct {
 	name, dir, domain              string
 	callers, ready, peers, metrics string
-	door                           *metastore.Door
+	door                           *metastore.Endpoint
 	relay                          *relay.Relay
 
 	// faults are when its process was killed, stopped or paused.
--- a/bench/soak/run.go
+++ b/bench/soak/run.go
@@ -113,14 +113,14 @@
 
 // heal ends all faults.
 func (s *site) heal() {
-	s.store.SetAll(metastore.Open)
+	s.store.SetAllModes(metastore.Healthy)
 	for _, g := range s.gateways {
-		g.relay.Set(relay.None)
+		g.relay.SetFault(relay.None)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range s.upstreams {
-		u.relay.Set(relay.None)
+		u.relay.SetFault(relay.None)
 		u.Set(instance.Serves)
 	}
 }
--- a/bench/soak/site.go
+++ b/bench/soak/site.go
@@ -282,7 +282,7 @@
 // newGateway opens the relay of a gateway to the store and finds ports for it.
 func (s *site) newGateway(number int) (*gateway, error) {
 	name, domain, ip := fmt.Sprintf("g%d", number), domainName(number), gatewayIP(number)
-	door := s.store.Door(name)
+	door := s.store.Endpoint(name)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -50,7 +50,7 @@
 	// asleep is for how long its machine was suspended, as its clocks say.
 	asleep  *atomic.Int64
 	lines   *eventlog.Log
-	door    *metastore.Door
+	door    *metastore.Endpoint
 	callers string
 	// peersLink carries this gateway's answers to others, storeLink the store's answers
 	// to it; nil unless the bed limits links.
@@ -162,11 +162,11 @@
 // gateway starts a gateway.
 func (b *bed) gateway(name string) *testGateway {
 	b.t.Helper()
-	door := b.store.Door(name)
+	door := b.store.Endpoint(name)
 	doorListener := b.listen()
 	var peersLink, storeLink *relay.Link
 	if b.limitLinks {
-		storeLink = relay.Narrow(doorListener, relay.Wide)
+		storeLink = relay.LimitRate(doorListener, relay.Unlimited)
 		doorListener = storeLink
 	}
 	doorServer, at := &http.Server{Handler: door}, doorListener
@@ -192,7 +192,7 @@
 	}
 	b.claimPorts(callers, ready, peers)
 	if b.limitLinks {
-		peersLink = relay.Narrow(open.Peers, relay.Wide)
+		peersLink = relay.LimitRate(open.Peers, relay.Unlimited)
 		open.Peers = peersLink
 	}
 	lines := eventlog.New(time.Now)
--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -139,14 +139,14 @@
 		g := b.leader()
 		return g != nil && b.keysIn(g, "a") == 0 && g.allOwned()
 	})
-	b.store.SetAll(metastore.Silent)
+	b.store.SetAllModes(metastore.Unresponsive)
 	started := b.gateway("g9")
-	started.door.Set(metastore.Silent)
+	started.door.SetMode(metastore.Unresponsive)
 	b.eventually("new gateway ready", func() bool { return started.Gateway.ready() })
 	if !started.view.evacuated("a") {
 		t.Error("the new gateway is ready but does not know of the evacuation")
 	}
-	b.store.SetAll(metastore.Open)
+	b.store.SetAllModes(metastore.Healthy)
 	b.eventually("owners known to all gateways", func() bool {
 		for _, g := range b.gateways {
 			if g.running() && (b.keysIn(g, "a") > 0 || !g.allOwned()) {
@@ -200,11 +200,11 @@
 		}
 	}
 	known("a", true)
-	w.store.SetDeaf(true)
+	w.store.SetSuppressEvents(true)
 	w.store.Remove(platform.EvacuationsKind, "a")
 	w.store.Put(platform.EvacuationsKind, "b", struct{}{})
 	w.store.Compact()
-	w.store.SetDeaf(false)
+	w.store.SetSuppressEvents(false)
 	known("b", true)
 	known("a", false)
 	w.store.Put(platform.EvacuationsKind, "a", struct{}{})
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -106,7 +106,7 @@
 	if ok, _ := f.report(context.Background(), r.Addr(), wait); ok {
 		t.Fatal("the report opened a new connection instead of reusing a silent one")
 	}
-	b.eventually("the other connections are closed", func() bool { return r.Open() == 0 })
+	b.eventually("the other connections are closed", func() bool { return r.OpenConnections() == 0 })
 }
 
 // TestSeekEndsWhenALeaderIsFound: a search for a leader ends when one becomes known, even while other
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -119,12 +119,12 @@
 func (b *bed) countBytes() bytesSent {
 	var now bytesSent
 	for i, g := range b.gateways {
-		now.all += g.peersLink.Sent()
+		now.all += g.peersLink.BytesSent()
 		if i > 0 {
-			now.store += g.storeLink.Sent()
+			now.store += g.storeLink.BytesSent()
 		}
 	}
-	now.leader = b.gateways[0].peersLink.Sent()
+	now.leader = b.gateways[0].peersLink.BytesSent()
 	return now
 }
 
@@ -228,7 +228,7 @@
 	}
 	leader.peersLink.SetRate(0)
 	disconnected.peersLink.SetRate(0)
-	disconnected.door.Set(metastore.Silent)
+	disconnected.door.SetMode(metastore.Unresponsive)
 	next := config(4)
 	added := next.Routes["read"]
 	added.Path = "/added/"
@@ -249,9 +249,9 @@
 	if last.header.Get(header.Kind) != string(answer.NoRight) || last.header.Get(header.Ran) != string(answer.NotExecuted) || last.header.Get("Retry-After") == "" {
 		t.Errorf("refused with %q: %v", last.body, last.header)
 	}
-	disconnected.door.Set(metastore.Open)
-	leader.peersLink.SetRate(relay.Wide)
-	disconnected.peersLink.SetRate(relay.Wide)
+	disconnected.door.SetMode(metastore.Healthy)
+	leader.peersLink.SetRate(relay.Unlimited)
+	disconnected.peersLink.SetRate(relay.Unlimited)
 	b.eventually("the new route everywhere", func() bool { return b.inForce(next.Version) })
 	b.eventually("a nonexistent route is unknown again", func() bool {
 		last = b.ask(disconnected, http.MethodGet, "/none/x", -1)
@@ -291,12 +291,12 @@
 	other = b.gateway("g1")
 	b.ready()
 	b.eventually("both gateways connected", func() bool { return b.leader() == leader && leader.cluster.gatewayCount() == 2 })
-	lists := other.door.Lists()
+	lists := other.door.ListCalls()
 	leader.peersLink.SetRate(0)
 	b.eventually("the other gateway has listed the upstreams", func() bool {
-		return other.door.Lists() > lists && !sameUpstreams(other, leader)
+		return other.door.ListCalls() > lists && !sameUpstreams(other, leader)
 	})
-	leader.peersLink.SetRate(relay.Wide)
+	leader.peersLink.SetRate(relay.Unlimited)
 	b.eventually("the other gateway has the leader's view", func() bool {
 		return other.follower.sinceLeaderHeard() < leaderSilenceTimeout && sameUpstreams(other, leader)
 	})
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -154,7 +154,7 @@
 			stop := make(chan struct{})
 			asked, running := b.startClients(8, stop)
 			if c.away {
-				b.store.SetAll(metastore.Silent)
+				b.store.SetAllModes(metastore.Unresponsive)
 			}
 			time.Sleep(time.Second)
 			owner, other := b.ups["i-s0"], b.ups["i-p0"]
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -16,12 +16,12 @@
 // calls through other gateways and stays the leader.
 func TestLeaderStaysWhenStoreRejectsIt(t *testing.T) {
 	t.Parallel()
-	for name, mode := range map[string]metastore.Mode{"busy": metastore.Busy, "many": metastore.Many, "reset": metastore.Reset, "silent": metastore.Silent} {
+	for name, mode := range map[string]metastore.Mode{"busy": metastore.Unavailable, "many": metastore.TooManyRequests, "reset": metastore.ResetConnection, "silent": metastore.Unresponsive} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := standard(t)
 			l := b.leader()
-			l.door.Set(mode)
+			l.door.SetMode(mode)
 			b.configure(9)
 			b.eventually("new configuration in force on all gateways", func() bool { return b.inForce(9) })
 			revision := l.cluster.knownLeader().Revision
@@ -38,7 +38,7 @@
 func TestStoreOutageLongerThanLease(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	b.store.SetAll(metastore.Silent)
+	b.store.SetAllModes(metastore.Unresponsive)
 	l := b.leader()
 	b.eventually("leader acts by promises", l.leading.actsByPromises)
 	stop := b.load(b.gateways, http.MethodGet, "/status/x", true)
@@ -49,7 +49,7 @@
 	if sent, failed := stop(); failed > 0 || sent == 0 {
 		t.Errorf("%d of %d requests failed during the outage", failed, sent)
 	}
-	b.store.SetAll(metastore.Open)
+	b.store.SetAllModes(metastore.Healthy)
 	b.eventually("a leader after the outage", func() bool { return b.leader() != nil })
 	b.ready()
 }
@@ -60,13 +60,13 @@
 func TestLeaderLostDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	b.store.SetAll(metastore.Busy)
+	b.store.SetAllModes(metastore.Unavailable)
 	l := b.leader()
 	b.eventually("leader acts by promises", l.leading.actsByPromises)
 	time.Sleep(renewInterval)
 	l.kill()
 	b.ups["i-s0"].Set(instance.Silent)
-	b.store.SetAll(metastore.Open)
+	b.store.SetAllModes(metastore.Healthy)
 	b.eventually("another leader", func() bool { return b.leader() != nil })
 	b.eventually("silent owner owns no keys", func() bool { return b.ownedBy("i-s0") == 0 })
 	b.ready()
@@ -77,12 +77,12 @@
 func TestCompactedChangeMissedByWatches(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	b.store.SetDeaf(true)
+	b.store.SetSuppressEvents(true)
 	b.configure(7)
 	// Watches that were already in progress end while watches receive nothing.
 	time.Sleep(watchWait)
 	b.store.Compact()
-	b.store.SetDeaf(false)
+	b.store.SetSuppressEvents(false)
 	b.eventually("missed configuration in force", func() bool { return b.gateways[2].view.table.Load().Version == 7 })
 }
 
--- a/gateway/storecall_test.go
+++ b/gateway/storecall_test.go
@@ -36,7 +36,7 @@
 	}
 	var link *relay.Link
 	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
-		link = relay.Narrow(l, storeRate)
+		link = relay.LimitRate(l, storeRate)
 		return link, h
 	}
 	g := b.gateway("g0")
@@ -45,7 +45,7 @@
 		return table != nil && table.Version == 5
 	})
 	// One transfer is enough; on a busy machine the silence can last long enough for one more.
-	if sent := link.Sent(); sent >= 3*size {
+	if sent := link.BytesSent(); sent >= 3*size {
 		t.Errorf("the store sent %d bytes for a configuration of %d", sent, size)
 	}
 }
@@ -55,7 +55,7 @@
 	t.Parallel()
 	b := newBed(t)
 	b.atDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
-		return relay.Narrow(l, storeRate), h
+		return relay.LimitRate(l, storeRate), h
 	}
 	g := b.gateway("g0")
 	inForce := func(version uint64) func() bool {
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -102,7 +102,7 @@
 func TestLeaderStoppedWithoutStoreLeavesLongGrants(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	b.store.SetAll(metastore.Busy)
+	b.store.SetAllModes(metastore.Unavailable)
 	l := b.leader()
 	l.stop()
 	<-l.done
@@ -113,7 +113,7 @@
 	if held <= holdDuration {
 		t.Errorf("the owner of key 0 holds it for only %s after the leader's stop", held)
 	}
-	b.store.SetAll(metastore.Open)
+	b.store.SetAllModes(metastore.Healthy)
 	b.ready()
 }
 
--- a/gateway/troubles_test.go
+++ b/gateway/troubles_test.go
@@ -165,15 +165,15 @@
 		modes := []instance.Mode{instance.Silent, instance.Loses, instance.Sheds, instance.LateGrants, instance.Serves}
 		p.anyUpstream().Set(modes[p.rng.IntN(len(modes))])
 	case 4:
-		modes := []metastore.Mode{metastore.Busy, metastore.Reset, metastore.Silent, metastore.Lose, metastore.Late}
+		modes := []metastore.Mode{metastore.Unavailable, metastore.ResetConnection, metastore.Unresponsive, metastore.LoseResponse, metastore.ApplyLate}
 		if g := p.some(p.rng.IntN(8)); g != nil {
-			g.door.Set(modes[p.rng.IntN(len(modes))])
+			g.door.SetMode(modes[p.rng.IntN(len(modes))])
 		}
 	case 5:
-		modes := []metastore.Mode{metastore.Busy, metastore.Silent, metastore.Lose, metastore.Late}
-		p.store.SetAll(modes[p.rng.IntN(len(modes))])
+		modes := []metastore.Mode{metastore.Unavailable, metastore.Unresponsive, metastore.LoseResponse, metastore.ApplyLate}
+		p.store.SetAllModes(modes[p.rng.IntN(len(modes))])
 	case 6:
-		p.store.SetAll(metastore.Open)
+		p.store.SetAllModes(metastore.Healthy)
 	case 7:
 		p.store.Compact()
 	case 8:
@@ -203,7 +203,7 @@
 
 // heal ends all troubles.
 func (p *troubles) heal() {
-	p.store.SetAll(metastore.Open)
+	p.store.SetAllModes(metastore.Healthy)
 	for _, u := range p.ups {
 		u.Set(instance.Serves)
 		p.register(u, "ready")
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -137,7 +137,7 @@
 
 // watcher returns a watcher of the store that is not started.
 func (w *watcherFixture) watcher() *watcher {
-	var transport platform.Transport = handlerTransport{w.counter.counting(w.store.Door("g"))}
+	var transport platform.Transport = handlerTransport{w.counter.counting(w.store.Endpoint("g"))}
 	if w.wrap != nil {
 		transport = w.wrap(transport)
 	}
--- a/gateway/watchpath_test.go
+++ b/gateway/watchpath_test.go
@@ -29,7 +29,7 @@
 		gateways int
 		mode     metastore.Mode
 	}{
-		{3, metastore.Silent}, {12, metastore.Silent}, {12, metastore.Busy}, {12, metastore.Reset},
+		{3, metastore.Unresponsive}, {12, metastore.Unresponsive}, {12, metastore.Unavailable}, {12, metastore.ResetConnection},
 	} {
 		t.Run(fmt.Sprint(c.gateways, " gateways, mode ", c.mode), func(t *testing.T) {
 			t.Parallel()
@@ -46,7 +46,7 @@
 			}
 			for _, g := range b.gateways {
 				if g != served {
-					g.door.Set(c.mode)
+					g.door.SetMode(c.mode)
 				}
 			}
 			const first, versions = 3, 4
--- a/standin/metastore/metastore.go
+++ b/standin/metastore/metastore.go
@@ -25,10 +25,10 @@
 	// compacted is the revision up to which the history is gone.
 	compacted uint64
 	// deaf watches hear nothing.
-	deaf    bool
-	changed chan struct{}
-	doors   map[string]*Door
-	calls   int
+	suppressEvents bool
+	changed        chan struct{}
+	endpoints      map[string]*Endpoint
+	calls          int
 }
 
 type change struct {
@@ -41,7 +41,7 @@
 func New() *Store {
 	return &Store{
 		objects: make(map[string]map[string]platform.ObjectBody),
-		changed: make(chan struct{}), doors: make(map[string]*Door),
+		changed: make(chan struct{}), endpoints: make(map[string]*Endpoint),
 	}
 }
 
@@ -51,85 +51,85 @@
 // The modes.
 const (
 	// Open serves.
-	Open Mode = iota
+	Healthy Mode = iota
 	// Busy answers 503, Many 429.
-	Busy
-	Many
+	Unavailable
+	TooManyRequests
 	// Reset breaks the connection, Silent never answers.
-	Reset
-	Silent
+	ResetConnection
+	Unresponsive
 	// Lose carries calls out and breaks the connection.
-	Lose
+	LoseResponse
 	// Late breaks the connection and carries the call out LateBy afterwards.
-	Late
+	ApplyLate
 )
 
 // LateBy is how late a call is carried out in mode Late.
-const LateBy = 300 * time.Millisecond
+const LateDelay = 300 * time.Millisecond
 
 // Door is the way of one caller to the store, with faults of its own.
-type Door struct {
-	store *Store
-	mu    sync.Mutex
-	mode  Mode
-	lists int
+type Endpoint struct {
+	store     *Store
+	mu        sync.Mutex
+	mode      Mode
+	listCalls int
 }
 
 // Door returns the named door.
-func (s *Store) Door(name string) *Door {
+func (s *Store) Endpoint(name string) *Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.doors[name]
-	if d == nil {
-		d = &Door{store: s}
-		s.doors[name] = d
+	e := s.endpoints[name]
+	if e == nil {
+		e = &Endpoint{store: s}
+		s.endpoints[name] = e
 	}
-	return d
+	return e
 }
 
 // Set changes how the door treats calls.
-func (d *Door) Set(m Mode) {
-	d.mu.Lock()
-	d.mode = m
-	d.mu.Unlock()
-	if m != Open {
+func (e *Endpoint) SetMode(m Mode) {
+	e.mu.Lock()
+	e.mode = m
+	e.mu.Unlock()
+	if m != Healthy {
 		// Watches that wait are cut off.
-		d.store.wake()
+		e.store.wakeWatches()
 	}
 }
 
 // Lists returns the number of calls through the door so far that asked for a list of
 // objects, one for each page.
-func (d *Door) Lists() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.lists
+func (e *Endpoint) ListCalls() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.listCalls
 }
 
-func (d *Door) get() Mode {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.mode
+func (e *Endpoint) currentMode() Mode {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.mode
 }
 
 // SetAll changes all doors.
-func (s *Store) SetAll(m Mode) {
+func (s *Store) SetAllModes(m Mode) {
 	s.mu.Lock()
-	doors := make([]*Door, 0, len(s.doors))
-	for _, d := range s.doors {
-		doors = append(doors, d)
+	endpoints := make([]*Endpoint, 0, len(s.endpoints))
+	for _, e := range s.endpoints {
+		endpoints = append(endpoints, e)
 	}
 	s.mu.Unlock()
-	for _, d := range doors {
-		d.Set(m)
+	for _, e := range endpoints {
+		e.SetMode(m)
 	}
 }
 
 // SetDeaf decides whether watches hear of changes.
-func (s *Store) SetDeaf(deaf bool) {
+func (s *Store) SetSuppressEvents(suppressEvents bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deaf = deaf
+	s.suppressEvents = suppressEvents
 }
 
 // Compact drops the history.
@@ -181,7 +181,7 @@
 		s.objects[kind] = make(map[string]platform.ObjectBody)
 	}
 	s.objects[kind][name] = o
-	s.note(kind, platform.EventBody{Object: o})
+	s.appendEvent(kind, platform.EventBody{Object: o})
 	return o
 }
 
@@ -192,17 +192,17 @@
 	}
 	s.revision++
 	delete(s.objects[kind], name)
-	s.note(kind, platform.EventBody{Removed: true, Object: o})
+	s.appendEvent(kind, platform.EventBody{Removed: true, Object: o})
 }
 
-func (s *Store) note(kind string, e platform.EventBody) {
+func (s *Store) appendEvent(kind string, e platform.EventBody) {
 	s.history = append(s.history, change{revision: s.revision, kind: kind, EventBody: e})
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // wake ends the wait of all watches.
-func (s *Store) wake() {
+func (s *Store) wakeWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	close(s.changed)
@@ -210,47 +210,47 @@
 }
 
 // ServeHTTP serves one call that came through the door.
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	d.store.count()
+	e.store.countCall()
 	if isList(r) {
-		d.mu.Lock()
-		d.lists++
-		d.mu.Unlock()
+		e.mu.Lock()
+		e.listCalls++
+		e.mu.Unlock()
 	}
-	switch d.get() {
-	case Busy:
+	switch e.currentMode() {
+	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case Many:
+	case TooManyRequests:
 		w.WriteHeader(http.StatusTooManyRequests)
-	case Reset:
+	case ResetConnection:
 		panic(http.ErrAbortHandler)
-	case Silent:
+	case Unresponsive:
 		<-r.Context().Done()
-	case Lose:
-		d.store.call(r, body)
+	case LoseResponse:
+		e.store.execute(r, body)
 		panic(http.ErrAbortHandler)
-	case Late:
-		time.AfterFunc(LateBy, func() { d.store.call(r, body) })
+	case ApplyLate:
+		time.AfterFunc(LateDelay, func() { e.store.execute(r, body) })
 		panic(http.ErrAbortHandler)
 	default:
-		d.answer(w, r, body)
+		e.respond(w, r, body)
 	}
 }
 
 // isList reports whether a call asks for the objects of a kind, and not for one of
 // them or for changes.
 func isList(r *http.Request) bool {
-	one := strings.Contains(strings.TrimPrefix(r.URL.Path, platform.ObjectsPath), "/")
-	return r.Method == http.MethodGet && !one && !r.URL.Query().Has("watch")
+	single := strings.Contains(strings.TrimPrefix(r.URL.Path, platform.ObjectsPath), "/")
+	return r.Method == http.MethodGet && !single && !r.URL.Query().Has("watch")
 }
 
-func (d *Door) answer(w http.ResponseWriter, r *http.Request, body []byte) {
-	status, value := d.store.call(r, body)
-	if d.get() != Open {
+func (e *Endpoint) respond(w http.ResponseWriter, r *http.Request, body []byte) {
+	status, value := e.store.execute(r, body)
+	if e.currentMode() != Healthy {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -260,14 +260,14 @@
 	}
 }
 
-func (s *Store) count() {
+func (s *Store) countCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 }
 
 // call carries one call out and returns status and body.
-func (s *Store) call(r *http.Request, body []byte) (int, any) {
+func (s *Store) execute(r *http.Request, body []byte) (int, any) {
 	kind, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, platform.ObjectsPath), "/")
 	if r.Method == http.MethodGet {
 		if r.URL.Query().Has("watch") {
@@ -287,22 +287,22 @@
 func (s *Store) write(method, kind, name string, o platform.ObjectBody) (int, any) {
 	if method == http.MethodPost {
 		name = o.Metadata.Name
-		if there, ok := s.objects[kind][name]; ok {
-			return http.StatusConflict, there
+		if existing, ok := s.objects[kind][name]; ok {
+			return http.StatusConflict, existing
 		}
 		return http.StatusCreated, s.put(kind, name, o.Spec)
 	}
-	there, ok := s.objects[kind][name]
+	existing, ok := s.objects[kind][name]
 	switch {
 	case !ok:
 		return http.StatusNotFound, nil
-	case o.Metadata.Revision != 0 && o.Metadata.Revision != there.Metadata.Revision:
-		return http.StatusConflict, there
+	case o.Metadata.Revision != 0 && o.Metadata.Revision != existing.Metadata.Revision:
+		return http.StatusConflict, existing
 	case method == http.MethodDelete:
 		s.remove(kind, name)
 		return http.StatusOK, nil
-	case string(o.Spec) == string(there.Spec):
-		return http.StatusOK, there
+	case string(o.Spec) == string(existing.Spec):
+		return http.StatusOK, existing
 	}
 	return http.StatusOK, s.put(kind, name, o.Spec)
 }
@@ -351,8 +351,8 @@
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	for {
-		events, revision, changed, gone := s.since(after, kind, name)
-		if gone {
+		events, revision, changed, compacted := s.eventsSince(after, kind, name)
+		if compacted {
 			return http.StatusGone, nil
 		}
 		if len(events) > 0 {
@@ -368,13 +368,13 @@
 	}
 }
 
-func (s *Store) since(after uint64, kind, name string) (events []platform.EventBody, revision uint64, changed <-chan struct{}, gone bool) {
+func (s *Store) eventsSince(after uint64, kind, name string) (events []platform.EventBody, revision uint64, changed <-chan struct{}, compacted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if after < s.compacted {
 		return nil, 0, nil, true
 	}
-	if s.deaf {
+	if s.suppressEvents {
 		return nil, s.revision, s.changed, false
 	}
 	for _, c := range s.history {
--- a/standin/relay/narrow.go
+++ b/standin/relay/narrow.go
@@ -9,14 +9,14 @@
 const (
 	// narrowBurst is the number of bytes that a narrow link takes at once after it was
 	// idle, as the queue of a network card does.
-	narrowBurst = 16 << 10
+	linkBurst = 16 << 10
 	// narrowPiece is the most bytes of one connection that are sent in one turn: about
 	// three packets, so that connections share a link evenly.
-	narrowPiece = 4 << 10
+	linkChunk = 4 << 10
 )
 
 // Wide is the rate of a link that does not limit.
-const Wide = -1
+const Unlimited = -1
 
 // Link is the sending side of a machine's link: all connections of its listener share
 // one rate. It is safe for concurrent use.
@@ -28,33 +28,33 @@
 	// rate is in bytes a second. Nothing passes at zero, and all does when it is negative.
 	rate int
 	// free is when the bytes that were let through so far have left the link.
-	free time.Time
-	sent int64
+	idleAt    time.Time
+	bytesSent int64
 	// changed is closed when the rate changes.
-	changed chan struct{}
+	rateChanged chan struct{}
 }
 
 // Narrow lets the connections that l accepts send bytesPerSecond in all, or as much as
 // they like when that is Wide. At zero they fall silent and stay open. What they
 // receive is not limited.
-func Narrow(l net.Listener, bytesPerSecond int) *Link {
-	return &Link{Listener: l, now: time.Now, rate: bytesPerSecond, changed: make(chan struct{})}
+func LimitRate(l net.Listener, bytesPerSecond int) *Link {
+	return &Link{Listener: l, now: time.Now, rate: bytesPerSecond, rateChanged: make(chan struct{})}
 }
 
 // SetRate changes the rate, for open connections too.
 func (l *Link) SetRate(bytesPerSecond int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rate, l.free = bytesPerSecond, time.Time{}
-	close(l.changed)
-	l.changed = make(chan struct{})
+	l.rate, l.idleAt = bytesPerSecond, time.Time{}
+	close(l.rateChanged)
+	l.rateChanged = make(chan struct{})
 }
 
 // Sent returns the number of bytes that have been sent so far.
-func (l *Link) Sent() int64 {
+func (l *Link) BytesSent() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.sent
+	return l.bytesSent
 }
 
 // Accept waits for the next connection.
@@ -63,38 +63,38 @@
 	if err != nil {
 		return nil, err
 	}
-	return &narrowConn{Conn: c, link: l, closed: make(chan struct{})}, nil
+	return &limitedConn{Conn: c, link: l, closed: make(chan struct{})}, nil
 }
 
 // turn lets a piece of n bytes through: it returns how long the link is still busy
 // before that. When nothing passes, ok is false, and changed is closed when that may
 // have changed.
-func (l *Link) turn(n int) (wait time.Duration, changed <-chan struct{}, ok bool) {
+func (l *Link) reserve(n int) (wait time.Duration, rateChanged <-chan struct{}, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.rate < 0:
-		return 0, l.changed, true
+		return 0, l.rateChanged, true
 	case l.rate == 0:
-		return 0, l.changed, false
+		return 0, l.rateChanged, false
 	}
-	second := float64(time.Second) / float64(l.rate)
+	timePerByte := float64(time.Second) / float64(l.rate)
 	now := l.now()
-	if idle := now.Add(-time.Duration(narrowBurst * second)); l.free.Before(idle) {
-		l.free = idle
+	if idle := now.Add(-time.Duration(linkBurst * timePerByte)); l.idleAt.Before(idle) {
+		l.idleAt = idle
 	}
-	l.free = l.free.Add(time.Duration(float64(n) * second))
-	return l.free.Sub(now), l.changed, true
+	l.idleAt = l.idleAt.Add(time.Duration(float64(n) * timePerByte))
+	return l.idleAt.Sub(now), l.rateChanged, true
 }
 
 func (l *Link) count(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sent += int64(n)
+	l.bytesSent += int64(n)
 }
 
 // narrowConn is one connection over a link.
-type narrowConn struct {
+type limitedConn struct {
 	net.Conn
 	link   *Link
 	once   sync.Once
@@ -102,41 +102,41 @@
 }
 
 // Write sends in pieces, each in its turn.
-func (c *narrowConn) Write(data []byte) (int, error) {
-	done := 0
-	for done < len(data) {
-		next := data[done:min(done+narrowPiece, len(data))]
-		if !c.await(len(next)) {
-			return done, net.ErrClosed
+func (c *limitedConn) Write(data []byte) (int, error) {
+	written := 0
+	for written < len(data) {
+		chunk := data[written:min(written+linkChunk, len(data))]
+		if !c.waitTurn(len(chunk)) {
+			return written, net.ErrClosed
 		}
-		n, err := c.Conn.Write(next)
-		done += n
+		n, err := c.Conn.Write(chunk)
+		written += n
 		c.link.count(n)
 		if err != nil {
-			return done, err
+			return written, err
 		}
 	}
-	return done, nil
+	return written, nil
 }
 
 // await waits for the turn of n bytes. It returns false when the connection was closed
 // meanwhile.
-func (c *narrowConn) await(n int) bool {
+func (c *limitedConn) waitTurn(n int) bool {
 	for {
-		wait, changed, ok := c.link.turn(n)
+		wait, rateChanged, ok := c.link.reserve(n)
 		if ok && wait <= 0 {
 			return true
 		}
-		var turn <-chan time.Time
+		var elapsed <-chan time.Time
 		if ok {
 			timer := time.NewTimer(wait)
 			defer timer.Stop()
-			turn = timer.C
+			elapsed = timer.C
 		}
 		select {
-		case <-turn:
+		case <-elapsed:
 			return true
-		case <-changed:
+		case <-rateChanged:
 			// With another rate the turn is another one.
 		case <-c.closed:
 			return false
@@ -145,7 +145,7 @@
 }
 
 // Close ends the connection, also while it waits for its turn.
-func (c *narrowConn) Close() error {
+func (c *limitedConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
--- a/standin/relay/narrow_test.go
+++ b/standin/relay/narrow_test.go
@@ -8,7 +8,7 @@
 )
 
 // flood accepts connections and sends size bytes over each.
-func flood(l net.Listener, size int) {
+func sendToEach(l net.Listener, size int) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -23,70 +23,70 @@
 
 // TestNarrow: nothing passes without a rate, and with one all bytes of all connections
 // arrive.
-func TestNarrow(t *testing.T) {
+func TestLimitRate(t *testing.T) {
 	t.Parallel()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	const size, rate, connections = 100 << 10, 1 << 20, 2
-	link := Narrow(inner, 0)
+	link := LimitRate(inner, 0)
 	defer func() { _ = link.Close() }()
-	go flood(link, size)
-	var all []net.Conn
+	go sendToEach(link, size)
+	var conns []net.Conn
 	for range connections {
 		c, err := net.Dial("tcp", inner.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
-		all = append(all, c)
+		conns = append(conns, c)
 	}
-	if err := all[0].SetReadDeadline(time.Now().Add(silence)); err != nil {
+	if err := conns[0].SetReadDeadline(time.Now().Add(silencePeriod)); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := all[0].Read(make([]byte, 1)); n > 0 || err == nil {
+	if n, err := conns[0].Read(make([]byte, 1)); n > 0 || err == nil {
 		t.Errorf("%d bytes over a link without a rate, error %v", n, err)
 	}
-	if err := all[0].SetReadDeadline(time.Time{}); err != nil {
+	if err := conns[0].SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
 	}
 	link.SetRate(rate)
-	for _, c := range all {
+	for _, c := range conns {
 		if data, err := io.ReadAll(c); err != nil || len(data) != size {
 			t.Errorf("%d bytes of %d, error %v", len(data), size, err)
 		}
 	}
-	if n := link.Sent(); n != connections*size {
+	if n := link.BytesSent(); n != connections*size {
 		t.Errorf("%d bytes counted", n)
 	}
 }
 
 // TestNarrowRate: what all connections send leaves the link at its rate, but for a burst
 // after it was idle.
-func TestNarrowRate(t *testing.T) {
+func TestLinkRateIsShared(t *testing.T) {
 	t.Parallel()
 	const rate = 1 << 10
 	now := time.Now()
-	link := Narrow(nil, rate)
+	link := LimitRate(nil, rate)
 	link.now = func() time.Time { return now }
-	if wait, _, ok := link.turn(narrowBurst); !ok || wait > 0 {
+	if wait, _, ok := link.reserve(linkBurst); !ok || wait > 0 {
 		t.Errorf("the burst waits %s", wait)
 	}
 	for n := range 3 {
-		if wait, _, _ := link.turn(rate); wait != time.Duration(n+1)*time.Second {
+		if wait, _, _ := link.reserve(rate); wait != time.Duration(n+1)*time.Second {
 			t.Errorf("piece %d waits %s", n, wait)
 		}
 	}
 	now = now.Add(5 * time.Second)
-	if wait, _, _ := link.turn(rate); wait > 0 {
+	if wait, _, _ := link.reserve(rate); wait > 0 {
 		t.Errorf("a piece waits %s for an idle link", wait)
 	}
 	link.SetRate(2 * rate)
-	if wait, _, _ := link.turn(narrowBurst + 2*rate); wait != time.Second {
+	if wait, _, _ := link.reserve(linkBurst + 2*rate); wait != time.Second {
 		t.Errorf("at the double rate it is %s", wait)
 	}
-	if wait, _, ok := Narrow(nil, Wide).turn(1 << 30); !ok || wait > 0 {
+	if wait, _, ok := LimitRate(nil, Unlimited).reserve(1 << 30); !ok || wait > 0 {
 		t.Errorf("a wide link lets wait %s", wait)
 	}
 }
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -21,43 +21,43 @@
 	Slow
 	// CutThere: what the dialling side sends is lost; CutBack: what it would
 	// receive; CutBoth: all.
-	CutThere
-	CutBack
-	CutBoth
+	DropToTarget
+	DropFromTarget
+	DropBoth
 	// Refuse: new connections are reset, those that are open pass.
 	Refuse
 )
 
 // Lag is the delay of the fault Slow, for each piece of bytes.
-const Lag = 150 * time.Millisecond
+const SlowDelay = 150 * time.Millisecond
 
 // piece is the most bytes that are passed on at a time.
-const piece = 16 << 10
+const bufferSize = 16 << 10
 
 // Relay passes connections on to a target. It is safe for concurrent use.
 type Relay struct {
-	listener net.Listener
-	target   string
+	listener   net.Listener
+	targetAddr string
 
-	mu    sync.Mutex
-	fault Fault
-	links map[*link]bool
+	mu          sync.Mutex
+	fault       Fault
+	connections map[*connection]bool
 }
 
 // link is one connection through the relay.
-type link struct {
-	near, far net.Conn
+type connection struct {
+	client, target net.Conn
 	// silent is closed when the connection shall carry nothing any more.
-	silent chan struct{}
+	silenced chan struct{}
 }
 
 // New opens a relay on a port of the kernel's choice.
-func New(target string) (*Relay, error) {
+func New(targetAddr string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: l, target: target, links: make(map[*link]bool)}
+	r := &Relay{listener: l, targetAddr: targetAddr, connections: make(map[*connection]bool)}
 	go r.accept()
 	return r, nil
 }
@@ -66,14 +66,14 @@
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
 // Open returns the number of open connections.
-func (r *Relay) Open() int {
+func (r *Relay) OpenConnections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.links)
+	return len(r.connections)
 }
 
 // Set changes the fault, for open connections too.
-func (r *Relay) Set(f Fault) {
+func (r *Relay) SetFault(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = f
@@ -83,8 +83,8 @@
 func (r *Relay) ResetAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for k := range r.links {
-		k.reset()
+	for c := range r.connections {
+		c.reset()
 	}
 }
 
@@ -93,11 +93,11 @@
 func (r *Relay) SilenceAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for k := range r.links {
+	for c := range r.connections {
 		select {
-		case <-k.silent:
+		case <-c.silenced:
 		default:
-			close(k.silent)
+			close(c.silenced)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	r.ResetAll()
 }
 
-func (r *Relay) get() Fault {
+func (r *Relay) currentFault() Fault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fault
@@ -116,45 +116,45 @@
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.carry(near)
+		go r.forward(client)
 	}
 }
 
 // carry passes one connection on until one side ends it.
-func (r *Relay) carry(near net.Conn) {
-	if r.get() == Refuse {
-		abort(near)
+func (r *Relay) forward(client net.Conn) {
+	if r.currentFault() == Refuse {
+		abort(client)
 		return
 	}
-	far, err := net.Dial("tcp", r.target)
+	target, err := net.Dial("tcp", r.targetAddr)
 	if err != nil {
-		abort(near)
+		abort(client)
 		return
 	}
-	k := &link{near: near, far: far, silent: make(chan struct{})}
+	c := &connection{client: client, target: target, silenced: make(chan struct{})}
 	r.mu.Lock()
-	r.links[k] = true
+	r.connections[c] = true
 	r.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { r.pass(k, k.far, k.near, CutThere) })
-	both.Go(func() { r.pass(k, k.near, k.far, CutBack) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { r.copyDirection(c, c.target, c.client, DropToTarget) })
+	directions.Go(func() { r.copyDirection(c, c.client, c.target, DropFromTarget) })
+	directions.Wait()
 	r.mu.Lock()
-	delete(r.links, k)
+	delete(r.connections, c)
 	r.mu.Unlock()
-	k.reset()
+	c.reset()
 }
 
 // pass carries bytes in one direction, which the fault cut loses.
-func (r *Relay) pass(k *link, to, from net.Conn, cut Fault) {
-	buffer := make([]byte, piece)
+func (r *Relay) copyDirection(c *connection, to, from net.Conn, drop Fault) {
+	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !r.send(k, to, buffer[:n], cut) {
+		if n > 0 && !r.write(c, to, buffer[:n], drop) {
 			return
 		}
 		switch {
@@ -162,28 +162,28 @@
 			closeWrite(to)
 			return
 		case err != nil:
-			k.reset()
+			c.reset()
 			return
 		}
 	}
 }
 
 // send passes some bytes on, or loses them, and reports whether more may follow.
-func (r *Relay) send(k *link, to net.Conn, data []byte, cut Fault) bool {
-	fault := r.get()
+func (r *Relay) write(c *connection, to net.Conn, data []byte, drop Fault) bool {
+	fault := r.currentFault()
 	select {
-	case <-k.silent:
+	case <-c.silenced:
 		return true
 	default:
 	}
-	if fault == cut || fault == CutBoth {
+	if fault == drop || fault == DropBoth {
 		return true
 	}
 	if fault == Slow {
-		time.Sleep(Lag)
+		time.Sleep(SlowDelay)
 	}
 	if _, err := to.Write(data); err != nil {
-		k.reset()
+		c.reset()
 		return false
 	}
 	return true
@@ -196,9 +196,9 @@
 	}
 }
 
-func (k *link) reset() {
-	abort(k.near)
-	abort(k.far)
+func (c *connection) reset() {
+	abort(c.client)
+	abort(c.target)
 }
 
 // abort closes a connection such that the other side sees a reset.
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -11,7 +11,7 @@
 )
 
 // echo answers each line with itself.
-func echo(t *testing.T) string {
+func echoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,9 +52,9 @@
 }
 
 // silence is how long a test waits to see that nothing comes.
-const silence = 50 * time.Millisecond
+const silencePeriod = 50 * time.Millisecond
 
-func (c *client) ask(wait time.Duration) error {
+func (c *client) roundTrip(wait time.Duration) error {
 	if _, err := fmt.Fprintln(c, "hello"); err != nil {
 		return err
 	}
@@ -66,37 +66,37 @@
 }
 
 func TestFaults(t *testing.T) {
-	r, err := New(echo(t))
+	r, err := New(echoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	old := dial(t, r)
-	if err := old.ask(time.Minute); err != nil {
+	established := dial(t, r)
+	if err := established.roundTrip(time.Minute); err != nil {
 		t.Fatalf("without a fault: %v", err)
 	}
-	for _, cut := range []Fault{CutThere, CutBack, CutBoth} {
-		r.Set(cut)
-		if err := dial(t, r).ask(silence); !errors.Is(err, os.ErrDeadlineExceeded) {
+	for _, cut := range []Fault{DropToTarget, DropFromTarget, DropBoth} {
+		r.SetFault(cut)
+		if err := dial(t, r).roundTrip(silencePeriod); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("cut %d: %v", cut, err)
 		}
 	}
-	r.Set(None)
+	r.SetFault(None)
 	r.SilenceAll()
-	if err := old.ask(silence); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := established.roundTrip(silencePeriod); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a silent connection: %v", err)
 	}
-	fresh := dial(t, r)
-	if err := fresh.ask(time.Minute); err != nil {
+	newer := dial(t, r)
+	if err := newer.roundTrip(time.Minute); err != nil {
 		t.Errorf("a new connection beside silent ones: %v", err)
 	}
 	r.ResetAll()
-	if err := fresh.ask(time.Minute); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := newer.roundTrip(time.Minute); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a reset connection: %v", err)
 	}
-	r.Set(Refuse)
+	r.SetFault(Refuse)
 	if c, err := net.Dial("tcp", r.Addr()); err == nil {
-		if err := (&client{c, bufio.NewReader(c)}).ask(time.Minute); err == nil {
+		if err := (&client{c, bufio.NewReader(c)}).roundTrip(time.Minute); err == nil {
 			t.Error("a new connection works although all are refused")
 		}
 	}
