--- a/bench/soak/callers.go
+++ b/bench/soak/callers.go
@@ -117,7 +117,7 @@
 		return w.noAnswer(ctx, g, id, kills, err)
 	}
 	if resp.Header.Get(platform.LeavingHeader) != "" {
-		one.told, one.by = time.Now(), resp.Header.Get(instance.StartHeader)
+		one.told, one.by = time.Now(), resp.Header.Get(instance.IncarnationHeader)
 		w.asks.add(id, one)
 	}
 	data, err := io.ReadAll(resp.Body)
--- a/bench/soak/faults.go
+++ b/bench/soak/faults.go
@@ -16,7 +16,7 @@
 		metastore.Unavailable, metastore.TooManyRequests, metastore.ResetConnection, metastore.Unresponsive, metastore.LoseResponse, metastore.ApplyLate,
 	}
 	upstreamModes = []instance.Mode{
-		instance.Silent, instance.Loses, instance.Fails, instance.Sheds, instance.LateGrants,
+		instance.Unresponsive, instance.LosesResponses, instance.ReturnsErrors, instance.Overloaded, instance.LateGrants,
 	}
 	// limits are in requests a second: far below what an upstream gets here, and beyond it.
 	limits = []float64{0, 1, 5, 20, 100}
@@ -49,15 +49,15 @@
 	case UpstreamQuiet:
 		u.cuts.during(u.relay.SilenceAll)
 	case UpstreamMode:
-		lasting(step.For, func() { u.Set(pick(upstreamModes, step.Variant)) }, func() { u.Set(instance.Serves) })
+		lasting(step.For, func() { u.SetMode(pick(upstreamModes, step.Variant)) }, func() { u.SetMode(instance.Healthy) })
 	case Harm:
 		s.harm(step.For)
 	case LateCalls:
-		lasting(step.For, func() { s.setAll(instance.LateCalls) }, func() { s.setAll(instance.Serves) })
+		lasting(step.For, func() { s.setAll(instance.LateCalls) }, func() { s.setAll(instance.Healthy) })
 	case Need:
-		lasting(step.For, func() { u.Name(pick(limits, step.Variant)) }, u.NameNone)
+		lasting(step.For, func() { u.AdvertiseLimit(pick(limits, step.Variant)) }, u.ClearLimit)
 	case Rest:
-		lasting(step.For, func() { u.Rest(pick(rests, step.Variant)...) }, u.Resume)
+		lasting(step.For, func() { u.Overload(pick(rests, step.Variant)...) }, u.Recover)
 	case Drain:
 		return s.replace(u, func() { s.register(u, "draining") })
 	case Depart:
@@ -78,7 +78,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range s.upstreams {
-		u.Set(m)
+		u.SetMode(m)
 	}
 }
 
--- a/bench/soak/harm.go
+++ b/bench/soak/harm.go
@@ -73,7 +73,7 @@
 // arm lets the upstream end by a harmful request, and start again. One that is being replaced or
 // started again breaks the connection and does not end: that is no harm that anybody could know by.
 func (s *site) arm(u *upstream) {
-	u.OnHarm(func(path string) {
+	u.OnCrash(func(path string) {
 		if !u.changing.CompareAndSwap(false, true) {
 			return
 		}
--- a/bench/soak/notices.go
+++ b/bench/soak/notices.go
@@ -83,8 +83,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	byGateway := make(map[*gateway][]instance.Arrival)
-	for _, one := range u.Arrived() {
-		if g := a.byID[one.Request].gateway; g != nil {
+	for _, one := range u.Arrivals() {
+		if g := a.byID[one.RequestID].gateway; g != nil {
 			byGateway[g] = append(byGateway[g], one)
 		}
 	}
@@ -100,16 +100,16 @@
 func (a *asks) lateAt(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
 	var told time.Time
 	for _, one := range arrivals {
-		answer := a.byID[one.Request]
-		if answer.by == u.Start() && !answer.told.IsZero() && (told.IsZero() || answer.told.Before(told)) {
+		answer := a.byID[one.RequestID]
+		if answer.by == u.Incarnation() && !answer.told.IsZero() && (told.IsZero() || answer.told.Before(told)) {
 			told = answer.told
 		}
 	}
 	var out []string
 	for _, one := range arrivals {
-		after := a.byID[one.Request].sent.Sub(told)
-		if !told.IsZero() && after > upstreamDrain && !g.faults.any(told, one.At) {
-			out = append(out, fmt.Sprintf("request %s reached %s by %s %s after that had told that it leaves", one.Request, u.ID, g.name, after))
+		after := a.byID[one.RequestID].sent.Sub(told)
+		if !told.IsZero() && after > upstreamDrain && !g.faults.any(told, one.ReceivedAt) {
+			out = append(out, fmt.Sprintf("request %s reached %s by %s %s after that had told that it leaves", one.RequestID, u.ID, g.name, after))
 		}
 	}
 	return out
@@ -119,18 +119,18 @@
 func inRests(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
 	var out []string
 	for _, asked := range arrivals {
-		ends := asked.At.Add(asked.Rest)
-		if asked.Rest <= restGrace || g.faults.any(asked.At, ends) || u.cuts.any(asked.At.Add(-cutMemory), ends.Add(cutMemory)) {
+		ends := asked.ReceivedAt.Add(asked.RetryAfter)
+		if asked.RetryAfter <= restGrace || g.faults.any(asked.ReceivedAt, ends) || u.cuts.any(asked.ReceivedAt.Add(-cutMemory), ends.Add(cutMemory)) {
 			continue
 		}
 		count := 0
 		for _, one := range arrivals {
-			if one.At.After(asked.At.Add(restGrace)) && one.At.Before(ends) {
+			if one.ReceivedAt.After(asked.ReceivedAt.Add(restGrace)) && one.ReceivedAt.Before(ends) {
 				count++
 			}
 		}
 		if count > mostInRest {
-			out = append(out, fmt.Sprintf("%s asked %s for %s of rest and got %d requests in it", u.ID, g.name, asked.Rest, count))
+			out = append(out, fmt.Sprintf("%s asked %s for %s of rest and got %d requests in it", u.ID, g.name, asked.RetryAfter, count))
 		}
 	}
 	return out
--- a/bench/soak/run.go
+++ b/bench/soak/run.go
@@ -121,7 +121,7 @@
 	defer s.mu.Unlock()
 	for _, u := range s.upstreams {
 		u.relay.SetFault(relay.None)
-		u.Set(instance.Serves)
+		u.SetMode(instance.Healthy)
 	}
 }
 
--- a/bench/soak/site.go
+++ b/bench/soak/site.go
@@ -220,7 +220,7 @@
 func (s *site) startAgain(u *upstream, dark time.Duration) error {
 	u.relay.Close()
 	err := u.server.Close()
-	u.End()
+	u.Terminate()
 	time.Sleep(dark)
 	next, startErr := s.startUpstream(u.ID, u.service, u.domain)
 	if startErr != nil {
@@ -255,7 +255,7 @@
 	if !u.changing.CompareAndSwap(false, true) {
 		return nil
 	}
-	u.Leave()
+	u.AnnounceLeaving()
 	announce()
 	time.Sleep(leaveTime)
 	s.store.Remove(platform.InstancesKind, u.ID)
@@ -272,7 +272,7 @@
 	}
 	time.Sleep(leaveTime)
 	u.relay.Close()
-	u.End()
+	u.Terminate()
 	return u.server.Close()
 }
 
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -85,7 +85,7 @@
 func oracleWith(run bool) *instance.Oracle {
 	o := instance.NewOracle()
 	if run {
-		o.Ran("i", "r", "POST")
+		o.RecordRun("i", "r", "POST")
 	}
 	return o
 }
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -126,7 +126,7 @@
 func (b *bed) restart(u *upstream) *upstream {
 	b.t.Helper()
 	_ = u.server.Close()
-	u.End()
+	u.Terminate()
 	return b.startUpstreamIn(u.domain, u.ID, u.service, u.born+1)
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -102,7 +102,7 @@
 func TestOwnerLost(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	b.ups["i-s0"].Set(instance.Silent)
+	b.ups["i-s0"].SetMode(instance.Unresponsive)
 	b.eventually("nothing owned by the lost one", func() bool { return b.ownedBy("i-s0") == 0 })
 	b.ready()
 	for key := 0; key <= spans.MaxKey; key += 6553 {
@@ -116,10 +116,10 @@
 func TestLostOwnerComesBack(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	b.ups["i-s0"].Set(instance.Silent)
+	b.ups["i-s0"].SetMode(instance.Unresponsive)
 	b.eventually("nothing owned by the lost one", func() bool { return b.ownedBy("i-s0") == 0 })
 	b.ready()
-	b.ups["i-s0"].Set(instance.Serves)
+	b.ups["i-s0"].SetMode(instance.Healthy)
 	b.eventually("keys for the one that came back", func() bool { return b.ownedBy("i-s0") > 0 })
 }
 
@@ -193,11 +193,11 @@
 	if sent, failed := stop(); failed > 0 || sent == 0 {
 		t.Errorf("%d of %d failed", failed, sent)
 	}
-	ran := b.oracle.RunsBy("i-s1")
+	ran := b.oracle.InstanceRuns("i-s1")
 	for key := 0; key <= spans.MaxKey; key += 997 {
 		b.mustAsk(b.gateways[0], http.MethodGet, "/status/x", key)
 	}
-	if b.oracle.RunsBy("i-s1") != ran {
+	if b.oracle.InstanceRuns("i-s1") != ran {
 		t.Error("the leaving upstream got requests after its keys had moved")
 	}
 }
@@ -214,11 +214,11 @@
 func TestLateGrants(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	b.ups["i-s0"].Set(instance.LateGrants)
+	b.ups["i-s0"].SetMode(instance.LateGrants)
 	time.Sleep(2 * renewInterval)
 	b.register(b.ups["i-s1"], "draining")
 	b.eventually("nothing owned by the leaving one", func() bool { return b.ownedBy("i-s1") == 0 })
-	b.ups["i-s0"].Set(instance.Serves)
+	b.ups["i-s0"].SetMode(instance.Healthy)
 	b.ready()
 	for key := 0; key <= spans.MaxKey; key += 6553 {
 		b.mustAsk(b.gateways[2], http.MethodGet, "/status/x", key)
@@ -230,13 +230,13 @@
 func TestLostAnswers(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	b.ups["i-p0"].Set(instance.Loses)
-	b.ups["i-p1"].Set(instance.Loses)
+	b.ups["i-p0"].SetMode(instance.LosesResponses)
+	b.ups["i-p1"].SetMode(instance.LosesResponses)
 	a := b.ask(b.gateways[0], http.MethodPost, "/pay/x", -1)
 	if a.status != http.StatusBadGateway || b.oracle.Runs(a.id) != 1 {
 		t.Errorf("status %d after %d runs", a.status, b.oracle.Runs(a.id))
 	}
-	b.ups["i-p1"].Set(instance.Serves)
+	b.ups["i-p1"].SetMode(instance.Healthy)
 	for range 6 {
 		b.mustAsk(b.gateways[0], http.MethodGet, "/read/x", -1)
 	}
@@ -247,8 +247,8 @@
 func TestRefusalsAreTrue(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	b.ups["i-p0"].Set(instance.Sheds)
-	b.ups["i-p1"].Set(instance.Sheds)
+	b.ups["i-p0"].SetMode(instance.Overloaded)
+	b.ups["i-p1"].SetMode(instance.Overloaded)
 	for range 5 {
 		a := b.ask(b.gateways[0], http.MethodPost, "/pay/x", -1)
 		if a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" || b.oracle.Runs(a.id) != 0 {
@@ -262,8 +262,8 @@
 func TestOwnFailure(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	b.ups["i-p0"].Set(instance.Fails)
-	b.ups["i-p1"].Set(instance.Fails)
+	b.ups["i-p0"].SetMode(instance.ReturnsErrors)
+	b.ups["i-p1"].SetMode(instance.ReturnsErrors)
 	a := b.ask(b.gateways[0], http.MethodPost, "/pay/x", -1)
 	if a.status != http.StatusInternalServerError || a.header.Get(platform.Signature) != "sig-"+a.id || b.oracle.Runs(a.id) != 1 {
 		t.Errorf("status %d after %d runs", a.status, b.oracle.Runs(a.id))
@@ -276,8 +276,8 @@
 	t.Parallel()
 	b := standard(t)
 	g := b.gateways[1]
-	b.ups["i-p0"].Work = 50 * time.Millisecond
-	b.ups["i-p1"].Work = 50 * time.Millisecond
+	b.ups["i-p0"].ServiceTime = 50 * time.Millisecond
+	b.ups["i-p1"].ServiceTime = 50 * time.Millisecond
 	var failed atomic.Int64
 	var all sync.WaitGroup
 	var stopping atomic.Bool
--- a/gateway/latecalls_test.go
+++ b/gateway/latecalls_test.go
@@ -110,11 +110,11 @@
 	b := standard(t)
 	clients := b.startKeyClients(b.roundRobin)
 	for _, u := range b.ups {
-		u.Set(instance.LateCalls)
+		u.SetMode(instance.LateCalls)
 	}
 	time.Sleep(8 * time.Second)
 	for _, u := range b.ups {
-		u.Set(instance.Serves)
+		u.SetMode(instance.Healthy)
 	}
 	time.Sleep(recoveryTime)
 	clients.takeCounts()
@@ -139,7 +139,7 @@
 	clients := b.startKeyClients(b.roundRobin)
 	time.Sleep(time.Second)
 	for _, u := range b.ups {
-		u.Set(instance.LateCalls)
+		u.SetMode(instance.LateCalls)
 	}
 	clients.takeCounts()
 	time.Sleep(8 * time.Second)
--- a/gateway/limitnews_test.go
+++ b/gateway/limitnews_test.go
@@ -21,7 +21,7 @@
 	t.Parallel()
 	b := standard(t)
 	for _, u := range []string{"i-p0", "i-p1"} {
-		b.ups[u].Name(1000)
+		b.ups[u].AdvertiseLimit(1000)
 	}
 	first := b.gateways[1]
 	all := func(want string) func() bool {
@@ -36,9 +36,9 @@
 		}
 	}
 	b.eventually("all know of both limits", all("2"))
-	b.ups["i-p0"].NameNone()
+	b.ups["i-p0"].ClearLimit()
 	b.eventually("all know of the end of one", all("1"))
-	b.ups["i-p1"].NameNone()
+	b.ups["i-p1"].ClearLimit()
 	b.eventually("all know of both ends", all("0"))
 }
 
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -79,13 +79,13 @@
 	time.Sleep(time.Second)
 	named := time.Now()
 	owner, other := b.ups["i-s0"], b.ups["i-p0"]
-	owner.Name(perSecond)
-	other.Name(perSecond)
+	owner.AdvertiseLimit(perSecond)
+	other.AdvertiseLimit(perSecond)
 	time.Sleep(load)
 	close(stop)
 	running.Wait()
 	for _, u := range []*upstream{owner, other} {
-		if got := maxInWindow(u.Arrivals(), named); got > maxAllowed(perSecond) {
+		if got := maxInWindow(u.ArrivalTimes(), named); got > maxAllowed(perSecond) {
 			t.Errorf("%s named %d a second and got %d requests in 4 s, allowed %d", u.ID, perSecond, got, maxAllowed(perSecond))
 		}
 	}
@@ -125,7 +125,7 @@
 		})
 	}
 	time.Sleep(time.Second)
-	b.ups["i-s0"].Name(perSecond)
+	b.ups["i-s0"].AdvertiseLimit(perSecond)
 	time.Sleep(settled)
 	answered.Store(0)
 	refused.Store(0)
@@ -146,7 +146,7 @@
 	only := b.upstream("i-p0", "pay")
 	g := b.gateway("g0")
 	b.ready()
-	only.Name(0)
+	only.AdvertiseLimit(0)
 	b.eventually("its limit is known", func() bool {
 		b.ask(g, http.MethodPost, "/pay/x", -1)
 		return g.named("pay") == "1"
@@ -155,7 +155,7 @@
 		time.Sleep(requestInterval)
 		b.ask(g, http.MethodPost, "/pay/x", -1)
 	}
-	only.NameNone()
+	only.ClearLimit()
 	b.eventually("it serves again", func() bool {
 		time.Sleep(requestInterval)
 		return b.ask(g, http.MethodPost, "/pay/x", -1).status == http.StatusOK && g.named("pay") == "0"
--- a/gateway/limitsight_test.go
+++ b/gateway/limitsight_test.go
@@ -19,7 +19,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go g.lines.Run(ctx, &out)
-	only.Name(1000)
+	only.AdvertiseLimit(1000)
 	for range 3 {
 		b.mustAsk(g, http.MethodPost, "/pay/x", -1)
 	}
@@ -30,7 +30,7 @@
 	if served := metricsOf(g); served["limits.pay.named"] != "1" || served["limits.pay.sent"] != "2" || served["limits.status.named"] != "0" {
 		t.Errorf("named %s, sent %s", served["limits.pay.named"], served["limits.pay.sent"])
 	}
-	only.NameNone()
+	only.ClearLimit()
 	b.mustAsk(g, http.MethodPost, "/pay/x", -1)
 	b.eventually("the end of the limit is logged", func() bool { return out.lineOf("upstream limit ended", "i-p0") != nil })
 	if served := metricsOf(g); served["limits.pay.named"] != "0" {
--- a/gateway/loss_test.go
+++ b/gateway/loss_test.go
@@ -20,7 +20,7 @@
 	t.Parallel()
 	b := standard(t)
 	k := b.leader().steward.assigner("status")
-	b.ups["i-s0"].Set(instance.Silent)
+	b.ups["i-s0"].SetMode(instance.Unresponsive)
 	b.eventually("control calls fail", func() bool { return k.failingFor("i-s0") > 0 })
 	k.mu.Lock()
 	// Keyed by fence: keys that were being moved to this owner are held by a different grant.
@@ -74,7 +74,7 @@
 	s := k.table.Spans[0]
 	before := k.holdDeadlines[ownerGrant(s)]
 	k.mu.Unlock()
-	b.ups["i-s1"].Set(instance.Silent)
+	b.ups["i-s1"].SetMode(instance.Unresponsive)
 	if _, err := k.grant(t.Context(), s.Keys, k.instance("i-s1"), s.Fence+fenceIncrement, ""); err == nil {
 		t.Fatal("a silent upstream answered")
 	}
@@ -96,7 +96,7 @@
 	if n := coldSpans(b.gateways[0]); n > 0 {
 		t.Errorf("%d spans cold after a planned move", n)
 	}
-	b.ups["i-s0"].Set(instance.Silent)
+	b.ups["i-s0"].SetMode(instance.Unresponsive)
 	for _, g := range b.gateways {
 		b.eventually("the cold keys are known", func() bool { return coldSpans(g) > 0 })
 	}
--- a/gateway/meters_test.go
+++ b/gateway/meters_test.go
@@ -34,8 +34,8 @@
 	b.mustAsk(g, http.MethodGet, "/status/x", 7)
 	b.mustAsk(g, http.MethodPost, "/pay/x", -1)
 	b.ask(g, http.MethodGet, "/nowhere/", -1)
-	b.ups["i-p0"].Set(instance.Sheds)
-	b.ups["i-p1"].Set(instance.Sheds)
+	b.ups["i-p0"].SetMode(instance.Overloaded)
+	b.ups["i-p1"].SetMode(instance.Overloaded)
 	b.ask(g, http.MethodGet, "/read/x", -1)
 	served := metricsOf(g)
 	for name := range served {
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -77,17 +77,17 @@
 // them more than leavingGrace after an answer through that gateway had said that the upstream is
 // leaving.
 func (r *requestRecord) sentTooLate(u *upstream) map[string]int {
-	arrived := u.Arrived()
+	arrived := u.Arrivals()
 	noticed := make(map[string]time.Time)
 	for _, a := range arrived {
-		e, ok := r.requests[a.Request]
+		e, ok := r.requests[a.RequestID]
 		if first, known := noticed[e.gateway]; ok && e.leaving && (!known || e.answered.Before(first)) {
 			noticed[e.gateway] = e.answered
 		}
 	}
 	late := make(map[string]int)
 	for _, a := range arrived {
-		e := r.requests[a.Request]
+		e := r.requests[a.RequestID]
 		if first, known := noticed[e.gateway]; known && e.sent.Sub(first) > leavingGrace {
 			late[e.gateway]++
 		}
@@ -99,8 +99,8 @@
 // for, from restGrace on.
 func (r *requestRecord) maxInRests(u *upstream) map[string]int {
 	byGateway := make(map[string][]instance.Arrival)
-	for _, a := range u.Arrived() {
-		if e, ok := r.requests[a.Request]; ok {
+	for _, a := range u.Arrivals() {
+		if e, ok := r.requests[a.RequestID]; ok {
 			byGateway[e.gateway] = append(byGateway[e.gateway], a)
 		}
 	}
@@ -109,7 +109,7 @@
 		for _, asked := range arrivals {
 			count := 0
 			for _, a := range arrivals {
-				if since := a.At.Sub(asked.At); since > restGrace && since < asked.Rest {
+				if since := a.ReceivedAt.Sub(asked.ReceivedAt); since > restGrace && since < asked.RetryAfter {
 					count++
 				}
 			}
@@ -159,8 +159,8 @@
 			time.Sleep(time.Second)
 			owner, other := b.ups["i-s0"], b.ups["i-p0"]
 			announced := time.Now()
-			owner.Leave()
-			other.Leave()
+			owner.AnnounceLeaving()
+			other.AnnounceLeaving()
 			time.Sleep(2 * leavingGrace)
 			close(stop)
 			running.Wait()
@@ -189,8 +189,8 @@
 	asked, running := b.startClients(8, stop)
 	time.Sleep(time.Second)
 	owner, other := b.ups["i-s0"], b.ups["i-p0"]
-	owner.Rest("1.5")
-	other.Rest("1.5")
+	owner.Overload("1.5")
+	other.Overload("1.5")
 	time.Sleep(4 * time.Second)
 	close(stop)
 	running.Wait()
@@ -213,8 +213,8 @@
 		name string
 		say  func(*upstream)
 	}{
-		{"leaves", func(u *upstream) { u.Leave() }},
-		{"rests", func(u *upstream) { u.Rest("3") }},
+		{"leaves", func(u *upstream) { u.AnnounceLeaving() }},
+		{"rests", func(u *upstream) { u.Overload("3") }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/gateway/noticesight_test.go
+++ b/gateway/noticesight_test.go
@@ -19,8 +19,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go g.lines.Run(ctx, &out)
-	leaving.Leave()
-	resting.Rest("30")
+	leaving.AnnounceLeaving()
+	resting.Overload("30")
 	b.eventually("both notices are counted", func() bool {
 		b.ask(g, http.MethodPost, "/pay/x", -1)
 		m := metricsOf(g)
--- a/gateway/requestlog_test.go
+++ b/gateway/requestlog_test.go
@@ -56,8 +56,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go g.lines.Run(ctx, &out)
-	b.ups["i-p0"].Set(instance.Sheds)
-	b.ups["i-p1"].Set(instance.Sheds)
+	b.ups["i-p0"].SetMode(instance.Overloaded)
+	b.ups["i-p1"].SetMode(instance.Overloaded)
 	refused := b.ask(g, http.MethodPost, "/pay/x", -1)
 	if refused.status != http.StatusServiceUnavailable {
 		t.Fatalf("status %d", refused.status)
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -31,7 +31,7 @@
 		longestGap = 1200 * time.Millisecond
 	)
 	modes := []instance.Mode{
-		instance.LateCalls, instance.LateCalls, instance.LateGrants, instance.Silent, instance.Sheds, instance.Loses, instance.Serves,
+		instance.LateCalls, instance.LateCalls, instance.LateGrants, instance.Unresponsive, instance.Overloaded, instance.LosesResponses, instance.Healthy,
 	}
 	p := newTroubles(t, rng.Uint64())
 	clients := p.startKeyClients(p.some)
@@ -40,7 +40,7 @@
 		if rng.IntN(steps) == 0 {
 			p.killOne(true)
 		} else {
-			p.ups[keyed[rng.IntN(len(keyed))]].Set(modes[rng.IntN(len(modes))])
+			p.ups[keyed[rng.IntN(len(keyed))]].SetMode(modes[rng.IntN(len(modes))])
 		}
 		time.Sleep(time.Duration(rng.Int64N(int64(longestGap))))
 	}
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -65,7 +65,7 @@
 	b.eventually("leader acts by promises", l.leading.actsByPromises)
 	time.Sleep(renewInterval)
 	l.kill()
-	b.ups["i-s0"].Set(instance.Silent)
+	b.ups["i-s0"].SetMode(instance.Unresponsive)
 	b.store.SetAllModes(metastore.Healthy)
 	b.eventually("another leader", func() bool { return b.leader() != nil })
 	b.eventually("silent owner owns no keys", func() bool { return b.ownedBy("i-s0") == 0 })
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -41,7 +41,7 @@
 			}
 			b.register(to, "draining")
 			if silent {
-				to.Set(instance.Silent)
+				to.SetMode(instance.Unresponsive)
 			}
 			b.gateway("g0")
 			b.eventually("the keys have moved to other owners", func() bool {
@@ -108,7 +108,7 @@
 	<-l.done
 	held := time.Duration(0)
 	for _, u := range b.ups {
-		held = max(held, u.HeldFor(0))
+		held = max(held, u.RemainingLease(0))
 	}
 	if held <= holdDuration {
 		t.Errorf("the owner of key 0 holds it for only %s after the leader's stop", held)
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -27,10 +27,10 @@
 	var runs atomic.Int64
 	var arm func(u *upstream)
 	arm = func(u *upstream) {
-		u.OnHarm(func(string) {
+		u.OnCrash(func(string) {
 			runs.Add(1)
 			_ = u.server.Close()
-			u.End()
+			u.Terminate()
 			time.AfterFunc(back, func() { arm(b.startUpstreamIn(u.domain, u.ID, u.service, u.born+1)) })
 		})
 	}
@@ -117,10 +117,10 @@
 func TestInnocentRequestsAreNotStopped(t *testing.T) {
 	t.Parallel()
 	b := standard(t)
-	modes := []instance.Mode{instance.Loses, instance.Sheds, instance.Fails, instance.Serves}
+	modes := []instance.Mode{instance.LosesResponses, instance.Overloaded, instance.ReturnsErrors, instance.Healthy}
 	for i := range 60 {
-		b.ups["i-p0"].Set(modes[i%len(modes)])
-		b.ups["i-p1"].Set(modes[(i/2)%len(modes)])
+		b.ups["i-p0"].SetMode(modes[i%len(modes)])
+		b.ups["i-p1"].SetMode(modes[(i/2)%len(modes)])
 		if i%20 == 10 {
 			b.restart(b.ups["i-p1"])
 		}
--- a/gateway/troubles_test.go
+++ b/gateway/troubles_test.go
@@ -162,8 +162,8 @@
 	case 1:
 		p.killOne(true)
 	case 2, 3:
-		modes := []instance.Mode{instance.Silent, instance.Loses, instance.Sheds, instance.LateGrants, instance.Serves}
-		p.anyUpstream().Set(modes[p.rng.IntN(len(modes))])
+		modes := []instance.Mode{instance.Unresponsive, instance.LosesResponses, instance.Overloaded, instance.LateGrants, instance.Healthy}
+		p.anyUpstream().SetMode(modes[p.rng.IntN(len(modes))])
 	case 4:
 		modes := []metastore.Mode{metastore.Unavailable, metastore.ResetConnection, metastore.Unresponsive, metastore.LoseResponse, metastore.ApplyLate}
 		if g := p.some(p.rng.IntN(8)); g != nil {
@@ -205,7 +205,7 @@
 func (p *troubles) heal() {
 	p.store.SetAllModes(metastore.Healthy)
 	for _, u := range p.ups {
-		u.Set(instance.Serves)
+		u.SetMode(instance.Healthy)
 		p.register(u, "ready")
 	}
 }
--- a/gateway/unread_test.go
+++ b/gateway/unread_test.go
@@ -23,13 +23,13 @@
 	defer stop()
 	go g.lines.Run(ctx, &out)
 	for range 2 {
-		if a := b.mustAsk(g, http.MethodPost, "/pay/x", -1); a.header.Get(instance.StartHeader) == "" {
+		if a := b.mustAsk(g, http.MethodPost, "/pay/x", -1); a.header.Get(instance.IncarnationHeader) == "" {
 			t.Error("not handed on")
 		}
 	}
 	b.eventually("a line tells of it", func() bool {
 		line := out.lineOf("answers bear a header that is not read", "i-p0")
-		return line != nil && line["header"] == instance.StartHeader && line["service"] == "pay"
+		return line != nil && line["header"] == instance.IncarnationHeader && line["service"] == "pay"
 	})
 	if n := metricsOf(g)["answers.pay.unread_headers"]; n != "2" {
 		t.Errorf("%s counted", n)
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(state.Headers) != 1 || state.Headers[0].Name != instance.StartHeader || state.Headers[0].Answers != 2 || !state.Headers[0].Sent {
+	if len(state.Headers) != 1 || state.Headers[0].Name != instance.IncarnationHeader || state.Headers[0].Answers != 2 || !state.Headers[0].Sent {
 		t.Errorf("%v", state.Headers)
 	}
 }
--- a/standin/instance/grants.go
+++ b/standin/instance/grants.go
@@ -12,13 +12,13 @@
 
 // This file grants keys to the instance and takes them back.
 
-type hold struct {
+type lease struct {
 	spans.Keys
-	fence uint64
-	until time.Time
+	fence   uint64
+	expires time.Time
 }
 
-type seen struct {
+type fenceRecord struct {
 	spans.Keys
 	fence uint64
 }
@@ -32,8 +32,8 @@
 
 func (i *Instance) holdsLocked(key uint16) bool {
 	now := time.Now()
-	for _, h := range i.holds {
-		if h.Has(key) && now.Before(h.until) {
+	for _, l := range i.leases {
+		if l.Has(key) && now.Before(l.expires) {
 			return true
 		}
 	}
@@ -42,44 +42,44 @@
 
 // HeldFor returns how long the instance holds the key from now on; zero when it does
 // not hold it.
-func (i *Instance) HeldFor(key uint16) time.Duration {
+func (i *Instance) RemainingLease(key uint16) time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	longest := time.Duration(0)
-	for _, h := range i.holds {
-		if h.Has(key) {
-			longest = max(longest, time.Until(h.until))
+	for _, l := range i.leases {
+		if l.Has(key) {
+			longest = max(longest, time.Until(l.expires))
 		}
 	}
 	return longest
 }
 
 // late reports whether a control call that comes now is carried out late, and by how much.
-func (i *Instance) late() (time.Duration, bool) {
+func (i *Instance) nextLateDelay() (time.Duration, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.mode != LateCalls {
 		return 0, false
 	}
 	i.calls++
-	return lateLeast + time.Duration(i.calls/2%lateSteps)*lateStep, i.calls%2 == 0
+	return minLateDelay + time.Duration(i.calls/2%lateDelaySteps)*lateDelayStep, i.calls%2 == 0
 }
 
 // carryOutLater carries a control call out after a time.
-func (i *Instance) carryOutLater(path string, body []byte, delay time.Duration) {
+func (i *Instance) applyLater(path string, body []byte, delay time.Duration) {
 	var c platform.GrantCall
 	if json.Unmarshal(body, &c) != nil {
 		return
 	}
-	until := time.Now().Add(time.Duration(c.Hold * float64(time.Second)))
+	expires := time.Now().Add(time.Duration(c.Hold * float64(time.Second)))
 	time.AfterFunc(delay, func() {
 		if path == platform.GrantPath {
-			i.grant(c, until)
+			i.grant(c, expires)
 			return
 		}
 		i.mu.Lock()
 		defer i.mu.Unlock()
-		if !i.ended {
+		if !i.terminated {
 			i.release(c)
 		}
 	})
@@ -88,69 +88,69 @@
 // release drops the keys of a call. The lock is held.
 func (i *Instance) release(c platform.GrantCall) {
 	keys := spans.Keys{First: c.From, Last: c.Target}
-	i.drop(keys)
-	i.seen = append(i.seen, seen{keys, c.Fence})
-	i.Oracle.released(i.ID, keys)
+	i.cutLeases(keys)
+	i.fences = append(i.fences, fenceRecord{keys, c.Fence})
+	i.Oracle.recordRelease(i.ID, keys)
 }
 
-func (i *Instance) grantCall(w http.ResponseWriter, body []byte) {
+func (i *Instance) serveGrant(w http.ResponseWriter, body []byte) {
 	var c platform.GrantCall
 	if json.Unmarshal(body, &c) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	until := time.Now().Add(time.Duration(c.Hold * float64(time.Second)))
-	if i.get() == LateGrants {
-		time.AfterFunc(LateBy, func() { i.grant(c, until) })
+	expires := time.Now().Add(time.Duration(c.Hold * float64(time.Second)))
+	if i.currentMode() == LateGrants {
+		time.AfterFunc(LateGrantDelay, func() { i.grant(c, expires) })
 		panic(http.ErrAbortHandler)
 	}
-	w.WriteHeader(i.grant(c, until))
+	w.WriteHeader(i.grant(c, expires))
 }
 
-func (i *Instance) grant(c platform.GrantCall, until time.Time) int {
+func (i *Instance) grant(c platform.GrantCall, expires time.Time) int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.ended {
+	if i.terminated {
 		return http.StatusServiceUnavailable
 	}
 	keys := spans.Keys{First: c.From, Last: c.Target}
-	for _, s := range i.seen {
+	for _, s := range i.fences {
 		if overlap(s.Keys, keys) && s.fence > c.Fence {
 			return http.StatusConflict
 		}
 	}
-	i.drop(keys)
-	i.seen = append(i.seen, seen{keys, c.Fence})
-	i.holds = append(i.holds, hold{keys, c.Fence, until})
-	i.Oracle.granted(i.ID, keys, c.Fence, until)
+	i.cutLeases(keys)
+	i.fences = append(i.fences, fenceRecord{keys, c.Fence})
+	i.leases = append(i.leases, lease{keys, c.Fence, expires})
+	i.Oracle.recordGrant(i.ID, keys, c.Fence, expires)
 	return http.StatusOK
 }
 
 func overlap(a, b spans.Keys) bool { return a.First <= b.Last && b.First <= a.Last }
 
 // drop cuts the keys out of all holds.
-func (i *Instance) drop(keys spans.Keys) {
-	var kept []hold
-	for _, h := range i.holds {
-		if !overlap(h.Keys, keys) {
-			kept = append(kept, h)
+func (i *Instance) cutLeases(keys spans.Keys) {
+	var kept []lease
+	for _, l := range i.leases {
+		if !overlap(l.Keys, keys) {
+			kept = append(kept, l)
 			continue
 		}
-		if h.First < keys.First {
-			low := h
+		if l.First < keys.First {
+			low := l
 			low.Last = keys.First - 1
 			kept = append(kept, low)
 		}
-		if h.Last > keys.Last {
-			high := h
+		if l.Last > keys.Last {
+			high := l
 			high.First = keys.Last + 1
 			kept = append(kept, high)
 		}
 	}
-	i.holds = kept
+	i.leases = kept
 }
 
-func (i *Instance) releaseCall(w http.ResponseWriter, body []byte) {
+func (i *Instance) serveRelease(w http.ResponseWriter, body []byte) {
 	var c platform.GrantCall
 	if json.Unmarshal(body, &c) != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -159,13 +159,13 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.release(c)
-	for i.busy(spans.Keys{First: c.From, Last: c.Target}) {
+	for i.hasRunning(spans.Keys{First: c.From, Last: c.Target}) {
 		i.idle.Wait()
 	}
 	w.Header().Set(platform.Handover, "h-"+i.ID+"-"+strconv.FormatUint(c.Fence, 10))
 }
 
-func (i *Instance) busy(keys spans.Keys) bool {
+func (i *Instance) hasRunning(keys spans.Keys) bool {
 	for key, n := range i.running {
 		if n > 0 && keys.Has(key) {
 			return true
@@ -174,7 +174,7 @@
 	return false
 }
 
-func (i *Instance) begin(key uint16) bool {
+func (i *Instance) beginRequest(key uint16) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if !i.holdsLocked(key) {
--- a/standin/instance/instance.go
+++ b/standin/instance/instance.go
@@ -21,16 +21,16 @@
 // The modes.
 const (
 	// Serves runs what it is sent.
-	Serves Mode = iota
+	Healthy Mode = iota
 	// Silent answers nothing and runs nothing, Frozen the same but lets calls
 	// take effect when it wakes.
-	Silent
+	Unresponsive
 	// Loses runs requests and breaks the connection instead of answering.
-	Loses
+	LosesResponses
 	// Fails runs requests and answers 500.
-	Fails
+	ReturnsErrors
 	// Sheds refuses requests for want of room.
-	Sheds
+	Overloaded
 	// LateGrants breaks grant calls off and carries them out LateBy later.
 	LateGrants
 	// LateCalls leaves every second grant and release unanswered and carries it out seconds
@@ -39,17 +39,17 @@
 )
 
 // mostArrivals bounds the arrivals that are remembered.
-const mostArrivals = 1 << 14
+const maxArrivals = 1 << 14
 
 // LateBy is how late a grant is carried out in mode LateGrants.
-const LateBy = 400 * time.Millisecond
+const LateGrantDelay = 400 * time.Millisecond
 
 // How late calls are carried out in mode LateCalls: longer by lateStep with each, up to lateSteps
 // times.
 const (
-	lateLeast = time.Second
-	lateStep  = 300 * time.Millisecond
-	lateSteps = 10
+	minLateDelay   = time.Second
+	lateDelayStep  = 300 * time.Millisecond
+	lateDelaySteps = 10
 )
 
 // Instance is one incarnation of an upstream. It is safe for concurrent use.
@@ -58,53 +58,53 @@
 	ID    string
 	Keyed bool
 	// Work is how long a request runs.
-	Work   time.Duration
-	Oracle *Oracle
+	ServiceTime time.Duration
+	Oracle      *Oracle
 	// arrivals are the requests that came, the newest of them.
 	arrivals []Arrival
 	// limit is how many requests a second it takes, as its answers say; negative for none.
 	limit float64
 	// start tells this incarnation from all others, also from those with its ID.
-	start string
+	incarnation string
 	// leaving says that its answers tell that it leaves.
 	leaving bool
 	// rest is what its refusals for want of room ask for, as it stands in them.
-	rest []string
+	retryAfter []string
 
 	mu   sync.Mutex
 	mode Mode
 	// calls counts grants and releases in mode LateCalls.
 	calls int
 	// ended says that its process has ended: what it was to carry out later it does not.
-	ended bool
+	terminated bool
 	// onHarm ends the process of the instance, by a request that does.
-	onHarm func(path string)
-	holds  []hold
+	onCrash func(path string)
+	leases  []lease
 	// seen is the highest fence seen, by span of keys.
-	seen    []seen
+	fences  []fenceRecord
 	running map[uint16]int
 	idle    *sync.Cond
 }
 
 // StartHeader tells in each answer to a request which incarnation has made it.
-const StartHeader = "X-Standin-Start"
+const IncarnationHeader = "X-Standin-Start"
 
 // starts counts incarnations.
-var starts atomic.Int64
+var incarnations atomic.Int64
 
 // New returns an instance that holds nothing.
-func New(id string, keyed bool, work time.Duration, oracle *Oracle) *Instance {
-	start := id + "/" + strconv.FormatInt(starts.Add(1), 10)
-	i := &Instance{ID: id, Keyed: keyed, Work: work, Oracle: oracle, running: make(map[uint16]int), limit: -1, start: start}
+func New(id string, keyed bool, serviceTime time.Duration, oracle *Oracle) *Instance {
+	incarnation := id + "/" + strconv.FormatInt(incarnations.Add(1), 10)
+	i := &Instance{ID: id, Keyed: keyed, ServiceTime: serviceTime, Oracle: oracle, running: make(map[uint16]int), limit: -1, incarnation: incarnation}
 	i.idle = sync.NewCond(&i.mu)
 	return i
 }
 
 // Start is the value of StartHeader in the answers of this incarnation.
-func (i *Instance) Start() string { return i.start }
+func (i *Instance) Incarnation() string { return i.incarnation }
 
 // Set changes the mode.
-func (i *Instance) Set(m Mode) {
+func (i *Instance) SetMode(m Mode) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.mode = m
@@ -114,16 +114,16 @@
 const HarmHeader = "X-Standin-Harm"
 
 // OnHarm sets what ends the process of the instance when it begins to run such a request.
-func (i *Instance) OnHarm(end func(path string)) {
+func (i *Instance) OnCrash(end func(path string)) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.onHarm = end
+	i.onCrash = end
 }
 
 // harmed ends the process.
-func (i *Instance) harmed(path string) {
+func (i *Instance) crash(path string) {
 	i.mu.Lock()
-	end := i.onHarm
+	end := i.onCrash
 	i.mu.Unlock()
 	if end != nil {
 		end(path)
@@ -132,14 +132,14 @@
 }
 
 // End ends the instance's process.
-func (i *Instance) End() {
+func (i *Instance) Terminate() {
 	i.mu.Lock()
-	i.ended = true
+	i.terminated = true
 	i.mu.Unlock()
-	i.Oracle.Ended(i.ID)
+	i.Oracle.InstanceTerminated(i.ID)
 }
 
-func (i *Instance) get() Mode {
+func (i *Instance) currentMode() Mode {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.mode
@@ -151,7 +151,7 @@
 	if err != nil {
 		return
 	}
-	if i.get() == Silent {
+	if i.currentMode() == Unresponsive {
 		<-r.Context().Done()
 		return
 	}
@@ -161,53 +161,53 @@
 	}
 	switch r.URL.Path {
 	case platform.GrantPath, platform.ReleasePath:
-		if delay, late := i.late(); late {
-			i.carryOutLater(r.URL.Path, body, delay)
+		if delay, late := i.nextLateDelay(); late {
+			i.applyLater(r.URL.Path, body, delay)
 			<-r.Context().Done()
 			return
 		}
 	}
 	switch r.URL.Path {
 	case platform.GrantPath:
-		i.grantCall(w, body)
+		i.serveGrant(w, body)
 	case platform.ReleasePath:
-		i.releaseCall(w, body)
+		i.serveRelease(w, body)
 	default:
-		i.request(w, r)
+		i.serveRequest(w, r)
 	}
 }
 
-func (i *Instance) request(w http.ResponseWriter, r *http.Request) {
+func (i *Instance) serveRequest(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(platform.RequestID)
 	if id == "" {
-		i.withoutID(w, r)
+		i.refuseWithoutID(w, r)
 		return
 	}
 	w.Header().Set(platform.RequestID, id)
-	i.arrived(id, w.Header())
+	i.recordArrival(id, w.Header())
 	key, hasKey := platform.Key(r.Header)
-	if i.get() == Sheds {
+	if i.currentMode() == Overloaded {
 		w.Header().Set(platform.NotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if i.Keyed && (!hasKey || !i.begin(key)) {
+	if i.Keyed && (!hasKey || !i.beginRequest(key)) {
 		w.Header().Set(platform.NotExecuted, "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	i.Oracle.Ran(i.ID, id, r.Method)
+	i.Oracle.RecordRun(i.ID, id, r.Method)
 	if r.Header.Get(HarmHeader) != "" {
-		i.harmed(r.URL.Path)
+		i.crash(r.URL.Path)
 	}
-	time.Sleep(i.Work)
+	time.Sleep(i.ServiceTime)
 	if i.Keyed {
 		i.end(key)
 	}
-	switch i.get() {
-	case Loses, Silent:
+	switch i.currentMode() {
+	case LosesResponses, Unresponsive:
 		panic(http.ErrAbortHandler)
-	case Fails:
+	case ReturnsErrors:
 		w.Header().Set(platform.Signature, "sig-"+id)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -221,9 +221,9 @@
 // withoutID refuses a request without an id, as the platform's instances do. One that
 // names its target is from a gateway, and its client's id is lost; any other was meant
 // for another process.
-func (i *Instance) withoutID(w http.ResponseWriter, r *http.Request) {
+func (i *Instance) refuseWithoutID(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(platform.TargetInstance) != "" {
-		i.Oracle.lostID(i.ID, r.Method, r.URL.Path)
+		i.Oracle.recordMissingID(i.ID, r.Method, r.URL.Path)
 	}
 	w.Header().Set(platform.NotExecuted, "1")
 	w.WriteHeader(http.StatusBadRequest)
--- a/standin/instance/instance_test.go
+++ b/standin/instance/instance_test.go
@@ -33,8 +33,8 @@
 		}
 		w := httptest.NewRecorder()
 		New("i", false, 0, o).ServeHTTP(w, r)
-		if w.Code != c.status || !platform.NotRun(w.Code, w.Header()) || o.RunsBy("i") != 0 {
-			t.Errorf("%s: status %d, headers %v, %d runs", name, w.Code, w.Header(), o.RunsBy("i"))
+		if w.Code != c.status || !platform.NotRun(w.Code, w.Header()) || o.InstanceRuns("i") != 0 {
+			t.Errorf("%s: status %d, headers %v, %d runs", name, w.Code, w.Header(), o.InstanceRuns("i"))
 		}
 		if diff := cmp.Diff(c.violations, o.Violations()); diff != "" {
 			t.Errorf("%s: %s", name, diff)
--- a/standin/instance/oracle.go
+++ b/standin/instance/oracle.go
@@ -15,15 +15,15 @@
 type Oracle struct {
 	mu sync.Mutex
 	// holds are by instance.
-	holds map[string][]hold
+	leases map[string][]lease
 	// fences are the highest fence of each key's owners, by span.
-	fences     []owned
-	runs       map[string]int
-	by         map[string]int
-	violations []string
+	fences         []grantRecord
+	runs           map[string]int
+	runsByInstance map[string]int
+	violations     []string
 }
 
-type owned struct {
+type grantRecord struct {
 	spans.Keys
 	owner string
 	fence uint64
@@ -31,69 +31,69 @@
 
 // NewOracle returns an oracle that has seen nothing.
 func NewOracle() *Oracle {
-	return &Oracle{holds: make(map[string][]hold), runs: make(map[string]int), by: make(map[string]int)}
+	return &Oracle{leases: make(map[string][]lease), runs: make(map[string]int), runsByInstance: make(map[string]int)}
 }
 
-func (o *Oracle) granted(id string, keys spans.Keys, fence uint64, until time.Time) {
+func (o *Oracle) recordGrant(id string, keys spans.Keys, fence uint64, expires time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	for other, holds := range o.holds {
-		for _, h := range holds {
-			if other != id && overlap(h.Keys, keys) && now.Before(h.until) {
-				o.violate("keys %d-%d granted to %s while %s holds %d-%d", keys.First, keys.Last, id, other, h.First, h.Last)
+	for other, leases := range o.leases {
+		for _, l := range leases {
+			if other != id && overlap(l.Keys, keys) && now.Before(l.expires) {
+				o.addViolation("keys %d-%d granted to %s while %s holds %d-%d", keys.First, keys.Last, id, other, l.First, l.Last)
 			}
 		}
 	}
 	for _, f := range o.fences {
 		if f.owner != id && overlap(f.Keys, keys) && f.fence >= fence {
-			o.violate("keys %d-%d granted to %s with fence %d, %s had %d", keys.First, keys.Last, id, fence, f.owner, f.fence)
+			o.addViolation("keys %d-%d granted to %s with fence %d, %s had %d", keys.First, keys.Last, id, fence, f.owner, f.fence)
 		}
 	}
-	o.drop(id, keys)
-	o.holds[id] = append(o.holds[id], hold{keys, fence, until})
-	o.fences = append(o.fences, owned{keys, id, fence})
+	o.cutLeases(id, keys)
+	o.leases[id] = append(o.leases[id], lease{keys, fence, expires})
+	o.fences = append(o.fences, grantRecord{keys, id, fence})
 }
 
-func (o *Oracle) released(id string, keys spans.Keys) {
+func (o *Oracle) recordRelease(id string, keys spans.Keys) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.drop(id, keys)
+	o.cutLeases(id, keys)
 }
 
-func (o *Oracle) drop(id string, keys spans.Keys) {
-	scratch := Instance{holds: o.holds[id]}
-	scratch.drop(keys)
-	o.holds[id] = scratch.holds
+func (o *Oracle) cutLeases(id string, keys spans.Keys) {
+	scratch := Instance{leases: o.leases[id]}
+	scratch.cutLeases(keys)
+	o.leases[id] = scratch.leases
 }
 
 // Ran notes that an instance begins to run a request.
-func (o *Oracle) Ran(instance, id, method string) {
+func (o *Oracle) RecordRun(instance, id, method string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.runs[id]++
-	o.by[instance]++
+	o.runsByInstance[instance]++
 	if o.runs[id] > 1 && method != "GET" {
-		o.violate("request %s ran %d times", id, o.runs[id])
+		o.addViolation("request %s ran %d times", id, o.runs[id])
 	}
 }
 
 // lostID notes that an instance was sent a request without an id.
-func (o *Oracle) lostID(instance, method, path string) {
+func (o *Oracle) recordMissingID(instance, method, path string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.violate("%s %s was sent to %s without an id", method, path, instance)
+	o.addViolation("%s %s was sent to %s without an id", method, path, instance)
 }
 
-func (o *Oracle) violate(format string, args ...any) {
+func (o *Oracle) addViolation(format string, args ...any) {
 	o.violations = append(o.violations, fmt.Sprintf(format, args...))
 }
 
 // Ended forgets the holds of an instance whose process has ended.
-func (o *Oracle) Ended(id string) {
+func (o *Oracle) InstanceTerminated(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.holds, id)
+	delete(o.leases, id)
 }
 
 // Runs returns how often a request ran.
@@ -104,10 +104,10 @@
 }
 
 // RunsBy returns how many requests an instance ran.
-func (o *Oracle) RunsBy(instance string) int {
+func (o *Oracle) InstanceRuns(instance string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.by[instance]
+	return o.runsByInstance[instance]
 }
 
 // Violations returns what must not have happened.
