--- a/cmd/rockcroft-gateway/main.go
+++ b/cmd/rockcroft-gateway/main.go
@@ -21,22 +21,22 @@
 		Settings: &conf,
 		Path:     platform.SettingsPath(),
 		Run: func(ctx context.Context) error {
-			lines := eventlog.New(time.Now)
-			writing, stop := context.WithCancel(context.Background())
-			written := make(chan struct{})
+			events := eventlog.New(time.Now)
+			writerCtx, stopWriter := context.WithCancel(context.Background())
+			writerDone := make(chan struct{})
 			go func() {
-				defer close(written)
-				lines.Run(writing, os.Stdout)
+				defer close(writerDone)
+				events.Run(writerCtx, os.Stdout)
 			}()
 			defer func() {
-				stop()
-				<-written
+				stopWriter()
+				<-writerDone
 			}()
-			open, err := gateway.Listen(conf)
+			listeners, err := gateway.Listen(conf)
 			if err != nil {
 				return err
 			}
-			return gateway.New(conf, open, lines).Run(ctx)
+			return gateway.New(conf, listeners, events).Run(ctx)
 		},
 	}.Main())
 }
--- a/cmd/standin-upstream/main.go
+++ b/cmd/standin-upstream/main.go
@@ -16,7 +16,7 @@
 		Short:    "Stand in for a server that owns keys",
 		Settings: &conf,
 		Run: func(ctx context.Context) error {
-			s, err := upstream.New(conf, upstream.NewBoot())
+			s, err := upstream.New(conf, upstream.NewBootID())
 			if err != nil {
 				return err
 			}
--- a/entry/bed_test.go
+++ b/entry/bed_test.go
@@ -150,7 +150,7 @@
 	if edit != nil {
 		edit(&conf)
 	}
-	s, err := upstream.New(conf, upstream.NewBoot())
+	s, err := upstream.New(conf, upstream.NewBootID())
 	if err != nil {
 		b.t.Fatal(err)
 	}
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -16,7 +16,7 @@
 )
 
 // maxValue is the largest value of an object, in bytes.
-const maxValue = 1 << 20
+const maxValueBytes = 1 << 20
 
 // Faults are the failures that the stand-in is told to show.
 type Faults struct {
@@ -45,10 +45,10 @@
 	reads    *rate.Limiter
 	writes   *rate.Limiter
 
-	mu       sync.Mutex
-	faults   Faults
-	counts   Counts
-	putCount int
+	mu         sync.Mutex
+	faults     Faults
+	counts     Counts
+	writeCount int
 }
 
 // NewServer returns a server with an empty store.
@@ -68,11 +68,11 @@
 	r.HandleFunc("/faults", s.setFaults).Methods(http.MethodPut)
 	r.HandleFunc("/counts", s.getCounts).Methods(http.MethodGet)
 	r.HandleFunc("/vms", s.putVMs).Methods(http.MethodPut)
-	r.Handle("/vms", s.guard(s.getVMs, s.reads)).Methods(http.MethodGet)
-	r.Handle("/objects/{kind}/{name}", s.guard(s.get, s.reads)).Methods(http.MethodGet)
-	r.Handle("/objects/{kind}/{name}", s.guard(s.put, s.writes)).Methods(http.MethodPut)
-	r.Handle("/objects/{kind}", s.guard(s.list, s.reads)).Methods(http.MethodGet)
-	r.Handle("/watch/{kind}", s.guard(s.watch, s.reads)).Methods(http.MethodGet)
+	r.Handle("/vms", s.withFaults(s.getVMs, s.reads)).Methods(http.MethodGet)
+	r.Handle("/objects/{kind}/{name}", s.withFaults(s.get, s.reads)).Methods(http.MethodGet)
+	r.Handle("/objects/{kind}/{name}", s.withFaults(s.put, s.writes)).Methods(http.MethodPut)
+	r.Handle("/objects/{kind}", s.withFaults(s.list, s.reads)).Methods(http.MethodGet)
+	r.Handle("/watch/{kind}", s.withFaults(s.watch, s.reads)).Methods(http.MethodGet)
 	return r
 }
 
@@ -90,7 +90,7 @@
 }
 
 // guard applies faults, latency and the call limit.
-func (s *Server) guard(next http.HandlerFunc, limit *rate.Limiter) http.Handler {
+func (s *Server) withFaults(next http.HandlerFunc, limit *rate.Limiter) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f := s.currentFaults()
 		if f.Silent {
@@ -101,7 +101,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		if !limit.Allow() {
-			s.count(func(c *Counts) { c.Refused++ })
+			s.updateCounts(func(c *Counts) { c.Refused++ })
 			http.Error(w, "too many calls", http.StatusTooManyRequests)
 			return
 		}
@@ -110,13 +110,13 @@
 	})
 }
 
-func (s *Server) count(add func(*Counts)) {
+func (s *Server) updateCounts(add func(*Counts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	add(&s.counts)
 }
 
-func reply(w http.ResponseWriter, v any, err error) {
+func writeResult(w http.ResponseWriter, v any, err error) {
 	switch {
 	case errors.Is(err, platform.ErrNotFound):
 		http.Error(w, err.Error(), http.StatusNotFound)
@@ -131,25 +131,25 @@
 }
 
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
-	s.count(func(c *Counts) { c.Reads++ })
+	s.updateCounts(func(c *Counts) { c.Reads++ })
 	v := mux.Vars(r)
 	obj, err := s.store.Get(r.Context(), v["kind"], v["name"])
-	reply(w, obj, err)
+	writeResult(w, obj, err)
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
-	s.count(func(c *Counts) { c.Reads++ })
+	s.updateCounts(func(c *Counts) { c.Reads++ })
 	b, err := s.store.List(r.Context(), mux.Vars(r)["kind"])
-	reply(w, b, err)
+	writeResult(w, b, err)
 }
 
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
-	s.count(func(c *Counts) { c.Writes++ })
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxValue+1))
+	s.updateCounts(func(c *Counts) { c.Writes++ })
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxValueBytes+1))
 	if err != nil {
 		return
 	}
-	if len(data) > maxValue || !json.Valid(data) {
+	if len(data) > maxValueBytes || !json.Valid(data) {
 		http.Error(w, "value is too large or no JSON", http.StatusBadRequest)
 		return
 	}
@@ -164,22 +164,22 @@
 	v := mux.Vars(r)
 	obj := platform.Object{Kind: v["kind"], Name: v["name"], Value: data}
 	obj.Version, err = s.store.Put(r.Context(), obj, expect)
-	if s.losesAnswer() {
+	if s.shouldLoseResponse() {
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, obj, err)
+	writeResult(w, obj, err)
 }
 
-func (s *Server) losesAnswer() bool {
+func (s *Server) shouldLoseResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.putCount++
+	s.writeCount++
 	n := s.faults.LoseAnswers
-	return n > 0 && s.putCount%n == 0
+	return n > 0 && s.writeCount%n == 0
 }
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
-	s.count(func(c *Counts) { c.Watches++ })
+	s.updateCounts(func(c *Counts) { c.Watches++ })
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
 		http.Error(w, "after is no revision", http.StatusBadRequest)
@@ -194,13 +194,13 @@
 	if f := s.currentFaults(); f.Down || f.Silent {
 		panic(http.ErrAbortHandler)
 	}
-	reply(w, b, err)
+	writeResult(w, b, err)
 }
 
 func (s *Server) getVMs(w http.ResponseWriter, r *http.Request) {
-	s.count(func(c *Counts) { c.Reads++ })
+	s.updateCounts(func(c *Counts) { c.Reads++ })
 	vms, err := s.store.VMs(r.Context())
-	reply(w, vms, err)
+	writeResult(w, vms, err)
 }
 
 // putVMs sets the machine list, which shows after the lag.
@@ -211,7 +211,7 @@
 		return
 	}
 	time.AfterFunc(s.settings.VMLag.D(), func() { s.store.SetVMs(vms) })
-	reply(w, vms, nil)
+	writeResult(w, vms, nil)
 }
 
 func (s *Server) setFaults(w http.ResponseWriter, r *http.Request) {
@@ -221,12 +221,12 @@
 		return
 	}
 	s.SetFaults(f)
-	reply(w, f, nil)
+	writeResult(w, f, nil)
 }
 
 func (s *Server) getCounts(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	c := s.counts
 	s.mu.Unlock()
-	reply(w, c, nil)
+	writeResult(w, c, nil)
 }
--- a/standin/upstream/control.go
+++ b/standin/upstream/control.go
@@ -14,7 +14,7 @@
 // This file serves orders and questions that are no requests.
 
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(v); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
 	}
@@ -38,7 +38,7 @@
 	if !decode(w, r, &g) {
 		return
 	}
-	s.freeze()
+	s.waitWhileFrozen()
 	if !s.owner.Grant(g) {
 		refuse(w, http.StatusConflict, header.RefusedNotOwner)
 		return
@@ -51,9 +51,9 @@
 	if !decode(w, r, &list) {
 		return
 	}
-	s.freeze()
+	s.waitWhileFrozen()
 	s.owner.Revoke(list.Revocations)
-	for s.runningIn(list.Revocations) && r.Context().Err() == nil {
+	for s.hasRunningIn(list.Revocations) && r.Context().Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	s.writeStatus(w)
@@ -64,25 +64,25 @@
 	if !decode(w, r, &n) {
 		return
 	}
-	s.freeze()
+	s.waitWhileFrozen()
 	s.owner.Renew(n)
-	s.count(func(c *Counts) { c.Probes++ })
+	s.updateCounts(func(c *Counts) { c.Probes++ })
 	s.writeStatus(w)
 }
 
 func (s *Server) reset(w http.ResponseWriter, _ *http.Request) {
-	s.freeze()
+	s.waitWhileFrozen()
 	s.owner.Reset()
 	s.writeStatus(w)
 }
 
 func (s *Server) postLeave(w http.ResponseWriter, _ *http.Request) {
-	s.owner.leave()
+	s.owner.announceLeave()
 	s.writeStatus(w)
 }
 
 func (s *Server) getHealth(w http.ResponseWriter, _ *http.Request) {
-	s.freeze()
+	s.waitWhileFrozen()
 	s.mu.Lock()
 	lying := s.faults.LyingHealth
 	s.mu.Unlock()
@@ -103,4 +103,4 @@
 
 func (s *Server) getCounts(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Counts()) }
 
-func (s *Server) getOracle(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.oracle.all()) }
+func (s *Server) getOracle(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.oracle.snapshot()) }
--- a/standin/upstream/oracle.go
+++ b/standin/upstream/oracle.go
@@ -25,15 +25,15 @@
 // oracle appends runs to a file, one write a line, so that a killed process
 // leaves everything it ran.
 type oracle struct {
-	mu   sync.Mutex
-	file *os.File
-	runs []Run
-	keep bool
+	mu       sync.Mutex
+	file     *os.File
+	runs     []Run
+	inMemory bool
 }
 
 func openOracle(path string) (*oracle, error) {
 	if path == "" {
-		return &oracle{keep: true}, nil
+		return &oracle{inMemory: true}, nil
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -45,7 +45,7 @@
 func (o *oracle) add(r Run) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.keep {
+	if o.inMemory {
 		o.runs = append(o.runs, r)
 		return
 	}
@@ -56,7 +56,7 @@
 	_, _ = o.file.Write(append(line, '\n'))
 }
 
-func (o *oracle) all() []Run {
+func (o *oracle) snapshot() []Run {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]Run(nil), o.runs...)
--- a/standin/upstream/owner.go
+++ b/standin/upstream/owner.go
@@ -20,7 +20,7 @@
 }
 
 // floor is a span in which grants up to an epoch are refused.
-type floor struct {
+type revocation struct {
 	keyspace.Span
 	epoch uint64
 }
@@ -31,14 +31,14 @@
 	clock  func() time.Duration
 	warmUp time.Duration
 
-	mu       sync.Mutex
-	boot     string
-	boots    int
-	lease    time.Duration
-	grants   []grant
-	floors   []floor
-	prepared map[keyspace.Span]time.Duration
-	leaving  bool
+	mu          sync.Mutex
+	boot        string
+	boots       int
+	lease       time.Duration
+	grants      []grant
+	revocations []revocation
+	prepared    map[keyspace.Span]time.Duration
+	leaving     bool
 }
 
 // NewOwnership returns the state of a process that has just started.
@@ -62,7 +62,7 @@
 	o.boot = fmt.Sprintf("%s.%d", base, o.boots)
 	o.lease = 0
 	o.grants = nil
-	o.floors = nil
+	o.revocations = nil
 	clear(o.prepared)
 }
 
@@ -85,21 +85,21 @@
 	if g.Boot != o.boot {
 		return false
 	}
-	for _, one := range g.Grants {
-		if one.Prepare {
-			if _, ok := o.prepared[one.Span]; !ok {
-				o.prepared[one.Span] = o.clock() + o.warmUp
+	for _, requested := range g.Grants {
+		if requested.Prepare {
+			if _, ok := o.prepared[requested.Span]; !ok {
+				o.prepared[requested.Span] = o.clock() + o.warmUp
 			}
 			continue
 		}
-		o.grantOne(one)
+		o.applyGrant(requested)
 	}
 	return true
 }
 
-func (o *Ownership) grantOne(g control.Grant) {
-	for _, f := range o.floors {
-		if f.Overlaps(g.Span) && g.Epoch <= f.epoch {
+func (o *Ownership) applyGrant(g control.Grant) {
+	for _, rev := range o.revocations {
+		if rev.Overlaps(g.Span) && g.Epoch <= rev.epoch {
 			return
 		}
 	}
@@ -113,12 +113,12 @@
 		warmAt = o.clock() + o.warmUp
 	}
 	delete(o.prepared, g.Span)
-	o.carve(g.Span, g.Epoch)
+	o.removeGrants(g.Span, g.Epoch)
 	o.grants = append(o.grants, grant{Span: g.Span, epoch: g.Epoch, warmAt: warmAt})
 }
 
 // carve removes grants up to epoch from the span.
-func (o *Ownership) carve(span keyspace.Span, epoch uint64) {
+func (o *Ownership) removeGrants(span keyspace.Span, epoch uint64) {
 	var kept []grant
 	for _, held := range o.grants {
 		if held.epoch > epoch {
@@ -139,21 +139,21 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, r := range list {
-		o.carve(r.Span, r.Epoch)
-		o.addFloor(floor{Span: r.Span, epoch: r.Epoch})
+		o.removeGrants(r.Span, r.Epoch)
+		o.addRevocation(revocation{Span: r.Span, epoch: r.Epoch})
 	}
 }
 
 // addFloor replaces floors that the new one covers.
-func (o *Ownership) addFloor(f floor) {
-	kept := o.floors[:0]
-	for _, old := range o.floors {
-		if f.Covers(old.Span) && old.epoch <= f.epoch {
+func (o *Ownership) addRevocation(rev revocation) {
+	kept := o.revocations[:0]
+	for _, old := range o.revocations {
+		if rev.Covers(old.Span) && old.epoch <= rev.epoch {
 			continue
 		}
 		kept = append(kept, old)
 	}
-	o.floors = append(kept, f)
+	o.revocations = append(kept, rev)
 }
 
 // Check reports whether the upstream may run a request at h under epoch now,
@@ -181,14 +181,14 @@
 }
 
 // leave announces a planned stop.
-func (o *Ownership) leave() {
+func (o *Ownership) announceLeave() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.leaving = true
 }
 
 // empty reports whether nothing is granted.
-func (o *Ownership) empty() bool {
+func (o *Ownership) hasNoGrants() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.grants) == 0
--- a/standin/upstream/serve.go
+++ b/standin/upstream/serve.go
@@ -13,10 +13,10 @@
 )
 
 // leaveLimit bounds the wait for grants to be taken back at a planned stop.
-const leaveLimit = 10 * time.Second
+const leaveTimeout = 10 * time.Second
 
 // NewBoot returns a boot id that no other start has.
-func NewBoot() string { return fmt.Sprintf("%016x", rand.Uint64()) }
+func NewBootID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
 // Serve runs until ctx ends. It then announces its stop and goes on serving
 // until its ranges are taken back.
@@ -37,14 +37,14 @@
 		ConnContext:       s.ConnContext,
 		ConnState:         s.ConnState(&open),
 	}
-	life, stop := context.WithCancel(context.Background())
+	serveCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
 		<-ctx.Done()
-		limit, cancel := context.WithTimeout(context.Background(), leaveLimit)
+		leaveCtx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 		defer cancel()
-		s.Leave(limit)
+		s.Leave(leaveCtx)
 		stop()
 	}()
-	return process.ServeListener(life, l, server)
+	return process.ServeListener(serveCtx, l, server)
 }
--- a/standin/upstream/server.go
+++ b/standin/upstream/server.go
@@ -20,10 +20,10 @@
 )
 
 // coldFactor is how much slower a cold range runs.
-const coldFactor = 5
+const coldSlowdown = 5
 
 // maxBody is the largest request body read, in bytes.
-const maxBody = 16 << 20
+const maxBodyBytes = 16 << 20
 
 // Faults are the failures that the stand-in is told to show.
 type Faults struct {
@@ -59,20 +59,20 @@
 	running  atomic.Int64
 	started  time.Time
 
-	mu     sync.Mutex
-	faults Faults
-	thawed chan struct{}
-	rng    *rand.Rand
-	done   map[string]outcome
+	mu        sync.Mutex
+	faults    Faults
+	unfrozen  chan struct{}
+	rng       *rand.Rand
+	completed map[string]storedResult
 	// attempts counts by request id; only kept without an oracle file.
 	attempts map[string]int
 	counts   Counts
 	answers  int
-	active   map[*job]keyspace.Hash
+	active   map[*request]keyspace.Hash
 }
 
 // outcome is the kept answer of a non-idempotent request.
-type outcome struct {
+type storedResult struct {
 	key string
 	seq int64
 }
@@ -96,26 +96,26 @@
 	started := time.Now()
 	clock := func() time.Duration { return time.Since(started) }
 	return &Server{
-		settings: s,
-		owner:    NewOwnership(clock, boot, s.WarmUp.D()),
-		oracle:   o,
-		slots:    make(chan struct{}, s.Slots),
-		started:  started,
-		rng:      rand.New(rand.NewPCG(s.Seed, 1)),
-		done:     make(map[string]outcome),
-		attempts: make(map[string]int),
-		active:   make(map[*job]keyspace.Hash),
+		settings:  s,
+		owner:     NewOwnership(clock, boot, s.WarmUp.D()),
+		oracle:    o,
+		slots:     make(chan struct{}, s.Slots),
+		started:   started,
+		rng:       rand.New(rand.NewPCG(s.Seed, 1)),
+		completed: make(map[string]storedResult),
+		attempts:  make(map[string]int),
+		active:    make(map[*request]keyspace.Hash),
 	}, nil
 }
 
-type connKey struct{}
+type connStateKey struct{}
 
 // connState counts the requests of one connection.
-type connState struct{ used atomic.Bool }
+type connState struct{ firstRequestSeen atomic.Bool }
 
 // ConnContext marks new connections, whose first request costs more.
 func (s *Server) ConnContext(ctx context.Context, _ net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, &connState{})
+	return context.WithValue(ctx, connStateKey{}, &connState{})
 }
 
 // ConnState closes connections over the limit.
@@ -145,18 +145,18 @@
 	r.HandleFunc(control.PathRevoke, s.revoke).Methods(http.MethodPost)
 	r.HandleFunc(control.PathRenew, s.renew).Methods(http.MethodPost)
 	r.HandleFunc(control.PathReset, s.reset).Methods(http.MethodPost)
-	r.PathPrefix("/").HandlerFunc(s.request)
+	r.PathPrefix("/").HandlerFunc(s.serveRequest)
 	return r
 }
 
 // leavePoll is the time between looks whether all grants are gone.
-const leavePoll = 20 * time.Millisecond
+const leavePollInterval = 20 * time.Millisecond
 
 // Leave announces the planned stop and waits until all grants are gone.
 func (s *Server) Leave(ctx context.Context) {
-	s.owner.leave()
-	for ctx.Err() == nil && !s.owner.empty() {
-		time.Sleep(leavePoll)
+	s.owner.announceLeave()
+	for ctx.Err() == nil && !s.owner.hasNoGrants() {
+		time.Sleep(leavePollInterval)
 	}
 }
 
@@ -164,27 +164,27 @@
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if f.Frozen && s.thawed == nil {
-		s.thawed = make(chan struct{})
+	if f.Frozen && s.unfrozen == nil {
+		s.unfrozen = make(chan struct{})
 	}
-	if !f.Frozen && s.thawed != nil {
-		close(s.thawed)
-		s.thawed = nil
+	if !f.Frozen && s.unfrozen != nil {
+		close(s.unfrozen)
+		s.unfrozen = nil
 	}
 	s.faults = f
 }
 
 // freeze blocks while the stand-in is frozen.
-func (s *Server) freeze() {
+func (s *Server) waitWhileFrozen() {
 	s.mu.Lock()
-	thawed := s.thawed
+	unfrozen := s.unfrozen
 	s.mu.Unlock()
-	if thawed != nil {
-		<-thawed
+	if unfrozen != nil {
+		<-unfrozen
 	}
 }
 
-func (s *Server) count(add func(*Counts)) {
+func (s *Server) updateCounts(add func(*Counts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	add(&s.counts)
@@ -198,7 +198,7 @@
 }
 
 // Empty reports whether the stand-in holds no range.
-func (s *Server) Empty() bool { return s.owner.empty() }
+func (s *Server) Empty() bool { return s.owner.hasNoGrants() }
 
 // Attempts returns how often a request with the id reached a slot, also when
 // it was answered from what was kept.
@@ -209,7 +209,7 @@
 }
 
 // Runs returns the oracle log when it is kept in memory.
-func (s *Server) Runs() []Run { return s.oracle.all() }
+func (s *Server) Runs() []Run { return s.oracle.snapshot() }
 
 func refuse(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(header.Refused, reason)
@@ -217,7 +217,7 @@
 }
 
 // job is one parsed request.
-type job struct {
+type request struct {
 	key        string
 	id         string
 	epoch      uint64
@@ -225,9 +225,9 @@
 	deadline   time.Time
 }
 
-func parseJob(r *http.Request) job {
+func parseRequest(r *http.Request) request {
 	epoch, _ := strconv.ParseUint(r.Header.Get(header.Epoch), 10, 64)
-	j := job{
+	req := request{
 		key:        r.Header.Get(header.Key),
 		id:         r.Header.Get(header.RequestID),
 		epoch:      epoch,
@@ -235,46 +235,46 @@
 		deadline:   time.Now().Add(time.Minute),
 	}
 	if left, err := time.ParseDuration(r.Header.Get(header.Timeout)); err == nil {
-		j.deadline = time.Now().Add(left)
+		req.deadline = time.Now().Add(left)
 	}
-	return j
+	return req
 }
 
-func (s *Server) request(w http.ResponseWriter, r *http.Request) {
-	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBody)); err != nil {
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request) {
+	if _, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes)); err != nil {
 		return
 	}
-	j := parseJob(r)
-	s.payConnection(r)
-	s.freeze()
-	if !s.takeSlot(w, r, j) {
+	req := parseRequest(r)
+	s.simulateNetwork(r)
+	s.waitWhileFrozen()
+	if !s.acquireSlot(w, r, req) {
 		return
 	}
 	defer func() {
 		s.running.Add(-1)
 		<-s.slots
 	}()
-	s.freeze()
-	s.run(w, r, j)
+	s.waitWhileFrozen()
+	s.run(w, r, req)
 }
 
-func (s *Server) payConnection(r *http.Request) {
-	if c, ok := r.Context().Value(connKey{}).(*connState); ok && !c.used.Swap(true) {
+func (s *Server) simulateNetwork(r *http.Request) {
+	if c, ok := r.Context().Value(connStateKey{}).(*connState); ok && !c.firstRequestSeen.Swap(true) {
 		time.Sleep(s.settings.ConnectionCost.D())
 	}
 	time.Sleep(s.settings.DistanceDelay.D())
 }
 
 // takeSlot waits for a slot within the queue length and the deadline.
-func (s *Server) takeSlot(w http.ResponseWriter, r *http.Request, j job) bool {
+func (s *Server) acquireSlot(w http.ResponseWriter, r *http.Request, req request) bool {
 	if s.waiting.Add(1) > int64(s.settings.QueueLength+s.settings.Slots)-s.running.Load() {
 		s.waiting.Add(-1)
-		s.count(func(c *Counts) { c.Shed++ })
+		s.updateCounts(func(c *Counts) { c.Shed++ })
 		refuse(w, http.StatusServiceUnavailable, header.RefusedOverloaded)
 		return false
 	}
 	defer s.waiting.Add(-1)
-	timer := time.NewTimer(time.Until(j.deadline))
+	timer := time.NewTimer(time.Until(req.deadline))
 	defer timer.Stop()
 	select {
 	case s.slots <- struct{}{}:
@@ -282,60 +282,60 @@
 		return true
 	case <-r.Context().Done():
 	case <-timer.C:
-		s.count(func(c *Counts) { c.Expired++ })
+		s.updateCounts(func(c *Counts) { c.Expired++ })
 		refuse(w, http.StatusGatewayTimeout, header.RefusedDeadline)
 	}
 	return false
 }
 
-func (s *Server) run(w http.ResponseWriter, r *http.Request, j job) {
-	if time.Now().After(j.deadline) || r.Context().Err() != nil {
-		s.count(func(c *Counts) { c.Expired++ })
+func (s *Server) run(w http.ResponseWriter, r *http.Request, req request) {
+	if time.Now().After(req.deadline) || r.Context().Err() != nil {
+		s.updateCounts(func(c *Counts) { c.Expired++ })
 		refuse(w, http.StatusGatewayTimeout, header.RefusedDeadline)
 		return
 	}
-	h := keyspace.Of(j.key)
-	s.begin(&j, h)
-	defer s.end(&j)
-	owned, warm := s.owner.Check(h, j.epoch)
+	h := keyspace.Of(req.key)
+	s.trackRequest(&req, h)
+	defer s.untrackRequest(&req)
+	owned, warm := s.owner.Check(h, req.epoch)
 	if s.settings.ChecksFences && !owned {
-		s.count(func(c *Counts) { c.Refused++ })
+		s.updateCounts(func(c *Counts) { c.Refused++ })
 		refuse(w, http.StatusConflict, header.RefusedNotOwner)
 		return
 	}
-	seq, repeated := s.record(j)
+	seq, repeated := s.record(req)
 	if !repeated {
-		s.work(j, warm)
+		s.simulateWork(req, warm)
 	}
-	if s.breaks() {
+	if s.shouldAbort() {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(header.Ran, "ran")
 	_ = json.NewEncoder(w).Encode(Answer{
-		Upstream: s.settings.ID, Key: j.key, RequestID: j.id, Epoch: j.epoch, Seq: seq,
+		Upstream: s.settings.ID, Key: req.key, RequestID: req.id, Epoch: req.epoch, Seq: seq,
 	})
 }
 
-func (s *Server) begin(j *job, h keyspace.Hash) {
+func (s *Server) trackRequest(req *request, h keyspace.Hash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.active[j] = h
+	s.active[req] = h
 }
 
-func (s *Server) end(j *job) {
+func (s *Server) untrackRequest(req *request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.active, j)
+	delete(s.active, req)
 }
 
 // runningIn reports whether a request within the revoked spans is running.
-func (s *Server) runningIn(list []control.Revocation) bool {
+func (s *Server) hasRunningIn(list []control.Revocation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for j, h := range s.active {
+	for req, h := range s.active {
 		for _, r := range list {
-			if r.Contains(h) && j.epoch <= r.Epoch {
+			if r.Contains(h) && req.epoch <= r.Epoch {
 				return true
 			}
 		}
@@ -344,37 +344,37 @@
 }
 
 // record writes the run down, unless it is a repeat of one that has run.
-func (s *Server) record(j job) (seq int64, repeated bool) {
+func (s *Server) record(req request) (seq int64, repeated bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.oracle.keep {
-		s.attempts[j.id]++
+	if s.oracle.inMemory {
+		s.attempts[req.id]++
 	}
-	if !j.idempotent && j.id != "" {
-		if old, ok := s.done[j.id]; ok {
+	if !req.idempotent && req.id != "" {
+		if old, ok := s.completed[req.id]; ok {
 			s.counts.Deduped++
 			return old.seq, true
 		}
 	}
 	s.counts.Ran++
 	seq = s.counts.Ran
-	if !j.idempotent && j.id != "" {
-		s.done[j.id] = outcome{key: j.key, seq: seq}
+	if !req.idempotent && req.id != "" {
+		s.completed[req.id] = storedResult{key: req.key, seq: seq}
 	}
 	s.oracle.add(Run{
 		At:         time.Now().UnixNano(),
 		Upstream:   s.settings.ID,
-		Key:        j.key,
-		RequestID:  j.id,
-		Epoch:      j.epoch,
-		Idempotent: j.idempotent,
+		Key:        req.key,
+		RequestID:  req.id,
+		Epoch:      req.epoch,
+		Idempotent: req.idempotent,
 	})
 	return seq, false
 }
 
-func (s *Server) work(j job, warm bool) {
+func (s *Server) simulateWork(req request, warm bool) {
 	mean := s.settings.WriteTime.D()
-	if j.idempotent {
+	if req.idempotent {
 		mean = s.settings.ReadTime.D()
 	}
 	s.mu.Lock()
@@ -384,14 +384,14 @@
 	}
 	s.mu.Unlock()
 	if !warm && s.settings.WarmUp > 0 {
-		factor *= coldFactor
+		factor *= coldSlowdown
 	}
-	took := time.Duration(float64(mean) * factor)
-	time.Sleep(took)
-	s.count(func(c *Counts) { c.BusyMicros += took.Microseconds() })
+	runTime := time.Duration(float64(mean) * factor)
+	time.Sleep(runTime)
+	s.updateCounts(func(c *Counts) { c.BusyMicros += runTime.Microseconds() })
 }
 
-func (s *Server) breaks() bool {
+func (s *Server) shouldAbort() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answers++
