--- a/protocol/answer/kind.go
+++ b/protocol/answer/kind.go
@@ -1,5 +1,5 @@
-// Package answer holds the closed list of error kinds and the one table that
-// maps a kind to what a caller or operator is told.
+// Package answer defines the error kinds and the single table that maps each kind to the
+// response sent to a caller or operator.
 package answer
 
 import (
@@ -10,11 +10,11 @@
 	"github.com/zeebo/errs/v2"
 )
 
-// Kind classifies an error. The list is closed: every answer that is not the
-// upstream's own carries one of these.
+// Kind classifies an error. The set is closed: every error response that was not
+// produced by an upstream has one of these kinds.
 type Kind string
 
-// The kinds of errors.
+// The error kinds.
 const (
 	BadRequest     Kind = "bad_request"
 	NoKey          Kind = "no_key"
@@ -34,8 +34,8 @@
 	TimedOut       Kind = "timed_out"
 	Broken         Kind = "broken"
 	RepeatUnsafe   Kind = "repeat_unsafe"
-	// Harmful is a request that ends the upstreams which run it, HarmfulOnce one that must not
-	// run twice: of it nobody knows whether it ran to its end before.
+	// Harmful marks a request that crashes the upstreams executing it. HarmfulOnce marks such a
+	// request that must not run twice, when it is unknown whether an earlier run completed.
 	Harmful      Kind = "harmful"
 	HarmfulOnce  Kind = "harmful_once"
 	Cancelled    Kind = "cancelled"
@@ -45,32 +45,32 @@
 	Internal     Kind = "internal"
 )
 
-// Ran says whether the request reached execution.
+// Execution tells whether a request was executed.
 type Execution string
 
-// The values of Ran.
+// The values of Execution.
 const (
 	NotExecuted      Execution = "not-run"
 	Executed         Execution = "ran"
 	ExecutionUnknown Execution = "unknown"
 )
 
-// Row is one line of the table from kind to answer.
+// Response is what a caller or operator is told about an error of one kind.
 type Response struct {
 	// Status is the HTTP status code.
 	Status int
-	// Ran says whether the request was executed.
+	// Execution tells whether the request was executed.
 	Execution Execution
-	// Again says whether the caller may repeat the request as it is.
+	// Retryable tells whether the caller may retry the request unchanged.
 	Retryable bool
-	// RetryAfter is the default time to come back; zero means none.
+	// RetryAfter is the default value of the Retry-After header; zero omits the header.
 	RetryAfter time.Duration
 }
 
 const (
 	shortRetryDelay = 1 * time.Second
 	longRetryDelay  = 5 * time.Second
-	// muchLater is within the time for which such a request is remembered.
+	// harmfulRetryDelay does not exceed the time for which a harmful request is remembered.
 	harmfulRetryDelay = time.Minute
 )
 
@@ -102,7 +102,7 @@
 	Internal:       {Status: http.StatusInternalServerError, Execution: ExecutionUnknown},
 }
 
-// Kinds returns every kind of the list.
+// Kinds returns all kinds, in no particular order.
 func Kinds() []Kind {
 	out := make([]Kind, 0, len(responses))
 	for k := range responses {
@@ -111,7 +111,7 @@
 	return out
 }
 
-// Row returns the table line of the kind. An unknown kind answers as Internal.
+// Response returns the response for the kind. An unknown kind is treated as Internal.
 func (k Kind) Response() Response {
 	response, ok := responses[k]
 	if !ok {
@@ -120,21 +120,21 @@
 	return response
 }
 
-// Valid reports whether the kind is on the list.
+// Valid reports whether the kind is one of the defined kinds.
 func (k Kind) Valid() bool {
 	_, ok := responses[k]
 	return ok
 }
 
-// Error is an error with a kind.
+// Error is an error that has a kind.
 type Error struct {
 	Kind Kind
-	// RetryAfter replaces the default of the table when positive.
+	// RetryAfter overrides the default for the kind if it is positive.
 	RetryAfter time.Duration
 	Err        error
 }
 
-// Error returns kind and cause.
+// Error returns the kind and the message of the cause.
 func (e *Error) Error() string { return string(e.Kind) + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
@@ -147,7 +147,7 @@
 	return &Error{Kind: kind, Err: errorTag.Errorf(format, args...)}
 }
 
-// Wrap gives err a kind unless it already has one.
+// Wrap gives err the kind, unless err already has one.
 func Wrap(kind Kind, err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
@@ -156,7 +156,7 @@
 	return &Error{Kind: kind, Err: errorTag.Wrap(err)}
 }
 
-// KindOf returns the kind of err, or Internal.
+// KindOf returns the kind of err, or Internal if it has none.
 func KindOf(err error) Kind {
 	var typed *Error
 	if errors.As(err, &typed) {
--- a/protocol/answer/write.go
+++ b/protocol/answer/write.go
@@ -11,7 +11,7 @@
 	"github.com/rockcroft/rockcroft/protocol/header"
 )
 
-// Body is the JSON form of an error answer.
+// Body is the JSON body of an error response.
 type Body struct {
 	Kind      Kind      `json:"kind"`
 	Execution Execution `json:"ran"`
@@ -19,8 +19,8 @@
 	Message   string    `json:"message"`
 }
 
-// Write sends the answer for err by the table. Headers already set on w stay,
-// a time to come back among them.
+// Write sends the error response for err. Headers that are already set on w are kept,
+// including Retry-After.
 func Write(w http.ResponseWriter, err error) {
 	kind := KindOf(err)
 	response := kind.Response()
--- a/protocol/header/header.go
+++ b/protocol/header/header.go
@@ -1,46 +1,46 @@
-// Package header names the HTTP headers of requests and answers.
+// Package header defines the names of the HTTP headers in requests and responses.
 package header
 
-// Headers that callers send.
+// Request headers set by callers.
 const (
-	// Key is the key that decides the owner. Required.
+	// Key is the key whose owner receives the request. It is required.
 	Key = "Rockcroft-Key"
-	// RequestID identifies a request over all its repeats.
+	// RequestID identifies a request and stays the same when it is retried.
 	RequestID = "Rockcroft-Request-Id"
-	// Timeout is the remaining time as a Go duration, such as "800ms".
+	// Timeout is the time left to answer, as a Go duration such as "800ms".
 	Timeout = "Rockcroft-Timeout"
-	// Idempotent is "true" or "false" and overrides the default of the method.
+	// Idempotent is "true" or "false" and overrides the default for the HTTP method.
 	Idempotent = "Rockcroft-Idempotent"
 	// Importance is "high", "normal" or "low".
 	Importance = "Rockcroft-Importance"
-	// Repeat carries the Epoch header of an answer of unknown outcome when
-	// the caller asks again with the same request id.
+	// Repeat is sent with a retry of a request whose outcome is unknown. It holds the
+	// Epoch header of the response to the earlier attempt with the same request id.
 	Repeat = "Rockcroft-Repeat"
-	// Caller names the caller for fair limits.
+	// Caller identifies the caller, so that limits can be shared fairly among callers.
 	Caller = "Rockcroft-Caller"
 )
 
-// Headers of answers.
+// Response headers.
 const (
-	// Kind is the error kind; absent on an upstream's own answer.
+	// Kind is the error kind. Responses produced by an upstream do not have it.
 	Kind = "Rockcroft-Kind"
-	// Ran is "not-run", "ran" or "unknown".
+	// Ran tells whether the request was executed: "not-run", "ran" or "unknown".
 	Ran = "Rockcroft-Ran"
-	// Owner is the upstream that answered.
+	// Owner is the upstream that produced the response.
 	Owner = "Rockcroft-Owner"
-	// Refused is set by an upstream that refused a request before any work.
+	// Refused is set by an upstream that rejected the request without executing any of it.
 	Refused = "Rockcroft-Refused"
 )
 
-// Headers used towards upstreams and between entries.
+// Headers of requests to upstreams and between entries.
 const (
-	// Epoch is the fencing token of the range.
+	// Epoch is the fencing token of the range that the key belongs to.
 	Epoch = "Rockcroft-Epoch"
-	// Hops counts the entries passed so far.
+	// Hops is the number of entries that have forwarded the request so far.
 	Hops = "Rockcroft-Hops"
 )
 
-// Reasons of the Refused header.
+// Values of the Refused header.
 const (
 	RefusedNotOwner   = "not_owner"
 	RefusedOverloaded = "overloaded"
--- a/protocol/operatorpb/operator.twirp.go
+++ b/protocol/operatorpb/operator.twirp.go
@@ -38,19 +38,19 @@
 	// CreateIntent stores an intent with its plan.
 	CreateIntent(context.Context, *CreateIntentRequest) (*IntentResponse, error)
 
-	// ConfirmIntent starts the plan of an intent. A stale plan is refused.
+	// ConfirmIntent starts the plan of an intent. It is rejected if the plan is out of date.
 	ConfirmIntent(context.Context, *IntentRequest) (*IntentResponse, error)
 
-	// CancelIntent withdraws an intent that is not confirmed.
+	// CancelIntent cancels an intent that has not been confirmed.
 	CancelIntent(context.Context, *IntentRequest) (*IntentResponse, error)
 
 	// GetIntent returns one intent.
 	GetIntent(context.Context, *IntentRequest) (*IntentResponse, error)
 
-	// ListIntents returns intents, the newest first.
+	// ListIntents returns intents, newest first.
 	ListIntents(context.Context, *ListIntentsRequest) (*ListIntentsResponse, error)
 
-	// Status returns what this entry knows, and what the platform holds.
+	// Status returns the state known to this entry and the documents stored on the platform.
 	Status(context.Context, *StatusRequest) (*StatusResponse, error)
 }
 
--- a/protocol/peerpb/peer.twirp.go
+++ b/protocol/peerpb/peer.twirp.go
@@ -33,15 +33,16 @@
 // Peer Interface
 // ==============
 
-// Peer is served by every entry to the other entries.
+// Peer is the service that every entry provides to the other entries.
 type Peer interface {
-	// Beat asks a voter for a promise and reports what the sender saw.
+	// Beat is a heartbeat. It asks a voter for a promise, which lets the sender send requests for a
+	// limited time, and reports what the sender observed.
 	Beat(context.Context, *BeatRequest) (*BeatResponse, error)
 
-	// Apply hands over documents and raises the fence of the sender's cell.
+	// Apply transfers documents and raises the fence of the sender's cell.
 	Apply(context.Context, *ApplyRequest) (*ApplyResponse, error)
 
-	// State returns the documents the receiver holds.
+	// State returns documents that the receiver holds.
 	State(context.Context, *StateRequest) (*StateResponse, error)
 }
 
--- a/protocol/placementpb/placement.twirp.go
+++ b/protocol/placementpb/placement.twirp.go
@@ -33,39 +33,40 @@
 // Placement Interface
 // ===================
 
-// Placement is served by every gateway; those that do not lead pass calls on.
+// Placement is the service for operators. Every gateway provides it; gateways other than the leader
+// forward the calls.
 type Placement interface {
-	// State states an intent and returns it with its plan.
+	// State creates an intent and returns it with its plan.
 	State(context.Context, *Intent) (*Intent, error)
 
-	// Confirm puts a planned intent in force. When the plan has changed since, it
-	// is refused and the new plan is stored.
+	// Confirm starts the execution of a planned intent. If the plan has changed in the meantime, the
+	// call is rejected and the new plan is stored.
 	Confirm(context.Context, *Reference) (*Intent, error)
 
-	// Cancel withdraws an intent.
+	// Cancel cancels an intent.
 	Cancel(context.Context, *Reference) (*Intent, error)
 
 	// List returns all intents.
 	List(context.Context, *ListRequest) (*Intents, error)
 
-	// Evacuations returns which failure domains are evacuated and which gateways know it.
+	// Evacuations returns the evacuated failure domains and which gateways know about them.
 	Evacuations(context.Context, *EvacuationsRequest) (*EvacuationsState, error)
 
-	// Owners returns which upstream owns how much of each service.
+	// Owners returns, for each service, how many keys each upstream owns.
 	Owners(context.Context, *OwnersRequest) (*OwnersState, error)
 
-	// Suspects returns requests that were on upstreams when these ended.
+	// Suspects returns the requests that were running on upstreams when those crashed or stopped.
 	Suspects(context.Context, *SuspectsRequest) (*SuspectsState, error)
 
-	// LiftSuspect lets a request through again at all gateways.
+	// LiftSuspect allows a suspect request again at all gateways.
 	LiftSuspect(context.Context, *Lift) (*SuspectsState, error)
 
-	// Unread returns the headers of upstreams' answers that no code reads, as the gateway that is
-	// asked has seen them.
+	// Unread returns the response headers from upstreams that no code reads, as seen by the gateway
+	// that receives the call.
 	Unread(context.Context, *UnreadRequest) (*UnreadState, error)
 
-	// Watches returns how long ago the store last answered lists and watches of the gateway that is
-	// asked.
+	// Watches returns how long ago the store last answered a list or watch call of the gateway that
+	// receives the call.
 	Watches(context.Context, *WatchesRequest) (*WatchesState, error)
 }
 
--- a/protocol/syncpb/sync.twirp.go
+++ b/protocol/syncpb/sync.twirp.go
@@ -33,22 +33,21 @@
 // Peer Interface
 // ==============
 
-// Peer is served by every gateway to the other gateways.
+// Peer is the service that every gateway provides to the other gateways.
 type Peer interface {
-	// Sync hands over what the sender saw and answers with what has changed.
+	// Sync reports the sender's state and observations and returns what has changed at the receiver.
 	// The receiver may wait for a change before it answers.
 	Sync(context.Context, *SyncRequest) (*SyncResponse, error)
 
-	// Fetch returns a piece of a part of the news that an answer to Sync has named.
-	// It fails with not_found when the part is not kept any more.
+	// Fetch returns a piece of a part that an answer to Sync has offered. It fails with not_found if
+	// the part is no longer cached.
 	Fetch(context.Context, *FetchRequest) (*FetchResponse, error)
 
-	// Relay carries a call to the platform's store for a gateway that does not
-	// reach it.
+	// Relay forwards a call to the platform's store for a gateway that cannot reach it.
 	Relay(context.Context, *RelayRequest) (*RelayResponse, error)
 
-	// Promise asks a voter to stand by the leader of a term for a while, or, by
-	// the leader of a later term, whether it stands by a former one.
+	// Promise asks a voter to support the leader of a term for a limited time. The leader of a later
+	// term uses it to ask whether the voter has supported a former leader.
 	Promise(context.Context, *PromiseRequest) (*PromiseResponse, error)
 }
 
