--- a/standin/metastore/metastore.go
+++ b/standin/metastore/metastore.go
@@ -1,6 +1,6 @@
-// Package metastore stands in for the platform's metadata store: objects with
-// revisions, conditional writes, watches, and the faults that the platform's
-// pages describe.
+// Package metastore simulates the platform's metadata store for tests. It implements
+// objects with revisions, conditional writes and watches, and injects the faults that the
+// platform's documentation describes.
 package metastore
 
 import (
@@ -16,15 +16,15 @@
 	"github.com/rockcroft/rockcroft/platform"
 )
 
-// Store is the store. It is safe for concurrent use.
+// Store keeps the objects in memory. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	revision uint64
 	objects  map[string]map[string]platform.ObjectBody
 	history  []change
-	// compacted is the revision up to which the history is gone.
+	// compacted is the revision up to which the history has been dropped.
 	compacted uint64
-	// deaf watches hear nothing.
+	// suppressEvents makes watches report no changes.
 	suppressEvents bool
 	changed        chan struct{}
 	endpoints      map[string]*Endpoint
@@ -45,29 +45,29 @@
 	}
 }
 
-// Mode is how a door treats calls.
+// Mode tells how an endpoint handles calls.
 type Mode int
 
-// The modes.
+// The modes of an endpoint.
 const (
-	// Open serves.
+	// Healthy serves calls normally.
 	Healthy Mode = iota
-	// Busy answers 503, Many 429.
+	// Unavailable answers 503, TooManyRequests 429.
 	Unavailable
 	TooManyRequests
-	// Reset breaks the connection, Silent never answers.
+	// ResetConnection closes the connection without an answer, Unresponsive never answers.
 	ResetConnection
 	Unresponsive
-	// Lose carries calls out and breaks the connection.
+	// LoseResponse executes the call, then closes the connection without an answer.
 	LoseResponse
-	// Late breaks the connection and carries the call out LateBy afterwards.
+	// ApplyLate closes the connection and executes the call LateDelay later.
 	ApplyLate
 )
 
-// LateBy is how late a call is carried out in mode Late.
+// LateDelay is the delay before a call is executed in mode ApplyLate.
 const LateDelay = 300 * time.Millisecond
 
-// Door is the way of one caller to the store, with faults of its own.
+// Endpoint is the access of one caller to the store. Each endpoint has its own fault mode.
 type Endpoint struct {
 	store     *Store
 	mu        sync.Mutex
@@ -75,7 +75,7 @@
 	listCalls int
 }
 
-// Door returns the named door.
+// Endpoint returns the named endpoint, which is created if needed.
 func (s *Store) Endpoint(name string) *Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,19 +87,19 @@
 	return e
 }
 
-// Set changes how the door treats calls.
+// SetMode changes how the endpoint handles calls.
 func (e *Endpoint) SetMode(m Mode) {
 	e.mu.Lock()
 	e.mode = m
 	e.mu.Unlock()
 	if m != Healthy {
-		// Watches that wait are cut off.
+		// A watch that is already waiting is aborted when it returns, see respond.
 		e.store.wakeWatches()
 	}
 }
 
-// Lists returns the number of calls through the door so far that asked for a list of
-// objects, one for each page.
+// ListCalls returns the number of calls through the endpoint so far that listed objects.
+// Each page of a list is a call.
 func (e *Endpoint) ListCalls() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,7 +112,7 @@
 	return e.mode
 }
 
-// SetAll changes all doors.
+// SetAllModes changes the mode of all existing endpoints.
 func (s *Store) SetAllModes(m Mode) {
 	s.mu.Lock()
 	endpoints := make([]*Endpoint, 0, len(s.endpoints))
@@ -125,14 +125,14 @@
 	}
 }
 
-// SetDeaf decides whether watches hear of changes.
+// SetSuppressEvents sets whether watches stop reporting changes.
 func (s *Store) SetSuppressEvents(suppressEvents bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.suppressEvents = suppressEvents
 }
 
-// Compact drops the history.
+// Compact drops the history, so that watches from an older revision fail with 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,15 +140,15 @@
 	s.compacted = s.revision
 }
 
-// Calls returns the number of calls made so far.
+// Calls returns the number of calls received so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Put writes an object without condition, as operators and upstreams do, and
-// returns its revision.
+// Put writes an object unconditionally, as operators and upstreams do, and returns its
+// new revision.
 func (s *Store) Put(kind, name string, spec any) uint64 {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -159,14 +159,14 @@
 	return s.put(kind, name, data).Metadata.Revision
 }
 
-// Remove takes an object away.
+// Remove deletes an object, if it exists.
 func (s *Store) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(kind, name)
 }
 
-// Spec returns the spec of an object, or nil.
+// Spec returns the spec of an object, or nil if it does not exist.
 func (s *Store) Spec(kind, name string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,7 +201,7 @@
 	s.changed = make(chan struct{})
 }
 
-// wake ends the wait of all watches.
+// wakeWatches makes all waiting watches look for changes again.
 func (s *Store) wakeWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,7 +209,7 @@
 	s.changed = make(chan struct{})
 }
 
-// ServeHTTP serves one call that came through the door.
+// ServeHTTP serves one call through the endpoint.
 func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -241,8 +241,8 @@
 	}
 }
 
-// isList reports whether a call asks for the objects of a kind, and not for one of
-// them or for changes.
+// isList reports whether a call lists the objects of a kind, as opposed to reading a single
+// object or watching for changes.
 func isList(r *http.Request) bool {
 	single := strings.Contains(strings.TrimPrefix(r.URL.Path, platform.ObjectsPath), "/")
 	return r.Method == http.MethodGet && !single && !r.URL.Query().Has("watch")
@@ -266,7 +266,7 @@
 	s.calls++
 }
 
-// call carries one call out and returns status and body.
+// execute executes one call and returns the status and body of the answer.
 func (s *Store) execute(r *http.Request, body []byte) (int, any) {
 	kind, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, platform.ObjectsPath), "/")
 	if r.Method == http.MethodGet {
@@ -307,7 +307,7 @@
 	return http.StatusOK, s.put(kind, name, o.Spec)
 }
 
-// pageSize is the number of objects in one answer; small, so that tests see
+// pageSize is the maximum number of objects in one answer. It is small so that tests see
 // several pages.
 const pageSize = 20
 
--- a/standin/relay/narrow.go
+++ b/standin/relay/narrow.go
@@ -7,41 +7,41 @@
 )
 
 const (
-	// narrowBurst is the number of bytes that a narrow link takes at once after it was
-	// idle, as the queue of a network card does.
+	// linkBurst is the number of bytes that a rate-limited link accepts at once after it
+	// was idle, as the queue of a network card does.
 	linkBurst = 16 << 10
-	// narrowPiece is the most bytes of one connection that are sent in one turn: about
-	// three packets, so that connections share a link evenly.
+	// linkChunk is the maximum number of bytes that one connection sends before others get
+	// a turn: about three packets, so that connections share a link evenly.
 	linkChunk = 4 << 10
 )
 
-// Wide is the rate of a link that does not limit.
+// Unlimited is the rate of a link that is not limited.
 const Unlimited = -1
 
-// Link is the sending side of a machine's link: all connections of its listener share
-// one rate. It is safe for concurrent use.
+// Link simulates the sending direction of a machine's network link: all connections of
+// its listener share one rate. It is safe for concurrent use.
 type Link struct {
 	net.Listener
 	now func() time.Time
 
 	mu sync.Mutex
-	// rate is in bytes a second. Nothing passes at zero, and all does when it is negative.
+	// rate is in bytes per second. At zero nothing is sent, and a negative rate is unlimited.
 	rate int
-	// free is when the bytes that were let through so far have left the link.
+	// idleAt is the time at which the link has sent all bytes accepted so far.
 	idleAt    time.Time
 	bytesSent int64
-	// changed is closed when the rate changes.
+	// rateChanged is closed and replaced when the rate changes.
 	rateChanged chan struct{}
 }
 
-// Narrow lets the connections that l accepts send bytesPerSecond in all, or as much as
-// they like when that is Wide. At zero they fall silent and stay open. What they
-// receive is not limited.
+// LimitRate limits the connections that l accepts to sending bytesPerSecond together, or
+// does not limit them if that is Unlimited. At zero they send nothing and stay open. The
+// receiving direction is not limited.
 func LimitRate(l net.Listener, bytesPerSecond int) *Link {
 	return &Link{Listener: l, now: time.Now, rate: bytesPerSecond, rateChanged: make(chan struct{})}
 }
 
-// SetRate changes the rate, for open connections too.
+// SetRate changes the rate, also for open connections.
 func (l *Link) SetRate(bytesPerSecond int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,14 +50,14 @@
 	l.rateChanged = make(chan struct{})
 }
 
-// Sent returns the number of bytes that have been sent so far.
+// BytesSent returns the number of bytes sent so far by all connections.
 func (l *Link) BytesSent() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.bytesSent
 }
 
-// Accept waits for the next connection.
+// Accept implements net.Listener. Connections that it returns share the rate of the link.
 func (l *Link) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -66,9 +66,9 @@
 	return &limitedConn{Conn: c, link: l, closed: make(chan struct{})}, nil
 }
 
-// turn lets a piece of n bytes through: it returns how long the link is still busy
-// before that. When nothing passes, ok is false, and changed is closed when that may
-// have changed.
+// reserve reserves the link for n bytes and returns how long to wait before sending them.
+// If the rate is zero, ok is false and nothing is reserved. rateChanged is closed when the
+// rate changes, which invalidates the reservation.
 func (l *Link) reserve(n int) (wait time.Duration, rateChanged <-chan struct{}, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +93,7 @@
 	l.bytesSent += int64(n)
 }
 
-// narrowConn is one connection over a link.
+// limitedConn is one connection over a link.
 type limitedConn struct {
 	net.Conn
 	link   *Link
@@ -101,7 +101,7 @@
 	closed chan struct{}
 }
 
-// Write sends in pieces, each in its turn.
+// Write sends the data in chunks and waits for the link before each of them.
 func (c *limitedConn) Write(data []byte) (int, error) {
 	written := 0
 	for written < len(data) {
@@ -119,8 +119,8 @@
 	return written, nil
 }
 
-// await waits for the turn of n bytes. It returns false when the connection was closed
-// meanwhile.
+// waitTurn waits until the link can take n bytes. It returns false if the connection is
+// closed in the meantime.
 func (c *limitedConn) waitTurn(n int) bool {
 	for {
 		wait, rateChanged, ok := c.link.reserve(n)
@@ -137,14 +137,14 @@
 		case <-elapsed:
 			return true
 		case <-rateChanged:
-			// With another rate the turn is another one.
+			// Reserve again at the new rate.
 		case <-c.closed:
 			return false
 		}
 	}
 }
 
-// Close ends the connection, also while it waits for its turn.
+// Close closes the connection, also while a write waits for the link.
 func (c *limitedConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
--- a/standin/relay/narrow_test.go
+++ b/standin/relay/narrow_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// flood accepts connections and sends size bytes over each.
+// sendToEach accepts connections and sends size bytes over each.
 func sendToEach(l net.Listener, size int) {
 	for {
 		c, err := l.Accept()
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestNarrow: nothing passes without a rate, and with one all bytes of all connections
-// arrive.
+// TestLimitRate checks that nothing is sent at rate zero, and that all bytes of all
+// connections arrive once a rate is set.
 func TestLimitRate(t *testing.T) {
 	t.Parallel()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	if n, err := conns[0].Read(make([]byte, 1)); n > 0 || err == nil {
-		t.Errorf("%d bytes over a link without a rate, error %v", n, err)
+		t.Errorf("read %d bytes over a link with rate zero, error %v", n, err)
 	}
 	if err := conns[0].SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
@@ -54,16 +54,16 @@
 	link.SetRate(rate)
 	for _, c := range conns {
 		if data, err := io.ReadAll(c); err != nil || len(data) != size {
-			t.Errorf("%d bytes of %d, error %v", len(data), size, err)
+			t.Errorf("read %d of %d bytes, error %v", len(data), size, err)
 		}
 	}
 	if n := link.BytesSent(); n != connections*size {
-		t.Errorf("%d bytes counted", n)
+		t.Errorf("BytesSent() = %d", n)
 	}
 }
 
-// TestNarrowRate: what all connections send leaves the link at its rate, but for a burst
-// after it was idle.
+// TestLinkRateIsShared checks that the data of all connections leaves the link at its rate,
+// except for a burst after the link was idle.
 func TestLinkRateIsShared(t *testing.T) {
 	t.Parallel()
 	const rate = 1 << 10
@@ -71,22 +71,22 @@
 	link := LimitRate(nil, rate)
 	link.now = func() time.Time { return now }
 	if wait, _, ok := link.reserve(linkBurst); !ok || wait > 0 {
-		t.Errorf("the burst waits %s", wait)
+		t.Errorf("a burst on an idle link waits %s", wait)
 	}
 	for n := range 3 {
 		if wait, _, _ := link.reserve(rate); wait != time.Duration(n+1)*time.Second {
-			t.Errorf("piece %d waits %s", n, wait)
+			t.Errorf("chunk %d waits %s", n, wait)
 		}
 	}
 	now = now.Add(5 * time.Second)
 	if wait, _, _ := link.reserve(rate); wait > 0 {
-		t.Errorf("a piece waits %s for an idle link", wait)
+		t.Errorf("a chunk waits %s for an idle link", wait)
 	}
 	link.SetRate(2 * rate)
 	if wait, _, _ := link.reserve(linkBurst + 2*rate); wait != time.Second {
-		t.Errorf("at the double rate it is %s", wait)
+		t.Errorf("at twice the rate, data waits %s", wait)
 	}
 	if wait, _, ok := LimitRate(nil, Unlimited).reserve(1 << 30); !ok || wait > 0 {
-		t.Errorf("a wide link lets wait %s", wait)
+		t.Errorf("data waits %s for an unlimited link", wait)
 	}
 }
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -1,5 +1,6 @@
-// Package relay is a loopback TCP relay with the faults of a network: delay, resets,
-// cuts in one direction or both, and connections that fall silent while new ones work.
+// Package relay implements a loopback TCP relay that injects network faults: delays,
+// resets, loss of data in one or both directions, and connections that stop carrying data
+// while new ones work. It can also limit the send rate of a listener.
 package relay
 
 import (
@@ -10,31 +11,31 @@
 	"time"
 )
 
-// Fault is how a relay treats bytes.
+// Fault tells how a relay handles connections and their data.
 type Fault int
 
 // The faults.
 const (
-	// None: bytes pass.
+	// None forwards all data.
 	None Fault = iota
-	// Slow: bytes pass Lag later.
+	// Slow forwards data after SlowDelay.
 	Slow
-	// CutThere: what the dialling side sends is lost; CutBack: what it would
-	// receive; CutBoth: all.
+	// DropToTarget discards data from the client to the target, DropFromTarget data
+	// from the target to the client, and DropBoth both.
 	DropToTarget
 	DropFromTarget
 	DropBoth
-	// Refuse: new connections are reset, those that are open pass.
+	// Refuse resets new connections and forwards data on open ones.
 	Refuse
 )
 
-// Lag is the delay of the fault Slow, for each piece of bytes.
+// SlowDelay is the delay that the fault Slow adds to each forwarded buffer.
 const SlowDelay = 150 * time.Millisecond
 
-// piece is the most bytes that are passed on at a time.
+// bufferSize is the maximum number of bytes forwarded at once.
 const bufferSize = 16 << 10
 
-// Relay passes connections on to a target. It is safe for concurrent use.
+// Relay forwards connections to a target address. It is safe for concurrent use.
 type Relay struct {
 	listener   net.Listener
 	targetAddr string
@@ -44,14 +45,14 @@
 	connections map[*connection]bool
 }
 
-// link is one connection through the relay.
+// connection is one connection through the relay.
 type connection struct {
 	client, target net.Conn
-	// silent is closed when the connection shall carry nothing any more.
+	// silenced is closed when the connection must not carry data any longer.
 	silenced chan struct{}
 }
 
-// New opens a relay on a port of the kernel's choice.
+// New starts a relay on a free loopback port.
 func New(targetAddr string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,17 +63,17 @@
 	return r, nil
 }
 
-// Addr is the address to connect to.
+// Addr returns the address on which the relay accepts connections.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Open returns the number of open connections.
+// OpenConnections returns the number of open connections.
 func (r *Relay) OpenConnections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.connections)
 }
 
-// Set changes the fault, for open connections too.
+// SetFault changes the fault, also for open connections.
 func (r *Relay) SetFault(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,8 +89,8 @@
 	}
 }
 
-// SilenceAll lets all open connections carry nothing any more, without a reset. New
-// ones work.
+// SilenceAll makes all open connections discard data from now on, without resetting
+// them. New connections work.
 func (r *Relay) SilenceAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,7 +103,7 @@
 	}
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.ResetAll()
@@ -124,7 +125,8 @@
 	}
 }
 
-// carry passes one connection on until one side ends it.
+// forward connects a client to the target and forwards data until one side ends the
+// connection.
 func (r *Relay) forward(client net.Conn) {
 	if r.currentFault() == Refuse {
 		abort(client)
@@ -149,7 +151,7 @@
 	c.reset()
 }
 
-// pass carries bytes in one direction, which the fault cut loses.
+// copyDirection forwards data in one direction, which the fault drop discards.
 func (r *Relay) copyDirection(c *connection, to, from net.Conn, drop Fault) {
 	buffer := make([]byte, bufferSize)
 	for {
@@ -168,7 +170,8 @@
 	}
 }
 
-// send passes some bytes on, or loses them, and reports whether more may follow.
+// write forwards or discards data according to the fault. It returns false if the
+// connection has failed.
 func (r *Relay) write(c *connection, to net.Conn, data []byte, drop Fault) bool {
 	fault := r.currentFault()
 	select {
@@ -191,7 +194,7 @@
 
 func closeWrite(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// The other side may be gone already, which ends the connection too.
+		// An error means that the other side is already gone, which also ends the connection.
 		_ = tcp.CloseWrite()
 	}
 }
@@ -201,10 +204,10 @@
 	abort(c.target)
 }
 
-// abort closes a connection such that the other side sees a reset.
+// abort closes a connection so that the peer sees a reset.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// Without the option the close is a plain one.
+		// If this fails, the connection is closed without a reset.
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// echo answers each line with itself.
+// echoServer starts a server that sends each line back and returns its address.
 func echoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -51,7 +51,7 @@
 	return &client{c, bufio.NewReader(c)}
 }
 
-// silence is how long a test waits to see that nothing comes.
+// silencePeriod is how long a test waits to verify that nothing arrives.
 const silencePeriod = 50 * time.Millisecond
 
 func (c *client) roundTrip(wait time.Duration) error {
@@ -65,6 +65,7 @@
 	return err
 }
 
+// TestFaults checks the effect of each fault on open and on new connections.
 func TestFaults(t *testing.T) {
 	r, err := New(echoServer(t))
 	if err != nil {
@@ -75,29 +76,29 @@
 	if err := established.roundTrip(time.Minute); err != nil {
 		t.Fatalf("without a fault: %v", err)
 	}
-	for _, cut := range []Fault{DropToTarget, DropFromTarget, DropBoth} {
-		r.SetFault(cut)
+	for _, fault := range []Fault{DropToTarget, DropFromTarget, DropBoth} {
+		r.SetFault(fault)
 		if err := dial(t, r).roundTrip(silencePeriod); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("cut %d: %v", cut, err)
+			t.Errorf("fault %d: got error %v, want a timeout", fault, err)
 		}
 	}
 	r.SetFault(None)
 	r.SilenceAll()
 	if err := established.roundTrip(silencePeriod); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a silent connection: %v", err)
+		t.Errorf("silenced connection: got error %v, want a timeout", err)
 	}
 	newer := dial(t, r)
 	if err := newer.roundTrip(time.Minute); err != nil {
-		t.Errorf("a new connection beside silent ones: %v", err)
+		t.Errorf("new connection after SilenceAll: %v", err)
 	}
 	r.ResetAll()
 	if err := newer.roundTrip(time.Minute); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a reset connection: %v", err)
+		t.Errorf("reset connection: got error %v, want a reset", err)
 	}
 	r.SetFault(Refuse)
 	if c, err := net.Dial("tcp", r.Addr()); err == nil {
 		if err := (&client{c, bufio.NewReader(c)}).roundTrip(time.Minute); err == nil {
-			t.Error("a new connection works although all are refused")
+			t.Error("a new connection works although the relay refuses connections")
 		}
 	}
 }
