--- a/standin/instance/grants.go
+++ b/standin/instance/grants.go
@@ -10,14 +10,16 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// This file grants keys to the instance and takes them back.
+// This file handles the grant and release of keys.
 
+// lease is a time-limited right to execute requests for keys.
 type lease struct {
 	spans.Keys
 	fence   uint64
 	expires time.Time
 }
 
+// fenceRecord is the fence of one grant or release.
 type fenceRecord struct {
 	spans.Keys
 	fence uint64
@@ -40,8 +42,8 @@
 	return false
 }
 
-// HeldFor returns how long the instance holds the key from now on; zero when it does
-// not hold it.
+// RemainingLease returns how much longer the instance holds the key, or zero if it does not
+// hold it.
 func (i *Instance) RemainingLease(key uint16) time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -54,7 +56,8 @@
 	return longest
 }
 
-// late reports whether a control call that comes now is carried out late, and by how much.
+// nextLateDelay reports whether the control call that has just arrived is to be delayed, and
+// for how long.
 func (i *Instance) nextLateDelay() (time.Duration, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -65,7 +68,7 @@
 	return minLateDelay + time.Duration(i.calls/2%lateDelaySteps)*lateDelayStep, i.calls%2 == 0
 }
 
-// carryOutLater carries a control call out after a time.
+// applyLater executes a control call after a delay.
 func (i *Instance) applyLater(path string, body []byte, delay time.Duration) {
 	var c platform.GrantCall
 	if json.Unmarshal(body, &c) != nil {
@@ -85,7 +88,7 @@
 	})
 }
 
-// release drops the keys of a call. The lock is held.
+// release ends the leases on the keys of a call. The caller holds the lock.
 func (i *Instance) release(c platform.GrantCall) {
 	keys := spans.Keys{First: c.From, Last: c.Target}
 	i.cutLeases(keys)
@@ -128,7 +131,7 @@
 
 func overlap(a, b spans.Keys) bool { return a.First <= b.Last && b.First <= a.Last }
 
-// drop cuts the keys out of all holds.
+// cutLeases removes the keys from all leases, splitting leases where needed.
 func (i *Instance) cutLeases(keys spans.Keys) {
 	var kept []lease
 	for _, l := range i.leases {
--- a/standin/instance/instance.go
+++ b/standin/instance/instance.go
@@ -1,7 +1,7 @@
-// Package instance stands in for an upstream on the platform: it takes grants
-// and releases with fences, runs requests for keys that it holds, and has the
-// faults that the platform's pages describe. All instances report to one
-// Oracle, which knows what must never happen.
+// Package instance simulates an upstream on the platform for tests. An instance accepts
+// fenced grants and releases of keys, executes requests for the keys that it holds, and
+// injects the faults that the platform's documentation describes. All instances report to
+// one Oracle, which detects violations of the guarantees that must always hold.
 package instance
 
 import (
@@ -15,37 +15,37 @@
 	"github.com/rockcroft/rockcroft/platform"
 )
 
-// Mode is how an instance treats requests and calls.
+// Mode tells how an instance handles requests and control calls.
 type Mode int
 
-// The modes.
+// The modes of an instance.
 const (
-	// Serves runs what it is sent.
+	// Healthy executes requests and control calls normally.
 	Healthy Mode = iota
-	// Silent answers nothing and runs nothing, Frozen the same but lets calls
-	// take effect when it wakes.
+	// Unresponsive neither answers nor executes anything.
 	Unresponsive
-	// Loses runs requests and breaks the connection instead of answering.
+	// LosesResponses executes requests, then closes the connection without an answer.
 	LosesResponses
-	// Fails runs requests and answers 500.
+	// ReturnsErrors executes requests and answers 500.
 	ReturnsErrors
-	// Sheds refuses requests for want of room.
+	// Overloaded rejects requests as not executed, for lack of capacity.
 	Overloaded
-	// LateGrants breaks grant calls off and carries them out LateBy later.
+	// LateGrants closes the connection of grant calls and executes them LateGrantDelay later.
 	LateGrants
-	// LateCalls leaves every second grant and release unanswered and carries it out seconds
-	// later: a release whatever has been granted since, a grant with its time from its arrival.
+	// LateCalls leaves every second grant or release call unanswered and executes it seconds
+	// later. A late release applies regardless of later grants, and the duration of a late
+	// grant counts from the arrival of the call.
 	LateCalls
 )
 
-// mostArrivals bounds the arrivals that are remembered.
+// maxArrivals bounds the number of arrivals that are remembered.
 const maxArrivals = 1 << 14
 
-// LateBy is how late a grant is carried out in mode LateGrants.
+// LateGrantDelay is the delay before a grant is executed in mode LateGrants.
 const LateGrantDelay = 400 * time.Millisecond
 
-// How late calls are carried out in mode LateCalls: longer by lateStep with each, up to lateSteps
-// times.
+// The delays before calls are executed in mode LateCalls. The delay grows by lateDelayStep with
+// each delayed call, and returns to minLateDelay after lateDelaySteps of them.
 const (
 	minLateDelay   = time.Second
 	lateDelayStep  = 300 * time.Millisecond
@@ -54,45 +54,46 @@
 
 // Instance is one incarnation of an upstream. It is safe for concurrent use.
 type Instance struct {
-	// ID is unique. Keyed says that requests need a key that it holds.
+	// ID identifies the upstream. Keyed is set if requests need a key that the instance holds.
 	ID    string
 	Keyed bool
-	// Work is how long a request runs.
+	// ServiceTime is how long a request takes to execute.
 	ServiceTime time.Duration
 	Oracle      *Oracle
-	// arrivals are the requests that came, the newest of them.
+	// arrivals are the most recent requests received.
 	arrivals []Arrival
-	// limit is how many requests a second it takes, as its answers say; negative for none.
+	// limit is the request rate that its answers advertise, in requests per second; none if
+	// negative.
 	limit float64
-	// start tells this incarnation from all others, also from those with its ID.
+	// incarnation is unique among all instances, including those with the same ID.
 	incarnation string
-	// leaving says that its answers tell that it leaves.
+	// leaving is set if its answers announce that it is leaving.
 	leaving bool
-	// rest is what its refusals for want of room ask for, as it stands in them.
+	// retryAfter holds the header values with which an overloaded instance asks senders to pause.
 	retryAfter []string
 
 	mu   sync.Mutex
 	mode Mode
-	// calls counts grants and releases in mode LateCalls.
+	// calls counts the grant and release calls received in mode LateCalls.
 	calls int
-	// ended says that its process has ended: what it was to carry out later it does not.
+	// terminated is set when the simulated process has ended. Delayed calls are then dropped.
 	terminated bool
-	// onHarm ends the process of the instance, by a request that does.
+	// onCrash is called when a request crashes the simulated process.
 	onCrash func(path string)
 	leases  []lease
-	// seen is the highest fence seen, by span of keys.
+	// fences are the fences of all grants and releases so far, with their keys.
 	fences  []fenceRecord
 	running map[uint16]int
 	idle    *sync.Cond
 }
 
-// StartHeader tells in each answer to a request which incarnation has made it.
+// IncarnationHeader identifies, in each answer to a request, the incarnation that sent it.
 const IncarnationHeader = "X-Standin-Start"
 
-// starts counts incarnations.
+// incarnations counts the instances created, to make incarnations unique.
 var incarnations atomic.Int64
 
-// New returns an instance that holds nothing.
+// New returns an instance that holds no keys.
 func New(id string, keyed bool, serviceTime time.Duration, oracle *Oracle) *Instance {
 	incarnation := id + "/" + strconv.FormatInt(incarnations.Add(1), 10)
 	i := &Instance{ID: id, Keyed: keyed, ServiceTime: serviceTime, Oracle: oracle, running: make(map[uint16]int), limit: -1, incarnation: incarnation}
@@ -100,27 +101,28 @@
 	return i
 }
 
-// Start is the value of StartHeader in the answers of this incarnation.
+// Incarnation returns the value of IncarnationHeader in the answers of this instance.
 func (i *Instance) Incarnation() string { return i.incarnation }
 
-// Set changes the mode.
+// SetMode changes the mode.
 func (i *Instance) SetMode(m Mode) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.mode = m
 }
 
-// HarmHeader marks a request that ends each instance which begins to run it.
+// HarmHeader marks a request that crashes every instance that starts to execute it.
 const HarmHeader = "X-Standin-Harm"
 
-// OnHarm sets what ends the process of the instance when it begins to run such a request.
+// OnCrash sets the function that ends the simulated process when the instance starts to
+// execute a request with HarmHeader.
 func (i *Instance) OnCrash(end func(path string)) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.onCrash = end
 }
 
-// harmed ends the process.
+// crash ends the simulated process and closes the connection without an answer.
 func (i *Instance) crash(path string) {
 	i.mu.Lock()
 	end := i.onCrash
@@ -131,7 +133,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// End ends the instance's process.
+// Terminate ends the simulated process.
 func (i *Instance) Terminate() {
 	i.mu.Lock()
 	i.terminated = true
@@ -145,7 +147,7 @@
 	return i.mode
 }
 
-// ServeHTTP serves requests and calls.
+// ServeHTTP serves requests and control calls.
 func (i *Instance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -218,9 +220,9 @@
 	}
 }
 
-// withoutID refuses a request without an id, as the platform's instances do. One that
-// names its target is from a gateway, and its client's id is lost; any other was meant
-// for another process.
+// refuseWithoutID rejects a request without an id, as the platform's instances do. A request
+// that names its target comes from a gateway, which has lost the id set by the client. Any
+// other request was meant for a different process.
 func (i *Instance) refuseWithoutID(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(platform.TargetInstance) != "" {
 		i.Oracle.recordMissingID(i.ID, r.Method, r.URL.Path)
--- a/standin/instance/instance_test.go
+++ b/standin/instance/instance_test.go
@@ -11,8 +11,9 @@
 	"github.com/rockcroft/rockcroft/platform"
 )
 
-// TestWithoutID: a request without an id is refused as not run, with any method. It is a
-// violation when a gateway sent it, which names its target, also the first time.
+// TestWithoutID checks that a request without an id is rejected as not executed, whatever its
+// method. It counts as a violation if it names its target and so was sent by a gateway, even
+// the first time.
 func TestWithoutID(t *testing.T) {
 	lost := func(method string) []string { return []string{method + " /pay/x was sent to i without an id"} }
 	for name, c := range map[string]struct {
@@ -42,7 +43,7 @@
 	}
 }
 
-// TestRunsTwice: a request that runs again is a violation, unless it is safe.
+// TestRunsTwice checks that executing a request twice is a violation unless its method is safe.
 func TestRunsTwice(t *testing.T) {
 	for method, want := range map[string][]string{http.MethodPost: {"request r ran 2 times"}, http.MethodGet: nil} {
 		o := NewOracle()
--- a/standin/instance/oracle.go
+++ b/standin/instance/oracle.go
@@ -8,28 +8,29 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// Oracle notes what all instances do and finds what must never happen: two
-// owners of one key at once, a fence that does not rise with a new owner, a
-// request that must not run twice and does, a request that is sent without the id
-// that its client gave it. All clients of its instances give ids.
+// Oracle records what all instances do and detects violations: two owners of one key at the
+// same time, a new owner whose fence is not higher than that of the previous one, a request
+// that runs twice although it must not, and a request that arrives without the id set by its
+// client. All clients of the instances must therefore set ids.
 type Oracle struct {
 	mu sync.Mutex
-	// holds are by instance.
+	// leases are the current leases by instance.
 	leases map[string][]lease
-	// fences are the highest fence of each key's owners, by span.
+	// fences are all grants so far, with their owners and fences.
 	fences         []grantRecord
 	runs           map[string]int
 	runsByInstance map[string]int
 	violations     []string
 }
 
+// grantRecord is a grant of keys to an owner.
 type grantRecord struct {
 	spans.Keys
 	owner string
 	fence uint64
 }
 
-// NewOracle returns an oracle that has seen nothing.
+// NewOracle returns an oracle without records.
 func NewOracle() *Oracle {
 	return &Oracle{leases: make(map[string][]lease), runs: make(map[string]int), runsByInstance: make(map[string]int)}
 }
@@ -67,7 +68,7 @@
 	o.leases[id] = scratch.leases
 }
 
-// Ran notes that an instance begins to run a request.
+// RecordRun records that an instance starts to execute a request.
 func (o *Oracle) RecordRun(instance, id, method string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -78,7 +79,7 @@
 	}
 }
 
-// lostID notes that an instance was sent a request without an id.
+// recordMissingID records that an instance received a request without an id.
 func (o *Oracle) recordMissingID(instance, method, path string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -89,28 +90,28 @@
 	o.violations = append(o.violations, fmt.Sprintf(format, args...))
 }
 
-// Ended forgets the holds of an instance whose process has ended.
+// InstanceTerminated drops the leases of an instance whose process has ended.
 func (o *Oracle) InstanceTerminated(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.leases, id)
 }
 
-// Runs returns how often a request ran.
+// Runs returns how often a request was executed.
 func (o *Oracle) Runs(id string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.runs[id]
 }
 
-// RunsBy returns how many requests an instance ran.
+// InstanceRuns returns how many requests an instance executed.
 func (o *Oracle) InstanceRuns(instance string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.runsByInstance[instance]
 }
 
-// Violations returns what must not have happened.
+// Violations returns a description of each violation detected.
 func (o *Oracle) Violations() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/standin/instance/words.go
+++ b/standin/instance/words.go
@@ -9,61 +9,63 @@
 	"github.com/rockcroft/rockcroft/platform"
 )
 
-// This file lets the instance say with its answers what it wants, and remembers what came.
+// This file controls what the instance states in the headers of its answers, and records
+// the requests that arrive.
 
-// Name lets the instance name a limit, in requests a second, with each answer from now on.
+// AdvertiseLimit makes each answer from now on state a limit, in requests per second.
 func (i *Instance) AdvertiseLimit(perSecond float64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.limit = perSecond
 }
 
-// NameNone ends that.
+// ClearLimit makes answers state no limit any longer.
 func (i *Instance) ClearLimit() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.limit = -1
 }
 
-// Leave lets the instance say with each answer from now on that it leaves.
+// AnnounceLeaving makes each answer from now on announce that the instance is leaving.
 func (i *Instance) AnnounceLeaving() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.leaving = true
 }
 
-// Rest lets the instance turn requests away from now on and ask for rest in these words, seconds
-// as a rule.
+// Overload makes the instance reject requests from now on, with the given values of
+// platform.RestHeader. Valid values are numbers of seconds.
 func (i *Instance) Overload(retryAfter ...string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.mode, i.retryAfter = Overloaded, retryAfter
 }
 
-// Resume ends that.
+// Recover ends the overload, so that the instance serves requests again.
 func (i *Instance) Recover() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.mode, i.retryAfter = Healthy, nil
 }
 
-// Arrival is one request that came.
+// Arrival is a request that the instance received.
 type Arrival struct {
-	// Request is its id, as the client sent it.
+	// RequestID is the id of the request, as received.
 	RequestID  string
 	ReceivedAt time.Time
-	// Rest is the time for which the instance wanted nothing more from the sender, by its answer.
+	// RetryAfter is how long the answer asked the sender to send nothing.
 	RetryAfter time.Duration
 }
 
-// Arrived returns the requests that came, as far as they are remembered.
+// Arrivals returns the requests received, as far as they are remembered.
 func (i *Instance) Arrivals() []Arrival {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return slices.Clone(i.arrivals)
 }
 
-// Arrivals returns when requests came, as far as it is remembered.
+// ArrivalTimes returns the times at which requests were received, as far as they are
+// remembered.
 func (i *Instance) ArrivalTimes() []time.Time {
 	var out []time.Time
 	for _, a := range i.Arrivals() {
@@ -72,7 +74,8 @@
 	return out
 }
 
-// arrived notes a request, and says in its answer what the instance says of itself.
+// recordArrival records a request and sets the headers of its answer in which the instance
+// states its limit, its leaving, its overload and its incarnation.
 func (i *Instance) recordArrival(id string, h http.Header) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -94,7 +97,8 @@
 	i.arrivals = append(i.arrivals, arrival)
 }
 
-// longestRest is the longest of the times that it asks for; those that are no seconds are none.
+// maxRetryAfter returns the longest of the times in retryAfter. Values that are not numbers of
+// seconds are ignored.
 func (i *Instance) maxRetryAfter() time.Duration {
 	maximum := time.Duration(0)
 	for _, value := range i.retryAfter {
