--- a/cmd/rockcroft-entry/main.go
+++ b/cmd/rockcroft-entry/main.go
@@ -1,4 +1,5 @@
-// Command rockcroft-entry serves callers on an entry VM.
+// Command rockcroft-entry runs an entry, which serves callers and takes part in the control of
+// one cell.
 package main
 
 import (
--- a/cmd/rockcroft-gateway/main.go
+++ b/cmd/rockcroft-gateway/main.go
@@ -1,4 +1,5 @@
-// Command rockcroft-gateway serves callers on the users' platform.
+// Command rockcroft-gateway runs a gateway, which serves callers in front of upstreams that own
+// keys, on the users' platform.
 package main
 
 import (
--- a/cmd/rockcroftctl/main.go
+++ b/cmd/rockcroftctl/main.go
@@ -1,4 +1,4 @@
-// Command rockcroftctl is the operators' command line.
+// Command rockcroftctl is the command-line tool for operators.
 package main
 
 import (
--- a/cmd/rockload/main.go
+++ b/cmd/rockload/main.go
@@ -1,4 +1,5 @@
-// Command rockload drives and measures deployments made of stand-ins.
+// Command rockload generates load on deployments with simulated upstreams and platform, and
+// measures them.
 package main
 
 import (
--- a/cmd/rocksoak/main.go
+++ b/cmd/rocksoak/main.go
@@ -1,4 +1,5 @@
-// Command rocksoak plays seeded series of faults against real gateway processes.
+// Command rocksoak runs soak tests: it injects a seeded random sequence of faults into real gateway
+// processes.
 package main
 
 import (
--- a/cmd/standin-platform/main.go
+++ b/cmd/standin-platform/main.go
@@ -1,4 +1,4 @@
-// Command standin-platform stands in for the platform's object service.
+// Command standin-platform simulates the platform's object service for tests.
 package main
 
 import (
--- a/cmd/standin-upstream/main.go
+++ b/cmd/standin-upstream/main.go
@@ -1,4 +1,4 @@
-// Command standin-upstream stands in for a server that owns keys.
+// Command standin-upstream simulates a server that owns keys, for tests.
 package main
 
 import (
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -15,22 +15,23 @@
 	"github.com/rockcroft/rockcroft/transport/platform"
 )
 
-// maxValue is the largest value of an object, in bytes.
+// maxValueBytes is the maximum size of the value of an object.
 const maxValueBytes = 1 << 20
 
-// Faults are the failures that the stand-in is told to show.
+// Faults are the faults that the platform simulates.
 type Faults struct {
-	// Down refuses all calls.
+	// Down aborts all calls without an answer.
 	Down bool `json:"down"`
-	// Silent accepts connections and never answers.
+	// Silent accepts calls and never answers them.
 	Silent bool `json:"silent"`
-	// ExtraMillis is added to the latency of each call.
+	// ExtraMillis is added to the latency of each call, in milliseconds.
 	ExtraMillis int `json:"extra_ms"`
-	// LoseAnswers drops the answer of every n-th write after it took effect.
+	// LoseAnswers, if positive, drops the answer to every n-th write after the write took
+	// effect.
 	LoseAnswers int `json:"lose_answers"`
 }
 
-// Counts are the calls served so far.
+// Counts are the numbers of calls since the start. Refused counts calls over the rate limit.
 type Counts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
@@ -38,7 +39,7 @@
 	Refused int64 `json:"refused"`
 }
 
-// Server is the stand-in's HTTP interface.
+// Server is the HTTP interface of the simulated platform.
 type Server struct {
 	settings Settings
 	store    *platform.Memory
@@ -61,7 +62,7 @@
 	}
 }
 
-// Handler returns the object API, the fault switch and the counters.
+// Handler serves the object API and the endpoints for faults and counters.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/ready", func(http.ResponseWriter, *http.Request) {}).Methods(http.MethodGet)
@@ -76,7 +77,7 @@
 	return r
 }
 
-// SetFaults changes the failures shown from now on.
+// SetFaults changes the simulated faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +90,7 @@
 	return s.faults
 }
 
-// guard applies faults, latency and the call limit.
+// withFaults applies the simulated faults, the rate limit and the latency to a handler.
 func (s *Server) withFaults(next http.HandlerFunc, limit *rate.Limiter) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f := s.currentFaults()
@@ -203,7 +204,7 @@
 	writeResult(w, vms, err)
 }
 
-// putVMs sets the machine list, which shows after the lag.
+// putVMs replaces the VM list. The change becomes visible after VMLag.
 func (s *Server) putVMs(w http.ResponseWriter, r *http.Request) {
 	var vms []platform.VM
 	if err := json.NewDecoder(r.Body).Decode(&vms); err != nil {
--- a/standin/platform/settings.go
+++ b/standin/platform/settings.go
@@ -1,26 +1,26 @@
-// Package platform is a stand-in for the platform's object service. It keeps
-// objects in memory and can be told to fail: outage, latency, lost answers.
+// Package platform simulates the platform's object service. It keeps objects in memory and
+// can simulate faults: outages, added latency and lost answers.
 package platform
 
 import (
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// Settings configure the stand-in.
+// Settings configures the simulated platform.
 type Settings struct {
 	// Listen is the address of the object API.
 	Listen jsonc.Addr `json:"listen"`
 	// Latency is added to each call. Default 2ms.
 	Latency jsonc.Duration `json:"latency"`
-	// WritesPerSecond bounds writes; zero means 400.
+	// WritesPerSecond bounds the rate of writes. Default 400.
 	WritesPerSecond int `json:"writes_per_second"`
-	// ReadsPerSecond bounds reads and watches; zero means 2000.
+	// ReadsPerSecond bounds the rate of reads and watches together. Default 2000.
 	ReadsPerSecond int `json:"reads_per_second"`
-	// VMLag is the delay of the machine list. Default 30s.
+	// VMLag is how long a change of the VM list takes to become visible. Default 30s.
 	VMLag jsonc.Duration `json:"vm_lag"`
 }
 
-// DefaultSettings returns the defaults.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		Latency:         jsonc.Duration(2e6),
--- a/standin/upstream/oracle.go
+++ b/standin/upstream/oracle.go
@@ -7,12 +7,13 @@
 	"sync"
 )
 
-// Run is one line of the oracle log: a request that was executed.
+// Run is one line of the oracle log. It describes an executed request.
 type Run struct {
-	// At is the wall clock in nanoseconds when the run was decided.
+	// At is the wall clock time in nanoseconds at which the upstream decided to execute
+	// the request.
 	At int64 `json:"at"`
-	// End is the wall clock in nanoseconds when the run ended; zero on the
-	// line written at the start.
+	// End is the wall clock time in nanoseconds at which the execution ended. It is zero
+	// in the line written at the start.
 	End        int64  `json:"end,omitempty"`
 	Upstream   string `json:"upstream"`
 	Service    string `json:"service"`
@@ -22,8 +23,8 @@
 	Idempotent bool   `json:"idempotent"`
 }
 
-// oracle appends runs to a file, one write a line, so that a killed process
-// leaves everything it ran.
+// oracle appends runs to a file with one write per line, so that the file of a killed
+// process contains everything that it executed. Without a file it keeps runs in memory.
 type oracle struct {
 	mu       sync.Mutex
 	file     *os.File
--- a/standin/upstream/owner.go
+++ b/standin/upstream/owner.go
@@ -9,24 +9,24 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// maxLease bounds how far a renewal may reach into the future.
+// maxLease bounds how far in the future a renewed lease may end.
 const maxLease = 10 * time.Second
 
-// grant is a span held at an epoch.
+// grant is a span that the upstream owns under an epoch.
 type grant struct {
 	keyspace.Span
 	epoch  uint64
 	warmAt time.Duration
 }
 
-// floor is a span in which grants up to an epoch are refused.
+// revocation is a span in which grants up to an epoch are rejected.
 type revocation struct {
 	keyspace.Span
 	epoch uint64
 }
 
-// Ownership keeps the grants and the lease of one upstream. Times are readings
-// of its own monotonic clock. It is safe for concurrent use.
+// Ownership holds the grants and the lease of one upstream. All times are readings of the
+// upstream's own monotonic clock. It is safe for concurrent use.
 type Ownership struct {
 	clock  func() time.Duration
 	warmUp time.Duration
@@ -41,13 +41,14 @@
 	leaving     bool
 }
 
-// NewOwnership returns the state of a process that has just started.
+// NewOwnership returns the state of a process that has just started, without grants or a
+// lease.
 func NewOwnership(clock func() time.Duration, boot string, warmUp time.Duration) *Ownership {
 	return &Ownership{clock: clock, warmUp: warmUp, boot: boot, prepared: make(map[keyspace.Span]time.Duration)}
 }
 
-// Reset drops everything and takes a new boot id, so that late control
-// messages for the former one have no effect.
+// Reset drops all state and adopts a new boot ID, so that delayed control messages for the
+// previous one have no effect.
 func (o *Ownership) Reset() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -66,7 +67,8 @@
 	clear(o.prepared)
 }
 
-// Renew extends the lease and reports whether it was meant for this boot.
+// Renew extends the lease. It returns false, without effect, if the renewal is for a
+// different boot ID.
 func (o *Ownership) Renew(r control.Renewal) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -78,7 +80,8 @@
 	return true
 }
 
-// Grant takes grants and preparations meant for this boot.
+// Grant applies grants and requests to prepare. It returns false, without effect, if they
+// are for a different boot ID.
 func (o *Ownership) Grant(g control.Grants) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -117,7 +120,7 @@
 	o.grants = append(o.grants, grant{Span: g.Span, epoch: g.Epoch, warmAt: warmAt})
 }
 
-// carve removes grants up to epoch from the span.
+// removeGrants removes the span from all grants up to the epoch.
 func (o *Ownership) removeGrants(span keyspace.Span, epoch uint64) {
 	var kept []grant
 	for _, held := range o.grants {
@@ -134,7 +137,8 @@
 	o.grants = kept
 }
 
-// Revoke takes spans back, up to the epochs named.
+// Revoke removes the spans from grants up to the given epochs, and rejects such grants from
+// now on.
 func (o *Ownership) Revoke(list []control.Revocation) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -144,7 +148,7 @@
 	}
 }
 
-// addFloor replaces floors that the new one covers.
+// addRevocation adds a revocation and drops those that it makes redundant.
 func (o *Ownership) addRevocation(rev revocation) {
 	kept := o.revocations[:0]
 	for _, old := range o.revocations {
@@ -156,8 +160,8 @@
 	o.revocations = append(kept, rev)
 }
 
-// Check reports whether the upstream may run a request at h under epoch now,
-// and whether the range is warm.
+// Check reports whether the upstream may execute a request at h under the epoch now, and
+// whether the range is warm.
 func (o *Ownership) Check(h keyspace.Hash, epoch uint64) (owned, warm bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -173,29 +177,28 @@
 	return false, false
 }
 
-// Status returns boot and clock for the answer to control messages.
+// Status returns the boot ID, clock and leaving state for the answer to a control message.
 func (o *Ownership) Status() control.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return control.Status{Boot: o.boot, ClockNanos: int64(o.clock()), Leaving: o.leaving}
 }
 
-// leave announces a planned stop.
+// announceLeave announces a planned stop.
 func (o *Ownership) announceLeave() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.leaving = true
 }
 
-// empty reports whether nothing is granted.
+// hasNoGrants reports whether the upstream has no grants.
 func (o *Ownership) hasNoGrants() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.grants) == 0
 }
 
-// Holds reports whether the upstream would run requests at h under some epoch
-// now.
+// Holds reports whether the upstream would execute requests at h now, under some epoch.
 func (o *Ownership) Holds(h keyspace.Hash) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/standin/upstream/serve.go
+++ b/standin/upstream/serve.go
@@ -12,14 +12,14 @@
 	"github.com/rockcroft/rockcroft/process"
 )
 
-// leaveLimit bounds the wait for grants to be taken back at a planned stop.
+// leaveTimeout bounds how long a planned stop waits for the grants to be revoked.
 const leaveTimeout = 10 * time.Second
 
-// NewBoot returns a boot id that no other start has.
+// NewBootID returns a random boot ID, different for each start of a process.
 func NewBootID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
-// Serve runs until ctx ends. It then announces its stop and goes on serving
-// until its ranges are taken back.
+// Serve serves until ctx ends. It then announces the stop and continues to serve until its
+// ranges are revoked, or until leaveTimeout.
 func (s *Server) Serve(ctx context.Context) error {
 	l, err := net.Listen("tcp", s.settings.Listen.String())
 	if err != nil {
@@ -28,7 +28,7 @@
 	return s.ServeListener(ctx, l)
 }
 
-// ServeListener is Serve on an open listener.
+// ServeListener is like Serve, but uses an open listener.
 func (s *Server) ServeListener(ctx context.Context, l net.Listener) error {
 	var open atomic.Int64
 	server := &http.Server{
--- a/standin/upstream/server.go
+++ b/standin/upstream/server.go
@@ -19,25 +19,27 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// coldFactor is how much slower a cold range runs.
+// coldSlowdown is the factor by which requests to a cold range are slower.
 const coldSlowdown = 5
 
-// maxBody is the largest request body read, in bytes.
+// maxBodyBytes is the maximum number of bytes read from a request body.
 const maxBodyBytes = 16 << 20
 
-// Faults are the failures that the stand-in is told to show.
+// Faults are the faults that the upstream simulates.
 type Faults struct {
-	// Frozen holds every request and control message until it is cleared.
+	// Frozen blocks all requests and control messages until it is cleared.
 	Frozen bool `json:"frozen"`
-	// SlowFactor multiplies run times; zero means one.
+	// SlowFactor multiplies execution times; zero means 1.
 	SlowFactor float64 `json:"slow_factor"`
-	// LyingHealth makes the health endpoint claim the opposite.
+	// LyingHealth makes the health endpoint report that the upstream is unhealthy although
+	// it works.
 	LyingHealth bool `json:"lying_health"`
-	// BreakEvery breaks off the answer of every n-th request after it ran.
+	// BreakEvery, if positive, aborts the response to every n-th request after the request
+	// was executed.
 	BreakEvery int `json:"break_every"`
 }
 
-// Counts are what the stand-in did so far.
+// Counts are the event counters of the upstream since its start.
 type Counts struct {
 	Ran     int64 `json:"ran"`
 	Shed    int64 `json:"shed"`
@@ -45,11 +47,11 @@
 	Expired int64 `json:"expired"`
 	Deduped int64 `json:"deduped"`
 	Probes  int64 `json:"probes"`
-	// BusyMicros is the time that slots were busy, in microseconds.
+	// BusyMicros is the total time that slots spent executing requests, in microseconds.
 	BusyMicros int64 `json:"busy_us"`
 }
 
-// Server is one stand-in upstream.
+// Server is one simulated upstream.
 type Server struct {
 	settings Settings
 	owner    *Ownership
@@ -64,30 +66,30 @@
 	unfrozen  chan struct{}
 	rng       *rand.Rand
 	completed map[string]storedResult
-	// attempts counts by request id; only kept without an oracle file.
+	// attempts are the attempts by request id, counted only if there is no oracle file.
 	attempts map[string]int
 	counts   Counts
 	answers  int
 	active   map[*request]keyspace.Hash
 }
 
-// outcome is the kept answer of a non-idempotent request.
+// storedResult is the result of a non-idempotent request, kept to answer retries.
 type storedResult struct {
 	key string
 	seq int64
 }
 
-// Answer is the body of a successful request.
+// Answer is the response body of a successful request.
 type Answer struct {
 	Upstream  string `json:"upstream"`
 	Key       string `json:"key"`
 	RequestID string `json:"request_id"`
 	Epoch     uint64 `json:"epoch"`
-	// Seq numbers the runs of this upstream.
+	// Seq is the sequence number of the execution at this upstream.
 	Seq int64 `json:"seq"`
 }
 
-// New returns a server with the given boot id.
+// New returns a server with the given boot ID.
 func New(s Settings, boot string) (*Server, error) {
 	o, err := openOracle(s.OracleFile)
 	if err != nil {
@@ -110,15 +112,16 @@
 
 type connStateKey struct{}
 
-// connState counts the requests of one connection.
+// connState records whether a connection has carried a request.
 type connState struct{ firstRequestSeen atomic.Bool }
 
-// ConnContext marks new connections, whose first request costs more.
+// ConnContext attaches a connState to a new connection, because its first request takes
+// longer.
 func (s *Server) ConnContext(ctx context.Context, _ net.Conn) context.Context {
 	return context.WithValue(ctx, connStateKey{}, &connState{})
 }
 
-// ConnState closes connections over the limit.
+// ConnState returns a callback that closes new connections beyond the limit.
 func (s *Server) ConnState(open *atomic.Int64) func(net.Conn, http.ConnState) {
 	return func(c net.Conn, state http.ConnState) {
 		switch state {
@@ -132,7 +135,7 @@
 	}
 }
 
-// Handler returns requests, control, health and fault endpoints.
+// Handler serves requests and the control, health, fault and status endpoints.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter().SkipClean(true)
 	r.HandleFunc("/ready", func(http.ResponseWriter, *http.Request) {}).Methods(http.MethodGet)
@@ -149,10 +152,10 @@
 	return r
 }
 
-// leavePoll is the time between looks whether all grants are gone.
+// leavePollInterval is the time between checks whether all grants have been revoked.
 const leavePollInterval = 20 * time.Millisecond
 
-// Leave announces the planned stop and waits until all grants are gone.
+// Leave announces a planned stop and waits until all grants are revoked or ctx ends.
 func (s *Server) Leave(ctx context.Context) {
 	s.owner.announceLeave()
 	for ctx.Err() == nil && !s.owner.hasNoGrants() {
@@ -160,7 +163,7 @@
 	}
 }
 
-// SetFaults changes the failures shown from now on.
+// SetFaults changes the simulated faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +177,7 @@
 	s.faults = f
 }
 
-// freeze blocks while the stand-in is frozen.
+// waitWhileFrozen blocks while the upstream is frozen.
 func (s *Server) waitWhileFrozen() {
 	s.mu.Lock()
 	unfrozen := s.unfrozen
@@ -190,25 +193,26 @@
 	add(&s.counts)
 }
 
-// Counts returns what the stand-in did so far.
+// Counts returns the current values of the event counters.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Empty reports whether the stand-in holds no range.
+// Empty reports whether the upstream owns no ranges.
 func (s *Server) Empty() bool { return s.owner.hasNoGrants() }
 
-// Attempts returns how often a request with the id reached a slot, also when
-// it was answered from what was kept.
+// Attempts returns how often a request with the id obtained a slot and passed the fencing
+// check if enabled, including attempts answered with a stored result. It is zero if the oracle log is
+// written to a file.
 func (s *Server) Attempts(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.attempts[id]
 }
 
-// Runs returns the oracle log when it is kept in memory.
+// Runs returns the oracle log if it is kept in memory.
 func (s *Server) Runs() []Run { return s.oracle.snapshot() }
 
 func refuse(w http.ResponseWriter, status int, reason string) {
@@ -216,7 +220,7 @@
 	w.WriteHeader(status)
 }
 
-// job is one parsed request.
+// request holds the parsed headers of a request.
 type request struct {
 	key        string
 	id         string
@@ -265,7 +269,8 @@
 	time.Sleep(s.settings.DistanceDelay.D())
 }
 
-// takeSlot waits for a slot within the queue length and the deadline.
+// acquireSlot waits for a slot until the deadline. It rejects the request if the queue is
+// full.
 func (s *Server) acquireSlot(w http.ResponseWriter, r *http.Request, req request) bool {
 	if s.waiting.Add(1) > int64(s.settings.QueueLength+s.settings.Slots)-s.running.Load() {
 		s.waiting.Add(-1)
@@ -329,7 +334,8 @@
 	delete(s.active, req)
 }
 
-// runningIn reports whether a request within the revoked spans is running.
+// hasRunningIn reports whether a request in one of the revoked spans is still being executed
+// under a revoked epoch.
 func (s *Server) hasRunningIn(list []control.Revocation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -343,7 +349,8 @@
 	return false
 }
 
-// record writes the run down, unless it is a repeat of one that has run.
+// record logs the execution of the request. If it is a retry of a non-idempotent request that
+// was already executed, record returns the sequence number of that execution instead.
 func (s *Server) record(req request) (seq int64, repeated bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/upstream/settings.go
+++ b/standin/upstream/settings.go
@@ -1,45 +1,46 @@
-// Package upstream is a stand-in for a server that owns keys exclusively: it
-// takes fenced grants, has a number of slots, sheds, drains and starts cold,
-// and writes down what it ran under which epoch.
+// Package upstream simulates a server that owns keys exclusively. It accepts fenced grants,
+// executes a limited number of requests at once, sheds excess load, drains, starts cold,
+// and logs which requests it executed under which epoch.
 package upstream
 
 import (
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// Settings configure the stand-in.
+// Settings configures the simulated upstream.
 type Settings struct {
 	// ID names the upstream in logs.
 	ID string `json:"id"`
-	// Listen is the address for requests and control.
+	// Listen is the address for requests and control messages.
 	Listen jsonc.Addr `json:"listen"`
-	// ChecksFences makes it refuse requests without lease and epoch.
+	// ChecksFences makes it reject requests that its lease and grants do not cover.
 	ChecksFences bool `json:"checks_fences"`
-	// Slots is the number of requests run at once. Default 4.
+	// Slots is the number of requests executed at once. Default 4.
 	Slots int `json:"slots"`
-	// QueueLength is the number of requests that wait for a slot before the
-	// upstream sheds. Default 4.
+	// QueueLength is the number of requests that may wait for a slot. The upstream
+	// sheds further ones. Default 4.
 	QueueLength int `json:"queue_length"`
-	// Connections bounds open connections; more are closed. Default 130.
+	// Connections bounds the open connections. Further ones are closed. Default 130.
 	Connections int `json:"connections"`
-	// ConnectionCost delays the first request of a connection. Default 1ms.
+	// ConnectionCost is an extra delay for the first request on a connection. Default 1ms.
 	ConnectionCost jsonc.Duration `json:"connection_cost"`
-	// ReadTime and WriteTime are the mean times to run an idempotent and a
+	// ReadTime and WriteTime are the mean execution times of an idempotent and a
 	// non-idempotent request. Defaults 4ms and 12ms.
 	ReadTime  jsonc.Duration `json:"read_time"`
 	WriteTime jsonc.Duration `json:"write_time"`
-	// WarmUp is the time a range runs slowly after a grant that was not
-	// prepared. Default 0s, as no unit is needed for none.
+	// WarmUp is how long requests to a range are slow after a grant that was not
+	// prepared. Default 0s.
 	WarmUp jsonc.Duration `json:"warm_up"`
-	// DistanceDelay is added to each request for the network. Default none.
+	// DistanceDelay is added to each request to simulate network distance. Default 0s.
 	DistanceDelay jsonc.Duration `json:"distance_delay"`
-	// OracleFile receives one JSON line for each run; empty for none.
+	// OracleFile is the file to which one JSON line is appended for each executed
+	// request. If it is empty, the log is kept in memory.
 	OracleFile string `json:"oracle_file"`
-	// Seed makes run times repeatable.
+	// Seed makes execution times reproducible.
 	Seed uint64 `json:"seed"`
 }
 
-// DefaultSettings returns the defaults.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		ChecksFences:   true,
