--- a/standin/platform/settings.go
+++ b/standin/platform/settings.go
@@ -37,7 +37,7 @@
 		out = append(out, jsonc.Finding{Path: "listen", Message: "is required"})
 	}
 	if s.WritesPerSecond <= 0 || s.ReadsPerSecond <= 0 {
-		out = append(out, jsonc.Finding{Path: "writes_per_second", Message: "rates must be positive"})
+		out = append(out, jsonc.Finding{Path: "writes_per_second", Message: "writes_per_second and reads_per_second must be positive"})
 	}
 	return out
 }
--- a/standin/upstream/oracle.go
+++ b/standin/upstream/oracle.go
@@ -38,7 +38,7 @@
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("oracle log: %w", err)
+		return nil, fmt.Errorf("open oracle log: %w", err)
 	}
 	return &oracle{file: f}, nil
 }
--- a/standin/upstream/settings.go
+++ b/standin/upstream/settings.go
@@ -66,7 +66,7 @@
 		out = append(out, jsonc.Finding{Path: "slots", Message: "must be at least 1"})
 	}
 	if s.Connections < s.Slots {
-		out = append(out, jsonc.Finding{Path: "connections", Message: "must be at least the slots"})
+		out = append(out, jsonc.Finding{Path: "connections", Message: "must be at least the number of slots"})
 	}
 	return out
 }
