--- a/bench/soak/faults.go
+++ b/bench/soak/faults.go
@@ -11,12 +11,12 @@
 
 // The variants of faults, picked by Step.Variant.
 var (
-	pathFaults = []relay.Fault{relay.Slow, relay.CutThere, relay.CutBack, relay.CutBoth, relay.Refuse}
+	pathFaults = []relay.Fault{relay.Slow, relay.DropToTarget, relay.DropFromTarget, relay.DropBoth, relay.Refuse}
 	storeModes = []metastore.Mode{
-		metastore.Busy, metastore.Many, metastore.Reset, metastore.Silent, metastore.Lose, metastore.Late,
+		metastore.Unavailable, metastore.TooManyRequests, metastore.ResetConnection, metastore.Unresponsive, metastore.LoseResponse, metastore.ApplyLate,
 	}
 	upstreamModes = []instance.Mode{
-		instance.Silent, instance.Loses, instance.Fails, instance.Sheds, instance.LateGrants,
+		instance.Unresponsive, instance.LosesResponses, instance.ReturnsErrors, instance.Overloaded, instance.LateGrants,
 	}
 	// limits are in requests a second: far below what an upstream gets here, and beyond it.
 	limits = []float64{0, 1, 5, 20, 100}
@@ -31,33 +31,33 @@
 	case Kill, Stop, Pause:
 		return s.applyToProcess(g, step)
 	case StorePath:
-		lasting(step.For, func() { g.relay.Set(pick(pathFaults, step.Variant)) }, func() { g.relay.Set(relay.None) })
+		lasting(step.For, func() { g.relay.SetFault(pick(pathFaults, step.Variant)) }, func() { g.relay.SetFault(relay.None) })
 	case StoreSilent:
 		g.relay.SilenceAll()
 	case StoreMode:
-		lasting(step.For, func() { g.door.Set(pick(storeModes, step.Variant)) }, func() { g.door.Set(metastore.Open) })
+		lasting(step.For, func() { g.door.SetMode(pick(storeModes, step.Variant)) }, func() { g.door.SetMode(metastore.Healthy) })
 	case StoreAway:
-		lasting(step.For, func() { s.store.SetAll(pick(storeModes, step.Variant)) }, func() { s.store.SetAll(metastore.Open) })
+		lasting(step.For, func() { s.store.SetAllModes(pick(storeModes, step.Variant)) }, func() { s.store.SetAllModes(metastore.Healthy) })
 	case Compact:
 		s.store.Compact()
 	case UpstreamPath:
 		u.cuts.during(func() {
-			lasting(step.For, func() { u.relay.Set(pick(pathFaults, step.Variant)) }, func() { u.relay.Set(relay.None) })
+			lasting(step.For, func() { u.relay.SetFault(pick(pathFaults, step.Variant)) }, func() { u.relay.SetFault(relay.None) })
 		})
 	case UpstreamReset:
 		u.cuts.during(u.relay.ResetAll)
 	case UpstreamQuiet:
 		u.cuts.during(u.relay.SilenceAll)
 	case UpstreamMode:
-		lasting(step.For, func() { u.Set(pick(upstreamModes, step.Variant)) }, func() { u.Set(instance.Serves) })
+		lasting(step.For, func() { u.SetMode(pick(upstreamModes, step.Variant)) }, func() { u.SetMode(instance.Healthy) })
 	case Harm:
 		s.harm(step.For)
 	case LateCalls:
-		lasting(step.For, func() { s.setAll(instance.LateCalls) }, func() { s.setAll(instance.Serves) })
+		lasting(step.For, func() { s.setAll(instance.LateCalls) }, func() { s.setAll(instance.Healthy) })
 	case Need:
-		lasting(step.For, func() { u.Name(pick(limits, step.Variant)) }, u.NameNone)
+		lasting(step.For, func() { u.AdvertiseLimit(pick(limits, step.Variant)) }, u.ClearLimit)
 	case Rest:
-		lasting(step.For, func() { u.Rest(pick(rests, step.Variant)...) }, u.Resume)
+		lasting(step.For, func() { u.Overload(pick(rests, step.Variant)...) }, u.Recover)
 	case Drain:
 		return s.replace(u, func() { s.register(u, "draining") })
 	case Depart:
@@ -78,7 +78,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, u := range s.upstreams {
-		u.Set(m)
+		u.SetMode(m)
 	}
 }
 
--- a/cmd/standin-upstream/main.go
+++ b/cmd/standin-upstream/main.go
@@ -1,4 +1,4 @@
-// Command standin-upstream stands in for a server that owns keys.
+// Command standin-upstream simulates a server that owns keys, for tests.
 package main
 
 import (
@@ -16,7 +16,7 @@
 		Short:    "Stand in for a server that owns keys",
 		Settings: &conf,
 		Run: func(ctx context.Context) error {
-			s, err := upstream.New(conf, upstream.NewBoot())
+			s, err := upstream.New(conf, upstream.NewBootID())
 			if err != nil {
 				return err
 			}
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -52,7 +52,7 @@
 	// nanoseconds.
 	suspendedNs *atomic.Int64
 	eventLog    *eventlog.Log
-	storeDoor   *metastore.Door
+	storeDoor   *metastore.Endpoint
 	callers     string
 	// peersLink carries this gateway's responses to other gateways, storeLink the store's
 	// responses to it. Both are nil unless limitLinks is set.
@@ -128,7 +128,7 @@
 func (b *testCluster) restart(u *upstream) *upstream {
 	b.t.Helper()
 	_ = u.server.Close()
-	u.End()
+	u.Terminate()
 	return b.startUpstreamIn(u.domain, u.ID, u.service, u.born+1)
 }
 
@@ -164,11 +164,11 @@
 // gateway starts a gateway.
 func (b *testCluster) gateway(name string) *testGateway {
 	b.t.Helper()
-	door := b.store.Door(name)
+	door := b.store.Endpoint(name)
 	doorListener := b.listen()
 	var peersLink, storeLink *relay.Link
 	if b.limitLinks {
-		storeLink = relay.Narrow(doorListener, relay.Wide)
+		storeLink = relay.LimitRate(doorListener, relay.Unlimited)
 		doorListener = storeLink
 	}
 	doorServer, at := &http.Server{Handler: door}, doorListener
@@ -194,7 +194,7 @@
 	}
 	b.claimPorts(callers, ready, peers)
 	if b.limitLinks {
-		peersLink = relay.Narrow(listeners.Peers, relay.Wide)
+		peersLink = relay.LimitRate(listeners.Peers, relay.Unlimited)
 		listeners.Peers = peersLink
 	}
 	eventLog := eventlog.New(time.Now)
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -433,7 +433,7 @@
 	if id := platform.ID(r.Header); id != "" {
 		h.Set(platform.RequestID, id)
 	}
-	row := kind.Row()
+	row := kind.Response()
 	if row.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(f.retryAfter(q, kind, err).Seconds(), 'f', 3, 64))
 	}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -105,7 +105,7 @@
 func TestKeysOfSilentOwnerMove(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
-	b.upstreams["i-s0"].Set(instance.Silent)
+	b.upstreams["i-s0"].SetMode(instance.Unresponsive)
 	b.eventually("the silent upstream owns no keys", func() bool { return b.spansOwnedBy("i-s0") == 0 })
 	b.ready()
 	for key := 0; key <= spans.MaxKey; key += 6553 {
@@ -119,10 +119,10 @@
 func TestRecoveredOwnerGetsKeysAgain(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
-	b.upstreams["i-s0"].Set(instance.Silent)
+	b.upstreams["i-s0"].SetMode(instance.Unresponsive)
 	b.eventually("the silent upstream owns no keys", func() bool { return b.spansOwnedBy("i-s0") == 0 })
 	b.ready()
-	b.upstreams["i-s0"].Set(instance.Serves)
+	b.upstreams["i-s0"].SetMode(instance.Healthy)
 	b.eventually("the recovered upstream owns keys", func() bool { return b.spansOwnedBy("i-s0") > 0 })
 }
 
@@ -196,11 +196,11 @@
 	if sent, failed := stop(); failed > 0 || sent == 0 {
 		t.Errorf("%d of %d failed", failed, sent)
 	}
-	ran := b.oracle.RunsBy("i-s1")
+	ran := b.oracle.InstanceRuns("i-s1")
 	for key := 0; key <= spans.MaxKey; key += 997 {
 		b.mustRequest(b.gateways[0], http.MethodGet, "/status/x", key)
 	}
-	if b.oracle.RunsBy("i-s1") != ran {
+	if b.oracle.InstanceRuns("i-s1") != ran {
 		t.Error("the leaving upstream got requests after its keys had moved")
 	}
 }
@@ -217,11 +217,11 @@
 func TestLateGrantsAreHarmless(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
-	b.upstreams["i-s0"].Set(instance.LateGrants)
+	b.upstreams["i-s0"].SetMode(instance.LateGrants)
 	time.Sleep(2 * renewInterval)
 	b.register(b.upstreams["i-s1"], "draining")
 	b.eventually("the leaving upstream owns no keys", func() bool { return b.spansOwnedBy("i-s1") == 0 })
-	b.upstreams["i-s0"].Set(instance.Serves)
+	b.upstreams["i-s0"].SetMode(instance.Healthy)
 	b.ready()
 	for key := 0; key <= spans.MaxKey; key += 6553 {
 		b.mustRequest(b.gateways[2], http.MethodGet, "/status/x", key)
@@ -234,13 +234,13 @@
 func TestLostResponses(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
-	b.upstreams["i-p0"].Set(instance.Loses)
-	b.upstreams["i-p1"].Set(instance.Loses)
+	b.upstreams["i-p0"].SetMode(instance.LosesResponses)
+	b.upstreams["i-p1"].SetMode(instance.LosesResponses)
 	a := b.request(b.gateways[0], http.MethodPost, "/pay/x", -1)
 	if a.status != http.StatusBadGateway || b.oracle.Runs(a.id) != 1 {
 		t.Errorf("status %d after %d runs", a.status, b.oracle.Runs(a.id))
 	}
-	b.upstreams["i-p1"].Set(instance.Serves)
+	b.upstreams["i-p1"].SetMode(instance.Healthy)
 	for range 6 {
 		b.mustRequest(b.gateways[0], http.MethodGet, "/read/x", -1)
 	}
@@ -251,8 +251,8 @@
 func TestRefusedRequestsHaveNotRun(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
-	b.upstreams["i-p0"].Set(instance.Sheds)
-	b.upstreams["i-p1"].Set(instance.Sheds)
+	b.upstreams["i-p0"].SetMode(instance.Overloaded)
+	b.upstreams["i-p1"].SetMode(instance.Overloaded)
 	for range 5 {
 		a := b.request(b.gateways[0], http.MethodPost, "/pay/x", -1)
 		if a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" || b.oracle.Runs(a.id) != 0 {
@@ -266,8 +266,8 @@
 func TestUpstreamFailureIsForwarded(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
-	b.upstreams["i-p0"].Set(instance.Fails)
-	b.upstreams["i-p1"].Set(instance.Fails)
+	b.upstreams["i-p0"].SetMode(instance.ReturnsErrors)
+	b.upstreams["i-p1"].SetMode(instance.ReturnsErrors)
 	a := b.request(b.gateways[0], http.MethodPost, "/pay/x", -1)
 	if a.status != http.StatusInternalServerError || a.header.Get(platform.Signature) != "sig-"+a.id || b.oracle.Runs(a.id) != 1 {
 		t.Errorf("status %d after %d runs", a.status, b.oracle.Runs(a.id))
@@ -280,8 +280,8 @@
 	t.Parallel()
 	b := newStandardCluster(t)
 	g := b.gateways[1]
-	b.upstreams["i-p0"].Work = 50 * time.Millisecond
-	b.upstreams["i-p1"].Work = 50 * time.Millisecond
+	b.upstreams["i-p0"].ServiceTime = 50 * time.Millisecond
+	b.upstreams["i-p1"].ServiceTime = 50 * time.Millisecond
 	var failed atomic.Int64
 	var all sync.WaitGroup
 	var stopping atomic.Bool
--- a/gateway/limitnews_test.go
+++ b/gateway/limitnews_test.go
@@ -21,7 +21,7 @@
 	t.Parallel()
 	b := newStandardCluster(t)
 	for _, u := range []string{"i-p0", "i-p1"} {
-		b.upstreams[u].Name(1000)
+		b.upstreams[u].AdvertiseLimit(1000)
 	}
 	first := b.gateways[1]
 	all := func(want string) func() bool {
@@ -36,9 +36,9 @@
 		}
 	}
 	b.eventually("all know of both limits", all("2"))
-	b.upstreams["i-p0"].NameNone()
+	b.upstreams["i-p0"].ClearLimit()
 	b.eventually("all know of the end of one", all("1"))
-	b.upstreams["i-p1"].NameNone()
+	b.upstreams["i-p1"].ClearLimit()
 	b.eventually("all know of both ends", all("0"))
 }
 
--- a/gateway/meters_test.go
+++ b/gateway/meters_test.go
@@ -34,8 +34,8 @@
 	b.mustRequest(g, http.MethodGet, "/status/x", 7)
 	b.mustRequest(g, http.MethodPost, "/pay/x", -1)
 	b.request(g, http.MethodGet, "/nowhere/", -1)
-	b.upstreams["i-p0"].Set(instance.Sheds)
-	b.upstreams["i-p1"].Set(instance.Sheds)
+	b.upstreams["i-p0"].SetMode(instance.Overloaded)
+	b.upstreams["i-p1"].SetMode(instance.Overloaded)
 	b.request(g, http.MethodGet, "/read/x", -1)
 	served := metricsOf(g)
 	for name := range served {
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -119,12 +119,12 @@
 func (b *testCluster) countBytes() bytesSent {
 	var now bytesSent
 	for i, g := range b.gateways {
-		now.all += g.peersLink.Sent()
+		now.all += g.peersLink.BytesSent()
 		if i > 0 {
-			now.store += g.storeLink.Sent()
+			now.store += g.storeLink.BytesSent()
 		}
 	}
-	now.leader = b.gateways[0].peersLink.Sent()
+	now.leader = b.gateways[0].peersLink.BytesSent()
 	return now
 }
 
@@ -228,7 +228,7 @@
 	}
 	leader.peersLink.SetRate(0)
 	disconnected.peersLink.SetRate(0)
-	disconnected.storeDoor.Set(metastore.Silent)
+	disconnected.storeDoor.SetMode(metastore.Unresponsive)
 	next := config(4)
 	added := next.Routes["read"]
 	added.Path = "/added/"
@@ -246,12 +246,12 @@
 		last = b.request(disconnected, http.MethodGet, "/added/x", -1)
 		return last.status == http.StatusServiceUnavailable
 	})
-	if last.header.Get(header.Kind) != string(answer.NoRight) || last.header.Get(header.Ran) != string(answer.NotRun) || last.header.Get("Retry-After") == "" {
+	if last.header.Get(header.Kind) != string(answer.NoRight) || last.header.Get(header.Ran) != string(answer.NotExecuted) || last.header.Get("Retry-After") == "" {
 		t.Errorf("refused with %q: %v", last.body, last.header)
 	}
-	disconnected.storeDoor.Set(metastore.Open)
-	leader.peersLink.SetRate(relay.Wide)
-	disconnected.peersLink.SetRate(relay.Wide)
+	disconnected.storeDoor.SetMode(metastore.Healthy)
+	leader.peersLink.SetRate(relay.Unlimited)
+	disconnected.peersLink.SetRate(relay.Unlimited)
 	b.eventually("the new route everywhere", func() bool { return b.allHaveConfiguration(next.Version) })
 	b.eventually("a nonexistent route is unknown again", func() bool {
 		last = b.request(disconnected, http.MethodGet, "/none/x", -1)
@@ -291,12 +291,12 @@
 	other = b.gateway("g1")
 	b.ready()
 	b.eventually("both gateways connected", func() bool { return b.leader() == leader && leader.cluster.gatewayCount() == 2 })
-	lists := other.storeDoor.Lists()
+	lists := other.storeDoor.ListCalls()
 	leader.peersLink.SetRate(0)
 	b.eventually("the other gateway has listed the upstreams", func() bool {
-		return other.storeDoor.Lists() > lists && !sameUpstreams(other, leader)
+		return other.storeDoor.ListCalls() > lists && !sameUpstreams(other, leader)
 	})
-	leader.peersLink.SetRate(relay.Wide)
+	leader.peersLink.SetRate(relay.Unlimited)
 	b.eventually("the other gateway has the leader's view", func() bool {
 		return other.follower.sinceLeaderHeard() < leaderSilenceTimeout && sameUpstreams(other, leader)
 	})
--- a/gateway/requestlog_test.go
+++ b/gateway/requestlog_test.go
@@ -56,8 +56,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go g.eventLog.Run(ctx, &out)
-	b.upstreams["i-p0"].Set(instance.Sheds)
-	b.upstreams["i-p1"].Set(instance.Sheds)
+	b.upstreams["i-p0"].SetMode(instance.Overloaded)
+	b.upstreams["i-p1"].SetMode(instance.Overloaded)
 	refused := b.request(g, http.MethodPost, "/pay/x", -1)
 	if refused.status != http.StatusServiceUnavailable {
 		t.Fatalf("status %d", refused.status)
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -31,7 +31,7 @@
 		longestGap = 1200 * time.Millisecond
 	)
 	modes := []instance.Mode{
-		instance.LateCalls, instance.LateCalls, instance.LateGrants, instance.Silent, instance.Sheds, instance.Loses, instance.Serves,
+		instance.LateCalls, instance.LateCalls, instance.LateGrants, instance.Unresponsive, instance.Overloaded, instance.LosesResponses, instance.Healthy,
 	}
 	p := newFaultRun(t, rng.Uint64())
 	clients := p.startKeyClients(p.runningGateway)
@@ -40,7 +40,7 @@
 		if rng.IntN(steps) == 0 {
 			p.killOne(true)
 		} else {
-			p.upstreams[keyed[rng.IntN(len(keyed))]].Set(modes[rng.IntN(len(modes))])
+			p.upstreams[keyed[rng.IntN(len(keyed))]].SetMode(modes[rng.IntN(len(modes))])
 		}
 		time.Sleep(time.Duration(rng.Int64N(int64(longestGap))))
 	}
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -41,7 +41,7 @@
 			}
 			b.register(to, "draining")
 			if silent {
-				to.Set(instance.Silent)
+				to.SetMode(instance.Unresponsive)
 			}
 			b.gateway("g0")
 			b.eventually("the keys have moved to other owners", func() bool {
@@ -102,18 +102,18 @@
 func TestLeaderStoppedWithoutStoreLeavesLongGrants(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
-	b.store.SetAll(metastore.Busy)
+	b.store.SetAllModes(metastore.Unavailable)
 	l := b.leader()
 	l.stop()
 	<-l.done
 	held := time.Duration(0)
 	for _, u := range b.upstreams {
-		held = max(held, u.HeldFor(0))
+		held = max(held, u.RemainingLease(0))
 	}
 	if held <= holdDuration {
 		t.Errorf("the owner of key 0 holds it for only %s after the leader's stop", held)
 	}
-	b.store.SetAll(metastore.Open)
+	b.store.SetAllModes(metastore.Healthy)
 	b.ready()
 }
 
--- a/gateway/troubles_test.go
+++ b/gateway/troubles_test.go
@@ -162,18 +162,18 @@
 	case 1:
 		p.killOne(true)
 	case 2, 3:
-		modes := []instance.Mode{instance.Silent, instance.Loses, instance.Sheds, instance.LateGrants, instance.Serves}
-		p.anyUpstream().Set(modes[p.rng.IntN(len(modes))])
+		modes := []instance.Mode{instance.Unresponsive, instance.LosesResponses, instance.Overloaded, instance.LateGrants, instance.Healthy}
+		p.anyUpstream().SetMode(modes[p.rng.IntN(len(modes))])
 	case 4:
-		modes := []metastore.Mode{metastore.Busy, metastore.Reset, metastore.Silent, metastore.Lose, metastore.Late}
+		modes := []metastore.Mode{metastore.Unavailable, metastore.ResetConnection, metastore.Unresponsive, metastore.LoseResponse, metastore.ApplyLate}
 		if g := p.runningGateway(p.rng.IntN(8)); g != nil {
-			g.storeDoor.Set(modes[p.rng.IntN(len(modes))])
+			g.storeDoor.SetMode(modes[p.rng.IntN(len(modes))])
 		}
 	case 5:
-		modes := []metastore.Mode{metastore.Busy, metastore.Silent, metastore.Lose, metastore.Late}
-		p.store.SetAll(modes[p.rng.IntN(len(modes))])
+		modes := []metastore.Mode{metastore.Unavailable, metastore.Unresponsive, metastore.LoseResponse, metastore.ApplyLate}
+		p.store.SetAllModes(modes[p.rng.IntN(len(modes))])
 	case 6:
-		p.store.SetAll(metastore.Open)
+		p.store.SetAllModes(metastore.Healthy)
 	case 7:
 		p.store.Compact()
 	case 8:
@@ -203,9 +203,9 @@
 
 // endFaults ends all faults.
 func (p *faultRun) endFaults() {
-	p.store.SetAll(metastore.Open)
+	p.store.SetAllModes(metastore.Healthy)
 	for _, u := range p.upstreams {
-		u.Set(instance.Serves)
+		u.SetMode(instance.Healthy)
 		p.register(u, "ready")
 	}
 }
--- a/gateway/unread_test.go
+++ b/gateway/unread_test.go
@@ -23,13 +23,13 @@
 	defer stop()
 	go g.eventLog.Run(ctx, &out)
 	for range 2 {
-		if a := b.mustRequest(g, http.MethodPost, "/pay/x", -1); a.header.Get(instance.StartHeader) == "" {
+		if a := b.mustRequest(g, http.MethodPost, "/pay/x", -1); a.header.Get(instance.IncarnationHeader) == "" {
 			t.Error("the header was not forwarded")
 		}
 	}
 	b.eventually("the header is logged", func() bool {
 		line := out.findByUpstream("responses have a header that no code reads", "i-p0")
-		return line != nil && line["header"] == instance.StartHeader && line["service"] == "pay"
+		return line != nil && line["header"] == instance.IncarnationHeader && line["service"] == "pay"
 	})
 	if n := metricsOf(g)["answers.pay.unread_headers"]; n != "2" {
 		t.Errorf("%s headers counted, want 2", n)
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(state.Headers) != 1 || state.Headers[0].Name != instance.StartHeader || state.Headers[0].Answers != 2 || !state.Headers[0].Sent {
+	if len(state.Headers) != 1 || state.Headers[0].Name != instance.IncarnationHeader || state.Headers[0].Answers != 2 || !state.Headers[0].Sent {
 		t.Errorf("unexpected headers: %v", state.Headers)
 	}
 }
--- a/standin/instance/grants.go
+++ b/standin/instance/grants.go
@@ -10,15 +10,17 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// This file grants keys to the instance and takes them back.
+// This file handles the grant and release of keys.
 
-type hold struct {
+// lease is a time-limited right to execute requests for keys.
+type lease struct {
 	spans.KeyRange
-	fence uint64
-	until time.Time
+	fence   uint64
+	expires time.Time
 }
 
-type seen struct {
+// fenceRecord is the fence of one grant or release.
+type fenceRecord struct {
 	spans.KeyRange
 	fence uint64
 }
@@ -32,125 +34,126 @@
 
 func (i *Instance) holdsLocked(key uint16) bool {
 	now := time.Now()
-	for _, h := range i.holds {
-		if h.Contains(key) && now.Before(h.until) {
+	for _, l := range i.leases {
+		if l.Contains(key) && now.Before(l.expires) {
 			return true
 		}
 	}
 	return false
 }
 
-// HeldFor returns how long the instance holds the key from now on; zero when it does
-// not hold it.
-func (i *Instance) HeldFor(key uint16) time.Duration {
+// RemainingLease returns how much longer the instance holds the key, or zero if it does not
+// hold it.
+func (i *Instance) RemainingLease(key uint16) time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	longest := time.Duration(0)
-	for _, h := range i.holds {
-		if h.Contains(key) {
-			longest = max(longest, time.Until(h.until))
+	for _, l := range i.leases {
+		if l.Contains(key) {
+			longest = max(longest, time.Until(l.expires))
 		}
 	}
 	return longest
 }
 
-// late reports whether a control call that comes now is carried out late, and by how much.
-func (i *Instance) late() (time.Duration, bool) {
+// nextLateDelay reports whether the control call that has just arrived is to be delayed, and
+// for how long.
+func (i *Instance) nextLateDelay() (time.Duration, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.mode != LateCalls {
 		return 0, false
 	}
 	i.calls++
-	return lateLeast + time.Duration(i.calls/2%lateSteps)*lateStep, i.calls%2 == 0
+	return minLateDelay + time.Duration(i.calls/2%lateDelaySteps)*lateDelayStep, i.calls%2 == 0
 }
 
-// carryOutLater carries a control call out after a time.
-func (i *Instance) carryOutLater(path string, body []byte, delay time.Duration) {
+// applyLater executes a control call after a delay.
+func (i *Instance) applyLater(path string, body []byte, delay time.Duration) {
 	var c platform.GrantRequest
 	if json.Unmarshal(body, &c) != nil {
 		return
 	}
-	until := time.Now().Add(time.Duration(c.Hold * float64(time.Second)))
+	expires := time.Now().Add(time.Duration(c.Hold * float64(time.Second)))
 	time.AfterFunc(delay, func() {
 		if path == platform.GrantPath {
-			i.grant(c, until)
+			i.grant(c, expires)
 			return
 		}
 		i.mu.Lock()
 		defer i.mu.Unlock()
-		if !i.ended {
+		if !i.terminated {
 			i.release(c)
 		}
 	})
 }
 
-// release drops the keys of a call. The lock is held.
+// release ends the leases on the keys of a call. The caller holds the lock.
 func (i *Instance) release(c platform.GrantRequest) {
 	keys := spans.KeyRange{First: c.From, Last: c.Target}
-	i.drop(keys)
-	i.seen = append(i.seen, seen{keys, c.Fence})
-	i.Oracle.released(i.ID, keys)
+	i.cutLeases(keys)
+	i.fences = append(i.fences, fenceRecord{keys, c.Fence})
+	i.Oracle.recordRelease(i.ID, keys)
 }
 
-func (i *Instance) grantCall(w http.ResponseWriter, body []byte) {
+func (i *Instance) serveGrant(w http.ResponseWriter, body []byte) {
 	var c platform.GrantRequest
 	if json.Unmarshal(body, &c) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	until := time.Now().Add(time.Duration(c.Hold * float64(time.Second)))
-	if i.get() == LateGrants {
-		time.AfterFunc(LateBy, func() { i.grant(c, until) })
+	expires := time.Now().Add(time.Duration(c.Hold * float64(time.Second)))
+	if i.currentMode() == LateGrants {
+		time.AfterFunc(LateGrantDelay, func() { i.grant(c, expires) })
 		panic(http.ErrAbortHandler)
 	}
-	w.WriteHeader(i.grant(c, until))
+	w.WriteHeader(i.grant(c, expires))
 }
 
-func (i *Instance) grant(c platform.GrantRequest, until time.Time) int {
+func (i *Instance) grant(c platform.GrantRequest, expires time.Time) int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.ended {
+	if i.terminated {
 		return http.StatusServiceUnavailable
 	}
 	keys := spans.KeyRange{First: c.From, Last: c.Target}
-	for _, s := range i.seen {
+	for _, s := range i.fences {
 		if overlap(s.KeyRange, keys) && s.fence > c.Fence {
 			return http.StatusConflict
 		}
 	}
-	i.drop(keys)
-	i.seen = append(i.seen, seen{keys, c.Fence})
-	i.holds = append(i.holds, hold{keys, c.Fence, until})
-	i.Oracle.granted(i.ID, keys, c.Fence, until)
+	i.cutLeases(keys)
+	i.fences = append(i.fences, fenceRecord{keys, c.Fence})
+	i.leases = append(i.leases, lease{keys, c.Fence, expires})
+	i.Oracle.recordGrant(i.ID, keys, c.Fence, expires)
 	return http.StatusOK
 }
 
 func overlap(a, b spans.KeyRange) bool { return a.First <= b.Last && b.First <= a.Last }
 
-// drop cuts the keys out of all holds.
-func (i *Instance) drop(keys spans.KeyRange) {
-	var kept []hold
-	for _, h := range i.holds {
-		if !overlap(h.KeyRange, keys) {
-			kept = append(kept, h)
+// cutLeases removes the keys from all leases, splitting leases where needed.
+func (i *Instance) cutLeases(keys spans.KeyRange) {
+	var kept []lease
+	for _, l := range i.leases {
+		if !overlap(l.KeyRange, keys) {
+			kept = append(kept, l)
 			continue
 		}
-		if h.First < keys.First {
-			low := h
+		if l.First < keys.First {
+			low := l
 			low.Last = keys.First - 1
 			kept = append(kept, low)
 		}
-		if h.Last > keys.Last {
-			high := h
+		if l.Last > keys.Last {
+			high := l
 			high.First = keys.Last + 1
 			kept = append(kept, high)
 		}
 	}
-	i.holds = kept
+	i.leases = kept
 }
 
-func (i *Instance) releaseCall(w http.ResponseWriter, body []byte) {
+func (i *Instance) serveRelease(w http.ResponseWriter, body []byte) {
 	var c platform.GrantRequest
 	if json.Unmarshal(body, &c) != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -159,13 +162,13 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.release(c)
-	for i.busy(spans.KeyRange{First: c.From, Last: c.Target}) {
+	for i.hasRunning(spans.KeyRange{First: c.From, Last: c.Target}) {
 		i.idle.Wait()
 	}
 	w.Header().Set(platform.Handover, "h-"+i.ID+"-"+strconv.FormatUint(c.Fence, 10))
 }
 
-func (i *Instance) busy(keys spans.KeyRange) bool {
+func (i *Instance) hasRunning(keys spans.KeyRange) bool {
 	for key, n := range i.running {
 		if n > 0 && keys.Contains(key) {
 			return true
@@ -174,7 +177,7 @@
 	return false
 }
 
-func (i *Instance) begin(key uint16) bool {
+func (i *Instance) beginRequest(key uint16) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if !i.holdsLocked(key) {
--- a/standin/instance/instance.go
+++ b/standin/instance/instance.go
@@ -1,7 +1,7 @@
-// Package instance stands in for an upstream on the platform: it takes grants
-// and releases with fences, runs requests for keys that it holds, and has the
-// faults that the platform's pages describe. All instances report to one
-// Oracle, which knows what must never happen.
+// Package instance simulates an upstream on the platform for tests. An instance accepts
+// fenced grants and releases of keys, executes requests for the keys that it holds, and
+// injects the faults that the platform's documentation describes. All instances report to
+// one Oracle, which detects violations of the guarantees that must always hold.
 package instance
 
 import (
@@ -15,115 +15,117 @@
 	"github.com/rockcroft/rockcroft/platform"
 )
 
-// Mode is how an instance treats requests and calls.
+// Mode tells how an instance handles requests and control calls.
 type Mode int
 
-// The modes.
+// The modes of an instance.
 const (
-	// Serves runs what it is sent.
-	Serves Mode = iota
-	// Silent answers nothing and runs nothing, Frozen the same but lets calls
-	// take effect when it wakes.
-	Silent
-	// Loses runs requests and breaks the connection instead of answering.
-	Loses
-	// Fails runs requests and answers 500.
-	Fails
-	// Sheds refuses requests for want of room.
-	Sheds
-	// LateGrants breaks grant calls off and carries them out LateBy later.
+	// Healthy executes requests and control calls normally.
+	Healthy Mode = iota
+	// Unresponsive neither answers nor executes anything.
+	Unresponsive
+	// LosesResponses executes requests, then closes the connection without an answer.
+	LosesResponses
+	// ReturnsErrors executes requests and answers 500.
+	ReturnsErrors
+	// Overloaded rejects requests as not executed, for lack of capacity.
+	Overloaded
+	// LateGrants closes the connection of grant calls and executes them LateGrantDelay later.
 	LateGrants
-	// LateCalls leaves every second grant and release unanswered and carries it out seconds
-	// later: a release whatever has been granted since, a grant with its time from its arrival.
+	// LateCalls leaves every second grant or release call unanswered and executes it seconds
+	// later. A late release applies regardless of later grants, and the duration of a late
+	// grant counts from the arrival of the call.
 	LateCalls
 )
 
-// mostArrivals bounds the arrivals that are remembered.
-const mostArrivals = 1 << 14
+// maxArrivals bounds the number of arrivals that are remembered.
+const maxArrivals = 1 << 14
 
-// LateBy is how late a grant is carried out in mode LateGrants.
-const LateBy = 400 * time.Millisecond
+// LateGrantDelay is the delay before a grant is executed in mode LateGrants.
+const LateGrantDelay = 400 * time.Millisecond
 
-// How late calls are carried out in mode LateCalls: longer by lateStep with each, up to lateSteps
-// times.
+// The delays before calls are executed in mode LateCalls. The delay grows by lateDelayStep with
+// each delayed call, and returns to minLateDelay after lateDelaySteps of them.
 const (
-	lateLeast = time.Second
-	lateStep  = 300 * time.Millisecond
-	lateSteps = 10
+	minLateDelay   = time.Second
+	lateDelayStep  = 300 * time.Millisecond
+	lateDelaySteps = 10
 )
 
 // Instance is one incarnation of an upstream. It is safe for concurrent use.
 type Instance struct {
-	// ID is unique. Keyed says that requests need a key that it holds.
+	// ID identifies the upstream. Keyed is set if requests need a key that the instance holds.
 	ID    string
 	Keyed bool
-	// Work is how long a request runs.
-	Work   time.Duration
-	Oracle *Oracle
-	// arrivals are the requests that came, the newest of them.
+	// ServiceTime is how long a request takes to execute.
+	ServiceTime time.Duration
+	Oracle      *Oracle
+	// arrivals are the most recent requests received.
 	arrivals []Arrival
-	// limit is how many requests a second it takes, as its answers say; negative for none.
+	// limit is the request rate that its answers advertise, in requests per second; none if
+	// negative.
 	limit float64
-	// start tells this incarnation from all others, also from those with its ID.
-	start string
-	// leaving says that its answers tell that it leaves.
+	// incarnation is unique among all instances, including those with the same ID.
+	incarnation string
+	// leaving is set if its answers announce that it is leaving.
 	leaving bool
-	// rest is what its refusals for want of room ask for, as it stands in them.
-	rest []string
+	// retryAfter holds the header values with which an overloaded instance asks senders to pause.
+	retryAfter []string
 
 	mu   sync.Mutex
 	mode Mode
-	// calls counts grants and releases in mode LateCalls.
+	// calls counts the grant and release calls received in mode LateCalls.
 	calls int
-	// ended says that its process has ended: what it was to carry out later it does not.
-	ended bool
-	// onHarm ends the process of the instance, by a request that does.
-	onHarm func(path string)
-	holds  []hold
-	// seen is the highest fence seen, by span of keys.
-	seen    []seen
+	// terminated is set when the simulated process has ended. Delayed calls are then dropped.
+	terminated bool
+	// onCrash is called when a request crashes the simulated process.
+	onCrash func(path string)
+	leases  []lease
+	// fences are the fences of all grants and releases so far, with their keys.
+	fences  []fenceRecord
 	running map[uint16]int
 	idle    *sync.Cond
 }
 
-// StartHeader tells in each answer to a request which incarnation has made it.
-const StartHeader = "X-Standin-Start"
+// IncarnationHeader identifies, in each answer to a request, the incarnation that sent it.
+const IncarnationHeader = "X-Standin-Start"
 
-// starts counts incarnations.
-var starts atomic.Int64
+// incarnations counts the instances created, to make incarnations unique.
+var incarnations atomic.Int64
 
-// New returns an instance that holds nothing.
-func New(id string, keyed bool, work time.Duration, oracle *Oracle) *Instance {
-	start := id + "/" + strconv.FormatInt(starts.Add(1), 10)
-	i := &Instance{ID: id, Keyed: keyed, Work: work, Oracle: oracle, running: make(map[uint16]int), limit: -1, start: start}
+// New returns an instance that holds no keys.
+func New(id string, keyed bool, serviceTime time.Duration, oracle *Oracle) *Instance {
+	incarnation := id + "/" + strconv.FormatInt(incarnations.Add(1), 10)
+	i := &Instance{ID: id, Keyed: keyed, ServiceTime: serviceTime, Oracle: oracle, running: make(map[uint16]int), limit: -1, incarnation: incarnation}
 	i.idle = sync.NewCond(&i.mu)
 	return i
 }
 
-// Start is the value of StartHeader in the answers of this incarnation.
-func (i *Instance) Start() string { return i.start }
+// Incarnation returns the value of IncarnationHeader in the answers of this instance.
+func (i *Instance) Incarnation() string { return i.incarnation }
 
-// Set changes the mode.
-func (i *Instance) Set(m Mode) {
+// SetMode changes the mode.
+func (i *Instance) SetMode(m Mode) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.mode = m
 }
 
-// HarmHeader marks a request that ends each instance which begins to run it.
+// HarmHeader marks a request that crashes every instance that starts to execute it.
 const HarmHeader = "X-Standin-Harm"
 
-// OnHarm sets what ends the process of the instance when it begins to run such a request.
-func (i *Instance) OnHarm(end func(path string)) {
+// OnCrash sets the function that ends the simulated process when the instance starts to
+// execute a request with HarmHeader.
+func (i *Instance) OnCrash(end func(path string)) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.onHarm = end
+	i.onCrash = end
 }
 
-// harmed ends the process.
-func (i *Instance) harmed(path string) {
+// crash ends the simulated process and closes the connection without an answer.
+func (i *Instance) crash(path string) {
 	i.mu.Lock()
-	end := i.onHarm
+	end := i.onCrash
 	i.mu.Unlock()
 	if end != nil {
 		end(path)
@@ -131,27 +133,27 @@
 	panic(http.ErrAbortHandler)
 }
 
-// End ends the instance's process.
-func (i *Instance) End() {
+// Terminate ends the simulated process.
+func (i *Instance) Terminate() {
 	i.mu.Lock()
-	i.ended = true
+	i.terminated = true
 	i.mu.Unlock()
-	i.Oracle.Ended(i.ID)
+	i.Oracle.InstanceTerminated(i.ID)
 }
 
-func (i *Instance) get() Mode {
+func (i *Instance) currentMode() Mode {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.mode
 }
 
-// ServeHTTP serves requests and calls.
+// ServeHTTP serves requests and control calls.
 func (i *Instance) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	if i.get() == Silent {
+	if i.currentMode() == Unresponsive {
 		<-r.Context().Done()
 		return
 	}
@@ -161,53 +163,53 @@
 	}
 	switch r.URL.Path {
 	case platform.GrantPath, platform.ReleasePath:
-		if delay, late := i.late(); late {
-			i.carryOutLater(r.URL.Path, body, delay)
+		if delay, late := i.nextLateDelay(); late {
+			i.applyLater(r.URL.Path, body, delay)
 			<-r.Context().Done()
 			return
 		}
 	}
 	switch r.URL.Path {
 	case platform.GrantPath:
-		i.grantCall(w, body)
+		i.serveGrant(w, body)
 	case platform.ReleasePath:
-		i.releaseCall(w, body)
+		i.serveRelease(w, body)
 	default:
-		i.request(w, r)
+		i.serveRequest(w, r)
 	}
 }
 
-func (i *Instance) request(w http.ResponseWriter, r *http.Request) {
+func (i *Instance) serveRequest(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(platform.RequestID)
 	if id == "" {
-		i.withoutID(w, r)
+		i.refuseWithoutID(w, r)
 		return
 	}
 	w.Header().Set(platform.RequestID, id)
-	i.arrived(id, w.Header())
+	i.recordArrival(id, w.Header())
 	key, hasKey := platform.RequestKey(r.Header)
-	if i.get() == Sheds {
+	if i.currentMode() == Overloaded {
 		w.Header().Set(platform.NotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if i.Keyed && (!hasKey || !i.begin(key)) {
+	if i.Keyed && (!hasKey || !i.beginRequest(key)) {
 		w.Header().Set(platform.NotExecuted, "1")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	i.Oracle.Ran(i.ID, id, r.Method)
+	i.Oracle.RecordRun(i.ID, id, r.Method)
 	if r.Header.Get(HarmHeader) != "" {
-		i.harmed(r.URL.Path)
+		i.crash(r.URL.Path)
 	}
-	time.Sleep(i.Work)
+	time.Sleep(i.ServiceTime)
 	if i.Keyed {
 		i.end(key)
 	}
-	switch i.get() {
-	case Loses, Silent:
+	switch i.currentMode() {
+	case LosesResponses, Unresponsive:
 		panic(http.ErrAbortHandler)
-	case Fails:
+	case ReturnsErrors:
 		w.Header().Set(platform.Signature, "sig-"+id)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -218,12 +220,12 @@
 	}
 }
 
-// withoutID refuses a request without an id, as the platform's instances do. One that
-// names its target is from a gateway, and its client's id is lost; any other was meant
-// for another process.
-func (i *Instance) withoutID(w http.ResponseWriter, r *http.Request) {
+// refuseWithoutID rejects a request without an id, as the platform's instances do. A request
+// that names its target comes from a gateway, which has lost the id set by the client. Any
+// other request was meant for a different process.
+func (i *Instance) refuseWithoutID(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(platform.TargetInstance) != "" {
-		i.Oracle.lostID(i.ID, r.Method, r.URL.Path)
+		i.Oracle.recordMissingID(i.ID, r.Method, r.URL.Path)
 	}
 	w.Header().Set(platform.NotExecuted, "1")
 	w.WriteHeader(http.StatusBadRequest)
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -1,5 +1,6 @@
-// Package relay is a loopback TCP relay with the faults of a network: delay, resets,
-// cuts in one direction or both, and connections that fall silent while new ones work.
+// Package relay implements a loopback TCP relay that injects network faults: delays,
+// resets, loss of data in one or both directions, and connections that stop carrying data
+// while new ones work. It can also limit the send rate of a listener.
 package relay
 
 import (
@@ -10,70 +11,70 @@
 	"time"
 )
 
-// Fault is how a relay treats bytes.
+// Fault tells how a relay handles connections and their data.
 type Fault int
 
 // The faults.
 const (
-	// None: bytes pass.
+	// None forwards all data.
 	None Fault = iota
-	// Slow: bytes pass Lag later.
+	// Slow forwards data after SlowDelay.
 	Slow
-	// CutThere: what the dialling side sends is lost; CutBack: what it would
-	// receive; CutBoth: all.
-	CutThere
-	CutBack
-	CutBoth
-	// Refuse: new connections are reset, those that are open pass.
+	// DropToTarget discards data from the client to the target, DropFromTarget data
+	// from the target to the client, and DropBoth both.
+	DropToTarget
+	DropFromTarget
+	DropBoth
+	// Refuse resets new connections and forwards data on open ones.
 	Refuse
 )
 
-// Lag is the delay of the fault Slow, for each piece of bytes.
-const Lag = 150 * time.Millisecond
+// SlowDelay is the delay that the fault Slow adds to each forwarded buffer.
+const SlowDelay = 150 * time.Millisecond
 
-// piece is the most bytes that are passed on at a time.
-const piece = 16 << 10
+// bufferSize is the maximum number of bytes forwarded at once.
+const bufferSize = 16 << 10
 
-// Relay passes connections on to a target. It is safe for concurrent use.
+// Relay forwards connections to a target address. It is safe for concurrent use.
 type Relay struct {
-	listener net.Listener
-	target   string
+	listener   net.Listener
+	targetAddr string
 
-	mu    sync.Mutex
-	fault Fault
-	links map[*link]bool
+	mu          sync.Mutex
+	fault       Fault
+	connections map[*connection]bool
 }
 
-// link is one connection through the relay.
-type link struct {
-	near, far net.Conn
-	// silent is closed when the connection shall carry nothing any more.
-	silent chan struct{}
+// connection is one connection through the relay.
+type connection struct {
+	client, target net.Conn
+	// silenced is closed when the connection must not carry data any longer.
+	silenced chan struct{}
 }
 
-// New opens a relay on a port of the kernel's choice.
-func New(target string) (*Relay, error) {
+// New starts a relay on a free loopback port.
+func New(targetAddr string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: l, target: target, links: make(map[*link]bool)}
+	r := &Relay{listener: l, targetAddr: targetAddr, connections: make(map[*connection]bool)}
 	go r.accept()
 	return r, nil
 }
 
-// Addr is the address to connect to.
+// Addr returns the address on which the relay accepts connections.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Open returns the number of open connections.
-func (r *Relay) Open() int {
+// OpenConnections returns the number of open connections.
+func (r *Relay) OpenConnections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.links)
+	return len(r.connections)
 }
 
-// Set changes the fault, for open connections too.
-func (r *Relay) Set(f Fault) {
+// SetFault changes the fault, also for open connections.
+func (r *Relay) SetFault(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = f
@@ -83,32 +84,32 @@
 func (r *Relay) ResetAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for k := range r.links {
-		k.reset()
+	for c := range r.connections {
+		c.reset()
 	}
 }
 
-// SilenceAll lets all open connections carry nothing any more, without a reset. New
-// ones work.
+// SilenceAll makes all open connections discard data from now on, without resetting
+// them. New connections work.
 func (r *Relay) SilenceAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for k := range r.links {
+	for c := range r.connections {
 		select {
-		case <-k.silent:
+		case <-c.silenced:
 		default:
-			close(k.silent)
+			close(c.silenced)
 		}
 	}
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.ResetAll()
 }
 
-func (r *Relay) get() Fault {
+func (r *Relay) currentFault() Fault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fault
@@ -116,45 +117,46 @@
 
 func (r *Relay) accept() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.carry(near)
+		go r.forward(client)
 	}
 }
 
-// carry passes one connection on until one side ends it.
-func (r *Relay) carry(near net.Conn) {
-	if r.get() == Refuse {
-		abort(near)
+// forward connects a client to the target and forwards data until one side ends the
+// connection.
+func (r *Relay) forward(client net.Conn) {
+	if r.currentFault() == Refuse {
+		abort(client)
 		return
 	}
-	far, err := net.Dial("tcp", r.target)
+	target, err := net.Dial("tcp", r.targetAddr)
 	if err != nil {
-		abort(near)
+		abort(client)
 		return
 	}
-	k := &link{near: near, far: far, silent: make(chan struct{})}
+	c := &connection{client: client, target: target, silenced: make(chan struct{})}
 	r.mu.Lock()
-	r.links[k] = true
+	r.connections[c] = true
 	r.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { r.pass(k, k.far, k.near, CutThere) })
-	both.Go(func() { r.pass(k, k.near, k.far, CutBack) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { r.copyDirection(c, c.target, c.client, DropToTarget) })
+	directions.Go(func() { r.copyDirection(c, c.client, c.target, DropFromTarget) })
+	directions.Wait()
 	r.mu.Lock()
-	delete(r.links, k)
+	delete(r.connections, c)
 	r.mu.Unlock()
-	k.reset()
+	c.reset()
 }
 
-// pass carries bytes in one direction, which the fault cut loses.
-func (r *Relay) pass(k *link, to, from net.Conn, cut Fault) {
-	buffer := make([]byte, piece)
+// copyDirection forwards data in one direction, which the fault drop discards.
+func (r *Relay) copyDirection(c *connection, to, from net.Conn, drop Fault) {
+	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !r.send(k, to, buffer[:n], cut) {
+		if n > 0 && !r.write(c, to, buffer[:n], drop) {
 			return
 		}
 		switch {
@@ -162,28 +164,29 @@
 			closeWrite(to)
 			return
 		case err != nil:
-			k.reset()
+			c.reset()
 			return
 		}
 	}
 }
 
-// send passes some bytes on, or loses them, and reports whether more may follow.
-func (r *Relay) send(k *link, to net.Conn, data []byte, cut Fault) bool {
-	fault := r.get()
+// write forwards or discards data according to the fault. It returns false if the
+// connection has failed.
+func (r *Relay) write(c *connection, to net.Conn, data []byte, drop Fault) bool {
+	fault := r.currentFault()
 	select {
-	case <-k.silent:
+	case <-c.silenced:
 		return true
 	default:
 	}
-	if fault == cut || fault == CutBoth {
+	if fault == drop || fault == DropBoth {
 		return true
 	}
 	if fault == Slow {
-		time.Sleep(Lag)
+		time.Sleep(SlowDelay)
 	}
 	if _, err := to.Write(data); err != nil {
-		k.reset()
+		c.reset()
 		return false
 	}
 	return true
@@ -191,20 +194,20 @@
 
 func closeWrite(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// The other side may be gone already, which ends the connection too.
+		// An error means that the other side is already gone, which also ends the connection.
 		_ = tcp.CloseWrite()
 	}
 }
 
-func (k *link) reset() {
-	abort(k.near)
-	abort(k.far)
+func (c *connection) reset() {
+	abort(c.client)
+	abort(c.target)
 }
 
-// abort closes a connection such that the other side sees a reset.
+// abort closes a connection so that the peer sees a reset.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		// Without the option the close is a plain one.
+		// If this fails, the connection is closed without a reset.
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// echo answers each line with itself.
-func echo(t *testing.T) string {
+// echoServer starts a server that sends each line back and returns its address.
+func echoServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,10 +51,10 @@
 	return &client{c, bufio.NewReader(c)}
 }
 
-// silence is how long a test waits to see that nothing comes.
-const silence = 50 * time.Millisecond
+// silencePeriod is how long a test waits to verify that nothing arrives.
+const silencePeriod = 50 * time.Millisecond
 
-func (c *client) ask(wait time.Duration) error {
+func (c *client) roundTrip(wait time.Duration) error {
 	if _, err := fmt.Fprintln(c, "hello"); err != nil {
 		return err
 	}
@@ -65,39 +65,40 @@
 	return err
 }
 
+// TestFaults checks the effect of each fault on open and on new connections.
 func TestFaults(t *testing.T) {
-	r, err := New(echo(t))
+	r, err := New(echoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	old := dial(t, r)
-	if err := old.ask(time.Minute); err != nil {
+	established := dial(t, r)
+	if err := established.roundTrip(time.Minute); err != nil {
 		t.Fatalf("without a fault: %v", err)
 	}
-	for _, cut := range []Fault{CutThere, CutBack, CutBoth} {
-		r.Set(cut)
-		if err := dial(t, r).ask(silence); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("cut %d: %v", cut, err)
+	for _, fault := range []Fault{DropToTarget, DropFromTarget, DropBoth} {
+		r.SetFault(fault)
+		if err := dial(t, r).roundTrip(silencePeriod); !errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("fault %d: got error %v, want a timeout", fault, err)
 		}
 	}
-	r.Set(None)
+	r.SetFault(None)
 	r.SilenceAll()
-	if err := old.ask(silence); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a silent connection: %v", err)
+	if err := established.roundTrip(silencePeriod); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("silenced connection: got error %v, want a timeout", err)
 	}
-	fresh := dial(t, r)
-	if err := fresh.ask(time.Minute); err != nil {
-		t.Errorf("a new connection beside silent ones: %v", err)
+	newer := dial(t, r)
+	if err := newer.roundTrip(time.Minute); err != nil {
+		t.Errorf("new connection after SilenceAll: %v", err)
 	}
 	r.ResetAll()
-	if err := fresh.ask(time.Minute); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a reset connection: %v", err)
+	if err := newer.roundTrip(time.Minute); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("reset connection: got error %v, want a reset", err)
 	}
-	r.Set(Refuse)
+	r.SetFault(Refuse)
 	if c, err := net.Dial("tcp", r.Addr()); err == nil {
-		if err := (&client{c, bufio.NewReader(c)}).ask(time.Minute); err == nil {
-			t.Error("a new connection works although all are refused")
+		if err := (&client{c, bufio.NewReader(c)}).roundTrip(time.Minute); err == nil {
+			t.Error("a new connection works although the relay refuses connections")
 		}
 	}
 }
--- a/standin/upstream/oracle.go
+++ b/standin/upstream/oracle.go
@@ -7,12 +7,13 @@
 	"sync"
 )
 
-// Run is one line of the oracle log: a request that was executed.
+// Run is one line of the oracle log. It describes an executed request.
 type Run struct {
-	// At is the wall clock in nanoseconds when the run was decided.
+	// At is the wall clock time in nanoseconds at which the upstream decided to execute
+	// the request.
 	At int64 `json:"at"`
-	// End is the wall clock in nanoseconds when the run ended; zero on the
-	// line written at the start.
+	// End is the wall clock time in nanoseconds at which the execution ended. It is zero
+	// in the line written at the start.
 	End        int64  `json:"end,omitempty"`
 	Upstream   string `json:"upstream"`
 	Service    string `json:"service"`
@@ -22,22 +23,22 @@
 	Idempotent bool   `json:"idempotent"`
 }
 
-// oracle appends runs to a file, one write a line, so that a killed process
-// leaves everything it ran.
+// oracle appends runs to a file with one write per line, so that the file of a killed
+// process contains everything that it executed. Without a file it keeps runs in memory.
 type oracle struct {
-	mu   sync.Mutex
-	file *os.File
-	runs []Run
-	keep bool
+	mu       sync.Mutex
+	file     *os.File
+	runs     []Run
+	inMemory bool
 }
 
 func openOracle(path string) (*oracle, error) {
 	if path == "" {
-		return &oracle{keep: true}, nil
+		return &oracle{inMemory: true}, nil
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("oracle log: %w", err)
+		return nil, fmt.Errorf("open oracle log: %w", err)
 	}
 	return &oracle{file: f}, nil
 }
@@ -45,7 +46,7 @@
 func (o *oracle) add(r Run) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.keep {
+	if o.inMemory {
 		o.runs = append(o.runs, r)
 		return
 	}
@@ -56,7 +57,7 @@
 	_, _ = o.file.Write(append(line, '\n'))
 }
 
-func (o *oracle) all() []Run {
+func (o *oracle) snapshot() []Run {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append([]Run(nil), o.runs...)
--- a/standin/upstream/owner.go
+++ b/standin/upstream/owner.go
@@ -9,45 +9,46 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// maxLease bounds how far a renewal may reach into the future.
+// maxLease bounds how far in the future a renewed lease may end.
 const maxLease = 10 * time.Second
 
-// grant is a span held at an epoch.
+// grant is a span that the upstream owns under an epoch.
 type grant struct {
 	keyspace.Span
 	epoch  uint64
 	warmAt time.Duration
 }
 
-// floor is a span in which grants up to an epoch are refused.
-type floor struct {
+// revocation is a span in which grants up to an epoch are rejected.
+type revocation struct {
 	keyspace.Span
 	epoch uint64
 }
 
-// Ownership keeps the grants and the lease of one upstream. Times are readings
-// of its own monotonic clock. It is safe for concurrent use.
+// Ownership holds the grants and the lease of one upstream. All times are readings of the
+// upstream's own monotonic clock. It is safe for concurrent use.
 type Ownership struct {
 	clock  func() time.Duration
 	warmUp time.Duration
 
-	mu       sync.Mutex
-	boot     string
-	boots    int
-	lease    time.Duration
-	grants   []grant
-	floors   []floor
-	prepared map[keyspace.Span]time.Duration
-	leaving  bool
+	mu          sync.Mutex
+	boot        string
+	boots       int
+	lease       time.Duration
+	grants      []grant
+	revocations []revocation
+	prepared    map[keyspace.Span]time.Duration
+	leaving     bool
 }
 
-// NewOwnership returns the state of a process that has just started.
+// NewOwnership returns the state of a process that has just started, without grants or a
+// lease.
 func NewOwnership(clock func() time.Duration, boot string, warmUp time.Duration) *Ownership {
 	return &Ownership{clock: clock, warmUp: warmUp, boot: boot, prepared: make(map[keyspace.Span]time.Duration)}
 }
 
-// Reset drops everything and takes a new boot id, so that late control
-// messages for the former one have no effect.
+// Reset drops all state and adopts a new boot ID, so that delayed control messages for the
+// previous one have no effect.
 func (o *Ownership) Reset() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -62,11 +63,12 @@
 	o.boot = fmt.Sprintf("%s.%d", base, o.boots)
 	o.lease = 0
 	o.grants = nil
-	o.floors = nil
+	o.revocations = nil
 	clear(o.prepared)
 }
 
-// Renew extends the lease and reports whether it was meant for this boot.
+// Renew extends the lease. It returns false, without effect, if the renewal is for a
+// different boot ID.
 func (o *Ownership) Renew(r control.Renewal) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -78,28 +80,29 @@
 	return true
 }
 
-// Grant takes grants and preparations meant for this boot.
+// Grant applies grants and requests to prepare. It returns false, without effect, if they
+// are for a different boot ID.
 func (o *Ownership) Grant(g control.Grants) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if g.Boot != o.boot {
 		return false
 	}
-	for _, one := range g.Grants {
-		if one.Prepare {
-			if _, ok := o.prepared[one.Span]; !ok {
-				o.prepared[one.Span] = o.clock() + o.warmUp
+	for _, requested := range g.Grants {
+		if requested.Prepare {
+			if _, ok := o.prepared[requested.Span]; !ok {
+				o.prepared[requested.Span] = o.clock() + o.warmUp
 			}
 			continue
 		}
-		o.grantOne(one)
+		o.applyGrant(requested)
 	}
 	return true
 }
 
-func (o *Ownership) grantOne(g control.Grant) {
-	for _, f := range o.floors {
-		if f.Overlaps(g.Span) && g.Epoch <= f.epoch {
+func (o *Ownership) applyGrant(g control.Grant) {
+	for _, rev := range o.revocations {
+		if rev.Overlaps(g.Span) && g.Epoch <= rev.epoch {
 			return
 		}
 	}
@@ -113,12 +116,12 @@
 		warmAt = o.clock() + o.warmUp
 	}
 	delete(o.prepared, g.Span)
-	o.carve(g.Span, g.Epoch)
+	o.removeGrants(g.Span, g.Epoch)
 	o.grants = append(o.grants, grant{Span: g.Span, epoch: g.Epoch, warmAt: warmAt})
 }
 
-// carve removes grants up to epoch from the span.
-func (o *Ownership) carve(span keyspace.Span, epoch uint64) {
+// removeGrants removes the span from all grants up to the epoch.
+func (o *Ownership) removeGrants(span keyspace.Span, epoch uint64) {
 	var kept []grant
 	for _, held := range o.grants {
 		if held.epoch > epoch {
@@ -134,30 +137,31 @@
 	o.grants = kept
 }
 
-// Revoke takes spans back, up to the epochs named.
+// Revoke removes the spans from grants up to the given epochs, and rejects such grants from
+// now on.
 func (o *Ownership) Revoke(list []control.Revocation) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, r := range list {
-		o.carve(r.Span, r.Epoch)
-		o.addFloor(floor{Span: r.Span, epoch: r.Epoch})
+		o.removeGrants(r.Span, r.Epoch)
+		o.addRevocation(revocation{Span: r.Span, epoch: r.Epoch})
 	}
 }
 
-// addFloor replaces floors that the new one covers.
-func (o *Ownership) addFloor(f floor) {
-	kept := o.floors[:0]
-	for _, old := range o.floors {
-		if f.Covers(old.Span) && old.epoch <= f.epoch {
+// addRevocation adds a revocation and drops those that it makes redundant.
+func (o *Ownership) addRevocation(rev revocation) {
+	kept := o.revocations[:0]
+	for _, old := range o.revocations {
+		if rev.Covers(old.Span) && old.epoch <= rev.epoch {
 			continue
 		}
 		kept = append(kept, old)
 	}
-	o.floors = append(kept, f)
+	o.revocations = append(kept, rev)
 }
 
-// Check reports whether the upstream may run a request at h under epoch now,
-// and whether the range is warm.
+// Check reports whether the upstream may execute a request at h under the epoch now, and
+// whether the range is warm.
 func (o *Ownership) Check(h keyspace.Hash, epoch uint64) (owned, warm bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -173,29 +177,28 @@
 	return false, false
 }
 
-// Status returns boot and clock for the answer to control messages.
+// Status returns the boot ID, clock and leaving state for the answer to a control message.
 func (o *Ownership) Status() control.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return control.Status{Boot: o.boot, ClockNanos: int64(o.clock()), Leaving: o.leaving}
 }
 
-// leave announces a planned stop.
-func (o *Ownership) leave() {
+// announceLeave announces a planned stop.
+func (o *Ownership) announceLeave() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.leaving = true
 }
 
-// empty reports whether nothing is granted.
-func (o *Ownership) empty() bool {
+// hasNoGrants reports whether the upstream has no grants.
+func (o *Ownership) hasNoGrants() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.grants) == 0
 }
 
-// Holds reports whether the upstream would run requests at h under some epoch
-// now.
+// Holds reports whether the upstream would execute requests at h now, under some epoch.
 func (o *Ownership) Holds(h keyspace.Hash) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/standin/upstream/serve.go
+++ b/standin/upstream/serve.go
@@ -12,14 +12,14 @@
 	"github.com/rockcroft/rockcroft/process"
 )
 
-// leaveLimit bounds the wait for grants to be taken back at a planned stop.
-const leaveLimit = 10 * time.Second
+// leaveTimeout bounds how long a planned stop waits for the grants to be revoked.
+const leaveTimeout = 10 * time.Second
 
-// NewBoot returns a boot id that no other start has.
-func NewBoot() string { return fmt.Sprintf("%016x", rand.Uint64()) }
+// NewBootID returns a random boot ID, different for each start of a process.
+func NewBootID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
-// Serve runs until ctx ends. It then announces its stop and goes on serving
-// until its ranges are taken back.
+// Serve serves until ctx ends. It then announces the stop and continues to serve until its
+// ranges are revoked, or until leaveTimeout.
 func (s *Server) Serve(ctx context.Context) error {
 	l, err := net.Listen("tcp", s.settings.Listen.String())
 	if err != nil {
@@ -28,7 +28,7 @@
 	return s.ServeListener(ctx, l)
 }
 
-// ServeListener is Serve on an open listener.
+// ServeListener is like Serve, but uses an open listener.
 func (s *Server) ServeListener(ctx context.Context, l net.Listener) error {
 	var open atomic.Int64
 	server := &http.Server{
@@ -37,14 +37,14 @@
 		ConnContext:       s.ConnContext,
 		ConnState:         s.ConnState(&open),
 	}
-	life, stop := context.WithCancel(context.Background())
+	serveCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() {
 		<-ctx.Done()
-		limit, cancel := context.WithTimeout(context.Background(), leaveLimit)
+		leaveCtx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 		defer cancel()
-		s.Leave(limit)
+		s.Leave(leaveCtx)
 		stop()
 	}()
-	return process.ServeListener(life, l, server)
+	return process.ServeListener(serveCtx, l, server)
 }
