--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -220,10 +220,10 @@
 func suspendable() (*bootclock.Clock, *atomic.Int64) {
 	var asleep atomic.Int64
 	began := time.Now()
-	return bootclock.From(bootclock.Sources{
-		Steady: time.Now,
-		Wall:   func(t time.Time) int64 { return t.UnixNano() + asleep.Load() },
-		Boot:   func() (time.Duration, error) { return time.Since(began) + time.Duration(asleep.Load()), nil },
+	return bootclock.NewFromSources(bootclock.Sources{
+		Monotonic: time.Now,
+		Wall:      func(t time.Time) int64 { return t.UnixNano() + asleep.Load() },
+		Boot:      func() (time.Duration, error) { return time.Since(began) + time.Duration(asleep.Load()), nil },
 	}), &asleep
 }
 
--- a/gateway/wake_test.go
+++ b/gateway/wake_test.go
@@ -80,10 +80,10 @@
 func leadersOverlap(at, length time.Duration, counts bool) bool {
 	start := time.Unix(1000, 0)
 	var awake, asleep time.Duration
-	clock := bootclock.From(bootclock.Sources{
-		Steady: func() time.Time { return start.Add(awake) },
-		Wall:   func(time.Time) int64 { return start.Add(awake + asleep).UnixNano() },
-		Boot:   func() (time.Duration, error) { return awake + asleep, nil },
+	clock := bootclock.NewFromSources(bootclock.Sources{
+		Monotonic: func() time.Time { return start.Add(awake) },
+		Wall:      func(time.Time) int64 { return start.Add(awake + asleep).UnixNano() },
+		Boot:      func() (time.Duration, error) { return awake + asleep, nil },
 	})
 	now := clock.Now
 	if !counts {
--- a/transport/bootclock/bootclock.go
+++ b/transport/bootclock/bootclock.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// tolerance is how far the time of day may move away from the steady clock until
+	// driftTolerance is how far the time of day may move away from the steady clock until
 	// CLOCK_BOOTTIME is read: far below any right's length, and more than the two drift apart in
 	// some tens of seconds.
-	tolerance = 20 * time.Millisecond
-	// leastSuspension is the shortest suspension that is told of.
-	leastSuspension = 50 * time.Millisecond
+	driftTolerance = 20 * time.Millisecond
+	// minSuspension is the shortest suspension that is told of.
+	minSuspension = 50 * time.Millisecond
 )
 
 // Sources are the clocks of a machine.
 type Sources struct {
-	// Steady is as time.Now: it stands still in a suspension.
-	Steady func() time.Time
+	// Monotonic is as time.Now: it stands still in a suspension.
+	Monotonic func() time.Time
 	// Wall returns the time of day that belongs to a reading of Steady, in nanoseconds.
 	Wall func(time.Time) int64
 	// Boot returns the time since the machine's start, suspensions included.
@@ -35,9 +35,9 @@
 }
 
 // machine are this machine's.
-var machine = Sources{Steady: time.Now, Wall: time.Time.UnixNano, Boot: boot}
+var systemSources = Sources{Monotonic: time.Now, Wall: time.Time.UnixNano, Boot: readBootTime}
 
-func boot() (time.Duration, error) {
+func readBootTime() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		return 0, err
@@ -53,27 +53,27 @@
 
 	mu sync.Mutex
 	// steady, wall and boot are the clocks at the same moment.
-	steady time.Time
-	wall   int64
-	boot   time.Duration
+	refMonotonic time.Time
+	refWall      int64
+	refBoot      time.Duration
 	// offset is how long the machine was suspended since then, drift how far the time of day had
 	// moved away from the steady clock when that was last worked out.
-	offset, drift time.Duration
+	suspendedTotal, lastDrift time.Duration
 }
 
 // New returns the machine's clock.
-func New() *Clock { return From(machine) }
+func New() *Clock { return NewFromSources(systemSources) }
 
-// From returns a clock by others. Where Boot cannot be read no suspension is counted.
-func From(s Sources) *Clock {
+// NewFromSources returns a clock by others. Where Boot cannot be read no suspension is counted.
+func NewFromSources(s Sources) *Clock {
 	c := &Clock{Sources: s, onSuspended: func(time.Duration) {}}
-	c.steady = s.Steady()
-	c.wall = s.Wall(c.steady)
-	at, err := s.Boot()
+	c.refMonotonic = s.Monotonic()
+	c.refWall = s.Wall(c.refMonotonic)
+	bootTime, err := s.Boot()
 	if err != nil {
 		c.Boot = func() (time.Duration, error) { return 0, err }
 	}
-	c.boot = at
+	c.refBoot = bootTime
 	return c
 }
 
@@ -89,12 +89,12 @@
 func (c *Clock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.Steady()
-	if drift := c.driftAt(t); (drift - c.drift).Abs() > tolerance {
-		c.drift = drift
-		c.look(t)
+	t := c.Monotonic()
+	if drift := c.wallDrift(t); (drift - c.lastDrift).Abs() > driftTolerance {
+		c.lastDrift = drift
+		c.updateSuspended(t)
 	}
-	return t.Add(c.offset)
+	return t.Add(c.suspendedTotal)
 }
 
 // Check looks for a suspension that the time of day does not show, as it was stepped back by as
@@ -102,24 +102,24 @@
 func (c *Clock) Check() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.look(c.Steady())
+	c.updateSuspended(c.Monotonic())
 }
 
-// driftAt is how far the time of day has moved away from the steady clock. The lock is held.
-func (c *Clock) driftAt(t time.Time) time.Duration {
-	return time.Duration(c.Wall(t)-c.wall) - t.Sub(c.steady)
+// wallDrift is how far the time of day has moved away from the steady clock. The lock is held.
+func (c *Clock) wallDrift(t time.Time) time.Duration {
+	return time.Duration(c.Wall(t)-c.refWall) - t.Sub(c.refMonotonic)
 }
 
 // look takes over how long the machine was suspended. The lock is held.
-func (c *Clock) look(t time.Time) {
-	boot, err := c.Boot()
+func (c *Clock) updateSuspended(t time.Time) {
+	bootTime, err := c.Boot()
 	if err != nil {
 		return
 	}
-	suspended := boot - c.boot - t.Sub(c.steady) - c.offset
-	if suspended < leastSuspension {
+	suspended := bootTime - c.refBoot - t.Sub(c.refMonotonic) - c.suspendedTotal
+	if suspended < minSuspension {
 		return
 	}
-	c.offset += suspended
+	c.suspendedTotal += suspended
 	go c.onSuspended(suspended)
 }
--- a/transport/eventlog/eventlog.go
+++ b/transport/eventlog/eventlog.go
@@ -1,6 +1,6 @@
 // Package eventlog writes the structured log of a process, one JSON object a
 // line, so that logging never delays the work: lines go through a bounded queue to
-// one writer, each kind of line (its message) has a rate, and what is dropped is
+// one writer, each message of line (its message) has a rate, and what is dropped is
 // counted, logged and served.
 package eventlog
 
@@ -17,16 +17,16 @@
 	// queueLength is the number of lines that may wait for the writer: some
 	// seconds of a busy process.
 	queueLength = 1024
-	// keptForFailures is the part of the queue that only warnings and errors
+	// reservedForWarnings is the part of the queue that only warnings and errors
 	// may use.
-	keptForFailures = queueLength / 2
-	// infoRate and warnRate are the lines of one kind that may be written in a
-	// second, burst how many of these at once, in seconds' worth.
-	infoRate = 40
-	warnRate = 80
-	burst    = 2
-	// mostKinds bounds the kinds told apart; all others share one rate.
-	mostKinds = 200
+	reservedForWarnings = queueLength / 2
+	// infoRate and warnRate are the lines of one message that may be written in a
+	// second, burstSeconds how many of these at once, in seconds' worth.
+	infoRate     = 40
+	warnRate     = 80
+	burstSeconds = 2
+	// maxBuckets bounds the buckets told apart; all others share one rate.
+	maxBuckets = 200
 	// reportInterval is the time between lines about dropped lines.
 	reportInterval = 5 * time.Second
 )
@@ -38,19 +38,19 @@
 	dropped atomic.Int64
 	written atomic.Int64
 
-	mu    sync.Mutex
-	kinds map[string]*bucket
+	mu      sync.Mutex
+	buckets map[string]*tokenBucket
 }
 
-// bucket is the rate of one kind of line.
-type bucket struct {
-	tokens float64
-	at     time.Time
+// tokenBucket is the rate of one message of line.
+type tokenBucket struct {
+	tokens     float64
+	refilledAt time.Time
 }
 
 // New returns a log without output.
 func New(now func() time.Time) *Log {
-	return &Log{queue: make(chan []byte, queueLength), now: now, kinds: make(map[string]*bucket)}
+	return &Log{queue: make(chan []byte, queueLength), now: now, buckets: make(map[string]*tokenBucket)}
 }
 
 // Dropped returns the number of lines dropped so far, Written that of lines
@@ -65,24 +65,24 @@
 	logger := l.Logger(slog.LevelInfo)
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
-	reported := int64(0)
+	lastReported := int64(0)
 	for {
 		select {
 		case line := <-l.queue:
 			l.write(w, line)
 		case <-ticker.C:
-			if n := l.Dropped(); n > reported {
-				logger.Warn("log lines dropped", "since_last", n-reported, "total", n)
-				reported = n
+			if n := l.Dropped(); n > lastReported {
+				logger.Warn("log lines dropped", "since_last", n-lastReported, "total", n)
+				lastReported = n
 			}
 		case <-ctx.Done():
-			l.drain(w)
+			l.flush(w)
 			return
 		}
 	}
 }
 
-func (l *Log) drain(w io.Writer) {
+func (l *Log) flush(w io.Writer) {
 	for {
 		select {
 		case line := <-l.queue:
@@ -103,45 +103,45 @@
 
 // Logger returns a logger that writes lines from the level on.
 func (l *Log) Logger(level slog.Level) *slog.Logger {
-	return slog.New(&handler{
-		Handler: slog.NewJSONHandler(sink{l, false}, &slog.HandlerOptions{Level: level}),
-		failing: slog.NewJSONHandler(sink{l, true}, &slog.HandlerOptions{Level: level}),
+	return slog.New(&rateLimitedHandler{
+		Handler: slog.NewJSONHandler(queueWriter{l, false}, &slog.HandlerOptions{Level: level}),
+		urgent:  slog.NewJSONHandler(queueWriter{l, true}, &slog.HandlerOptions{Level: level}),
 		log:     l,
 	})
 }
 
-// handler drops lines beyond the rate of their kind before they are formatted.
-type handler struct {
+// rateLimitedHandler drops lines beyond the rate of their message before they are formatted.
+type rateLimitedHandler struct {
 	slog.Handler
-	// failing formats warnings and errors, which may use the whole queue.
-	failing slog.Handler
-	log     *Log
+	// urgent formats warnings and errors, which may use the whole queue.
+	urgent slog.Handler
+	log    *Log
 }
 
 // Handle implements slog.Handler.
-func (h *handler) Handle(ctx context.Context, r slog.Record) error {
+func (h *rateLimitedHandler) Handle(ctx context.Context, r slog.Record) error {
 	if !h.log.allow(r.Message, r.Level) {
 		h.log.dropped.Add(1)
 		return nil
 	}
 	if r.Level >= slog.LevelWarn {
-		return h.failing.Handle(ctx, r)
+		return h.urgent.Handle(ctx, r)
 	}
 	return h.Handler.Handle(ctx, r)
 }
 
 // WithAttrs implements slog.Handler.
-func (h *handler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &handler{h.Handler.WithAttrs(attrs), h.failing.WithAttrs(attrs), h.log}
+func (h *rateLimitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &rateLimitedHandler{h.Handler.WithAttrs(attrs), h.urgent.WithAttrs(attrs), h.log}
 }
 
 // WithGroup implements slog.Handler.
-func (h *handler) WithGroup(name string) slog.Handler {
-	return &handler{h.Handler.WithGroup(name), h.failing.WithGroup(name), h.log}
+func (h *rateLimitedHandler) WithGroup(name string) slog.Handler {
+	return &rateLimitedHandler{h.Handler.WithGroup(name), h.urgent.WithGroup(name), h.log}
 }
 
-// allow takes a line from the rate of its kind.
-func (l *Log) allow(kind string, level slog.Level) bool {
+// allow takes a line from the rate of its message.
+func (l *Log) allow(message string, level slog.Level) bool {
 	rate := float64(infoRate)
 	if level >= slog.LevelWarn {
 		rate = warnRate
@@ -149,18 +149,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	b := l.kinds[kind]
+	b := l.buckets[message]
 	if b == nil {
-		if len(l.kinds) >= mostKinds {
-			kind = ""
+		if len(l.buckets) >= maxBuckets {
+			message = ""
 		}
-		if b = l.kinds[kind]; b == nil {
-			b = &bucket{tokens: rate * burst, at: now}
-			l.kinds[kind] = b
+		if b = l.buckets[message]; b == nil {
+			b = &tokenBucket{tokens: rate * burstSeconds, refilledAt: now}
+			l.buckets[message] = b
 		}
 	}
-	b.tokens = min(b.tokens+rate*now.Sub(b.at).Seconds(), rate*burst)
-	b.at = now
+	b.tokens = min(b.tokens+rate*now.Sub(b.refilledAt).Seconds(), rate*burstSeconds)
+	b.refilledAt = now
 	if b.tokens < 1 {
 		return false
 	}
@@ -168,15 +168,15 @@
 	return true
 }
 
-// sink puts formatted lines into the queue.
-type sink struct {
-	log     *Log
-	failing bool
+// queueWriter puts formatted lines into the queue.
+type queueWriter struct {
+	log    *Log
+	urgent bool
 }
 
 // Write implements io.Writer. It never blocks.
-func (s sink) Write(line []byte) (int, error) {
-	if !s.failing && len(s.log.queue) >= queueLength-keptForFailures {
+func (s queueWriter) Write(line []byte) (int, error) {
+	if !s.urgent && len(s.log.queue) >= queueLength-reservedForWarnings {
 		s.log.dropped.Add(1)
 		return len(line), nil
 	}
--- a/transport/eventlog/eventlog_test.go
+++ b/transport/eventlog/eventlog_test.go
@@ -11,29 +11,29 @@
 	"time"
 )
 
-// stuck is an output that nobody reads.
-type stuck struct{ entered chan struct{} }
+// blockedWriter is an output that nobody reads.
+type blockedWriter struct{ entered chan struct{} }
 
-func (s stuck) Write([]byte) (int, error) {
+func (s blockedWriter) Write([]byte) (int, error) {
 	close(s.entered)
 	select {}
 }
 
 // run writes what waits and returns the lines.
-func run(l *Log) []string {
+func flushLines(l *Log) []string {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	var out bytes.Buffer
-	l.drain(&out)
+	l.flush(&out)
 	l.Run(ctx, &out)
 	return strings.Split(strings.TrimSpace(out.String()), "\n")
 }
 
-// TestBlockedOutputDelaysNothing: with an output that is not read, the loggers
+// TestBlockedOutputDoesNotBlockLogging: with an output that is not read, the loggers
 // go on, and what does not fit is counted.
-func TestBlockedOutputDelaysNothing(t *testing.T) {
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	l := New(time.Now)
-	out := stuck{entered: make(chan struct{})}
+	out := blockedWriter{entered: make(chan struct{})}
 	go l.Run(context.Background(), out)
 	logger := l.Logger(slog.LevelInfo)
 	logger.Info("first")
@@ -47,22 +47,22 @@
 	}
 }
 
-// TestFailuresGoFirst: when the queue is half full, only warnings are taken.
-func TestFailuresGoFirst(t *testing.T) {
+// TestHalfOfQueueIsReservedForWarnings: when the queue is half full, only warnings are taken.
+func TestHalfOfQueueIsReservedForWarnings(t *testing.T) {
 	l := New(time.Now)
 	logger := l.Logger(slog.LevelInfo)
 	for i := range queueLength {
 		logger.Info(fmt.Sprintf("kind %d", i%100))
 	}
 	logger.Warn("a failure")
-	lines := run(l)
-	if len(lines) != queueLength-keptForFailures+1 || !strings.Contains(lines[len(lines)-1], "a failure") {
+	lines := flushLines(l)
+	if len(lines) != queueLength-reservedForWarnings+1 || !strings.Contains(lines[len(lines)-1], "a failure") {
 		t.Errorf("%d lines, the last is %s", len(lines), lines[len(lines)-1])
 	}
 }
 
-// TestRates: each kind has its own, and it fills up again with time.
-func TestRates(t *testing.T) {
+// TestEachMessageHasItsOwnRate: each kind has its own, and it fills up again with time.
+func TestEachMessageHasItsOwnRate(t *testing.T) {
 	now := time.Now()
 	l := New(func() time.Time { return now })
 	logger := l.Logger(slog.LevelInfo)
@@ -75,25 +75,25 @@
 		logger.Info("often")
 	}
 	count := make(map[string]int)
-	for _, line := range run(l) {
+	for _, line := range flushLines(l) {
 		var fields struct{ Msg string }
 		if err := json.Unmarshal([]byte(line), &fields); err != nil {
 			t.Fatal(err)
 		}
 		count[fields.Msg]++
 	}
-	if count["often"] != infoRate*(burst+1) || count["seldom"] != 1 {
+	if count["often"] != infoRate*(burstSeconds+1) || count["seldom"] != 1 {
 		t.Errorf("lines %v", count)
 	}
-	if l.Dropped() != int64(20*infoRate-infoRate*(burst+1)) {
+	if l.Dropped() != int64(20*infoRate-infoRate*(burstSeconds+1)) {
 		t.Errorf("%d dropped", l.Dropped())
 	}
 }
 
-func TestAttributesStay(t *testing.T) {
+func TestAttributesAndGroupsAreKept(t *testing.T) {
 	l := New(time.Now)
 	l.Logger(slog.LevelInfo).With("node", "n1").WithGroup("g").Info("m", "k", 1)
-	lines := run(l)
+	lines := flushLines(l)
 	if !strings.Contains(lines[0], `"node":"n1"`) || !strings.Contains(lines[0], `"g":{"k":1}`) {
 		t.Errorf("line %s", lines[0])
 	}
