--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -180,7 +180,7 @@
 		b.Helper()
 		h := http.Header{platform.RequestID: {"r"}, platform.Deadline: {"2000"}}
 		resp, err := conns.Do(context.Background(), to, &pool.Request{
-			Method: http.MethodGet, Target: "/read/x", Host: "h.example", Header: h, EchoHeader: platform.RequestID, Echo: "r",
+			Method: http.MethodGet, Target: "/read/x", Host: "h.example", Header: h, EchoHeader: platform.RequestID, EchoValue: "r",
 		})
 		if err != nil || resp.Status != http.StatusOK {
 			b.Fatal(err, resp)
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -317,8 +317,8 @@
 	f.limits.countSent(grant)
 	resp, err := f.conns.Do(ctx, grant.Instance.Address, &pool.Request{
 		Method: q.Method, Target: q.target, Host: q.Host, Header: h, Body: q.body,
-		EchoHeader: platform.RequestID, Echo: q.id, Once: !q.route.Idempotent,
-		Still: func() error { return f.still(h, q, grant) },
+		EchoHeader: platform.RequestID, EchoValue: q.id, NonIdempotent: !q.route.Idempotent,
+		BeforeSend: func() error { return f.still(h, q, grant) },
 	})
 	if err != nil {
 		return nil, errorOutcome(err), told{}, err
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -84,13 +84,13 @@
 
 // upstreamLimits are those of connections to upstreams.
 var upstreamLimits = pool.Limits{
-	Dial: upstreamDial, MaxIdle: upstreamIdle, MaxIdleOnce: upstreamIdleOnce,
-	MaxIdleConns: upstreamConns, MaxBody: mostAnswer,
+	DialTimeout: upstreamDial, MaxIdleTime: upstreamIdle, MaxIdleTimeNonIdempotent: upstreamIdleOnce,
+	MaxIdleConnsPerAddr: upstreamConns, MaxBodyBytes: mostAnswer,
 }
 
 // storeLimits are those of connections to the platform's store.
 var storeLimits = pool.Limits{
-	Dial: storeDial, MaxIdle: storeIdle, MaxIdleOnce: storeIdle, MaxIdleConns: storeConns, MaxBody: mostAnswer,
+	DialTimeout: storeDial, MaxIdleTime: storeIdle, MaxIdleTimeNonIdempotent: storeIdle, MaxIdleConnsPerAddr: storeConns, MaxBodyBytes: mostAnswer,
 }
 
 // Gateway is one gateway process.
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -27,8 +27,8 @@
 	m.gauge(connOpened, int64(stats.Opened))
 	m.gauge(connReused, int64(stats.Reused))
 	m.gauge(connStale, int64(stats.Stale))
-	m.gauge(connForeign, int64(stats.Foreign))
-	m.gauge(connDistrusted, int64(stats.Distrusted))
+	m.gauge(connForeign, int64(stats.Mismatched))
+	m.gauge(connDistrusted, int64(stats.ClosedAfterSilence))
 }
 
 // viewGauges tells which view is in force and how old it is at most.
--- a/gateway/relayed_test.go
+++ b/gateway/relayed_test.go
@@ -138,8 +138,8 @@
 	return nil, context.Cause(ctx)
 }
 
-// Forget implements requestSender.
-func (silentStore) Forget() {}
+// CloseIdle implements requestSender.
+func (silentStore) CloseIdle() {}
 
 // TestSilentWatchStartsSearch checks that when a watch stays silent for a quarter of a second after
 // its wait, a growing number of gateways is asked at once for the current state, a hundred within
--- a/gateway/storecall.go
+++ b/gateway/storecall.go
@@ -44,8 +44,8 @@
 // requestSender sends one request to an address and returns the complete answer.
 type requestSender interface {
 	Do(ctx context.Context, addr string, r *pool.Request) (*pool.Response, error)
-	// Forget closes the idle connections.
-	Forget()
+	// CloseIdle closes the idle connections.
+	CloseIdle()
 }
 
 // storeCaller sends calls to the platform's store: directly, or through other gateways when the
@@ -111,8 +111,8 @@
 	defer end()
 	resp, err := s.conns.Do(ctx, s.address, &pool.Request{
 		Method: c.Method, Target: c.Target, Host: s.address, Body: c.Body,
-		Header:  http.Header{"Content-Type": {"application/json"}},
-		Arrived: func(int) { noteArrival(); onProgress() },
+		Header: http.Header{"Content-Type": {"application/json"}},
+		OnRead: func(int) { noteArrival(); onProgress() },
 	})
 	kind, operation := c.Describe()
 	if err != nil {
--- a/gateway/storecall_test.go
+++ b/gateway/storecall_test.go
@@ -109,7 +109,7 @@
 		t.Fatal("the silent call returned an answer")
 	}
 	<-reached
-	if conns.Stats().Distrusted == 0 {
+	if conns.Stats().ClosedAfterSilence == 0 {
 		t.Error("idle connections are still trusted")
 	}
 }
--- a/gateway/wake.go
+++ b/gateway/wake.go
@@ -16,8 +16,8 @@
 	g.log.Warn("machine was suspended", "for_ms", length.Milliseconds())
 	// The remote ends may have dropped their connections during the suspension. A request that
 	// cannot be repeated must not be the first to notice.
-	g.conns.Forget()
-	g.calls.conns.Forget()
+	g.conns.CloseIdle()
+	g.calls.conns.CloseIdle()
 	g.cluster.http.CloseIdleConnections()
 	// Timers have stood still as well, so requests whose deadline has passed are ended now.
 	g.front.open.cancelOverdue(g.now())
--- a/gateway/watchseries_test.go
+++ b/gateway/watchseries_test.go
@@ -98,8 +98,8 @@
 	return &pool.Response{Status: status, Body: []byte(fmt.Sprint(revision))}, nil
 }
 
-// Forget implements requestSender.
-func (partialStoreConn) Forget() {}
+// CloseIdle implements requestSender.
+func (partialStoreConn) CloseIdle() {}
 
 // watchWaitOf returns how long a call may wait.
 func watchWaitOf(target string) time.Duration {
--- a/transport/pool/conn.go
+++ b/transport/pool/conn.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// readBuffer is the size of a connection's read buffer in bytes; answers
+	// readBufferSize is the size of a connection's read buffer in bytes; answers
 	// are mostly smaller.
-	readBuffer = 2 << 10
-	// maxForeign bounds the answers to other requests that are passed over
+	readBufferSize = 2 << 10
+	// maxMismatched bounds the answers to other requests that are passed over
 	// before the one waited for.
-	maxForeign = 2
-	// directWrite is the body size in bytes up to which request and body are
+	maxMismatched = 2
+	// maxInlineBody is the body size in bytes up to which request and body are
 	// written before the answer is read. Larger ones are written beside, as
 	// an upstream may answer before it has read them.
-	directWrite = 8 << 10
+	maxInlineBody = 8 << 10
 )
 
 // conn is one connection. It carries one request at a time.
@@ -34,16 +34,16 @@
 	// idleSince is when the last answer had been read.
 	idleSince time.Time
 	// announced is the idle timeout that the other side has named, or zero.
-	announced time.Duration
+	announcedTimeout time.Duration
 	// foreign counts answers to other requests.
-	foreign int
+	mismatched int
 	// arrived, if set, is told of the bytes that are read.
-	arrived func(n int)
+	onRead func(n int)
 }
 
 func newConn(nc net.Conn) *conn {
 	c := &conn{Conn: nc}
-	c.reader = bufio.NewReaderSize(c, readBuffer)
+	c.reader = bufio.NewReaderSize(c, readBufferSize)
 	return c
 }
 
@@ -51,8 +51,8 @@
 // buffer or past it.
 func (c *conn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
-	if n > 0 && c.arrived != nil {
-		c.arrived(n)
+	if n > 0 && c.onRead != nil {
+		c.onRead(n)
 	}
 	return n, err
 }
@@ -72,7 +72,7 @@
 }
 
 // quiet reports whether the idle connection is open and has no unread bytes.
-func (c *conn) quiet() bool {
+func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -84,33 +84,33 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// exchange sends the request and reads its answer. keep says that the
+// exchange sends the request and reads its answer. reusable says that the
 // connection may carry another request.
-func (c *conn) exchange(ctx context.Context, r *Request, maxBody int64) (resp *Response, keep bool, err error) {
-	c.arrived = r.Arrived
-	defer func() { c.arrived = nil }()
+func (c *conn) roundTrip(ctx context.Context, r *Request, maxBody int64) (resp *Response, reusable bool, err error) {
+	c.onRead = r.OnRead
+	defer func() { c.onRead = nil }()
 	stop := context.AfterFunc(ctx, func() {
 		// A deadline in the past ends reads and writes under way.
 		_ = c.SetDeadline(time.Unix(1, 0))
 	})
 	defer func() {
 		if !stop() {
-			keep = false
+			reusable = false
 		}
 	}()
 	written := make(chan error, 1)
-	head := r.head()
-	if len(r.Body) <= directWrite {
+	head := r.encodeHead()
+	if len(r.Body) <= maxInlineBody {
 		n, err := c.Write(append(head, r.Body...))
 		if err != nil {
 			return nil, false, ioError(ctx, n > 0, err)
@@ -123,25 +123,25 @@
 			written <- err
 		}()
 	}
-	resp, keep, err = c.read(r, maxBody)
+	resp, reusable, err = c.readResponse(r, maxBody)
 	if err != nil {
-		if errors.Is(err, ErrForeign) {
+		if errors.Is(err, ErrMismatchedResponse) {
 			return nil, false, err
 		}
 		return nil, false, ioError(ctx, true, err)
 	}
 	select {
 	case err := <-written:
-		keep = keep && err == nil
+		reusable = reusable && err == nil
 	default:
 		// Answered before the whole request was sent.
-		keep = false
+		reusable = false
 	}
-	return resp, keep, nil
+	return resp, reusable, nil
 }
 
 // head builds the request line and headers.
-func (r *Request) head() []byte {
+func (r *Request) encodeHead() []byte {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	for name, values := range r.Header {
@@ -160,43 +160,43 @@
 }
 
 // read reads answers until the one that belongs to the request.
-func (c *conn) read(r *Request, maxBody int64) (*Response, bool, error) {
-	asked := &http.Request{Method: r.Method}
+func (c *conn) readResponse(r *Request, maxBody int64) (*Response, bool, error) {
+	httpReq := &http.Request{Method: r.Method}
 	for {
-		answer, err := http.ReadResponse(c.reader, asked)
+		httpResp, err := http.ReadResponse(c.reader, httpReq)
 		if err != nil {
 			return nil, false, err
 		}
-		if answer.StatusCode < http.StatusOK {
+		if httpResp.StatusCode < http.StatusOK {
 			continue
 		}
-		body, err := readBody(answer, maxBody)
+		body, err := readBody(httpResp, maxBody)
 		if err != nil {
 			return nil, false, err
 		}
-		if r.Echo != "" && answer.Header.Get(r.EchoHeader) != r.Echo {
-			c.foreign++
-			if c.foreign > maxForeign || answer.Close {
-				return nil, false, ErrForeign
+		if r.EchoValue != "" && httpResp.Header.Get(r.EchoHeader) != r.EchoValue {
+			c.mismatched++
+			if c.mismatched > maxMismatched || httpResp.Close {
+				return nil, false, ErrMismatchedResponse
 			}
 			continue
 		}
-		c.announced = keepAlive(answer.Header)
-		keep := !answer.Close && c.foreign == 0 && c.reader.Buffered() == 0
-		return &Response{Status: answer.StatusCode, Header: answer.Header, Body: body}, keep, nil
+		c.announcedTimeout = keepAliveTimeout(httpResp.Header)
+		reusable := !httpResp.Close && c.mismatched == 0 && c.reader.Buffered() == 0
+		return &Response{Status: httpResp.StatusCode, Header: httpResp.Header, Body: body}, reusable, nil
 	}
 }
 
-func readBody(answer *http.Response, maxBody int64) ([]byte, error) {
-	if answer.ContentLength > maxBody {
+func readBody(httpResp *http.Response, maxBody int64) ([]byte, error) {
+	if httpResp.ContentLength > maxBody {
 		return nil, ErrTooLarge
 	}
-	if answer.ContentLength >= 0 {
-		body := make([]byte, answer.ContentLength)
-		_, err := io.ReadFull(answer.Body, body)
+	if httpResp.ContentLength >= 0 {
+		body := make([]byte, httpResp.ContentLength)
+		_, err := io.ReadFull(httpResp.Body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(httpResp.Body, maxBody+1))
 	if err == nil && int64(len(body)) > maxBody {
 		return nil, ErrTooLarge
 	}
@@ -204,7 +204,7 @@
 }
 
 // keepAlive returns the idle timeout that an answer announces, or zero.
-func keepAlive(h http.Header) time.Duration {
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/transport/pool/errors.go
+++ b/transport/pool/errors.go
@@ -8,19 +8,21 @@
 	"syscall"
 )
 
-// failure is an error with the facts that callers test for.
-type failure struct {
+// classifiedError is an error with the facts that callers test for.
+type classifiedError struct {
 	kinds []error
 	cause error
 }
 
-func (f *failure) Error() string { return fmt.Sprintf("%v: %v", f.kinds[0], f.cause) }
+func (f *classifiedError) Error() string { return fmt.Sprintf("%v: %v", f.kinds[0], f.cause) }
 
 // Unwrap lets errors.Is find the kinds and the cause.
-func (f *failure) Unwrap() []error { return append(f.kinds[:len(f.kinds):len(f.kinds)], f.cause) }
+func (f *classifiedError) Unwrap() []error {
+	return append(f.kinds[:len(f.kinds):len(f.kinds)], f.cause)
+}
 
 func dialError(ctx context.Context, err error) error {
-	f := &failure{kinds: []error{ErrNotSent}, cause: err}
+	f := &classifiedError{kinds: []error{ErrNotSent}, cause: err}
 	var timeout net.Error
 	switch {
 	case ctx.Err() != nil:
@@ -35,7 +37,7 @@
 
 // ioError classifies an error after the connection was there.
 func ioError(ctx context.Context, sent bool, err error) error {
-	f := &failure{kinds: []error{ErrBroken}, cause: err}
+	f := &classifiedError{kinds: []error{ErrBroken}, cause: err}
 	if ctx.Err() != nil {
 		f.cause = context.Cause(ctx)
 	}
--- a/transport/pool/pool.go
+++ b/transport/pool/pool.go
@@ -16,17 +16,17 @@
 
 // Limits of a pool.
 type Limits struct {
-	// Dial bounds the time to open a connection.
-	Dial time.Duration
-	// MaxIdle is how long a connection may be idle and still be used.
-	MaxIdle time.Duration
-	// MaxIdleOnce is the same for requests that must not run twice: the less
+	// DialTimeout bounds the time to open a connection.
+	DialTimeout time.Duration
+	// MaxIdleTime is how long a connection may be idle and still be used.
+	MaxIdleTime time.Duration
+	// MaxIdleTimeNonIdempotent is the same for requests that must not run twice: the less
 	// idle a connection was, the less likely its end crosses the request.
-	MaxIdleOnce time.Duration
-	// MaxIdleConns bounds the idle connections to one address.
-	MaxIdleConns int
-	// MaxBody bounds an answer's body in bytes.
-	MaxBody int64
+	MaxIdleTimeNonIdempotent time.Duration
+	// MaxIdleConnsPerAddr bounds the idle connections to one address.
+	MaxIdleConnsPerAddr int
+	// MaxBodyBytes bounds an answer's body in bytes.
+	MaxBodyBytes int64
 }
 
 // Request is one request to be sent once.
@@ -40,17 +40,17 @@
 	// EchoHeader and Echo: if set, only an answer that bears the value in the
 	// header is the answer to this request.
 	EchoHeader string
-	Echo       string
-	// Once says that the request must not run twice.
-	Once bool
-	// Still, if set, is asked once a connection is there, right before anything is sent: what gave
+	EchoValue  string
+	// NonIdempotent says that the request must not run twice.
+	NonIdempotent bool
+	// BeforeSend, if set, is asked once a connection is there, right before anything is sent: what gave
 	// the right to send may have ended while the connection was opened. With its error nothing
 	// is sent.
-	Still func() error
-	// Arrived, if set, is called with the number of bytes of each piece of the
+	BeforeSend func() error
+	// OnRead, if set, is called with the number of bytes of each piece of the
 	// answer, head or body, as it arrives. The calls come from the goroutine that
 	// called Do, which reads on when they return; none comes after Do has returned.
-	Arrived func(n int)
+	OnRead func(n int)
 }
 
 // Response is a whole answer.
@@ -72,8 +72,8 @@
 	ErrBroken = errors.New("connection broken")
 	// ErrTooLarge: the answer's body is larger than the pool's bound; also ErrBroken.
 	ErrTooLarge = errors.New("answer too large")
-	// ErrForeign: the answer belongs to another request.
-	ErrForeign = errors.New("answer to another request")
+	// ErrMismatchedResponse: the answer belongs to another request.
+	ErrMismatchedResponse = errors.New("answer to another request")
 )
 
 // Pool keeps connections to many addresses. It is safe for concurrent use.
@@ -92,11 +92,11 @@
 	Opened, Reused uint64
 	// Stale counts kept connections that had ended when they were wanted.
 	Stale uint64
-	// Foreign counts answers to other requests.
-	Foreign uint64
-	// Distrusted counts idle connections that were closed after another one to the
+	// Mismatched counts answers to other requests.
+	Mismatched uint64
+	// ClosedAfterSilence counts idle connections that were closed after another one to the
 	// same address had fallen silent.
-	Distrusted uint64
+	ClosedAfterSilence uint64
 }
 
 // New returns an empty pool.
@@ -114,7 +114,7 @@
 // Do sends the request once and returns the whole answer. When ctx ends, the
 // connection is reset, so that what is still on its way is lost.
 func (p *Pool) Do(ctx context.Context, addr string, r *Request) (*Response, error) {
-	c := p.kept(addr, r.Once)
+	c := p.takeIdle(addr, r.NonIdempotent)
 	reused := c != nil
 	if !reused {
 		var err error
@@ -122,49 +122,49 @@
 			return nil, err
 		}
 	}
-	if r.Still != nil {
-		if err := r.Still(); err != nil {
-			p.keep(addr, c)
-			return nil, &failure{kinds: []error{ErrNotSent}, cause: err}
+	if r.BeforeSend != nil {
+		if err := r.BeforeSend(); err != nil {
+			p.putIdle(addr, c)
+			return nil, &classifiedError{kinds: []error{ErrNotSent}, cause: err}
 		}
 	}
-	began := p.now()
-	resp, keep, err := c.exchange(ctx, r, p.limits.MaxBody)
-	if errors.Is(err, ErrForeign) || c.foreign > 0 {
-		p.count(func(s *Stats) { s.Foreign++ })
+	start := p.now()
+	resp, reusable, err := c.roundTrip(ctx, r, p.limits.MaxBodyBytes)
+	if errors.Is(err, ErrMismatchedResponse) || c.mismatched > 0 {
+		p.updateStats(func(s *Stats) { s.Mismatched++ })
 	}
 	if err != nil {
 		c.reset()
-		if reused && p.silent(err, began) {
-			p.distrust(addr, began)
+		if reused && p.wasSilent(err, start) {
+			p.closeUnusedSince(addr, start)
 		}
 		return nil, err
 	}
-	if keep {
-		p.keep(addr, c)
+	if reusable {
+		p.putIdle(addr, c)
 	} else {
 		c.close()
 	}
 	return resp, nil
 }
 
-// silentLeast is how long a request must have waited on a kept connection, when it
+// minSilence is how long a request must have waited on a kept connection, when it
 // is given up for another reason than its deadline, for the connection to count as
 // silent: longer than upstreams and the store usually take.
-const silentLeast = 400 * time.Millisecond
+const minSilence = 400 * time.Millisecond
 
 // silent reports whether a request that failed with the error has waited in vain.
-func (p *Pool) silent(err error, began time.Time) bool {
+func (p *Pool) wasSilent(err error, start time.Time) bool {
 	if errors.Is(err, context.DeadlineExceeded) {
 		return true
 	}
-	return errors.Is(err, context.Canceled) && p.now().Sub(began) >= silentLeast
+	return errors.Is(err, context.Canceled) && p.now().Sub(start) >= minSilence
 }
 
 // distrust closes the idle connections to an address that were not used since one
 // of them fell silent. Connections can fall silent together without a reset, while
 // new ones work; each that was kept would cost one more request.
-func (p *Pool) distrust(addr string, since time.Time) {
+func (p *Pool) closeUnusedSince(addr string, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[addr]
@@ -174,14 +174,14 @@
 			kept = append(kept, c)
 			continue
 		}
-		p.stats.Distrusted++
+		p.stats.ClosedAfterSilence++
 		c.close()
 	}
 	p.idle[addr] = kept
 }
 
-// Forget closes all idle connections: what was known of them is too old.
-func (p *Pool) Forget() {
+// CloseIdle closes all idle connections: what was known of them is too old.
+func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, list := range p.idle {
@@ -192,14 +192,14 @@
 	}
 }
 
-func (p *Pool) count(f func(*Stats)) {
+func (p *Pool) updateStats(f func(*Stats)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(&p.stats)
 }
 
 // kept returns the connection that was used last and is still good.
-func (p *Pool) kept(addr string, once bool) *conn {
+func (p *Pool) takeIdle(addr string, nonIdempotent bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
@@ -210,11 +210,11 @@
 		}
 		c := list[len(list)-1]
 		age := now.Sub(c.idleSince)
-		if once && age > p.limits.MaxIdleOnce && age <= p.allowed(c) {
+		if nonIdempotent && age > p.limits.MaxIdleTimeNonIdempotent && age <= p.maxIdleTime(c) {
 			return nil
 		}
 		p.idle[addr] = list[:len(list)-1]
-		if age <= p.allowed(c) && c.quiet() {
+		if age <= p.maxIdleTime(c) && c.isReusable() {
 			p.stats.Reused++
 			return c
 		}
@@ -225,26 +225,26 @@
 
 // allowed is how long the connection may be idle: the bound of the pool, or
 // less if the other side announced less.
-func (p *Pool) allowed(c *conn) time.Duration {
-	if c.announced > 0 {
-		return min(p.limits.MaxIdle, c.announced*keepAliveShare/keepAliveParts)
+func (p *Pool) maxIdleTime(c *conn) time.Duration {
+	if c.announcedTimeout > 0 {
+		return min(p.limits.MaxIdleTime, c.announcedTimeout*keepAliveNumerator/keepAliveDenominator)
 	}
-	return p.limits.MaxIdle
+	return p.limits.MaxIdleTime
 }
 
 // A connection is used for three quarters of the announced time: the other
 // side counts from when its answer left.
 const (
-	keepAliveShare = 3
-	keepAliveParts = 4
+	keepAliveNumerator   = 3
+	keepAliveDenominator = 4
 )
 
-func (p *Pool) keep(addr string, c *conn) {
+func (p *Pool) putIdle(addr string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.idleSince = p.now()
 	list := p.idle[addr]
-	if len(list) >= p.limits.MaxIdleConns {
+	if len(list) >= p.limits.MaxIdleConnsPerAddr {
 		list[0].close()
 		list = append(list[:0], list[1:]...)
 	}
@@ -260,7 +260,7 @@
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.idleSince) > p.allowed(c) {
+			if now.Sub(c.idleSince) > p.maxIdleTime(c) {
 				c.close()
 				continue
 			}
@@ -275,11 +275,11 @@
 }
 
 func (p *Pool) dial(ctx context.Context, addr string) (*conn, error) {
-	dialer := net.Dialer{Timeout: p.limits.Dial, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: p.limits.DialTimeout, KeepAlive: -1}
 	nc, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, dialError(ctx, err)
 	}
-	p.count(func(s *Stats) { s.Opened++ })
+	p.updateStats(func(s *Stats) { s.Opened++ })
 	return newConn(nc), nil
 }
--- a/transport/pool/pool_test.go
+++ b/transport/pool/pool_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-var limits = Limits{Dial: time.Second, MaxIdle: time.Minute, MaxIdleOnce: time.Minute, MaxIdleConns: 4, MaxBody: 1 << 20}
+var testLimits = Limits{DialTimeout: time.Second, MaxIdleTime: time.Minute, MaxIdleTimeNonIdempotent: time.Minute, MaxIdleConnsPerAddr: 4, MaxBodyBytes: 1 << 20}
 
 // server serves raw connections: for each, serve is called with the request
 // read, until it returns false.
@@ -57,17 +57,17 @@
 	return s
 }
 
-func get(id string) *Request {
-	return &Request{Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{"Id": {id}}, EchoHeader: "Id", Echo: id}
+func newRequest(id string) *Request {
+	return &Request{Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{"Id": {id}}, EchoHeader: "Id", EchoValue: id}
 }
 
-func say(c net.Conn, id, body string) {
+func respond(c net.Conn, id, body string) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func do(t *testing.T, p *Pool, addr, id, want string) {
+func mustDo(t *testing.T, p *Pool, addr, id, want string) {
 	t.Helper()
-	resp, err := p.Do(context.Background(), addr, get(id))
+	resp, err := p.Do(context.Background(), addr, newRequest(id))
 	if err != nil {
 		t.Fatalf("%s: %v", id, err)
 	}
@@ -76,73 +76,73 @@
 	}
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	s := serve(t, func(_, _ int, r *http.Request, c net.Conn) bool {
-		say(c, r.Header.Get("Id"), "ok")
+		respond(c, r.Header.Get("Id"), "ok")
 		return true
 	})
-	p := New(limits, time.Now)
+	p := New(testLimits, time.Now)
 	for i := range 5 {
-		do(t, p, s.addr, fmt.Sprint(i), "ok")
+		mustDo(t, p, s.addr, fmt.Sprint(i), "ok")
 	}
 	if n := s.conns.Load(); n != 1 {
 		t.Errorf("%d connections", n)
 	}
 }
 
-// TestForeignAnswerIsPassedOver: an extra answer to an earlier request comes
+// TestMismatchedResponseIsSkipped: an extra answer to an earlier request comes
 // first; the right one is taken and the connection not used again.
-func TestForeignAnswerIsPassedOver(t *testing.T) {
+func TestMismatchedResponseIsSkipped(t *testing.T) {
 	s := serve(t, func(_, i int, r *http.Request, c net.Conn) bool {
 		if i == 2 {
-			say(c, "1", "again")
+			respond(c, "1", "again")
 		}
-		say(c, r.Header.Get("Id"), "mine "+r.Header.Get("Id"))
+		respond(c, r.Header.Get("Id"), "mine "+r.Header.Get("Id"))
 		return true
 	})
-	p := New(limits, time.Now)
-	do(t, p, s.addr, "1", "mine 1")
-	do(t, p, s.addr, "2", "mine 2")
-	do(t, p, s.addr, "3", "mine 3")
+	p := New(testLimits, time.Now)
+	mustDo(t, p, s.addr, "1", "mine 1")
+	mustDo(t, p, s.addr, "2", "mine 2")
+	mustDo(t, p, s.addr, "3", "mine 3")
 	if n := s.conns.Load(); n != 2 {
 		t.Errorf("%d connections, want the second request's to be given up", n)
 	}
 }
 
-func TestOnlyForeignAnswers(t *testing.T) {
+func TestOnlyMismatchedResponses(t *testing.T) {
 	s := serve(t, func(_, _ int, _ *http.Request, c net.Conn) bool {
-		for range maxForeign + 1 {
-			say(c, "other", "x")
+		for range maxMismatched + 1 {
+			respond(c, "other", "x")
 		}
 		return true
 	})
-	if _, err := New(limits, time.Now).Do(context.Background(), s.addr, get("1")); !errors.Is(err, ErrForeign) {
+	if _, err := New(testLimits, time.Now).Do(context.Background(), s.addr, newRequest("1")); !errors.Is(err, ErrMismatchedResponse) {
 		t.Errorf("error %v", err)
 	}
 }
 
-// TestBytesAfterAnAnswerBelongToNoRequest: a connection on which bytes wait is
+// TestConnectionWithUnreadBytesIsNotReused: a connection on which bytes wait is
 // not used again, whether they came with the answer or later.
-func TestBytesAfterAnAnswerBelongToNoRequest(t *testing.T) {
+func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
 	wrote := make(chan bool)
 	s := serve(t, func(n, _ int, r *http.Request, c net.Conn) bool {
-		say(c, r.Header.Get("Id"), "ok")
+		respond(c, r.Header.Get("Id"), "ok")
 		if n == 1 {
-			say(c, r.Header.Get("Id"), "extra")
+			respond(c, r.Header.Get("Id"), "extra")
 			wrote <- true
 		}
 		return true
 	})
-	p := New(limits, time.Now)
-	do(t, p, s.addr, "1", "ok")
+	p := New(testLimits, time.Now)
+	mustDo(t, p, s.addr, "1", "ok")
 	<-wrote
-	do(t, p, s.addr, "2", "ok")
+	mustDo(t, p, s.addr, "2", "ok")
 	if n := s.conns.Load(); n != 2 {
 		t.Errorf("%d connections", n)
 	}
 }
 
-func TestCutAnswersAreNotWhole(t *testing.T) {
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	for name, raw := range map[string]string{
 		"short body":    "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nshort",
 		"short chunk":   "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
@@ -155,16 +155,16 @@
 			_, _ = io.WriteString(c, raw)
 			return false
 		})
-		_, err := New(limits, time.Now).Do(context.Background(), s.addr, get("1"))
+		_, err := New(testLimits, time.Now).Do(context.Background(), s.addr, newRequest("1"))
 		if !errors.Is(err, ErrBroken) || errors.Is(err, ErrNotSent) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
 }
 
-// TestUnframedAnswer: without a length the answer ends with its connection;
+// TestResponseWithoutLengthEndsWithConnection: without a length the answer ends with its connection;
 // whole only if that was closed and not reset.
-func TestUnframedAnswer(t *testing.T) {
+func TestResponseWithoutLengthEndsWithConnection(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		got := make(chan bool, 1)
 		s := serve(t, func(_, _ int, _ *http.Request, c net.Conn) bool {
@@ -175,7 +175,7 @@
 			got <- true
 			return false
 		})
-		resp, err := New(limits, time.Now).Do(context.Background(), s.addr, get("1"))
+		resp, err := New(testLimits, time.Now).Do(context.Background(), s.addr, newRequest("1"))
 		<-got
 		if reset && err == nil || !reset && (err != nil || string(resp.Body) != "body") {
 			t.Errorf("reset %v: %v", reset, err)
@@ -183,19 +183,19 @@
 	}
 }
 
-func TestNothingIsSentTwice(t *testing.T) {
+func TestRequestIsSentOnlyOnce(t *testing.T) {
 	var requests atomic.Int32
 	s := serve(t, func(_, i int, r *http.Request, c net.Conn) bool {
 		requests.Add(1)
 		if i == 2 {
 			return false
 		}
-		say(c, r.Header.Get("Id"), "ok")
+		respond(c, r.Header.Get("Id"), "ok")
 		return true
 	})
-	p := New(limits, time.Now)
-	do(t, p, s.addr, "1", "ok")
-	if _, err := p.Do(context.Background(), s.addr, get("2")); !errors.Is(err, ErrBroken) || errors.Is(err, ErrNotSent) {
+	p := New(testLimits, time.Now)
+	mustDo(t, p, s.addr, "1", "ok")
+	if _, err := p.Do(context.Background(), s.addr, newRequest("2")); !errors.Is(err, ErrBroken) || errors.Is(err, ErrNotSent) {
 		t.Errorf("error %v", err)
 	}
 	if n := requests.Load(); n != 2 {
@@ -203,22 +203,22 @@
 	}
 }
 
-func TestRefusedIsNotSent(t *testing.T) {
+func TestRefusedConnectionMeansNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
 	_ = l.Close()
-	_, err = New(limits, time.Now).Do(context.Background(), addr, get("1"))
+	_, err = New(testLimits, time.Now).Do(context.Background(), addr, newRequest("1"))
 	if !errors.Is(err, ErrNotSent) || !errors.Is(err, ErrRefused) {
 		t.Errorf("error %v", err)
 	}
 }
 
-// TestCancelResets: when the caller gives up, the other side sees the
+// TestCancelResetsConnection: when the caller gives up, the other side sees the
 // connection end, so that it can drop the work.
-func TestCancelResets(t *testing.T) {
+func TestCancelResetsConnection(t *testing.T) {
 	arrived, ended := make(chan bool), make(chan error, 1)
 	s := serve(t, func(_, _ int, _ *http.Request, c net.Conn) bool {
 		arrived <- true
@@ -231,7 +231,7 @@
 		<-arrived
 		cancel()
 	}()
-	_, err := New(limits, time.Now).Do(ctx, s.addr, get("1"))
+	_, err := New(testLimits, time.Now).Do(ctx, s.addr, newRequest("1"))
 	if !errors.Is(err, context.Canceled) || errors.Is(err, ErrNotSent) {
 		t.Errorf("error %v", err)
 	}
@@ -240,9 +240,9 @@
 	}
 }
 
-// TestEarlyAnswer: an answer that comes before a long body was read is taken,
+// TestResponseBeforeBodyIsRead: an answer that comes before a long body was read is taken,
 // and the connection is not used again.
-func TestEarlyAnswer(t *testing.T) {
+func TestResponseBeforeBodyIsRead(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -258,13 +258,13 @@
 			conns.Add(1)
 			go func() {
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					say(c, "1", "early")
+					respond(c, "1", "early")
 				}
 			}()
 		}
 	}()
-	p := New(limits, time.Now)
-	r := get("1")
+	p := New(testLimits, time.Now)
+	r := newRequest("1")
 	r.Method, r.Body = http.MethodPost, []byte(strings.Repeat("x", 32<<20))
 	for range 2 {
 		resp, err := p.Do(context.Background(), l.Addr().String(), r)
@@ -277,21 +277,21 @@
 	}
 }
 
-// TestIdleBounds: connections are kept for less than the other side announced,
+// TestIdleTimeLimits: connections are kept for less than the other side announced,
 // and for less still for requests that must not run twice.
-func TestIdleBounds(t *testing.T) {
+func TestIdleTimeLimits(t *testing.T) {
 	s := serve(t, func(_, _ int, r *http.Request, c net.Conn) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nKeep-Alive: timeout=4\r\nContent-Length: 0\r\n\r\n", r.Header.Get("Id"))
 		return true
 	})
 	now := time.Now()
-	l := limits
-	l.MaxIdleOnce = time.Second
+	l := testLimits
+	l.MaxIdleTimeNonIdempotent = time.Second
 	p := New(l, func() time.Time { return now })
-	expect := func(conns int32, once bool) {
+	expect := func(conns int32, nonIdempotent bool) {
 		t.Helper()
-		r := get("1")
-		r.Once = once
+		r := newRequest("1")
+		r.NonIdempotent = nonIdempotent
 		if _, err := p.Do(context.Background(), s.addr, r); err != nil {
 			t.Fatal(err)
 		}
@@ -308,18 +308,18 @@
 	expect(3, false)
 }
 
-func TestInformationalAnswersArePassedOver(t *testing.T) {
+func TestInformationalResponsesAreSkipped(t *testing.T) {
 	s := serve(t, func(_, _ int, r *http.Request, c net.Conn) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 103 Early Hints\r\n\r\n")
-		say(c, r.Header.Get("Id"), "ok")
+		respond(c, r.Header.Get("Id"), "ok")
 		return true
 	})
-	do(t, New(limits, time.Now), s.addr, "1", "ok")
+	mustDo(t, New(testLimits, time.Now), s.addr, "1", "ok")
 }
 
-// TestSilentConnections: kept connections that all went silent at one moment cost
+// TestSilentConnectionsCostOneRequest: kept connections that all went silent at one moment cost
 // one request and not one each.
-func TestSilentConnections(t *testing.T) {
+func TestSilentConnectionsCostOneRequest(t *testing.T) {
 	const kept = 3
 	var together sync.WaitGroup
 	together.Add(kept)
@@ -332,24 +332,24 @@
 			together.Done()
 			together.Wait()
 		}
-		say(c, r.Header.Get("Id"), "ok")
+		respond(c, r.Header.Get("Id"), "ok")
 		return true
 	})
-	p := New(limits, time.Now)
+	p := New(testLimits, time.Now)
 	var all sync.WaitGroup
 	for i := range kept {
-		all.Go(func() { do(t, p, s.addr, fmt.Sprint(i), "ok") })
+		all.Go(func() { mustDo(t, p, s.addr, fmt.Sprint(i), "ok") })
 	}
 	all.Wait()
 	silent.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	if _, err := p.Do(ctx, s.addr, get("lost")); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := p.Do(ctx, s.addr, newRequest("lost")); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("a silent connection: %v", err)
 	}
 	ctx, cancel = context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if _, err := p.Do(ctx, s.addr, get("next")); err != nil {
+	if _, err := p.Do(ctx, s.addr, newRequest("next")); err != nil {
 		t.Fatalf("the next request uses another silent connection: %v", err)
 	}
 	if n := s.conns.Load(); n != kept+1 {
@@ -357,77 +357,77 @@
 	}
 }
 
-// TestArrivedCountsTheAnswer: every byte of head and body is told as it comes, before
+// TestOnReadReportsEveryByteOfResponse: every byte of head and body is reads as it comes, before
 // the rest has, and no byte of the next request's answer.
-func TestArrivedCountsTheAnswer(t *testing.T) {
+func TestOnReadReportsEveryByteOfResponse(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nId: a\r\nContent-Length: 10\r\n\r\n"
-	told := make(chan int, 100)
+	reads := make(chan int, 100)
 	s := serve(t, func(_, i int, _ *http.Request, c net.Conn) bool {
 		if i > 1 {
-			say(c, "b", "other")
+			respond(c, "b", "other")
 			return true
 		}
 		for _, part := range []string{head, "01234", "56789"} {
 			if _, err := io.WriteString(c, part); err != nil {
 				return false
 			}
-			// The next part goes when this one was told of.
+			// The next part goes when this one was reads of.
 			for left := len(part); left > 0; {
-				left -= <-told
+				left -= <-reads
 			}
 		}
 		return true
 	})
-	p := New(limits, time.Now)
-	r := get("a")
-	r.Arrived = func(n int) { told <- n }
+	p := New(testLimits, time.Now)
+	r := newRequest("a")
+	r.OnRead = func(n int) { reads <- n }
 	resp, err := p.Do(context.Background(), s.addr, r)
 	if err != nil || string(resp.Body) != "0123456789" {
 		t.Fatalf("%v, %v", resp, err)
 	}
-	do(t, p, s.addr, "b", "other")
-	if p.Stats().Reused != 1 || len(told) > 0 {
-		t.Errorf("reused %d, told of %d pieces of another answer", p.Stats().Reused, len(told))
+	mustDo(t, p, s.addr, "b", "other")
+	if p.Stats().Reused != 1 || len(reads) > 0 {
+		t.Errorf("reused %d, reads of %d pieces of another answer", p.Stats().Reused, len(reads))
 	}
 }
 
-// TestTooLargeAnswer is told from a broken connection, with and without a length.
-func TestTooLargeAnswer(t *testing.T) {
-	small := limits
-	small.MaxBody = 4
+// TestTooLargeResponse is reads from a broken connection, with and without a length.
+func TestTooLargeResponse(t *testing.T) {
+	small := testLimits
+	small.MaxBodyBytes = 4
 	s := serve(t, func(_, _ int, r *http.Request, c net.Conn) bool {
 		if r.Header.Get("Id") == "length" {
-			say(c, "length", "12345")
+			respond(c, "length", "12345")
 			return true
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: end\r\nConnection: close\r\n\r\n12345")
 		return false
 	})
 	for _, id := range []string{"length", "end"} {
-		_, err := New(small, time.Now).Do(context.Background(), s.addr, get(id))
+		_, err := New(small, time.Now).Do(context.Background(), s.addr, newRequest(id))
 		if !errors.Is(err, ErrTooLarge) || !errors.Is(err, ErrBroken) {
 			t.Errorf("%s: %v", id, err)
 		}
 	}
 }
 
-// TestRightIsAskedForLast: what gave the right to send has ended while the connection was opened.
+// TestBeforeSendIsCalledAfterConnecting: what gave the right to send has ended while the connection was opened.
 // Nothing is sent, and the connection is kept.
-func TestRightIsAskedForLast(t *testing.T) {
+func TestBeforeSendIsCalledAfterConnecting(t *testing.T) {
 	var requests atomic.Int32
 	s := serve(t, func(_, _ int, r *http.Request, c net.Conn) bool {
 		requests.Add(1)
-		say(c, r.Header.Get("Id"), "ok")
+		respond(c, r.Header.Get("Id"), "ok")
 		return true
 	})
-	p := New(limits, time.Now)
-	gone := errors.New("the right has ended")
-	r := get("1")
-	r.Still = func() error { return gone }
-	if _, err := p.Do(context.Background(), s.addr, r); !errors.Is(err, gone) || !errors.Is(err, ErrNotSent) {
+	p := New(testLimits, time.Now)
+	expired := errors.New("the right has ended")
+	r := newRequest("1")
+	r.BeforeSend = func() error { return expired }
+	if _, err := p.Do(context.Background(), s.addr, r); !errors.Is(err, expired) || !errors.Is(err, ErrNotSent) {
 		t.Errorf("error %v", err)
 	}
-	r.Still = func() error { return nil }
+	r.BeforeSend = func() error { return nil }
 	if _, err := p.Do(context.Background(), s.addr, r); err != nil {
 		t.Error(err)
 	}
@@ -436,16 +436,16 @@
 	}
 }
 
-// TestForgotten idle connections are not used again.
-func TestForgotten(t *testing.T) {
+// TestCloseIdleConnections idle connections are not used again.
+func TestCloseIdleConnections(t *testing.T) {
 	s := serve(t, func(_, _ int, r *http.Request, c net.Conn) bool {
-		say(c, r.Header.Get("Id"), "ok")
+		respond(c, r.Header.Get("Id"), "ok")
 		return true
 	})
-	p := New(limits, time.Now)
-	do(t, p, s.addr, "1", "ok")
-	p.Forget()
-	do(t, p, s.addr, "2", "ok")
+	p := New(testLimits, time.Now)
+	mustDo(t, p, s.addr, "1", "ok")
+	p.CloseIdle()
+	mustDo(t, p, s.addr, "2", "ok")
 	if n := s.conns.Load(); n != 2 {
 		t.Errorf("%d connections", n)
 	}
