--- a/entry/balance.go
+++ b/entry/balance.go
@@ -154,7 +154,7 @@
 	nodes := usableNodes(doc, conf.Name)
 	items := e.items(doc, conf.Name)
 	imbalance := placement.Imbalance(nodes, items)
-	telemetry.Gauge(e.registry, "imbalance_permille."+conf.Name, int64(1000*imbalance))
+	telemetry.SetGauge(e.registry, "imbalance_permille."+conf.Name, int64(1000*imbalance))
 	e.reportCell(now, conf.Name, nodes, items)
 	core := e.control.core
 	if len(core.PendingMoves()) > 0 || len(items) == 0 {
--- a/entry/beats.go
+++ b/entry/beats.go
@@ -169,7 +169,7 @@
 			Sender: memberTo(e.self), Digest: e.docs.Digest(), Cells: e.cellLoads(),
 		})
 		if err != nil {
-			e.peers.Bad(peer)
+			e.peers.MarkFailed(peer)
 			return
 		}
 		e.heard(memberFrom(resp.Responder), resp.Version)
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -118,7 +118,7 @@
 	go func() { _ = server.Serve(countingListener{l, &bytes}) }()
 	defer func() { _ = server.Close() }()
 	up := cell.Upstream{ID: u.id, Addr: l.Addr().String(), Service: "svc", State: cell.Active}
-	c := e.pool.Ensure(up, e.options("svc", 1))
+	c := e.pool.GetOrCreate(up, e.options("svc", 1))
 	ctx := context.Background()
 	before := cpuMicros()
 	for b.Loop() {
--- a/entry/control.go
+++ b/entry/control.go
@@ -160,7 +160,7 @@
 }
 
 func (c *controlLoop) write(ctx context.Context, cmd controller.WriteDocument) {
-	version, err := platform.PutOwn(ctx, c.e.store, platform.KindCell, cmd.Doc.Name, cmd.Doc, cmd.Expect)
+	version, err := platform.PutWithWriteID(ctx, c.e.store, platform.KindCell, cmd.Doc.Name, cmd.Doc, cmd.Expect)
 	if err != nil {
 		telemetry.Counter(c.e.registry, "platform.writes_failed").Inc(1)
 	}
@@ -295,7 +295,7 @@
 	next.Version++
 	next.WriteID = newID()
 	next.Assign(cmd.Range.Span, cmd.Range.NextCell, cmd.Range.Epoch)
-	if _, err := platform.PutOwn(ctx, e.store, platform.KindDirectory, next.Service, next, obj.Version); err != nil {
+	if _, err := platform.PutWithWriteID(ctx, e.store, platform.KindDirectory, next.Service, next, obj.Version); err != nil {
 		return nil, answer.Wrap(answer.PlatformDown, err)
 	}
 	e.addDocument(next)
@@ -319,7 +319,7 @@
 		}
 		expect = obj.Version
 	}
-	if _, err := platform.PutOwn(ctx, e.store, platform.KindRoster, r.Cell, r, expect); err != nil {
+	if _, err := platform.PutWithWriteID(ctx, e.store, platform.KindRoster, r.Cell, r, expect); err != nil {
 		return answer.Wrap(answer.PlatformDown, err)
 	}
 	e.addDocument(&r)
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -85,7 +85,7 @@
 	named := make(map[string]bool, len(doc.Upstreams))
 	for _, u := range doc.Upstreams {
 		named[u.ID] = true
-		e.pool.Ensure(u, e.options(u.Service, len(doc.Quorum.Local)))
+		e.pool.GetOrCreate(u, e.options(u.Service, len(doc.Quorum.Local)))
 	}
 	e.applyMu.Lock()
 	defer e.applyMu.Unlock()
@@ -96,7 +96,7 @@
 	e.gate.Apply(doc)
 	e.outages.compare(old, doc, e.clock(), e.watched.lastSeen, e.registry)
 	e.watched.with(func(b *lease.Tracker) { e.markUpstreams(b, doc) })
-	e.pool.Keep(named)
+	e.pool.Retain(named)
 	e.control.note(func(core *controller.Core, now time.Time) { core.OnDocument(now, doc, 0) })
 }
 
@@ -109,7 +109,7 @@
 			continue
 		}
 		if b.MarkLost(e.clock(), u.ID) {
-			e.pool.Get(u.ID).Abort()
+			e.pool.Get(u.ID).AbortRequests()
 			e.log.Warn("upstream lost", "upstream", u.ID, "version", doc.Version)
 		}
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	tracer, flush, err := telemetry.Tracer(ctx, conf.Trace, "rockcroft-entry")
+	tracer, flush, err := telemetry.NewTracer(ctx, conf.Trace, "rockcroft-entry")
 	if err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 	e.book = load.NewAggregator()
 	e.cells = load.NewCells()
 	e.control = newControlLoop(e)
-	e.proxy = front.New(front.Parts{
+	e.proxy = front.New(front.Dependencies{
 		Self:    e.self,
 		Clock:   e.clock,
 		Gate:    e.gate,
@@ -129,7 +129,7 @@
 		Pool:    e.pool,
 		Peers:   e.peers,
 		Tracer:  tracer,
-		Meters:  telemetry.NewRequests(e.registry),
+		Metrics: telemetry.NewRequests(e.registry),
 		Rand:    newRand(conf.Seed),
 		Observe: e.tracker.Record,
 	})
--- a/entry/gauges.go
+++ b/entry/gauges.go
@@ -8,9 +8,9 @@
 // updateGauges shows the state of this entry in its counters.
 func (e *Entry) updateGauges() {
 	now := e.clock()
-	telemetry.Gauge(e.registry, "entry.may_send", flag(e.gate.MaySend()))
-	telemetry.Gauge(e.registry, "entry.right_left_ms", max(e.gate.RightUntil().Sub(now).Milliseconds(), 0))
-	telemetry.Gauge(e.registry, "controller.leads", flag(e.control.isLeader()))
+	telemetry.SetGauge(e.registry, "entry.may_send", flag(e.gate.MaySend()))
+	telemetry.SetGauge(e.registry, "entry.right_left_ms", max(e.gate.RightUntil().Sub(now).Milliseconds(), 0))
+	telemetry.SetGauge(e.registry, "controller.leads", flag(e.control.isLeader()))
 	doc := e.gate.Doc()
 	if doc == nil {
 		return
@@ -28,16 +28,16 @@
 			}
 		}
 	}
-	telemetry.Gauge(e.registry, "cell.version", int64(doc.Version))
-	telemetry.Gauge(e.registry, "cell.fence", int64(doc.Fence))
-	telemetry.Gauge(e.registry, "cell.voters", int64(len(doc.Quorum.Local)))
-	telemetry.Gauge(e.registry, "cell.upstreams_lost", int64(lost))
-	telemetry.Gauge(e.registry, "cell.ranges_without_owner", int64(moving))
+	telemetry.SetGauge(e.registry, "cell.version", int64(doc.Version))
+	telemetry.SetGauge(e.registry, "cell.fence", int64(doc.Fence))
+	telemetry.SetGauge(e.registry, "cell.voters", int64(len(doc.Quorum.Local)))
+	telemetry.SetGauge(e.registry, "cell.upstreams_lost", int64(lost))
+	telemetry.SetGauge(e.registry, "cell.ranges_without_owner", int64(moving))
 	for _, u := range e.pool.All() {
 		limit, inflight, waiting := u.Limiter.Load()
-		telemetry.Gauge(e.registry, "upstream."+u.ID+".limit", int64(limit))
-		telemetry.Gauge(e.registry, "upstream."+u.ID+".inflight", int64(inflight))
-		telemetry.Gauge(e.registry, "upstream."+u.ID+".waiting", int64(waiting))
+		telemetry.SetGauge(e.registry, "upstream."+u.ID+".limit", int64(limit))
+		telemetry.SetGauge(e.registry, "upstream."+u.ID+".inflight", int64(inflight))
+		telemetry.SetGauge(e.registry, "upstream."+u.ID+".waiting", int64(waiting))
 	}
 }
 
--- a/entry/intents.go
+++ b/entry/intents.go
@@ -170,7 +170,7 @@
 	if len(next.Progress) >= len(next.Cells()) {
 		next.State = intent.Done
 	}
-	version, err := platform.PutOwn(ctx, c.e.store, platform.KindIntent, next.ID, &next, s.version)
+	version, err := platform.PutWithWriteID(ctx, c.e.store, platform.KindIntent, next.ID, &next, s.version)
 	if err != nil {
 		// Another cell reported at the same time: take its version and try
 		// again with the next look.
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -146,7 +146,7 @@
 		Spec:    spec,
 		Plan:    plan,
 	}
-	if _, err := platform.PutOwn(ctx, o.e.store, platform.KindIntent, i.ID, i, 0); err != nil {
+	if _, err := platform.PutWithWriteID(ctx, o.e.store, platform.KindIntent, i.ID, i, 0); err != nil {
 		return nil, twirpError(platformError(err))
 	}
 	o.e.log.Info("intent created", "intent", i.ID, "kind", spec.Kind, "by", req.By)
@@ -187,7 +187,7 @@
 		i.State = intent.Done
 	}
 	i.WriteID = newID()
-	if _, err := platform.PutOwn(ctx, o.e.store, platform.KindIntent, i.ID, i, s.version); err != nil {
+	if _, err := platform.PutWithWriteID(ctx, o.e.store, platform.KindIntent, i.ID, i, s.version); err != nil {
 		return nil, twirpError(platformError(err))
 	}
 	o.e.log.Info("intent confirmed", "intent", i.ID, "kind", i.Spec.Kind, "by", req.By)
@@ -212,7 +212,7 @@
 	old := s.intent.Plan
 	s.intent.Plan = plan
 	s.intent.WriteID = newID()
-	if _, err := platform.PutOwn(ctx, o.e.store, platform.KindIntent, s.intent.ID, s.intent, s.version); err != nil {
+	if _, err := platform.PutWithWriteID(ctx, o.e.store, platform.KindIntent, s.intent.ID, s.intent, s.version); err != nil {
 		return platformError(err)
 	}
 	return answer.New(answer.StalePlan, "%s; the new plan has %d steps instead of %d: look at it and confirm again",
@@ -243,7 +243,7 @@
 	}
 	i.State = intent.Cancelled
 	i.WriteID = newID()
-	if _, err := platform.PutOwn(ctx, o.e.store, platform.KindIntent, i.ID, i, s.version); err != nil {
+	if _, err := platform.PutWithWriteID(ctx, o.e.store, platform.KindIntent, i.ID, i, s.version); err != nil {
 		return nil, twirpError(platformError(err))
 	}
 	return &operatorpb.IntentResponse{Intent: encode(i)}, nil
@@ -309,7 +309,7 @@
 	if err := d.Validate(); err != nil {
 		return answer.Wrap(answer.Internal, err)
 	}
-	_, err := platform.PutOwn(ctx, e.store, platform.KindDirectory, name, d, 0)
+	_, err := platform.PutWithWriteID(ctx, e.store, platform.KindDirectory, name, d, 0)
 	if errors.Is(err, platform.ErrConflict) {
 		// An earlier try of this confirm wrote it.
 		return nil
@@ -338,7 +338,7 @@
 		}
 		next.Version = known.Version + 1
 	}
-	if _, err := platform.PutOwn(ctx, e.store, platform.KindService, next.Name, &next, obj.Version); err != nil {
+	if _, err := platform.PutWithWriteID(ctx, e.store, platform.KindService, next.Name, &next, obj.Version); err != nil {
 		return platformError(err)
 	}
 	e.addDocument(&next)
@@ -363,7 +363,7 @@
 	next.Assign(s.Span, s.ToCell, epoch)
 	next.Version++
 	next.WriteID = newID()
-	if _, err := platform.PutOwn(ctx, e.store, platform.KindDirectory, next.Service, next, obj.Version); err != nil {
+	if _, err := platform.PutWithWriteID(ctx, e.store, platform.KindDirectory, next.Service, next, obj.Version); err != nil {
 		return platformError(err)
 	}
 	e.addDocument(next)
--- a/entry/renewals.go
+++ b/entry/renewals.go
@@ -88,7 +88,7 @@
 	st, err := c.Renew(ctx, r)
 	e.watched.with(func(b *lease.Tracker) {
 		if err != nil {
-			b.RecordFailure(e.clock(), u.ID, upstreams.Refused(err))
+			b.RecordFailure(e.clock(), u.ID, upstreams.IsConnectionRefused(err))
 			return
 		}
 		b.RecordAnswer(e.clock(), u.ID, st)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -274,7 +274,7 @@
 // Run serves until ctx ends, then stops gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
 	debug.SetMemoryLimit(int64(memoryShare * float64(g.conf.Memory) * megabyte))
-	tracer, flush, err := telemetry.Tracer(ctx, g.conf.Trace, "rockcroft-gateway")
+	tracer, flush, err := telemetry.NewTracer(ctx, g.conf.Trace, "rockcroft-gateway")
 	if err != nil {
 		return err
 	}
--- a/proof/simulation_test.go
+++ b/proof/simulation_test.go
@@ -209,7 +209,7 @@
 		return
 	}
 	sim.checkWrite(cmd.Doc)
-	version, err := platform.PutOwn(context.Background(), lossyStore{sim}, platform.KindCell, cellName, cmd.Doc, cmd.Expect)
+	version, err := platform.PutWithWriteID(context.Background(), lossyStore{sim}, platform.KindCell, cellName, cmd.Doc, cmd.Expect)
 	sim.send("platform", e.name, e.ifRunning(func() {
 		if err == nil {
 			e.applyDocument(cmd.Doc)
--- a/transport/front/forward.go
+++ b/transport/front/forward.go
@@ -13,8 +13,8 @@
 	"github.com/rockcroft/rockcroft/state/cell"
 )
 
-// viaCell passes a request to an entry of the cell that has authority.
-func (p *Proxy) viaCell(ctx context.Context, r *http.Request, q *request, name string, h http.Header) (*reply, error) {
+// forwardToCell passes a request to an entry of the cell that has authority.
+func (p *Proxy) forwardToCell(ctx context.Context, r *http.Request, q *request, name string, h http.Header) (*response, error) {
 	roster := p.docs.Roster(name)
 	if roster == nil || len(roster.Members) == 0 {
 		return nil, answer.New(answer.NoOwner, "no entry of cell %s is known", name)
@@ -22,12 +22,12 @@
 	return p.forward(ctx, r, q, roster.Members, h)
 }
 
-// viaSibling passes a request to another entry of the same cell; without one
+// forwardToSibling passes a request to another entry of the same cell; without one
 // it returns the given error.
-func (p *Proxy) viaSibling(ctx context.Context, r *http.Request, q *request, h http.Header, otherwise error) (*reply, error) {
+func (p *Proxy) forwardToSibling(ctx context.Context, r *http.Request, q *request, h http.Header, fallbackErr error) (*response, error) {
 	roster := p.docs.Roster(p.self.Cell)
 	if roster == nil || q.hops > 0 {
-		return nil, otherwise
+		return nil, fallbackErr
 	}
 	var siblings []cell.Member
 	for _, m := range roster.Members {
@@ -36,49 +36,49 @@
 		}
 	}
 	if len(siblings) == 0 {
-		return nil, otherwise
+		return nil, fallbackErr
 	}
 	return p.forward(ctx, r, q, siblings, h)
 }
 
-// pick chooses an entry at random, those that failed lately last.
-func (p *Proxy) pick(members []cell.Member) cell.Member {
+// pickMember chooses an entry at random, those that failed lately last.
+func (p *Proxy) pickMember(members []cell.Member) cell.Member {
 	p.mu.Lock()
 	start := p.rng.IntN(len(members))
 	p.mu.Unlock()
 	for i := range members {
 		m := members[(start+i)%len(members)]
-		if p.peers.Good(m.Peer) {
+		if p.peers.Healthy(m.Peer) {
 			return m
 		}
 	}
 	return members[start]
 }
 
-func (p *Proxy) forward(ctx context.Context, r *http.Request, q *request, members []cell.Member, h http.Header) (*reply, error) {
+func (p *Proxy) forward(ctx context.Context, r *http.Request, q *request, members []cell.Member, h http.Header) (*response, error) {
 	if q.hops >= maxHops {
 		return nil, answer.New(answer.WrongCell, "the request passed %d entries already", q.hops)
 	}
-	m := p.pick(members)
+	m := p.pickMember(members)
 	ctx, span := p.tracer.Start(ctx, "forward", trace.WithSpanKind(trace.SpanKindClient))
 	gotConn := false
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { gotConn = true },
 	})
-	out := p.outgoing(traced, r, q, p.peers.URL(m.Peer, "/"+q.service.Name+requestURI(q.path, r)))
+	out := p.newOutgoingRequest(traced, r, q, p.peers.ForwardURL(m.Peer, "/"+q.service.Name+requestURI(q.path, r)))
 	out.Header.Set(header.Hops, strconv.Itoa(q.hops+1))
 	out.Header.Set(header.Importance, importanceName(q.importance))
-	resp, err := p.peers.Forward().RoundTrip(out)
+	resp, err := p.peers.ForwardTransport().RoundTrip(out)
 	if err != nil {
 		span.End()
-		p.peers.Bad(m.Peer)
+		p.peers.MarkFailed(m.Peer)
 		return nil, p.forwardError(ctx, m, gotConn, err)
 	}
 	if kind := answer.Kind(resp.Header.Get(header.Kind)); kind.Valid() {
 		span.End()
-		return nil, p.relayed(resp, kind, h)
+		return nil, p.relayedError(resp, kind, h)
 	}
-	return &reply{Response: resp, done: func() {
+	return &response{Response: resp, done: func() {
 		_ = resp.Body.Close()
 		span.End()
 	}}, nil
@@ -94,9 +94,9 @@
 	return answer.New(answer.Unreachable, "entry %s cannot be reached: %v", m.ID, err)
 }
 
-// relayed turns the error answer of another entry into the same error here, so
+// relayedError turns the error answer of another entry into the same error here, so
 // that it is decided here whether to try again.
-func (p *Proxy) relayed(resp *http.Response, kind answer.Kind, h http.Header) error {
+func (p *Proxy) relayedError(resp *http.Response, kind answer.Kind, h http.Header) error {
 	_ = resp.Body.Close()
 	if epoch := resp.Header.Get(header.Epoch); epoch != "" {
 		h.Set(header.Epoch, epoch)
--- a/transport/front/headers.go
+++ b/transport/front/headers.go
@@ -28,16 +28,16 @@
 // copyHeader copies end-to-end headers. Headers that the Connection header
 // names are left out too.
 func copyHeader(to, from http.Header) {
-	named := from["Connection"]
+	connectionTokens := from["Connection"]
 	for name, values := range from {
-		if hopByHop[name] || len(named) > 0 && namedIn(named, name) {
+		if hopByHop[name] || len(connectionTokens) > 0 && listContains(connectionTokens, name) {
 			continue
 		}
 		to[name] = values
 	}
 }
 
-func namedIn(list []string, name string) bool {
+func listContains(list []string, name string) bool {
 	for _, line := range list {
 		for token := range strings.SplitSeq(line, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), name) {
--- a/transport/front/proxy.go
+++ b/transport/front/proxy.go
@@ -31,12 +31,12 @@
 
 // Limits of the proxy as a whole.
 const (
-	// maxPending bounds the requests that wait for a change of owner.
-	maxPending = 4096
+	// maxPendingRequests bounds the requests that wait for a change of owner.
+	maxPendingRequests = 4096
 	// retryBurst is the number of retries saved up per service.
 	retryBurst = 50
-	// maxCallers bounds the callers whose rate is tracked.
-	maxCallers = 10000
+	// maxTrackedCallers bounds the callers whose rate is tracked.
+	maxTrackedCallers = 10000
 )
 
 // Proxy serves requests of callers and of other entries.
@@ -49,7 +49,7 @@
 	peers   *peers.Pool
 	backoff retry.Backoff
 	tracer  trace.Tracer
-	meters  *telemetry.Requests
+	metrics *telemetry.Requests
 	// Observe is called for each request sent to an upstream of this cell.
 	observe func(service string, r gate.Route, key string)
 
@@ -61,8 +61,8 @@
 	callers map[string]*rate.Limiter
 }
 
-// Parts are what a Proxy works with.
-type Parts struct {
+// Dependencies are what a Proxy works with.
+type Dependencies struct {
 	Self    cell.Member
 	Clock   func() time.Time
 	Gate    *gate.Gate
@@ -70,25 +70,25 @@
 	Pool    *upstreams.Pool
 	Peers   *peers.Pool
 	Tracer  trace.Tracer
-	Meters  *telemetry.Requests
+	Metrics *telemetry.Requests
 	Rand    *rand.Rand
 	Observe func(service string, r gate.Route, key string)
 }
 
 // New returns a proxy.
-func New(p Parts) *Proxy {
+func New(d Dependencies) *Proxy {
 	return &Proxy{
-		self:    p.Self,
-		clock:   p.Clock,
-		gate:    p.Gate,
-		docs:    p.Docs,
-		pool:    p.Pool,
-		peers:   p.Peers,
+		self:    d.Self,
+		clock:   d.Clock,
+		gate:    d.Gate,
+		docs:    d.Docs,
+		pool:    d.Pool,
+		peers:   d.Peers,
 		backoff: retry.Backoff{First: 5 * time.Millisecond, Max: 200 * time.Millisecond},
-		tracer:  p.Tracer,
-		meters:  p.Meters,
-		observe: p.Observe,
-		rng:     p.Rand,
+		tracer:  d.Tracer,
+		metrics: d.Metrics,
+		observe: d.Observe,
+		rng:     d.Rand,
 		budgets: make(map[string]*retry.Budget),
 		callers: make(map[string]*rate.Limiter),
 	}
@@ -97,8 +97,8 @@
 // Callers returns the handler for callers.
 func (p *Proxy) Callers() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		name, rest := splitPath(r.URL.Path)
-		p.serve(w, r, name, rest, false)
+		name, path := splitPath(r.URL.Path)
+		p.serve(w, r, name, path, false)
 	})
 }
 
@@ -106,38 +106,38 @@
 // at peers.ForwardPrefix.
 func (p *Proxy) Forwarded() http.Handler {
 	return http.StripPrefix(peers.ForwardPrefix, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		name, rest := splitPath(r.URL.Path)
-		p.serve(w, r, name, rest, true)
+		name, path := splitPath(r.URL.Path)
+		p.serve(w, r, name, path, true)
 	}))
 }
 
-func (p *Proxy) serve(w http.ResponseWriter, r *http.Request, name, path string, internal bool) {
-	began := p.clock()
-	q, err := p.parse(r, name, path, internal)
-	if err == nil && !internal {
+func (p *Proxy) serve(w http.ResponseWriter, r *http.Request, name, path string, fromEntry bool) {
+	start := p.clock()
+	q, err := p.parse(r, name, path, fromEntry)
+	if err == nil && !fromEntry {
 		err = p.limitCaller(q)
 	}
 	if err == nil {
-		err = q.readBody(r)
+		err = q.bufferBody(r)
 	}
 	if err != nil {
-		p.fail(w, name, err)
+		p.writeError(w, name, err)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), q.deadline)
 	defer cancel()
 	ctx, span := p.startSpan(ctx, r, q)
 	defer span.End()
-	p.budget(name).RecordRequest()
+	p.retryBudget(name).RecordRequest()
 	resp, err := p.deliver(ctx, r, q, w.Header())
 	if err != nil {
 		span.SetAttributes(attribute.String("rockcroft.kind", string(answer.KindOf(err))))
-		p.fail(w, name, err)
+		p.writeError(w, name, err)
 		return
 	}
 	defer resp.done()
-	p.copyAnswer(w, resp)
-	p.meters.Answered(name, p.clock().Sub(began))
+	p.streamResponse(w, resp)
+	p.metrics.RecordAnswer(name, p.clock().Sub(start))
 }
 
 func (p *Proxy) startSpan(ctx context.Context, r *http.Request, q *request) (context.Context, trace.Span) {
@@ -153,8 +153,8 @@
 	return ctx, span
 }
 
-func (p *Proxy) fail(w http.ResponseWriter, service string, err error) {
-	p.meters.Failed(service, answer.KindOf(err))
+func (p *Proxy) writeError(w http.ResponseWriter, service string, err error) {
+	p.metrics.RecordError(service, answer.KindOf(err))
 	answer.Write(w, err)
 }
 
@@ -168,7 +168,7 @@
 	p.mu.Lock()
 	l := p.callers[id]
 	if l == nil {
-		if len(p.callers) >= maxCallers {
+		if len(p.callers) >= maxTrackedCallers {
 			clear(p.callers)
 		}
 		l = rate.NewLimiter(rate.Limit(q.service.CallerRate), int(q.service.CallerRate)+1)
@@ -181,26 +181,26 @@
 	return nil
 }
 
-// reply is an upstream's answer with what has to be done after it.
-type reply struct {
+// response is an upstream's answer with what has to be done after it.
+type response struct {
 	*http.Response
 	done func()
 }
 
-func (p *Proxy) attempt(ctx context.Context, r *http.Request, q *request, route gate.Route, h http.Header) (*reply, error) {
+func (p *Proxy) attempt(ctx context.Context, r *http.Request, q *request, route gate.Route, h http.Header) (*response, error) {
 	switch route.Destination {
 	case gate.Local:
 		if !p.gate.MaySend() {
-			return p.viaSibling(ctx, r, q, h, answer.New(answer.NoRight, "this entry may not send at the moment"))
+			return p.forwardToSibling(ctx, r, q, h, answer.New(answer.NoRight, "this entry may not send at the moment"))
 		}
-		return p.local(ctx, r, q, route, h)
+		return p.sendToOwner(ctx, r, q, route, h)
 	case gate.Remote:
 		if q.hops > 0 {
 			return p.awaitDirectory(ctx, route)
 		}
-		return p.viaCell(ctx, r, q, route.Cell, h)
+		return p.forwardToCell(ctx, r, q, route.Cell, h)
 	case gate.Pending:
-		return p.pendingRoute(ctx, route)
+		return p.awaitOwner(ctx, route)
 	}
 	return nil, answer.New(answer.NoOwner, "no cell is named for the key")
 }
@@ -212,12 +212,12 @@
 // the two entries know different directories. Passing it on could send it back
 // and forth. Without a change it is refused as not run, and the first entry
 // decides anew.
-func (p *Proxy) awaitDirectory(ctx context.Context, route gate.Route) (*reply, error) {
+func (p *Proxy) awaitDirectory(ctx context.Context, route gate.Route) (*response, error) {
 	timer := time.NewTimer(directoryWait)
 	defer timer.Stop()
 	select {
 	case <-route.Changed():
-		return nil, errMoved
+		return nil, errRouteChanged
 	case <-ctx.Done():
 		return nil, p.contextError(ctx, false)
 	case <-timer.C:
@@ -225,27 +225,27 @@
 	}
 }
 
-// pendingRoute waits for the key's next owner, within the bound on such
+// awaitOwner waits for the key's next owner, within the bound on such
 // requests.
-func (p *Proxy) pendingRoute(ctx context.Context, route gate.Route) (*reply, error) {
-	if p.pending.Add(1) > maxPending {
+func (p *Proxy) awaitOwner(ctx context.Context, route gate.Route) (*response, error) {
+	if p.pending.Add(1) > maxPendingRequests {
 		p.pending.Add(-1)
 		return nil, answer.New(answer.Overloaded, "too many requests wait for a change of owner")
 	}
 	defer p.pending.Add(-1)
 	select {
 	case <-route.Changed():
-		return nil, errMoved
+		return nil, errRouteChanged
 	case <-ctx.Done():
 		return nil, p.contextError(ctx, false)
 	}
 }
 
 // local sends to the owner in this cell.
-func (p *Proxy) local(ctx context.Context, r *http.Request, q *request, route gate.Route, h http.Header) (*reply, error) {
+func (p *Proxy) sendToOwner(ctx context.Context, r *http.Request, q *request, route gate.Route, h http.Header) (*response, error) {
 	slot := route.Slot
-	if q.repeat != 0 && q.repeat != slot.Epoch {
-		h.Set(header.Epoch, strconv.FormatUint(q.repeat, 10))
+	if q.repeatEpoch != 0 && q.repeatEpoch != slot.Epoch {
+		h.Set(header.Epoch, strconv.FormatUint(q.repeatEpoch, 10))
 		return nil, answer.New(answer.RepeatUnsafe, "the key has a new owner, which does not know the first try")
 	}
 	u := p.pool.Get(slot.Owner)
@@ -258,31 +258,31 @@
 	switch p.gate.Enter(route) {
 	case gate.RouteChanged:
 		u.Limiter.Release(admission.Outcome{Unsent: true})
-		return nil, errMoved
+		return nil, errRouteChanged
 	case gate.NoRight:
 		u.Limiter.Release(admission.Outcome{Unsent: true})
 		return nil, answer.New(answer.NoRight, "this entry may not send at the moment")
 	}
-	return p.send(ctx, r, q, route, u, h)
+	return p.sendToUpstream(ctx, r, q, route, u, h)
 }
 
-func (p *Proxy) send(ctx context.Context, r *http.Request, q *request, route gate.Route, u *upstreams.Upstream, h http.Header) (*reply, error) {
-	began := p.clock()
+func (p *Proxy) sendToUpstream(ctx context.Context, r *http.Request, q *request, route gate.Route, u *upstreams.Upstream, h http.Header) (*response, error) {
+	start := p.clock()
 	slot := route.Slot
 	p.observe(q.service.Name, route, q.key)
 	ctx, span := p.tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient))
-	out := p.outgoing(ctx, r, q, "http://"+u.Addr+requestURI(q.path, r))
+	out := p.newOutgoingRequest(ctx, r, q, "http://"+u.Addr+requestURI(q.path, r))
 	out.Header.Set(header.Epoch, strconv.FormatUint(slot.Epoch, 10))
-	resp, end, sent, err := u.Send(out)
+	resp, done, sent, err := u.Send(out)
 	finish := func(o admission.Outcome) {
-		end()
-		o.Duration = p.clock().Sub(began)
+		done()
+		o.Duration = p.clock().Sub(start)
 		u.Limiter.Release(o)
 		slot.RecordRequest(uint64(o.Duration.Microseconds()))
 		span.End()
 	}
 	if err != nil {
-		p.leaveAfterError(q, slot, sent)
+		p.leaveGateAfterError(q, slot, sent)
 		finish(admission.Outcome{Unsent: !sent})
 		return nil, p.sendError(ctx, q, slot, sent, err, h)
 	}
@@ -290,10 +290,10 @@
 		_ = resp.Body.Close()
 		p.gate.Leave(slot)
 		finish(admission.Outcome{Shed: reason == header.RefusedOverloaded})
-		return nil, refusal(reason)
+		return nil, refusalError(reason)
 	}
 	resp.Header.Set(header.Owner, u.ID)
-	return &reply{Response: resp, done: func() {
+	return &response{Response: resp, done: func() {
 		_ = resp.Body.Close()
 		p.gate.Leave(slot)
 		finish(admission.Outcome{})
@@ -308,7 +308,7 @@
 }
 
 // outgoing builds one try from the caller's request.
-func (p *Proxy) outgoing(ctx context.Context, r *http.Request, q *request, url string) *http.Request {
+func (p *Proxy) newOutgoingRequest(ctx context.Context, r *http.Request, q *request, url string) *http.Request {
 	out, err := http.NewRequestWithContext(ctx, r.Method, url, nil)
 	if err != nil {
 		// The URL is built from parsed parts; only a broken method gets here.
@@ -318,26 +318,26 @@
 	out.Header.Set(header.Idempotent, strconv.FormatBool(q.idempotent))
 	out.Header.Set(header.Timeout, q.deadline.Sub(p.clock()).String())
 	telemetry.Inject(ctx, out.Header)
-	q.attach(out)
+	q.attachBody(out)
 	return out
 }
 
-// copyAnswer streams the answer. A source that breaks off makes the answer to
+// streamResponse streams the answer. A source that breaks off makes the answer to
 // the caller break off too, so that it cannot look whole.
-func (p *Proxy) copyAnswer(w http.ResponseWriter, resp *reply) {
+func (p *Proxy) streamResponse(w http.ResponseWriter, resp *response) {
 	copyHeader(w.Header(), resp.Header)
 	w.WriteHeader(resp.StatusCode)
-	buf := buffers.Get().(*[]byte)
-	defer buffers.Put(buf)
+	buf := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buf)
 	if _, err := io.CopyBuffer(onlyWriter{w}, onlyReader{resp.Body}, *buf); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-const bufferSize = 16 << 10
+const copyBufferSize = 16 << 10
 
-var buffers = sync.Pool{New: func() any {
-	b := make([]byte, bufferSize)
+var copyBuffers = sync.Pool{New: func() any {
+	b := make([]byte, copyBufferSize)
 	return &b
 }}
 
--- a/transport/front/request.go
+++ b/transport/front/request.go
@@ -17,11 +17,11 @@
 
 // Limits of what a caller may send.
 const (
-	// maxKey is the longest key in bytes, maxID the longest request id.
-	maxKey = 1024
-	maxID  = 128
-	// keepBody is the size up to which a body is kept for a second try.
-	keepBody = 64 << 10
+	// maxKeyBytes is the longest key in bytes, maxRequestIDBytes the longest request id.
+	maxKeyBytes       = 1024
+	maxRequestIDBytes = 128
+	// maxBufferedBody is the size up to which a body is kept for a second try.
+	maxBufferedBody = 64 << 10
 	// maxHops bounds the entries that one request passes.
 	maxHops = 3
 )
@@ -31,24 +31,24 @@
 	service    *service.Config
 	path       string
 	key        string
-	hash       keyspace.Hash
-	id         string
+	keyHash    keyspace.Hash
+	requestID  string
 	caller     string
 	idempotent bool
 	importance admission.Importance
 	deadline   time.Time
 	hops       int
 	// repeat is the epoch of an earlier answer of unknown outcome, or zero.
-	repeat uint64
+	repeatEpoch uint64
 
-	body     []byte
-	stream   io.Reader
-	length   int64
-	consumed bool
+	body           []byte
+	bodyStream     io.Reader
+	bodyLength     int64
+	streamConsumed bool
 }
 
 // parse reads the headers of a request. Hops are believed only from entries.
-func (p *Proxy) parse(r *http.Request, name, path string, internal bool) (*request, error) {
+func (p *Proxy) parse(r *http.Request, name, path string, fromEntry bool) (*request, error) {
 	conf := p.docs.Service(name)
 	if conf == nil && p.docs.Empty() {
 		return nil, answer.New(answer.NoRight, "this entry has just started and knows nothing yet")
@@ -60,24 +60,24 @@
 		service:    conf,
 		path:       path,
 		key:        r.Header.Get(header.Key),
-		id:         r.Header.Get(header.RequestID),
+		requestID:  r.Header.Get(header.RequestID),
 		caller:     r.Header.Get(header.Caller),
-		idempotent: idempotentMethod(r.Method),
+		idempotent: isIdempotentMethod(r.Method),
 		importance: admission.Normal,
 	}
 	switch {
 	case q.key == "":
 		return nil, answer.New(answer.NoKey, "header %s is missing", header.Key)
-	case len(q.key) > maxKey:
-		return nil, answer.New(answer.BadRequest, "the key is longer than %d bytes", maxKey)
-	case len(q.id) > maxID:
-		return nil, answer.New(answer.BadRequest, "the request id is longer than %d bytes", maxID)
+	case len(q.key) > maxKeyBytes:
+		return nil, answer.New(answer.BadRequest, "the key is longer than %d bytes", maxKeyBytes)
+	case len(q.requestID) > maxRequestIDBytes:
+		return nil, answer.New(answer.BadRequest, "the request id is longer than %d bytes", maxRequestIDBytes)
 	}
-	q.hash = keyspace.Of(q.key)
+	q.keyHash = keyspace.Of(q.key)
 	if err := q.parseOptions(r, p.clock()); err != nil {
 		return nil, err
 	}
-	if internal {
+	if fromEntry {
 		hops, err := strconv.Atoi(r.Header.Get(header.Hops))
 		if err != nil || hops < 1 || hops > maxHops {
 			return nil, answer.New(answer.BadRequest, "header %s is not valid", header.Hops)
@@ -99,7 +99,7 @@
 		q.idempotent = b
 	}
 	if v := r.Header.Get(header.Importance); v != "" {
-		level, ok := importances[v]
+		level, ok := importanceByName[v]
 		if !ok {
 			return answer.New(answer.BadRequest, "header %s: %q", header.Importance, v)
 		}
@@ -107,36 +107,36 @@
 	} else if !q.idempotent {
 		q.importance = admission.High
 	}
-	left := q.service.DefaultDeadline.D()
+	timeout := q.service.DefaultDeadline.D()
 	if v := r.Header.Get(header.Timeout); v != "" {
 		d, err := time.ParseDuration(v)
 		if err != nil {
 			return answer.New(answer.BadRequest, "header %s: %q is no duration", header.Timeout, v)
 		}
-		left = min(d, q.service.MaxDeadline.D())
+		timeout = min(d, q.service.MaxDeadline.D())
 	}
-	if left <= 0 {
+	if timeout <= 0 {
 		return answer.New(answer.DeadlinePassed, "the deadline has passed already")
 	}
-	q.deadline = now.Add(left)
+	q.deadline = now.Add(timeout)
 	if v := r.Header.Get(header.Repeat); v != "" {
 		epoch, err := strconv.ParseUint(v, 10, 64)
-		if err != nil || q.id == "" {
+		if err != nil || q.requestID == "" {
 			return answer.New(answer.BadRequest, "header %s needs a number and a request id", header.Repeat)
 		}
-		q.repeat = epoch
+		q.repeatEpoch = epoch
 	}
 	return nil
 }
 
-var importances = map[string]admission.Importance{
+var importanceByName = map[string]admission.Importance{
 	"low":    admission.Low,
 	"normal": admission.Normal,
 	"high":   admission.High,
 }
 
 func importanceName(i admission.Importance) string {
-	for name, level := range importances {
+	for name, level := range importanceByName {
 		if level == i {
 			return name
 		}
@@ -144,7 +144,7 @@
 	return ""
 }
 
-func idempotentMethod(method string) bool {
+func isIdempotentMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPut, http.MethodDelete:
 		return true
@@ -161,26 +161,26 @@
 	return name, "/" + rest
 }
 
-// readBody keeps a small body for second tries and leaves a large one to be
+// bufferBody keeps a small body for second tries and leaves a large one to be
 // streamed once.
-func (q *request) readBody(r *http.Request) error {
-	q.length = r.ContentLength
+func (q *request) bufferBody(r *http.Request) error {
+	q.bodyLength = r.ContentLength
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
-		q.length = 0
+		q.bodyLength = 0
 		return nil
 	}
 	limited := http.MaxBytesReader(nil, r.Body, q.service.MaxBody)
-	head := make([]byte, 0, min(max(r.ContentLength, 512), keepBody)+1)
-	head, err := readUpTo(limited, head, keepBody+1)
+	head := make([]byte, 0, min(max(r.ContentLength, 512), maxBufferedBody)+1)
+	head, err := readUpTo(limited, head, maxBufferedBody+1)
 	if err != nil {
 		return answer.New(answer.TooLarge, "the body could not be read: %v", err)
 	}
-	if len(head) <= keepBody {
+	if len(head) <= maxBufferedBody {
 		q.body = head
-		q.length = int64(len(head))
+		q.bodyLength = int64(len(head))
 		return nil
 	}
-	q.stream = io.MultiReader(bytes.NewReader(head), limited)
+	q.bodyStream = io.MultiReader(bytes.NewReader(head), limited)
 	return nil
 }
 
@@ -202,29 +202,29 @@
 	return buf, nil
 }
 
-// canSendAgain reports whether the body is still there for another try.
-func (q *request) canSendAgain() bool { return !q.consumed }
+// canResend reports whether the body is still there for another try.
+func (q *request) canResend() bool { return !q.streamConsumed }
 
-// noReplay is a body without content that net/http never sends twice: the
+// nonRewindableBody is a body without content that net/http never sends twice: the
 // client repeats requests by itself only when it has no body or can rewind it.
-type noReplay struct{}
+type nonRewindableBody struct{}
 
-func (noReplay) Read([]byte) (int, error) { return 0, io.EOF }
-func (noReplay) Close() error             { return nil }
+func (nonRewindableBody) Read([]byte) (int, error) { return 0, io.EOF }
+func (nonRewindableBody) Close() error             { return nil }
 
 // attach sets the body of an outgoing try.
-func (q *request) attach(out *http.Request) {
+func (q *request) attachBody(out *http.Request) {
 	switch {
-	case q.stream != nil:
-		q.consumed = true
-		out.Body = io.NopCloser(q.stream)
-		out.ContentLength = q.length
+	case q.bodyStream != nil:
+		q.streamConsumed = true
+		out.Body = io.NopCloser(q.bodyStream)
+		out.ContentLength = q.bodyLength
 	case len(q.body) > 0:
 		out.Body = io.NopCloser(bytes.NewReader(q.body))
-		out.ContentLength = q.length
+		out.ContentLength = q.bodyLength
 	case q.idempotent:
 		out.Body = http.NoBody
 	default:
-		out.Body = noReplay{}
+		out.Body = nonRewindableBody{}
 	}
 }
--- a/transport/front/tries.go
+++ b/transport/front/tries.go
@@ -13,7 +13,7 @@
 	"github.com/rockcroft/rockcroft/protocol/header"
 )
 
-func (p *Proxy) budget(service string) *retry.Budget {
+func (p *Proxy) retryBudget(service string) *retry.Budget {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.budgets[service]
@@ -30,25 +30,25 @@
 
 // deliver tries until the request has its answer, its fate is decided, or its
 // deadline has passed.
-func (p *Proxy) deliver(ctx context.Context, r *http.Request, q *request, h http.Header) (*reply, error) {
-	for try := 1; ; try++ {
-		route := p.gate.Route(q.service.Name, q.hash)
+func (p *Proxy) deliver(ctx context.Context, r *http.Request, q *request, h http.Header) (*response, error) {
+	for attempt := 1; ; attempt++ {
+		route := p.gate.Route(q.service.Name, q.keyHash)
 		resp, err := p.attempt(ctx, r, q, route, h)
 		if err == nil {
 			return resp, nil
 		}
-		again, wait := p.again(q, err, try)
-		if !again {
+		retryAllowed, wait := p.shouldRetry(q, err, attempt)
+		if !retryAllowed {
 			return nil, err
 		}
-		if !p.pause(ctx, route, wait) {
+		if !p.waitToRetry(ctx, route, wait) {
 			return nil, err
 		}
 	}
 }
 
-// errMoved says that the route changed before anything was sent.
-var errMoved = answer.New(answer.NoOwner, "the key is changing owner")
+// errRouteChanged says that the route changed before anything was sent.
+var errRouteChanged = answer.New(answer.NoOwner, "the key is changing owner")
 
 // contextError tells a passed deadline from a caller that left.
 func (p *Proxy) contextError(ctx context.Context, sent bool) error {
@@ -62,15 +62,15 @@
 	return answer.New(answer.Cancelled, "the caller left")
 }
 
-// again decides whether another try is allowed and after which pause. Only
+// again decides whether another attempt is allowed and after which pause. Only
 // what certainly did not run, or is idempotent, is ever sent again.
-func (p *Proxy) again(q *request, err error, try int) (bool, time.Duration) {
-	if err == errMoved {
+func (p *Proxy) shouldRetry(q *request, err error, attempt int) (bool, time.Duration) {
+	if err == errRouteChanged {
 		return true, 0
 	}
-	if err == errShed {
-		// Not run, but another try is more load for an owner that sheds.
-		return q.canSendAgain() && p.budget(q.service.Name).Spend(), p.nextPause(try)
+	if err == errOwnerOverloaded {
+		// Not run, but another attempt is more load for an owner that sheds.
+		return q.canResend() && p.retryBudget(q.service.Name).Spend(), p.nextBackoff(attempt)
 	}
 	kind := answer.KindOf(err)
 	if kind == answer.WrongCell && q.hops > 0 {
@@ -87,24 +87,24 @@
 	default:
 		return false, 0
 	}
-	if !q.canSendAgain() || !p.budget(q.service.Name).Spend() && kind == answer.Broken {
+	if !q.canResend() || !p.retryBudget(q.service.Name).Spend() && kind == answer.Broken {
 		return false, 0
 	}
-	return true, p.nextPause(try)
+	return true, p.nextBackoff(attempt)
 }
 
-func (p *Proxy) nextPause(try int) time.Duration {
+func (p *Proxy) nextBackoff(attempt int) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.backoff.Pause(try, p.rng)
+	return p.backoff.Pause(attempt, p.rng)
 }
 
-// errShed says that the owner refused for overload before any work.
-var errShed = answer.New(answer.Overloaded, "the owner sheds load")
+// errOwnerOverloaded says that the owner refused for overload before any work.
+var errOwnerOverloaded = answer.New(answer.Overloaded, "the owner sheds load")
 
 // pause waits for the given time or until the route may have changed. It
 // returns false when the deadline comes first.
-func (p *Proxy) pause(ctx context.Context, route gate.Route, wait time.Duration) bool {
+func (p *Proxy) waitToRetry(ctx context.Context, route gate.Route, wait time.Duration) bool {
 	if wait <= 0 {
 		return ctx.Err() == nil
 	}
@@ -123,10 +123,10 @@
 	}
 }
 
-// leaveAfterError ends a request that failed. An upstream that does not check
+// leaveGateAfterError ends a request that failed. An upstream that does not check
 // epochs may go on with what it was sent until the deadline: the range counts
 // as in use until then.
-func (p *Proxy) leaveAfterError(q *request, slot *gate.Slot, sent bool) {
+func (p *Proxy) leaveGateAfterError(q *request, slot *gate.Slot, sent bool) {
 	left := q.deadline.Sub(p.clock())
 	if !sent || q.service.ChecksFences || left <= 0 {
 		p.gate.Leave(slot)
@@ -135,7 +135,7 @@
 	time.AfterFunc(left, func() { p.gate.Leave(slot) })
 }
 
-// sendError classifies a failed try. Where bytes may have reached the upstream
+// sendError classifies a failed attempt. Where bytes may have reached the upstream
 // the outcome is unknown, and the epoch tells the caller how to ask again.
 func (p *Proxy) sendError(ctx context.Context, q *request, slot *gate.Slot, sent bool, err error, h http.Header) error {
 	if sent {
@@ -150,11 +150,11 @@
 	return answer.New(answer.Unreachable, "%s cannot be reached: %v", slot.Owner, err)
 }
 
-// refusal maps the reason of an upstream that refused before any work.
-func refusal(reason string) error {
+// refusalError maps the reason of an upstream that refused before any work.
+func refusalError(reason string) error {
 	switch reason {
 	case header.RefusedOverloaded:
-		return errShed
+		return errOwnerOverloaded
 	case header.RefusedDeadline:
 		return answer.New(answer.DeadlinePassed, "the owner had no time left")
 	case header.RefusedStopping:
--- a/transport/peers/peers.go
+++ b/transport/peers/peers.go
@@ -14,10 +14,10 @@
 
 // Times and sizes of connections between entries.
 const (
-	dialTimeout  = 300 * time.Millisecond
-	idleTimeout  = 30 * time.Second
-	idlePerPeer  = 64
-	controlConns = 2
+	dialTimeout         = 300 * time.Millisecond
+	idleTimeout         = 30 * time.Second
+	maxIdleForwardConns = 64
+	maxIdleControlConns = 2
 )
 
 // ForwardPrefix is the path under which an entry takes forwarded requests.
@@ -29,14 +29,14 @@
 	control *http.Client
 	data    *http.Transport
 
-	mu      sync.Mutex
-	clients map[string]peerpb.Peer
-	bad     map[string]time.Time
-	clock   func() time.Time
+	mu          sync.Mutex
+	clients     map[string]peerpb.Peer
+	failedUntil map[string]time.Time
+	clock       func() time.Time
 }
 
-// badFor is how long a peer that failed is passed over.
-const badFor = time.Second
+// failureCooldown is how long a peer that failed is passed over.
+const failureCooldown = time.Second
 
 // NewPool returns an empty pool. Config is nil for plain TCP.
 func NewPool(config *tls.Config, clock func() time.Time) *Pool {
@@ -50,19 +50,19 @@
 		control: &http.Client{Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
 			TLSClientConfig:     config,
-			MaxIdleConnsPerHost: controlConns,
+			MaxIdleConnsPerHost: maxIdleControlConns,
 			IdleConnTimeout:     idleTimeout,
 		}},
 		data: &http.Transport{
 			DialContext:         dialer.DialContext,
 			TLSClientConfig:     config,
-			MaxIdleConnsPerHost: idlePerPeer,
+			MaxIdleConnsPerHost: maxIdleForwardConns,
 			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 		},
-		clients: make(map[string]peerpb.Peer),
-		bad:     make(map[string]time.Time),
-		clock:   clock,
+		clients:     make(map[string]peerpb.Peer),
+		failedUntil: make(map[string]time.Time),
+		clock:       clock,
 	}
 }
 
@@ -78,24 +78,24 @@
 	return c
 }
 
-// URL returns the address of a forwarded request at the entry.
-func (p *Pool) URL(addr, pathAndQuery string) string {
+// ForwardURL returns the address of a forwarded request at the entry.
+func (p *Pool) ForwardURL(addr, pathAndQuery string) string {
 	return p.scheme + "://" + addr + ForwardPrefix + pathAndQuery
 }
 
-// Forward returns the transport for forwarded requests.
-func (p *Pool) Forward() http.RoundTripper { return p.data }
+// ForwardTransport returns the transport for forwarded requests.
+func (p *Pool) ForwardTransport() http.RoundTripper { return p.data }
 
-// Bad marks a peer as failing, so that others are preferred for a while.
-func (p *Pool) Bad(addr string) {
+// MarkFailed marks a peer as failing, so that others are preferred for a while.
+func (p *Pool) MarkFailed(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.bad[addr] = p.clock().Add(badFor)
+	p.failedUntil[addr] = p.clock().Add(failureCooldown)
 }
 
-// Good reports whether the peer has not failed lately.
-func (p *Pool) Good(addr string) bool {
+// Healthy reports whether the peer has not failed lately.
+func (p *Pool) Healthy(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.clock().Before(p.bad[addr])
+	return !p.clock().Before(p.failedUntil[addr])
 }
--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// maxObject is the largest answer read from the platform, in bytes. A value
+// maxResponseBytes is the largest answer read from the platform, in bytes. A value
 // has at most one megabyte; lists hold several.
-const maxObject = 64 << 20
+const maxResponseBytes = 64 << 20
 
 // Client reaches the platform over HTTP.
 type Client struct {
@@ -81,8 +81,8 @@
 	return "/objects/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
-func (c *Client) call(ctx context.Context, limit time.Duration, method, path string, h http.Header, body []byte, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, h http.Header, body []byte, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -96,7 +96,7 @@
 		return fmt.Errorf("platform: %w", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxObject))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("platform answer: %w", err)
 	}
@@ -107,7 +107,7 @@
 	case http.StatusPreconditionFailed:
 		return ErrConflict
 	case http.StatusTooManyRequests:
-		return ErrBusy
+		return ErrRateLimited
 	default:
 		return fmt.Errorf("platform answered %d", resp.StatusCode)
 	}
--- a/transport/platform/memory.go
+++ b/transport/platform/memory.go
@@ -11,19 +11,19 @@
 type Memory struct {
 	mu       sync.Mutex
 	revision uint64
-	objects  map[string]map[string]stored
+	objects  map[string]map[string]storedObject
 	vms      []VM
 	changed  chan struct{}
 }
 
-type stored struct {
+type storedObject struct {
 	object   Object
 	revision uint64
 }
 
 // NewMemory returns an empty store.
 func NewMemory() *Memory {
-	return &Memory{objects: make(map[string]map[string]stored), changed: make(chan struct{})}
+	return &Memory{objects: make(map[string]map[string]storedObject), changed: make(chan struct{})}
 }
 
 // Get implements Store.
@@ -41,10 +41,10 @@
 func (m *Memory) List(_ context.Context, kind string) (Batch, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.since(kind, 0), nil
+	return m.changedSince(kind, 0), nil
 }
 
-func (m *Memory) since(kind string, after uint64) Batch {
+func (m *Memory) changedSince(kind string, after uint64) Batch {
 	b := Batch{Revision: m.revision}
 	for _, s := range m.objects[kind] {
 		if s.revision > after {
@@ -61,7 +61,7 @@
 	defer m.mu.Unlock()
 	byName := m.objects[obj.Kind]
 	if byName == nil {
-		byName = make(map[string]stored)
+		byName = make(map[string]storedObject)
 		m.objects[obj.Kind] = byName
 	}
 	current := byName[obj.Name].object.Version
@@ -70,7 +70,7 @@
 	}
 	m.revision++
 	obj.Version = current + 1
-	byName[obj.Name] = stored{object: obj, revision: m.revision}
+	byName[obj.Name] = storedObject{object: obj, revision: m.revision}
 	close(m.changed)
 	m.changed = make(chan struct{})
 	return obj.Version, nil
@@ -82,7 +82,7 @@
 	defer timer.Stop()
 	for {
 		m.mu.Lock()
-		b := m.since(kind, after)
+		b := m.changedSince(kind, after)
 		changed := m.changed
 		m.mu.Unlock()
 		if len(b.Objects) > 0 {
--- a/transport/platform/platform.go
+++ b/transport/platform/platform.go
@@ -46,9 +46,9 @@
 
 // Errors of the store. Any other error leaves the fate of a write unknown.
 var (
-	ErrNotFound = errors.New("object not found")
-	ErrConflict = errors.New("object has another version")
-	ErrBusy     = errors.New("platform refused the call by its rate limit")
+	ErrNotFound    = errors.New("object not found")
+	ErrConflict    = errors.New("object has another version")
+	ErrRateLimited = errors.New("platform refused the call by its rate limit")
 )
 
 // Store is the platform's object service.
@@ -67,13 +67,13 @@
 	VMs(ctx context.Context) ([]VM, error)
 }
 
-type stamped struct {
+type writeStamp struct {
 	WriteID string `json:"write_id"`
 }
 
-// PutOwn stores a document that carries a write id, and recognizes its own
+// PutWithWriteID stores a document that carries a write id, and recognizes its own
 // write when the answer was lost. It returns the platform version.
-func PutOwn(ctx context.Context, s Store, kind, name string, doc any, expect uint64) (uint64, error) {
+func PutWithWriteID(ctx context.Context, s Store, kind, name string, doc any, expect uint64) (uint64, error) {
 	value, err := json.Marshal(doc)
 	if err != nil {
 		return 0, answer.Wrap(answer.Internal, err)
@@ -82,7 +82,7 @@
 	if err == nil {
 		return version, nil
 	}
-	if errors.Is(err, ErrBusy) || errors.Is(err, ErrNotFound) {
+	if errors.Is(err, ErrRateLimited) || errors.Is(err, ErrNotFound) {
 		return 0, err
 	}
 	// A conflict may be the echo of an earlier try of the same write, and
@@ -101,7 +101,7 @@
 }
 
 func sameWrite(a, b json.RawMessage) bool {
-	var x, y stamped
+	var x, y writeStamp
 	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil {
 		return false
 	}
--- a/transport/telemetry/metrics.go
+++ b/transport/telemetry/metrics.go
@@ -11,8 +11,8 @@
 	"github.com/rockcroft/rockcroft/protocol/answer"
 )
 
-// reservoir is the sample size of a latency histogram.
-const reservoir = 4096
+// latencySampleSize is the sample size of a latency histogram.
+const latencySampleSize = 4096
 
 // Requests counts requests by service and outcome. It is safe for concurrent
 // use.
@@ -21,20 +21,20 @@
 // NewRequests returns counters in the registry.
 func NewRequests(r metrics.Registry) *Requests { return &Requests{registry: r} }
 
-// Answered counts an upstream's answer that took the given time.
-func (m *Requests) Answered(service string, took time.Duration) {
+// RecordAnswer counts an upstream's answer that latency the given time.
+func (m *Requests) RecordAnswer(service string, latency time.Duration) {
 	metrics.GetOrRegisterCounter("requests."+service+".answered", m.registry).Inc(1)
 	h := m.registry.GetOrRegister("requests."+service+".latency_us", func() metrics.Histogram {
-		return metrics.NewHistogram(metrics.NewUniformSample(reservoir))
+		return metrics.NewHistogram(metrics.NewUniformSample(latencySampleSize))
 	})
 	if histogram, ok := h.(metrics.Histogram); ok {
-		histogram.Update(took.Microseconds())
+		histogram.Update(latency.Microseconds())
 	}
 }
 
-// Failed counts an error answer. Unknown services are counted together, so that
+// RecordError counts an error answer. Unknown services are counted together, so that
 // callers cannot make counters up.
-func (m *Requests) Failed(service string, kind answer.Kind) {
+func (m *Requests) RecordError(service string, kind answer.Kind) {
 	if kind == answer.UnknownService {
 		service = "unknown"
 	}
@@ -46,8 +46,8 @@
 	return metrics.GetOrRegisterCounter(name, r)
 }
 
-// Gauge sets the named gauge.
-func Gauge(r metrics.Registry, name string, value int64) {
+// SetGauge sets the named gauge.
+func SetGauge(r metrics.Registry, name string, value int64) {
 	metrics.GetOrRegisterGauge(name, r).Update(value)
 }
 
--- a/transport/telemetry/trace.go
+++ b/transport/telemetry/trace.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// Tracer returns the tracer of a process by its settings, and a function that
+// NewTracer returns the tracer of a process by its settings, and a function that
 // flushes what is not sent yet.
-func Tracer(ctx context.Context, t settings.Trace, process string) (trace.Tracer, func(context.Context) error, error) {
+func NewTracer(ctx context.Context, t settings.Trace, serviceName string) (trace.Tracer, func(context.Context) error, error) {
 	var exporter sdktrace.SpanExporter
 	var err error
 	switch t.Exporter {
@@ -55,7 +55,7 @@
 	provider := sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter),
 		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(t.SampleShare))),
-		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", process))),
+		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", serviceName))),
 	)
 	return provider.Tracer("rockcroft"), provider.Shutdown, nil
 }
--- a/transport/tlsfiles/tlsfiles.go
+++ b/transport/tlsfiles/tlsfiles.go
@@ -14,46 +14,46 @@
 	"github.com/rockcroft/rockcroft/state/settings"
 )
 
-// lookInterval is the least time between two looks at the files.
-const lookInterval = time.Second
+// checkInterval is the least time between two looks at the files.
+const checkInterval = time.Second
 
-// keyPair is a certificate that follows its files.
-type keyPair struct {
+// certReloader is a certificate that follows its files.
+type certReloader struct {
 	certFile, keyFile string
 
-	mu      sync.Mutex
-	cert    *tls.Certificate
-	changed time.Time
-	looked  time.Time
+	mu        sync.Mutex
+	cert      *tls.Certificate
+	modTime   time.Time
+	checkedAt time.Time
 }
 
-func (k *keyPair) get() (*tls.Certificate, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.cert != nil && time.Since(k.looked) < lookInterval {
-		return k.cert, nil
+func (r *certReloader) certificate() (*tls.Certificate, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.cert != nil && time.Since(r.checkedAt) < checkInterval {
+		return r.cert, nil
 	}
-	k.looked = time.Now()
-	info, err := os.Stat(k.certFile)
+	r.checkedAt = time.Now()
+	info, err := os.Stat(r.certFile)
 	if err != nil {
-		return k.keep(fmt.Errorf("certificate: %w", err))
+		return r.cachedOr(fmt.Errorf("certificate: %w", err))
 	}
-	if k.cert != nil && info.ModTime().Equal(k.changed) {
-		return k.cert, nil
+	if r.cert != nil && info.ModTime().Equal(r.modTime) {
+		return r.cert, nil
 	}
-	cert, err := tls.LoadX509KeyPair(k.certFile, k.keyFile)
+	cert, err := tls.LoadX509KeyPair(r.certFile, r.keyFile)
 	if err != nil {
-		return k.keep(fmt.Errorf("certificate: %w", err))
+		return r.cachedOr(fmt.Errorf("certificate: %w", err))
 	}
-	k.cert = &cert
-	k.changed = info.ModTime()
-	return k.cert, nil
+	r.cert = &cert
+	r.modTime = info.ModTime()
+	return r.cert, nil
 }
 
 // keep goes on with the known certificate while the files are being replaced.
-func (k *keyPair) keep(err error) (*tls.Certificate, error) {
-	if k.cert != nil {
-		return k.cert, nil
+func (r *certReloader) cachedOr(err error) (*tls.Certificate, error) {
+	if r.cert != nil {
+		return r.cert, nil
 	}
 	return nil, err
 }
@@ -64,13 +64,13 @@
 	if !t.On() {
 		return nil, nil
 	}
-	pair := &keyPair{certFile: t.Cert, keyFile: t.Key}
-	if _, err := pair.get(); err != nil {
+	reloader := &certReloader{certFile: t.Cert, keyFile: t.Key}
+	if _, err := reloader.certificate(); err != nil {
 		return nil, err
 	}
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS13,
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return pair.get() },
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return reloader.certificate() },
 	}, nil
 }
 
@@ -90,17 +90,17 @@
 	if !pool.AppendCertsFromPEM(pem) {
 		return nil, errors.New("authority: no certificate in the file")
 	}
-	pair := &keyPair{certFile: t.Cert, keyFile: t.Key}
+	reloader := &certReloader{certFile: t.Cert, keyFile: t.Key}
 	conf.ClientAuth = tls.RequireAndVerifyClientCert
 	conf.ClientCAs = pool
-	conf.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return pair.get() }
+	conf.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return reloader.certificate() }
 	// Names are not compared, but the chain is verified below.
 	conf.InsecureSkipVerify = true
-	conf.VerifyConnection = func(state tls.ConnectionState) error { return verify(state, pool) }
+	conf.VerifyConnection = func(state tls.ConnectionState) error { return verifyChain(state, pool) }
 	return conf, nil
 }
 
-func verify(state tls.ConnectionState, pool *x509.CertPool) error {
+func verifyChain(state tls.ConnectionState, pool *x509.CertPool) error {
 	if len(state.PeerCertificates) == 0 {
 		return errors.New("peer shows no certificate")
 	}
--- a/transport/upstreams/upstreams.go
+++ b/transport/upstreams/upstreams.go
@@ -26,8 +26,8 @@
 	controlTimeout = 500 * time.Millisecond
 	// idleTimeout closes idle connections before upstreams do, so that no
 	// request meets a connection that is just being closed.
-	idleTimeout = 20 * time.Second
-	maxStatus   = 64 << 10
+	idleTimeout    = 20 * time.Second
+	maxStatusBytes = 64 << 10
 )
 
 // Options bound the use of one upstream.
@@ -45,24 +45,24 @@
 	data    *http.Transport
 	control *http.Client
 
-	mu    sync.Mutex
-	life  context.Context
-	abort context.CancelFunc
+	mu     sync.Mutex
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
-// Abort ends all requests in flight: the upstream was given up, and waiting
+// AbortRequests ends all requests in flight: the upstream was given up, and waiting
 // for their answers has no point.
-func (u *Upstream) Abort() {
+func (u *Upstream) AbortRequests() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.abort()
-	u.life, u.abort = context.WithCancel(context.Background())
+	u.cancel()
+	u.ctx, u.cancel = context.WithCancel(context.Background())
 }
 
-func (u *Upstream) lifetime() context.Context {
+func (u *Upstream) currentContext() context.Context {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.life
+	return u.ctx
 }
 
 // Pool holds the clients of all upstreams. It is safe for concurrent use.
@@ -85,9 +85,9 @@
 	return p.clients[id]
 }
 
-// Ensure returns the client of u, made with the options when it is new or its
+// GetOrCreate returns the client of u, made with the options when it is new or its
 // address has changed.
-func (p *Pool) Ensure(u cell.Upstream, o Options) *Upstream {
+func (p *Pool) GetOrCreate(u cell.Upstream, o Options) *Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c := p.clients[u.ID]; c != nil && c.Addr == u.Addr {
@@ -98,7 +98,7 @@
 		Addr:    u.Addr,
 		Limiter: admission.NewLimiter(o.Admission, p.clock),
 		data: &http.Transport{
-			DialContext:         dialCounted(dialTimeout),
+			DialContext:         dialCounting(dialTimeout),
 			MaxConnsPerHost:     o.Connections,
 			MaxIdleConnsPerHost: o.Connections,
 			IdleConnTimeout:     idleTimeout,
@@ -109,17 +109,17 @@
 			Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: idleTimeout},
 		},
 	}
-	c.life, c.abort = context.WithCancel(context.Background())
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	p.clients[u.ID] = c
 	return c
 }
 
-// Keep drops the clients of upstreams that are not named.
-func (p *Pool) Keep(named map[string]bool) {
+// Retain drops the clients of upstreams that are not ids.
+func (p *Pool) Retain(ids map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, c := range p.clients {
-		if !named[id] {
+		if !ids[id] {
 			c.data.CloseIdleConnections()
 			delete(p.clients, id)
 		}
@@ -139,46 +139,46 @@
 
 // Send performs one request. Sent reports whether any byte of it may have
 // reached the upstream. End must be called once the answer has been read.
-func (u *Upstream) Send(req *http.Request) (resp *http.Response, end func(), sent bool, err error) {
-	var counter sentCounter
+func (u *Upstream) Send(req *http.Request) (resp *http.Response, done func(), sent bool, err error) {
+	var tracker sendTracker
 	ctx, cancel := context.WithCancel(req.Context())
-	unhook := context.AfterFunc(u.lifetime(), cancel)
-	end = func() {
-		unhook()
+	stop := context.AfterFunc(u.currentContext(), cancel)
+	done = func() {
+		stop()
 		cancel()
 	}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(info httptrace.GotConnInfo) { counter.gotConn(info.Conn) },
+		GotConn: func(info httptrace.GotConnInfo) { tracker.setConn(info.Conn) },
 	})
 	resp, err = u.data.RoundTrip(req.WithContext(ctx))
-	return resp, end, counter.sent(), err
+	return resp, done, tracker.sent(), err
 }
 
-// Refused reports whether err says that the host actively refused a connection,
+// IsConnectionRefused reports whether err says that the host actively refused a connection,
 // so that no process listens there.
-func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // Renew extends the lease, or only asks for the status when r is empty.
 func (u *Upstream) Renew(ctx context.Context, r control.Renewal) (control.Status, error) {
-	return u.order(ctx, control.PathRenew, r)
+	return u.callControl(ctx, control.PathRenew, r)
 }
 
 // Grant gives ranges.
 func (u *Upstream) Grant(ctx context.Context, g control.Grants) (control.Status, error) {
-	return u.order(ctx, control.PathGrant, g)
+	return u.callControl(ctx, control.PathGrant, g)
 }
 
 // Revoke takes ranges back. It returns once the upstream has ended what it ran.
 func (u *Upstream) Revoke(ctx context.Context, r control.Revocations) (control.Status, error) {
-	return u.order(ctx, control.PathRevoke, r)
+	return u.callControl(ctx, control.PathRevoke, r)
 }
 
 // Reset makes the upstream drop all grants and take a new boot id.
 func (u *Upstream) Reset(ctx context.Context) (control.Status, error) {
-	return u.order(ctx, control.PathReset, struct{}{})
+	return u.callControl(ctx, control.PathReset, struct{}{})
 }
 
-func (u *Upstream) order(ctx context.Context, path string, body any) (control.Status, error) {
+func (u *Upstream) callControl(ctx context.Context, path string, body any) (control.Status, error) {
 	var st control.Status
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -194,10 +194,10 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxStatus))
+		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxStatusBytes))
 		return st, fmt.Errorf("upstream %s answered %d to %s", u.ID, resp.StatusCode, path)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(&st); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&st); err != nil {
 		return st, fmt.Errorf("upstream %s: %w", u.ID, err)
 	}
 	return st, nil
