--- a/transport/bootclock/bootclock.go
+++ b/transport/bootclock/bootclock.go
@@ -1,11 +1,10 @@
-// Package bootclock is a clock that counts the time for which the machine was suspended, and does
-// not follow steps of the time of day. The steady clock that time.Now compares by stands still in a
-// suspension: a process that wakes up would believe that its leases, promises and rights still
-// hold.
+// Package bootclock provides a clock that includes the time for which the machine was suspended and
+// ignores steps of the wall clock. The monotonic clock behind time.Now stops during a suspension,
+// so a process that resumes would treat its leases, promises and rights as still valid.
 //
-// CLOCK_BOOTTIME has that time, and costs a system call. So it is read only when the time of day
-// has moved away from the steady clock, as it does in a suspension and when it is stepped, and now
-// and then besides.
+// CLOCK_BOOTTIME includes suspensions, but reading it costs a system call. It is therefore read
+// only when the wall clock has drifted from the monotonic clock, which happens in a suspension and
+// when the wall clock is stepped, and whenever Check is called.
 package bootclock
 
 import (
@@ -16,25 +15,25 @@
 )
 
 const (
-	// driftTolerance is how far the time of day may move away from the steady clock until
-	// CLOCK_BOOTTIME is read: far below any right's length, and more than the two drift apart in
-	// some tens of seconds.
+	// driftTolerance is the change of the drift between the wall clock and the monotonic clock that
+	// causes a read of CLOCK_BOOTTIME. It is far shorter than the duration of any right, and larger
+	// than the ordinary drift of the two clocks within some tens of seconds.
 	driftTolerance = 20 * time.Millisecond
-	// minSuspension is the shortest suspension that is told of.
+	// minSuspension is the shortest suspension that is counted and reported.
 	minSuspension = 50 * time.Millisecond
 )
 
-// Sources are the clocks of a machine.
+// Sources are the clocks that a Clock reads.
 type Sources struct {
-	// Monotonic is as time.Now: it stands still in a suspension.
+	// Monotonic returns the time by a clock that stops during a suspension, as time.Now does.
 	Monotonic func() time.Time
-	// Wall returns the time of day that belongs to a reading of Steady, in nanoseconds.
+	// Wall returns the wall clock time, in nanoseconds, at a reading of Monotonic.
 	Wall func(time.Time) int64
-	// Boot returns the time since the machine's start, suspensions included.
+	// Boot returns the time since the machine was booted, including suspensions.
 	Boot func() (time.Duration, error)
 }
 
-// machine are this machine's.
+// systemSources are the clocks of this machine.
 var systemSources = Sources{Monotonic: time.Now, Wall: time.Time.UnixNano, Boot: readBootTime}
 
 func readBootTime() (time.Duration, error) {
@@ -45,26 +44,27 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// Clock is safe for concurrent use.
+// Clock is a clock that includes suspensions. It is safe for concurrent use.
 type Clock struct {
 	Sources
-	// onSuspended is called, in a goroutine of its own, after a suspension.
+	// onSuspended is called in its own goroutine after a suspension.
 	onSuspended func(time.Duration)
 
 	mu sync.Mutex
-	// steady, wall and boot are the clocks at the same moment.
+	// refMonotonic, refWall and refBoot are readings of the three clocks at the same moment.
 	refMonotonic time.Time
 	refWall      int64
 	refBoot      time.Duration
-	// offset is how long the machine was suspended since then, drift how far the time of day had
-	// moved away from the steady clock when that was last worked out.
+	// suspendedTotal is the time for which the machine was suspended since the reference readings.
+	// lastDrift is the drift of the wall clock at the last read of CLOCK_BOOTTIME by Now.
 	suspendedTotal, lastDrift time.Duration
 }
 
-// New returns the machine's clock.
+// New returns a clock that reads the clocks of this machine.
 func New() *Clock { return NewFromSources(systemSources) }
 
-// NewFromSources returns a clock by others. Where Boot cannot be read no suspension is counted.
+// NewFromSources returns a clock that reads the given clocks. If Boot fails now, no suspension is
+// ever counted.
 func NewFromSources(s Sources) *Clock {
 	c := &Clock{Sources: s, onSuspended: func(time.Duration) {}}
 	c.refMonotonic = s.Monotonic()
@@ -77,15 +77,15 @@
 	return c
 }
 
-// OnSuspended sets what is called after a suspension, with its length.
+// OnSuspended sets the function that is called after a suspension, with its length.
 func (c *Clock) OnSuspended(f func(time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.onSuspended = f
 }
 
-// Now returns the time. Times of one clock are to be compared with each other only: to wait until
-// one of them, take the difference from Now.
+// Now returns the current time. Compare it only with other times of the same clock. To wait until
+// such a time, subtract Now from it.
 func (c *Clock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,20 +97,22 @@
 	return t.Add(c.suspendedTotal)
 }
 
-// Check looks for a suspension that the time of day does not show, as it was stepped back by as
-// much meanwhile. It is to be called from time to time.
+// Check detects a suspension that Now does not notice because the wall clock was stepped back by
+// the same amount. It should be called regularly.
 func (c *Clock) Check() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.updateSuspended(c.Monotonic())
 }
 
-// wallDrift is how far the time of day has moved away from the steady clock. The lock is held.
+// wallDrift returns how far the wall clock has moved away from the monotonic clock since the
+// reference readings. The caller must hold mu.
 func (c *Clock) wallDrift(t time.Time) time.Duration {
 	return time.Duration(c.Wall(t)-c.refWall) - t.Sub(c.refMonotonic)
 }
 
-// look takes over how long the machine was suspended. The lock is held.
+// updateSuspended reads CLOCK_BOOTTIME and adds a suspension that is not counted yet. The caller
+// must hold mu.
 func (c *Clock) updateSuspended(t time.Time) {
 	bootTime, err := c.Boot()
 	if err != nil {
--- a/transport/bootclock/bootclock_test.go
+++ b/transport/bootclock/bootclock_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// fakeMachine has the clocks of a machine that is suspended and whose time of day is stepped.
+// fakeMachine simulates the clocks of a machine that is suspended and whose wall clock is stepped.
 type fakeMachine struct {
-	// steady has passed, in which the machine was awake.
+	// awake is the time for which the machine was not suspended.
 	awake              time.Duration
 	suspended, stepped time.Duration
 	broken             bool
@@ -25,14 +25,15 @@
 		Boot: func() (time.Duration, error) {
 			f.bootReads++
 			if f.broken {
-				return 0, errors.New("not to be had")
+				return 0, errors.New("CLOCK_BOOTTIME is unavailable")
 			}
 			return f.awake + f.suspended, nil
 		},
 	}
 }
 
-// TestSuspensionsAreCountedAndStepsAreNot whatever happens in which order.
+// TestSuspensionsAreCountedAndStepsAreNot checks that the clock follows suspensions but no wall
+// clock steps, in random order.
 func TestSuspensionsAreCountedAndStepsAreNot(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -47,27 +48,28 @@
 				f.stepped += time.Duration(rng.Int64N(int64(10*time.Second))) - 5*time.Second
 			}
 			if got, want := c.Now().Sub(start), f.awake+f.suspended; (got - want).Abs() > driftTolerance+minSuspension {
-				t.Fatalf("seed %d: %s passed, the clock says %s", seed, want, got)
+				t.Fatalf("seed %d: %s passed, the clock counted %s", seed, want, got)
 			}
 		}
 	}
 }
 
-// TestSuspensionHiddenByStepIsFoundByCheck: the time of day was stepped back by as much. The next look finds it.
+// TestSuspensionHiddenByStepIsFoundByCheck guards against missing a suspension during which the
+// wall clock was stepped back by the same amount. Now cannot notice it, the next Check must.
 func TestSuspensionHiddenByStepIsFoundByCheck(t *testing.T) {
 	f := &fakeMachine{}
 	c := NewFromSources(f.sources())
 	f.suspended, f.stepped = 3*time.Second, -3*time.Second
 	if got := c.Now().Sub(start); got != 0 {
-		t.Fatalf("found at once, %s", got)
+		t.Fatalf("Now counted the hidden suspension: %s passed", got)
 	}
 	c.Check()
 	if got := c.Now().Sub(start); got != 3*time.Second {
-		t.Errorf("%s passed in a suspension of 3 s", got)
+		t.Errorf("the clock counted %s of a suspension of 3 s", got)
 	}
 }
 
-// TestSuspensionIsReportedOnce with its length.
+// TestSuspensionIsReportedOnce checks that each suspension is reported once, with its length.
 func TestSuspensionIsReportedOnce(t *testing.T) {
 	f := &fakeMachine{}
 	c := NewFromSources(f.sources())
@@ -76,17 +78,17 @@
 	f.suspended = 3 * time.Second
 	c.Now()
 	if d := <-reported; d != 3*time.Second {
-		t.Errorf("reported of %s", d)
+		t.Errorf("reported a suspension of %s", d)
 	}
 	f.awake = time.Second
 	c.Now()
 	c.Check()
 	if len(reported) > 0 {
-		t.Errorf("reported again, of %s", <-reported)
+		t.Errorf("reported a second suspension of %s", <-reported)
 	}
 }
 
-// TestBootTimeIsReadOnlyOnDrift: a reading of the clock costs no system call as a rule.
+// TestBootTimeIsReadOnlyOnDrift guards against a system call in every reading of the clock.
 func TestBootTimeIsReadOnlyOnDrift(t *testing.T) {
 	f := &fakeMachine{}
 	c := NewFromSources(f.sources())
@@ -95,33 +97,34 @@
 		c.Now()
 	}
 	if f.bootReads > 1 {
-		t.Errorf("%d readings of the slow clock for 1000 of the fast one", f.bootReads)
+		t.Errorf("read CLOCK_BOOTTIME %d times in 1000 calls of Now", f.bootReads)
 	}
 }
 
-// TestUnreadableBootTimeCountsNoSuspension goes on as the steady clock does.
+// TestUnreadableBootTimeCountsNoSuspension checks that the clock follows the monotonic clock if
+// CLOCK_BOOTTIME cannot be read.
 func TestUnreadableBootTimeCountsNoSuspension(t *testing.T) {
 	f := &fakeMachine{broken: true}
 	c := NewFromSources(f.sources())
 	f.awake, f.suspended = time.Second, 3*time.Second
 	c.Check()
 	if got := c.Now().Sub(start); got != time.Second {
-		t.Errorf("%s passed", got)
+		t.Errorf("the clock counted %s, want 1 s", got)
 	}
 }
 
-// TestSystemClockFollowsMonotonicClock runs beside the steady one.
+// TestSystemClockFollowsMonotonicClock compares the clock of this machine with time.Now.
 func TestSystemClockFollowsMonotonicClock(t *testing.T) {
 	c := New()
 	first, monotonic := c.Now(), time.Now()
 	time.Sleep(10 * time.Millisecond)
 	c.Check()
 	if d := (c.Now().Sub(first) - time.Since(monotonic)).Abs(); d > time.Second {
-		t.Errorf("%s apart", d)
+		t.Errorf("the clocks are %s apart", d)
 	}
 }
 
-// BenchmarkNow is what a reading costs beside time.Now, and one of the slow clock.
+// BenchmarkNow compares Now with time.Now and with a read of CLOCK_BOOTTIME.
 func BenchmarkNow(b *testing.B) {
 	c := New()
 	b.Run("counting", func(b *testing.B) {
