--- a/transport/eventlog/eventlog.go
+++ b/transport/eventlog/eventlog.go
@@ -1,7 +1,7 @@
-// Package eventlog writes the structured log of a process, one JSON object a
-// line, so that logging never delays the work: lines go through a bounded queue to
-// one writer, each message of line (its message) has a rate, and what is dropped is
-// counted, logged and served.
+// Package eventlog writes the structured log of a process as one JSON object per line without ever
+// blocking the code that logs. Lines pass through a bounded queue to a single writer, lines with
+// the same message share a rate limit, and dropped lines are counted, logged and exposed to
+// metrics.
 package eventlog
 
 import (
@@ -14,24 +14,24 @@
 )
 
 const (
-	// queueLength is the number of lines that may wait for the writer: some
-	// seconds of a busy process.
+	// queueLength is the number of lines that can wait for the writer. It holds a few seconds of
+	// output of a busy process.
 	queueLength = 1024
-	// reservedForWarnings is the part of the queue that only warnings and errors
-	// may use.
+	// reservedForWarnings is the part of the queue that only lines at level warn and above may use.
 	reservedForWarnings = queueLength / 2
-	// infoRate and warnRate are the lines of one message that may be written in a
-	// second, burstSeconds how many of these at once, in seconds' worth.
+	// infoRate and warnRate are the lines per second allowed for one message below level warn, and
+	// at warn and above. burstSeconds is the size of a burst, in seconds at that rate.
 	infoRate     = 40
 	warnRate     = 80
 	burstSeconds = 2
-	// maxBuckets bounds the buckets told apart; all others share one rate.
+	// maxBuckets bounds the messages with their own rate limit. All further messages share one
+	// bucket.
 	maxBuckets = 200
-	// reportInterval is the time between lines about dropped lines.
+	// reportInterval is the time between log lines about dropped lines.
 	reportInterval = 5 * time.Second
 )
 
-// Log is the output of a process's log. Create one with New and run Run.
+// Log is the log output of a process. It buffers lines until Run writes them.
 type Log struct {
 	queue   chan []byte
 	now     func() time.Time
@@ -42,25 +42,24 @@
 	buckets map[string]*tokenBucket
 }
 
-// tokenBucket is the rate of one message of line.
+// tokenBucket limits the rate of the lines with one message.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Time
 }
 
-// New returns a log without output.
+// New returns a log with an empty queue.
 func New(now func() time.Time) *Log {
 	return &Log{queue: make(chan []byte, queueLength), now: now, buckets: make(map[string]*tokenBucket)}
 }
 
-// Dropped returns the number of lines dropped so far, Written that of lines
-// written.
+// Dropped returns the number of lines dropped so far.
 func (l *Log) Dropped() int64 { return l.dropped.Load() }
 
 // Written returns the number of lines written so far.
 func (l *Log) Written() int64 { return l.written.Load() }
 
-// Run writes lines to w until ctx ends, then those that wait.
+// Run writes queued lines to w until ctx ends, then writes the lines still queued and returns.
 func (l *Log) Run(ctx context.Context, w io.Writer) {
 	logger := l.Logger(slog.LevelInfo)
 	ticker := time.NewTicker(reportInterval)
@@ -101,7 +100,7 @@
 	l.written.Add(1)
 }
 
-// Logger returns a logger that writes lines from the level on.
+// Logger returns a logger that writes lines at the given level and above.
 func (l *Log) Logger(level slog.Level) *slog.Logger {
 	return slog.New(&rateLimitedHandler{
 		Handler: slog.NewJSONHandler(queueWriter{l, false}, &slog.HandlerOptions{Level: level}),
@@ -110,7 +109,7 @@
 	})
 }
 
-// rateLimitedHandler drops lines beyond the rate of their message before they are formatted.
+// rateLimitedHandler drops lines that exceed the rate of their message before they are formatted.
 type rateLimitedHandler struct {
 	slog.Handler
 	// urgent formats warnings and errors, which may use the whole queue.
@@ -140,7 +139,7 @@
 	return &rateLimitedHandler{h.Handler.WithGroup(name), h.urgent.WithGroup(name), h.log}
 }
 
-// allow takes a line from the rate of its message.
+// allow takes a token from the bucket of the message and reports whether there was one.
 func (l *Log) allow(message string, level slog.Level) bool {
 	rate := float64(infoRate)
 	if level >= slog.LevelWarn {
@@ -168,7 +167,7 @@
 	return true
 }
 
-// queueWriter puts formatted lines into the queue.
+// queueWriter adds formatted lines to the queue.
 type queueWriter struct {
 	log    *Log
 	urgent bool
--- a/transport/eventlog/eventlog_test.go
+++ b/transport/eventlog/eventlog_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// blockedWriter is an output that nobody reads.
+// blockedWriter blocks forever in Write.
 type blockedWriter struct{ entered chan struct{} }
 
 func (s blockedWriter) Write([]byte) (int, error) {
@@ -19,7 +19,7 @@
 	select {}
 }
 
-// run writes what waits and returns the lines.
+// flushLines writes the queued lines and returns them.
 func flushLines(l *Log) []string {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -29,8 +29,8 @@
 	return strings.Split(strings.TrimSpace(out.String()), "\n")
 }
 
-// TestBlockedOutputDoesNotBlockLogging: with an output that is not read, the loggers
-// go on, and what does not fit is counted.
+// TestBlockedOutputDoesNotBlockLogging guards against loggers that wait for an output that nobody
+// reads. Lines that do not fit into the queue must be counted as dropped.
 func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	l := New(time.Now)
 	out := blockedWriter{entered: make(chan struct{})}
@@ -43,11 +43,12 @@
 		logger.Warn(fmt.Sprintf("kind %d", i%100), "i", i)
 	}
 	if n := l.Dropped(); n < lines-queueLength {
-		t.Errorf("%d lines dropped", n)
+		t.Errorf("only %d lines were counted as dropped", n)
 	}
 }
 
-// TestHalfOfQueueIsReservedForWarnings: when the queue is half full, only warnings are taken.
+// TestHalfOfQueueIsReservedForWarnings checks that only warnings are accepted once the queue is
+// half full.
 func TestHalfOfQueueIsReservedForWarnings(t *testing.T) {
 	l := New(time.Now)
 	logger := l.Logger(slog.LevelInfo)
@@ -57,11 +58,12 @@
 	logger.Warn("a failure")
 	lines := flushLines(l)
 	if len(lines) != queueLength-reservedForWarnings+1 || !strings.Contains(lines[len(lines)-1], "a failure") {
-		t.Errorf("%d lines, the last is %s", len(lines), lines[len(lines)-1])
+		t.Errorf("%d lines were written, the last is %s", len(lines), lines[len(lines)-1])
 	}
 }
 
-// TestEachMessageHasItsOwnRate: each kind has its own, and it fills up again with time.
+// TestEachMessageHasItsOwnRate checks that a frequent message does not displace a rare one, and
+// that the rate recovers over time.
 func TestEachMessageHasItsOwnRate(t *testing.T) {
 	now := time.Now()
 	l := New(func() time.Time { return now })
@@ -83,10 +85,10 @@
 		count[fields.Msg]++
 	}
 	if count["often"] != infoRate*(burstSeconds+1) || count["seldom"] != 1 {
-		t.Errorf("lines %v", count)
+		t.Errorf("lines per message: %v", count)
 	}
 	if l.Dropped() != int64(20*infoRate-infoRate*(burstSeconds+1)) {
-		t.Errorf("%d dropped", l.Dropped())
+		t.Errorf("%d lines were dropped", l.Dropped())
 	}
 }
 
