--- a/transport/front/forward.go
+++ b/transport/front/forward.go
@@ -13,7 +13,7 @@
 	"github.com/rockcroft/rockcroft/state/cell"
 )
 
-// forwardToCell passes a request to an entry of the cell that has authority.
+// forwardToCell forwards a request to an entry of the cell that has authority over the key.
 func (p *Proxy) forwardToCell(ctx context.Context, r *http.Request, q *request, name string, h http.Header) (*response, error) {
 	roster := p.docs.Roster(name)
 	if roster == nil || len(roster.Members) == 0 {
@@ -22,8 +22,8 @@
 	return p.forward(ctx, r, q, roster.Members, h)
 }
 
-// forwardToSibling passes a request to another entry of the same cell; without one
-// it returns the given error.
+// forwardToSibling forwards a request to another entry of the same cell. It returns fallbackErr if
+// there is none or the request was already forwarded.
 func (p *Proxy) forwardToSibling(ctx context.Context, r *http.Request, q *request, h http.Header, fallbackErr error) (*response, error) {
 	roster := p.docs.Roster(p.self.Cell)
 	if roster == nil || q.hops > 0 {
@@ -41,7 +41,7 @@
 	return p.forward(ctx, r, q, siblings, h)
 }
 
-// pickMember chooses an entry at random, those that failed lately last.
+// pickMember returns a random entry, if possible one that has not failed recently.
 func (p *Proxy) pickMember(members []cell.Member) cell.Member {
 	p.mu.Lock()
 	start := p.rng.IntN(len(members))
@@ -94,8 +94,8 @@
 	return answer.New(answer.Unreachable, "entry %s cannot be reached: %v", m.ID, err)
 }
 
-// relayedError turns the error answer of another entry into the same error here, so
-// that it is decided here whether to try again.
+// relayedError returns the error of another entry as an error of the same kind, so that this entry
+// decides whether to retry.
 func (p *Proxy) relayedError(resp *http.Response, kind answer.Kind, h http.Header) error {
 	_ = resp.Body.Close()
 	if epoch := resp.Header.Get(header.Epoch); epoch != "" {
--- a/transport/front/headers.go
+++ b/transport/front/headers.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// hopByHop are headers that belong to one connection only. The idempotency
-// headers are dropped because net/http repeats requests that carry them.
+// hopByHop lists the headers that are not forwarded: those that apply to a single connection, and
+// those that entries and upstreams set themselves. The idempotency headers are dropped because
+// net/http repeats requests that carry them.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -25,8 +26,7 @@
 	"Rockcroft-Kind":      true,
 }
 
-// copyHeader copies end-to-end headers. Headers that the Connection header
-// names are left out too.
+// copyHeader copies the end-to-end headers. It skips the headers listed in the Connection header.
 func copyHeader(to, from http.Header) {
 	connectionTokens := from["Connection"]
 	for name, values := range from {
--- a/transport/front/proxy.go
+++ b/transport/front/proxy.go
@@ -1,6 +1,6 @@
-// Package front serves callers: it parses requests, routes each to the one
-// owner of its key, and streams the answer back. Requests to keys of another
-// cell pass through an entry of that cell.
+// Package front serves callers: it parses requests, routes each to the one owner of its key and
+// streams the answer back. Requests for keys of another cell are forwarded to an entry of that
+// cell.
 package front
 
 import (
@@ -31,15 +31,16 @@
 
 // Limits of the proxy as a whole.
 const (
-	// maxPendingRequests bounds the requests that wait for a change of owner.
+	// maxPendingRequests bounds the requests that wait for a key to change its owner.
 	maxPendingRequests = 4096
-	// retryBurst is the number of retries saved up per service.
+	// retryBurst is the number of retries that a service can accumulate.
 	retryBurst = 50
-	// maxTrackedCallers bounds the callers whose rate is tracked.
+	// maxTrackedCallers bounds the callers whose rate is tracked. All are forgotten when it is
+	// reached.
 	maxTrackedCallers = 10000
 )
 
-// Proxy serves requests of callers and of other entries.
+// Proxy serves requests from callers and from other entries.
 type Proxy struct {
 	self    cell.Member
 	clock   func() time.Time
@@ -50,7 +51,7 @@
 	backoff retry.Backoff
 	tracer  trace.Tracer
 	metrics *telemetry.Requests
-	// Observe is called for each request sent to an upstream of this cell.
+	// observe is called for each request before it is sent to an upstream of this cell.
 	observe func(service string, r gate.Route, key string)
 
 	pending atomic.Int64
@@ -61,7 +62,7 @@
 	callers map[string]*rate.Limiter
 }
 
-// Dependencies are what a Proxy works with.
+// Dependencies are the components that a Proxy uses.
 type Dependencies struct {
 	Self    cell.Member
 	Clock   func() time.Time
@@ -94,7 +95,7 @@
 	}
 }
 
-// Callers returns the handler for callers.
+// Callers returns the handler for requests from callers.
 func (p *Proxy) Callers() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name, path := splitPath(r.URL.Path)
@@ -102,8 +103,8 @@
 	})
 }
 
-// Forwarded returns the handler for requests from other entries, to be mounted
-// at peers.ForwardPrefix.
+// Forwarded returns the handler for requests from other entries. It must be mounted at
+// peers.ForwardPrefix.
 func (p *Proxy) Forwarded() http.Handler {
 	return http.StripPrefix(peers.ForwardPrefix, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name, path := splitPath(r.URL.Path)
@@ -158,8 +159,8 @@
 	answer.Write(w, err)
 }
 
-// limitCaller bounds the rate of one caller, so that a flood of one takes no
-// room from others.
+// limitCaller enforces the request rate of a caller, so that one caller cannot use up the capacity
+// of the others.
 func (p *Proxy) limitCaller(q *request) error {
 	if q.service.CallerRate <= 0 || q.caller == "" {
 		return nil
@@ -181,7 +182,8 @@
 	return nil
 }
 
-// response is an upstream's answer with what has to be done after it.
+// response is the answer of an upstream or of another entry. done must be called once the answer
+// has been read.
 type response struct {
 	*http.Response
 	done func()
@@ -208,10 +210,9 @@
 // directoryWait is how long a forwarded request waits for a newer directory.
 const directoryWait = 200 * time.Millisecond
 
-// awaitDirectory holds a forwarded request whose key this cell does not have:
-// the two entries know different directories. Passing it on could send it back
-// and forth. Without a change it is refused as not run, and the first entry
-// decides anew.
+// awaitDirectory holds a forwarded request for a key that is not in this cell, which means that the
+// two entries have different versions of the directory. Forwarding it again could send it back and
+// forth. Without a change the request is refused as not run, and the first entry decides again.
 func (p *Proxy) awaitDirectory(ctx context.Context, route gate.Route) (*response, error) {
 	timer := time.NewTimer(directoryWait)
 	defer timer.Stop()
@@ -225,8 +226,8 @@
 	}
 }
 
-// awaitOwner waits for the key's next owner, within the bound on such
-// requests.
+// awaitOwner waits until the key may have its next owner. The number of waiting requests is
+// bounded.
 func (p *Proxy) awaitOwner(ctx context.Context, route gate.Route) (*response, error) {
 	if p.pending.Add(1) > maxPendingRequests {
 		p.pending.Add(-1)
@@ -241,7 +242,7 @@
 	}
 }
 
-// local sends to the owner in this cell.
+// sendToOwner sends the request to the owner of the key in this cell.
 func (p *Proxy) sendToOwner(ctx context.Context, r *http.Request, q *request, route gate.Route, h http.Header) (*response, error) {
 	slot := route.Slot
 	if q.repeatEpoch != 0 && q.repeatEpoch != slot.Epoch {
@@ -307,11 +308,11 @@
 	return path + "?" + r.URL.RawQuery
 }
 
-// outgoing builds one try from the caller's request.
+// newOutgoingRequest builds the request of one attempt from the caller's request.
 func (p *Proxy) newOutgoingRequest(ctx context.Context, r *http.Request, q *request, url string) *http.Request {
 	out, err := http.NewRequestWithContext(ctx, r.Method, url, nil)
 	if err != nil {
-		// The URL is built from parsed parts; only a broken method gets here.
+		// The URL consists of parsed parts, so the error can only come from an invalid method.
 		out, _ = http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
 	}
 	copyHeader(out.Header, r.Header)
@@ -322,8 +323,8 @@
 	return out
 }
 
-// streamResponse streams the answer. A source that breaks off makes the answer to
-// the caller break off too, so that it cannot look whole.
+// streamResponse streams the answer to the caller. If the source fails midway, the answer to the
+// caller is aborted as well, so that it cannot appear complete.
 func (p *Proxy) streamResponse(w http.ResponseWriter, resp *response) {
 	copyHeader(w.Header(), resp.Header)
 	w.WriteHeader(resp.StatusCode)
@@ -341,7 +342,7 @@
 	return &b
 }}
 
-// onlyWriter and onlyReader hide other methods, so that the pooled buffer is
-// used.
+// onlyWriter and onlyReader hide the ReadFrom and WriteTo methods, so that io.CopyBuffer uses the
+// pooled buffer.
 type onlyWriter struct{ io.Writer }
 type onlyReader struct{ io.Reader }
--- a/transport/front/request.go
+++ b/transport/front/request.go
@@ -17,16 +17,16 @@
 
 // Limits of what a caller may send.
 const (
-	// maxKeyBytes is the longest key in bytes, maxRequestIDBytes the longest request id.
+	// maxKeyBytes and maxRequestIDBytes are the maximum lengths of a key and a request id.
 	maxKeyBytes       = 1024
 	maxRequestIDBytes = 128
-	// maxBufferedBody is the size up to which a body is kept for a second try.
+	// maxBufferedBody is the size in bytes up to which a body is kept in memory for a retry.
 	maxBufferedBody = 64 << 10
 	// maxHops bounds the entries that one request passes.
 	maxHops = 3
 )
 
-// request is one caller's request, parsed.
+// request is a parsed request of a caller.
 type request struct {
 	service    *service.Config
 	path       string
@@ -38,7 +38,7 @@
 	importance admission.Importance
 	deadline   time.Time
 	hops       int
-	// repeat is the epoch of an earlier answer of unknown outcome, or zero.
+	// repeatEpoch is the epoch from an earlier answer with an unknown outcome, or zero.
 	repeatEpoch uint64
 
 	body           []byte
@@ -47,7 +47,8 @@
 	streamConsumed bool
 }
 
-// parse reads the headers of a request. Hops are believed only from entries.
+// parse validates the headers of a request. The hop count is read only if another entry sent the
+// request.
 func (p *Proxy) parse(r *http.Request, name, path string, fromEntry bool) (*request, error) {
 	conf := p.docs.Service(name)
 	if conf == nil && p.docs.Empty() {
@@ -152,7 +153,7 @@
 	return false
 }
 
-// splitPath splits "/service/rest" into the service and "/rest".
+// splitPath splits "/service/rest" into "service" and "/rest".
 func splitPath(path string) (name, rest string) {
 	name, rest, found := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	if !found {
@@ -161,8 +162,7 @@
 	return name, "/" + rest
 }
 
-// bufferBody keeps a small body for second tries and leaves a large one to be
-// streamed once.
+// bufferBody reads a small body into memory for retries. A larger body can be streamed only once.
 func (q *request) bufferBody(r *http.Request) error {
 	q.bodyLength = r.ContentLength
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// readUpTo appends to buf until the end of r or until buf has n bytes.
+// readUpTo appends to buf until r ends or buf holds n bytes.
 func readUpTo(r io.Reader, buf []byte, n int) ([]byte, error) {
 	for len(buf) < n {
 		if len(buf) == cap(buf) {
@@ -202,17 +202,17 @@
 	return buf, nil
 }
 
-// canResend reports whether the body is still there for another try.
+// canResend reports whether the body is available for another attempt.
 func (q *request) canResend() bool { return !q.streamConsumed }
 
-// nonRewindableBody is a body without content that net/http never sends twice: the
-// client repeats requests by itself only when it has no body or can rewind it.
+// nonRewindableBody is an empty body that keeps net/http from resending a request. The client
+// resends requests on its own only if they have no body or one that can be rewound.
 type nonRewindableBody struct{}
 
 func (nonRewindableBody) Read([]byte) (int, error) { return 0, io.EOF }
 func (nonRewindableBody) Close() error             { return nil }
 
-// attach sets the body of an outgoing try.
+// attachBody sets the body of an outgoing attempt.
 func (q *request) attachBody(out *http.Request) {
 	switch {
 	case q.bodyStream != nil:
--- a/transport/front/tries.go
+++ b/transport/front/tries.go
@@ -28,8 +28,8 @@
 	return b
 }
 
-// deliver tries until the request has its answer, its fate is decided, or its
-// deadline has passed.
+// deliver makes attempts until the request is answered, fails with an error that must not be
+// retried, or reaches its deadline.
 func (p *Proxy) deliver(ctx context.Context, r *http.Request, q *request, h http.Header) (*response, error) {
 	for attempt := 1; ; attempt++ {
 		route := p.gate.Route(q.service.Name, q.keyHash)
@@ -47,10 +47,10 @@
 	}
 }
 
-// errRouteChanged says that the route changed before anything was sent.
+// errRouteChanged reports that the route changed before anything was sent.
 var errRouteChanged = answer.New(answer.NoOwner, "the key is changing owner")
 
-// contextError tells a passed deadline from a caller that left.
+// contextError distinguishes an expired deadline from a caller that disconnected.
 func (p *Proxy) contextError(ctx context.Context, sent bool) error {
 	timedOut := errors.Is(ctx.Err(), context.DeadlineExceeded)
 	switch {
@@ -62,14 +62,14 @@
 	return answer.New(answer.Cancelled, "the caller left")
 }
 
-// again decides whether another attempt is allowed and after which pause. Only
-// what certainly did not run, or is idempotent, is ever sent again.
+// shouldRetry reports whether another attempt is allowed and how long to wait before it. Only
+// requests that certainly did not run or that are idempotent are sent again.
 func (p *Proxy) shouldRetry(q *request, err error, attempt int) (bool, time.Duration) {
 	if err == errRouteChanged {
 		return true, 0
 	}
 	if err == errOwnerOverloaded {
-		// Not run, but another attempt is more load for an owner that sheds.
+		// The request did not run, but a retry adds load to an overloaded owner.
 		return q.canResend() && p.retryBudget(q.service.Name).Spend(), p.nextBackoff(attempt)
 	}
 	kind := answer.KindOf(err)
@@ -78,8 +78,8 @@
 	}
 	switch kind {
 	case answer.NotOwner, answer.Unreachable, answer.NoRight, answer.WrongCell, answer.NoOwner, answer.Stopping:
-		// Not run: these end when ownership has settled. The pause grows and
-		// the deadline ends it.
+		// The request did not run. These errors end once ownership has settled, so an exhausted
+		// retry budget does not stop the attempts; the growing wait and the deadline do.
 	case answer.Broken:
 		if !q.idempotent {
 			return false, 0
@@ -99,11 +99,12 @@
 	return p.backoff.Pause(attempt, p.rng)
 }
 
-// errOwnerOverloaded says that the owner refused for overload before any work.
+// errOwnerOverloaded reports that the owner refused the request because of overload, before any
+// work.
 var errOwnerOverloaded = answer.New(answer.Overloaded, "the owner sheds load")
 
-// pause waits for the given time or until the route may have changed. It
-// returns false when the deadline comes first.
+// waitToRetry waits for the given time or until the route may have changed. It returns false if the
+// deadline comes first.
 func (p *Proxy) waitToRetry(ctx context.Context, route gate.Route, wait time.Duration) bool {
 	if wait <= 0 {
 		return ctx.Err() == nil
@@ -123,9 +124,8 @@
 	}
 }
 
-// leaveGateAfterError ends a request that failed. An upstream that does not check
-// epochs may go on with what it was sent until the deadline: the range counts
-// as in use until then.
+// leaveGateAfterError marks the end of a failed request. An upstream that does not check epochs may
+// continue to work on it until the deadline, so the range counts as in use until then.
 func (p *Proxy) leaveGateAfterError(q *request, slot *gate.Slot, sent bool) {
 	left := q.deadline.Sub(p.clock())
 	if !sent || q.service.ChecksFences || left <= 0 {
@@ -135,8 +135,8 @@
 	time.AfterFunc(left, func() { p.gate.Leave(slot) })
 }
 
-// sendError classifies a failed attempt. Where bytes may have reached the upstream
-// the outcome is unknown, and the epoch tells the caller how to ask again.
+// sendError classifies a failed attempt. If any byte may have reached the upstream, the outcome is
+// unknown, and the epoch header tells the caller how to repeat the request.
 func (p *Proxy) sendError(ctx context.Context, q *request, slot *gate.Slot, sent bool, err error, h http.Header) error {
 	if sent {
 		h.Set(header.Epoch, strconv.FormatUint(slot.Epoch, 10))
@@ -150,7 +150,8 @@
 	return answer.New(answer.Unreachable, "%s cannot be reached: %v", slot.Owner, err)
 }
 
-// refusalError maps the reason of an upstream that refused before any work.
+// refusalError returns the error for the reason with which an upstream refused a request before any
+// work.
 func refusalError(reason string) error {
 	switch reason {
 	case header.RefusedOverloaded:
