--- a/transport/peers/peers.go
+++ b/transport/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers reaches the other entries: by twirp for control, and by plain
-// HTTP for requests that another cell has to serve.
+// Package peers connects to the other entries: over Twirp for control, and over plain HTTP for
+// requests that another entry has to serve.
 package peers
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/rockcroft/rockcroft/protocol/peerpb"
 )
 
-// Times and sizes of connections between entries.
+// Timeouts and limits of connections between entries.
 const (
 	dialTimeout         = 300 * time.Millisecond
 	idleTimeout         = 30 * time.Second
@@ -20,7 +20,7 @@
 	maxIdleControlConns = 2
 )
 
-// ForwardPrefix is the path under which an entry takes forwarded requests.
+// ForwardPrefix is the path under which an entry accepts forwarded requests.
 const ForwardPrefix = "/forward"
 
 // Pool holds the connections to other entries. It is safe for concurrent use.
@@ -35,10 +35,10 @@
 	clock       func() time.Time
 }
 
-// failureCooldown is how long a peer that failed is passed over.
+// failureCooldown is how long other entries are preferred to one that failed.
 const failureCooldown = time.Second
 
-// NewPool returns an empty pool. Config is nil for plain TCP.
+// NewPool returns a pool without connections. A nil config selects plain TCP.
 func NewPool(config *tls.Config, clock func() time.Time) *Pool {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	scheme := "http"
@@ -66,7 +66,7 @@
 	}
 }
 
-// Client returns the control client of the entry at addr.
+// Client returns the control client for the entry at addr.
 func (p *Pool) Client(addr string) peerpb.Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +78,7 @@
 	return c
 }
 
-// ForwardURL returns the address of a forwarded request at the entry.
+// ForwardURL returns the URL of a request that is forwarded to the entry at addr.
 func (p *Pool) ForwardURL(addr, pathAndQuery string) string {
 	return p.scheme + "://" + addr + ForwardPrefix + pathAndQuery
 }
@@ -86,14 +86,14 @@
 // ForwardTransport returns the transport for forwarded requests.
 func (p *Pool) ForwardTransport() http.RoundTripper { return p.data }
 
-// MarkFailed marks a peer as failing, so that others are preferred for a while.
+// MarkFailed records a failure of the entry at addr, so that others are preferred for a while.
 func (p *Pool) MarkFailed(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failedUntil[addr] = p.clock().Add(failureCooldown)
 }
 
-// Healthy reports whether the peer has not failed lately.
+// Healthy reports whether the entry at addr has not failed recently.
 func (p *Pool) Healthy(addr string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
