--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// maxResponseBytes is the largest answer read from the platform, in bytes. A value
-// has at most one megabyte; lists hold several.
+// maxResponseBytes is the maximum size of a response from the platform. A single value has at most
+// one megabyte, but lists hold several values.
 const maxResponseBytes = 64 << 20
 
-// Client reaches the platform over HTTP.
+// Client is a Store that accesses the platform over HTTP.
 type Client struct {
 	base    string
 	timeout time.Duration
 	http    *http.Client
 }
 
-// NewClient returns a client for the platform at addr, an IP number with port.
-// Each call ends after timeout; a watch after its wait and timeout.
+// NewClient returns a client for the platform at addr, an IP address with a port. Each call times
+// out after timeout, a Watch after its wait plus timeout.
 func NewClient(addr string, timeout time.Duration) *Client {
 	return &Client{
 		base:    "http://" + addr,
--- a/transport/platform/memory.go
+++ b/transport/platform/memory.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Memory is an in-memory store with the semantics of the platform.
+// Memory is an in-memory Store with the semantics of the platform.
 type Memory struct {
 	mu       sync.Mutex
 	revision uint64
@@ -105,7 +105,7 @@
 	return append([]VM(nil), m.vms...), nil
 }
 
-// SetVMs replaces the machine list.
+// SetVMs replaces the list of VMs.
 func (m *Memory) SetVMs(vms []VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/transport/platform/platform.go
+++ b/transport/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform is the client side of the platform's object service: the
-// store interface, its HTTP client, and an in-memory twin for tests.
+// Package platform is the client side of the platform's object service: the store interface, its
+// HTTP client, and an in-memory implementation for tests and the stand-in platform.
 package platform
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/rockcroft/rockcroft/protocol/answer"
 )
 
-// Kinds of objects that the system keeps.
+// Kinds of objects in the store.
 const (
 	KindCell      = "cell"
 	KindDirectory = "directory"
@@ -21,22 +21,23 @@
 	KindRoster    = "roster"
 )
 
-// Object is one versioned value.
+// Object is a versioned value.
 type Object struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Version is set by the platform and rises with each write.
+	// Version is assigned by the platform and increases with each write.
 	Version uint64          `json:"version"`
 	Value   json.RawMessage `json:"value"`
 }
 
-// Batch is the result of a watch: the objects that changed after a revision.
+// Batch holds the objects returned by a list or a watch, and the revision of the store they were
+// read at.
 type Batch struct {
 	Revision uint64   `json:"revision"`
 	Objects  []Object `json:"objects"`
 }
 
-// VM is a line of the platform's machine list, which lags.
+// VM is an entry of the platform's list of VMs. The list lags behind the actual state.
 type VM struct {
 	ID     string `json:"id"`
 	Domain string `json:"domain"`
@@ -44,7 +45,7 @@
 	State string `json:"state"`
 }
 
-// Errors of the store. Any other error leaves the fate of a write unknown.
+// Errors of a Store. After any other error it is unknown whether a write took effect.
 var (
 	ErrNotFound    = errors.New("object not found")
 	ErrConflict    = errors.New("object has another version")
@@ -53,17 +54,17 @@
 
 // Store is the platform's object service.
 type Store interface {
-	// Get returns the current object or ErrNotFound.
+	// Get returns the current object, or ErrNotFound.
 	Get(ctx context.Context, kind, name string) (Object, error)
 	// List returns all objects of a kind and the revision of the list.
 	List(ctx context.Context, kind string) (Batch, error)
-	// Put stores the value when the current version equals expect; zero
-	// expects that the object does not exist. It returns the new version.
+	// Put stores the value if the current version equals expect, where zero means that the object
+	// does not exist. It returns the new version, or ErrConflict.
 	Put(ctx context.Context, obj Object, expect uint64) (uint64, error)
-	// Watch waits until objects of the kind change after the revision, or
-	// for the given time, and returns the changes.
+	// Watch waits until objects of the kind change after the given revision, at most for the given
+	// time, and returns the changed objects.
 	Watch(ctx context.Context, kind string, after uint64, wait time.Duration) (Batch, error)
-	// VMs returns the machine list.
+	// VMs returns the list of VMs.
 	VMs(ctx context.Context) ([]VM, error)
 }
 
@@ -71,8 +72,8 @@
 	WriteID string `json:"write_id"`
 }
 
-// PutWithWriteID stores a document that carries a write id, and recognizes its own
-// write when the answer was lost. It returns the platform version.
+// PutWithWriteID stores a document that carries a write id. If the response is lost, it recognizes
+// its own write by this id. It returns the version of the object.
 func PutWithWriteID(ctx context.Context, s Store, kind, name string, doc any, expect uint64) (uint64, error) {
 	value, err := json.Marshal(doc)
 	if err != nil {
@@ -85,8 +86,8 @@
 	if errors.Is(err, ErrRateLimited) || errors.Is(err, ErrNotFound) {
 		return 0, err
 	}
-	// A conflict may be the echo of an earlier try of the same write, and
-	// any other error may hide a write that took effect.
+	// A conflict may be caused by an earlier attempt of the same write, and any other error may
+	// hide a write that took effect.
 	current, getErr := s.Get(ctx, kind, name)
 	if getErr != nil {
 		return 0, fmt.Errorf("%w (read back: %w)", err, getErr)
