--- a/transport/telemetry/metrics.go
+++ b/transport/telemetry/metrics.go
@@ -1,4 +1,4 @@
-// Package telemetry holds the counters, traces and logs of a process.
+// Package telemetry provides the metrics and traces of a process.
 package telemetry
 
 import (
@@ -11,17 +11,16 @@
 	"github.com/rockcroft/rockcroft/protocol/answer"
 )
 
-// latencySampleSize is the sample size of a latency histogram.
+// latencySampleSize is the number of samples kept in a latency histogram.
 const latencySampleSize = 4096
 
-// Requests counts requests by service and outcome. It is safe for concurrent
-// use.
+// Requests counts requests by service and outcome. It is safe for concurrent use.
 type Requests struct{ registry metrics.Registry }
 
-// NewRequests returns counters in the registry.
+// NewRequests returns counters that are registered in r.
 func NewRequests(r metrics.Registry) *Requests { return &Requests{registry: r} }
 
-// RecordAnswer counts an upstream's answer that latency the given time.
+// RecordAnswer counts an answer of an upstream and its latency.
 func (m *Requests) RecordAnswer(service string, latency time.Duration) {
 	metrics.GetOrRegisterCounter("requests."+service+".answered", m.registry).Inc(1)
 	h := m.registry.GetOrRegister("requests."+service+".latency_us", func() metrics.Histogram {
@@ -32,8 +31,8 @@
 	}
 }
 
-// RecordError counts an error answer. Unknown services are counted together, so that
-// callers cannot make counters up.
+// RecordError counts an error answer. Unknown services share one counter, so that callers cannot
+// create counters.
 func (m *Requests) RecordError(service string, kind answer.Kind) {
 	if kind == answer.UnknownService {
 		service = "unknown"
@@ -41,17 +40,17 @@
 	metrics.GetOrRegisterCounter("requests."+service+"."+string(kind), m.registry).Inc(1)
 }
 
-// Counter returns the named counter.
+// Counter returns the counter with the given name.
 func Counter(r metrics.Registry, name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter(name, r)
 }
 
-// SetGauge sets the named gauge.
+// SetGauge sets the gauge with the given name.
 func SetGauge(r metrics.Registry, name string, value int64) {
 	metrics.GetOrRegisterGauge(name, r).Update(value)
 }
 
-// Handler serves the registry as JSON.
+// Handler serves the metrics of the registry as JSON.
 func Handler(r metrics.Registry) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
--- a/transport/telemetry/trace.go
+++ b/transport/telemetry/trace.go
@@ -20,7 +20,7 @@
 
 var propagator = propagation.TraceContext{}
 
-// Extract reads the W3C trace context of incoming headers.
+// Extract returns ctx with the W3C trace context of incoming headers.
 func Extract(ctx context.Context, h http.Header) context.Context {
 	if h.Get("Traceparent") == "" {
 		return ctx
@@ -28,15 +28,15 @@
 	return propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// Inject writes the W3C trace context into outgoing headers.
+// Inject writes the W3C trace context of ctx into outgoing headers.
 func Inject(ctx context.Context, h http.Header) {
 	if trace.SpanContextFromContext(ctx).IsValid() {
 		propagator.Inject(ctx, propagation.HeaderCarrier(h))
 	}
 }
 
-// NewTracer returns the tracer of a process by its settings, and a function that
-// flushes what is not sent yet.
+// NewTracer returns the tracer selected by the settings, and a function that flushes the pending
+// spans and shuts the exporter down.
 func NewTracer(ctx context.Context, t settings.Trace, serviceName string) (trace.Tracer, func(context.Context) error, error) {
 	var exporter sdktrace.SpanExporter
 	var err error
@@ -50,7 +50,7 @@
 		return noop.NewTracerProvider().Tracer("rockcroft"), func(context.Context) error { return nil }, nil
 	}
 	if err != nil {
-		return nil, nil, fmt.Errorf("trace exporter: %w", err)
+		return nil, nil, fmt.Errorf("create trace exporter: %w", err)
 	}
 	provider := sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter),
