--- a/transport/tlsfiles/tlsfiles.go
+++ b/transport/tlsfiles/tlsfiles.go
@@ -1,5 +1,5 @@
-// Package tlsfiles makes TLS configurations from PEM files and reads the files
-// again when they change, so that certificates are replaced without a restart.
+// Package tlsfiles builds TLS configurations from PEM files. Certificates are reloaded when their
+// files change, so that they can be replaced without a restart.
 package tlsfiles
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/rockcroft/rockcroft/state/settings"
 )
 
-// checkInterval is the least time between two looks at the files.
+// checkInterval is the minimum time between checks for changed files.
 const checkInterval = time.Second
 
-// certReloader is a certificate that follows its files.
+// certReloader provides a certificate and reloads it when its file changes.
 type certReloader struct {
 	certFile, keyFile string
 
@@ -50,7 +50,8 @@
 	return r.cert, nil
 }
 
-// keep goes on with the known certificate while the files are being replaced.
+// cachedOr returns the loaded certificate, or err if there is none. The files cannot be read, for
+// example, while they are being replaced.
 func (r *certReloader) cachedOr(err error) (*tls.Certificate, error) {
 	if r.cert != nil {
 		return r.cert, nil
@@ -58,8 +59,8 @@
 	return nil, err
 }
 
-// Server returns the configuration of a listener that asks for no certificate
-// of its peer, or nil when TLS is off.
+// Server returns the configuration of a listener that requests no client certificates, or nil if
+// TLS is off.
 func Server(t settings.TLS) (*tls.Config, error) {
 	if !t.On() {
 		return nil, nil
@@ -74,9 +75,9 @@
 	}, nil
 }
 
-// Mutual returns a configuration for both sides of connections between
-// entries, or nil when TLS is off. Each side must show a certificate of the
-// authority; names are not checked, as peers are known by IP numbers.
+// Mutual returns the configuration for both ends of connections between entries, or nil if TLS is
+// off. Each side must present a certificate issued by the authority. Names are not checked, because
+// peers are known by IP address.
 func Mutual(t settings.TLS) (*tls.Config, error) {
 	conf, err := Server(t)
 	if conf == nil || err != nil {
@@ -84,17 +85,17 @@
 	}
 	pem, err := os.ReadFile(t.Authority)
 	if err != nil {
-		return nil, fmt.Errorf("authority: %w", err)
+		return nil, fmt.Errorf("read certificate authority: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, errors.New("authority: no certificate in the file")
+		return nil, errors.New("certificate authority file contains no certificate")
 	}
 	reloader := &certReloader{certFile: t.Cert, keyFile: t.Key}
 	conf.ClientAuth = tls.RequireAndVerifyClientCert
 	conf.ClientCAs = pool
 	conf.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return reloader.certificate() }
-	// Names are not compared, but the chain is verified below.
+	// Skips the check of names. VerifyConnection still verifies the chain.
 	conf.InsecureSkipVerify = true
 	conf.VerifyConnection = func(state tls.ConnectionState) error { return verifyChain(state, pool) }
 	return conf, nil
@@ -102,7 +103,7 @@
 
 func verifyChain(state tls.ConnectionState, pool *x509.CertPool) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("peer shows no certificate")
+		return errors.New("peer presented no certificate")
 	}
 	opts := x509.VerifyOptions{
 		Roots:         pool,
