--- a/transport/upstreams/conn.go
+++ b/transport/upstreams/conn.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// countingConn counts the bytes that were handed to the connection, so that a
-// failed request can be told from one that the peer may have seen.
+// countingConn counts the bytes written to the connection, to tell whether the peer may have seen a
+// failed request.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
-// Write counts before it writes: a failed write may have sent a part.
+// Write counts the bytes before it writes them, because a failed write may have sent a part.
 func (c *countingConn) Write(b []byte) (int, error) {
 	c.written.Add(int64(len(b)))
 	return c.Conn.Write(b)
@@ -31,14 +31,14 @@
 	}
 }
 
-// sendTracker reports whether any byte of one request was written.
+// sendTracker reports whether any byte of a request was written.
 type sendTracker struct {
 	conn        atomic.Pointer[countingConn]
 	startOffset atomic.Int64
 	sentBefore  atomic.Bool
 }
 
-// setConn notes the connection of a try. Earlier tries stay noted.
+// setConn records the connection of an attempt. Bytes written in earlier attempts still count.
 func (s *sendTracker) setConn(conn net.Conn) {
 	if s.sent() {
 		s.sentBefore.Store(true)
--- a/transport/upstreams/upstreams.go
+++ b/transport/upstreams/upstreams.go
@@ -1,5 +1,5 @@
-// Package upstreams reaches the servers that own keys: it sends requests to
-// them, and the orders by which they take and give up ranges.
+// Package upstreams is the client of the servers that own keys: it sends them requests, and the
+// control calls that grant and revoke ranges.
 package upstreams
 
 import (
@@ -20,12 +20,12 @@
 	"github.com/rockcroft/rockcroft/state/cell"
 )
 
-// Times of connections towards upstreams.
+// Timeouts and limits of connections to upstreams.
 const (
 	dialTimeout    = 500 * time.Millisecond
 	controlTimeout = 500 * time.Millisecond
-	// idleTimeout closes idle connections before upstreams do, so that no
-	// request meets a connection that is just being closed.
+	// idleTimeout closes idle connections before upstreams do, so that no request is sent on a
+	// connection that is being closed.
 	idleTimeout    = 20 * time.Second
 	maxStatusBytes = 64 << 10
 )
@@ -36,7 +36,7 @@
 	Connections int
 }
 
-// Upstream is the client of one server.
+// Upstream is the client of one upstream.
 type Upstream struct {
 	ID      string
 	Addr    string
@@ -50,8 +50,8 @@
 	cancel context.CancelFunc
 }
 
-// AbortRequests ends all requests in flight: the upstream was given up, and waiting
-// for their answers has no point.
+// AbortRequests cancels all requests in flight. It is called when the upstream is considered lost,
+// as waiting for its answers is pointless.
 func (u *Upstream) AbortRequests() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -78,15 +78,15 @@
 	return &Pool{clock: clock, clients: make(map[string]*Upstream)}
 }
 
-// Get returns the client of an upstream by its ID, or nil.
+// Get returns the client of the upstream with the given ID, or nil.
 func (p *Pool) Get(id string) *Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.clients[id]
 }
 
-// GetOrCreate returns the client of u, made with the options when it is new or its
-// address has changed.
+// GetOrCreate returns the client of u. It creates a client with the options if there is none or if
+// the address has changed.
 func (p *Pool) GetOrCreate(u cell.Upstream, o Options) *Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,7 +114,7 @@
 	return c
 }
 
-// Retain drops the clients of upstreams that are not ids.
+// Retain removes the clients of all upstreams whose ID is not in ids.
 func (p *Pool) Retain(ids map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,7 +126,7 @@
 	}
 }
 
-// All returns the clients at this moment.
+// All returns the current clients.
 func (p *Pool) All() []*Upstream {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,8 +137,8 @@
 	return out
 }
 
-// Send performs one request. Sent reports whether any byte of it may have
-// reached the upstream. End must be called once the answer has been read.
+// Send sends one request. sent reports whether any byte of it may have reached the upstream. done
+// must be called once the answer has been read.
 func (u *Upstream) Send(req *http.Request) (resp *http.Response, done func(), sent bool, err error) {
 	var tracker sendTracker
 	ctx, cancel := context.WithCancel(req.Context())
@@ -154,21 +154,21 @@
 	return resp, done, tracker.sent(), err
 }
 
-// IsConnectionRefused reports whether err says that the host actively refused a connection,
-// so that no process listens there.
+// IsConnectionRefused reports whether err means that the host actively refused a connection, so
+// that no process listens there.
 func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Renew extends the lease, or only asks for the status when r is empty.
+// Renew extends the lease of the upstream. With an empty renewal it only requests the status.
 func (u *Upstream) Renew(ctx context.Context, r control.Renewal) (control.Status, error) {
 	return u.callControl(ctx, control.PathRenew, r)
 }
 
-// Grant gives ranges.
+// Grant grants ranges to the upstream.
 func (u *Upstream) Grant(ctx context.Context, g control.Grants) (control.Status, error) {
 	return u.callControl(ctx, control.PathGrant, g)
 }
 
-// Revoke takes ranges back. It returns once the upstream has ended what it ran.
+// Revoke revokes ranges. It returns after the requests in flight at the upstream have ended.
 func (u *Upstream) Revoke(ctx context.Context, r control.Revocations) (control.Status, error) {
 	return u.callControl(ctx, control.PathRevoke, r)
 }
