--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -86,13 +86,13 @@
 
 // upstreamLimits are the limits of connections to upstreams.
 var upstreamLimits = pool.Limits{
-	Dial: upstreamDialTimeout, MaxIdle: upstreamIdleTimeout, MaxIdleOnce: upstreamIdleTimeoutOnce,
-	MaxIdleConns: maxUpstreamIdleConns, MaxBody: maxResponseBody,
+	DialTimeout: upstreamDialTimeout, MaxIdleTime: upstreamIdleTimeout, MaxIdleTimeNonIdempotent: upstreamIdleTimeoutOnce,
+	MaxIdleConnsPerAddr: maxUpstreamIdleConns, MaxBodyBytes: maxResponseBody,
 }
 
 // storeLimits are the limits of connections to the platform's store.
 var storeLimits = pool.Limits{
-	Dial: storeDialTimeout, MaxIdle: storeIdleTimeout, MaxIdleOnce: storeIdleTimeout, MaxIdleConns: maxStoreIdleConns, MaxBody: maxResponseBody,
+	DialTimeout: storeDialTimeout, MaxIdleTime: storeIdleTimeout, MaxIdleTimeNonIdempotent: storeIdleTimeout, MaxIdleConnsPerAddr: maxStoreIdleConns, MaxBodyBytes: maxResponseBody,
 }
 
 // Gateway is one gateway process.
@@ -277,7 +277,7 @@
 // Run serves until ctx ends, then stops gracefully.
 func (g *Gateway) Run(ctx context.Context) error {
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(g.conf.MemoryMB) * megabyte))
-	tracer, flush, err := telemetry.Tracer(ctx, g.conf.Trace, "rockcroft-gateway")
+	tracer, flush, err := telemetry.NewTracer(ctx, g.conf.Trace, "rockcroft-gateway")
 	if err != nil {
 		return err
 	}
--- a/gateway/gauges.go
+++ b/gateway/gauges.go
@@ -27,8 +27,8 @@
 	m.gauge(connOpened, int64(stats.Opened))
 	m.gauge(connReused, int64(stats.Reused))
 	m.gauge(connStale, int64(stats.Stale))
-	m.gauge(connForeignResponses, int64(stats.Foreign))
-	m.gauge(connDistrusted, int64(stats.Distrusted))
+	m.gauge(connForeignResponses, int64(stats.Mismatched))
+	m.gauge(connDistrusted, int64(stats.ClosedAfterSilence))
 }
 
 // updateViewGauges sets the gauges of the view in force and of its maximum age.
--- a/transport/front/headers.go
+++ b/transport/front/headers.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// hopByHop are headers that belong to one connection only. The idempotency
-// headers are dropped because net/http repeats requests that carry them.
+// hopByHop lists the headers that are not forwarded: those that apply to a single connection, and
+// those that entries and upstreams set themselves. The idempotency headers are dropped because
+// net/http repeats requests that carry them.
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -25,19 +26,18 @@
 	"Rockcroft-Kind":      true,
 }
 
-// copyHeader copies end-to-end headers. Headers that the Connection header
-// names are left out too.
+// copyHeader copies the end-to-end headers. It skips the headers listed in the Connection header.
 func copyHeader(to, from http.Header) {
-	named := from["Connection"]
+	connectionTokens := from["Connection"]
 	for name, values := range from {
-		if hopByHop[name] || len(named) > 0 && namedIn(named, name) {
+		if hopByHop[name] || len(connectionTokens) > 0 && listContains(connectionTokens, name) {
 			continue
 		}
 		to[name] = values
 	}
 }
 
-func namedIn(list []string, name string) bool {
+func listContains(list []string, name string) bool {
 	for _, line := range list {
 		for token := range strings.SplitSeq(line, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), name) {
--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// maxObject is the largest answer read from the platform, in bytes. A value
-// has at most one megabyte; lists hold several.
-const maxObject = 64 << 20
+// maxResponseBytes is the maximum size of a response from the platform. A single value has at most
+// one megabyte, but lists hold several values.
+const maxResponseBytes = 64 << 20
 
-// Client reaches the platform over HTTP.
+// Client is a Store that accesses the platform over HTTP.
 type Client struct {
 	base    string
 	timeout time.Duration
 	http    *http.Client
 }
 
-// NewClient returns a client for the platform at addr, an IP number with port.
-// Each call ends after timeout; a watch after its wait and timeout.
+// NewClient returns a client for the platform at addr, an IP address with a port. Each call times
+// out after timeout, a Watch after its wait plus timeout.
 func NewClient(addr string, timeout time.Duration) *Client {
 	return &Client{
 		base:    "http://" + addr,
@@ -81,8 +81,8 @@
 	return "/objects/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
-func (c *Client) call(ctx context.Context, limit time.Duration, method, path string, h http.Header, body []byte, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (c *Client) call(ctx context.Context, timeout time.Duration, method, path string, h http.Header, body []byte, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -96,7 +96,7 @@
 		return fmt.Errorf("platform: %w", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxObject))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return fmt.Errorf("platform answer: %w", err)
 	}
@@ -107,7 +107,7 @@
 	case http.StatusPreconditionFailed:
 		return ErrConflict
 	case http.StatusTooManyRequests:
-		return ErrBusy
+		return ErrRateLimited
 	default:
 		return fmt.Errorf("platform answered %d", resp.StatusCode)
 	}
--- a/transport/pool/conn.go
+++ b/transport/pool/conn.go
@@ -15,64 +15,64 @@
 )
 
 const (
-	// readBuffer is the size of a connection's read buffer in bytes; answers
-	// are mostly smaller.
-	readBuffer = 2 << 10
-	// maxForeign bounds the answers to other requests that are passed over
-	// before the one waited for.
-	maxForeign = 2
-	// directWrite is the body size in bytes up to which request and body are
-	// written before the answer is read. Larger ones are written beside, as
-	// an upstream may answer before it has read them.
-	directWrite = 8 << 10
+	// readBufferSize is the size of a connection's read buffer in bytes. Most responses are
+	// smaller.
+	readBufferSize = 2 << 10
+	// maxMismatched bounds the responses to other requests that are skipped before the expected
+	// one.
+	maxMismatched = 2
+	// maxInlineBody is the body size in bytes up to which the request is written before the
+	// response is read. A larger body is written concurrently, because the upstream may respond
+	// before it has read the body.
+	maxInlineBody = 8 << 10
 )
 
 // conn is one connection. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// idleSince is when the last answer had been read.
+	// idleSince is when the last response had been read.
 	idleSince time.Time
-	// announced is the idle timeout that the other side has named, or zero.
-	announced time.Duration
-	// foreign counts answers to other requests.
-	foreign int
-	// arrived, if set, is told of the bytes that are read.
-	arrived func(n int)
+	// announcedTimeout is the idle timeout announced by the server, or zero.
+	announcedTimeout time.Duration
+	// mismatched counts the responses to other requests.
+	mismatched int
+	// onRead, if set, is called with the number of bytes of each read.
+	onRead func(n int)
 }
 
 func newConn(nc net.Conn) *conn {
 	c := &conn{Conn: nc}
-	c.reader = bufio.NewReaderSize(c, readBuffer)
+	c.reader = bufio.NewReaderSize(c, readBufferSize)
 	return c
 }
 
-// Read reads what has arrived. All reading of answers comes by here, by way of the
-// buffer or past it.
+// Read implements net.Conn. All bytes of responses pass through it, whether they are buffered or
+// not.
 func (c *conn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
-	if n > 0 && c.arrived != nil {
-		c.arrived(n)
+	if n > 0 && c.onRead != nil {
+		c.onRead(n)
 	}
 	return n, err
 }
 
 func (c *conn) close() {
-	// The connection is given up; its error would say no more.
+	// The connection is discarded, so an error is of no use.
 	_ = c.Close()
 }
 
-// reset ends the connection such that bytes on their way are lost.
+// reset closes the connection with a TCP reset, which discards unsent and unread bytes.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		// Without this option the close is a plain one, which is safe too.
+		// If the option cannot be set, the connection is closed normally, which is safe too.
 		_ = tcp.SetLinger(0)
 	}
 	c.close()
 }
 
-// quiet reports whether the idle connection is open and has no unread bytes.
-func (c *conn) quiet() bool {
+// isReusable reports whether the idle connection is still open and has no unread bytes.
+func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -84,33 +84,33 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// exchange sends the request and reads its answer. keep says that the
-// connection may carry another request.
-func (c *conn) exchange(ctx context.Context, r *Request, maxBody int64) (resp *Response, keep bool, err error) {
-	c.arrived = r.Arrived
-	defer func() { c.arrived = nil }()
+// roundTrip sends the request and reads its response. reusable reports whether the connection may
+// carry another request.
+func (c *conn) roundTrip(ctx context.Context, r *Request, maxBody int64) (resp *Response, reusable bool, err error) {
+	c.onRead = r.OnRead
+	defer func() { c.onRead = nil }()
 	stop := context.AfterFunc(ctx, func() {
-		// A deadline in the past ends reads and writes under way.
+		// A deadline in the past interrupts pending reads and writes.
 		_ = c.SetDeadline(time.Unix(1, 0))
 	})
 	defer func() {
 		if !stop() {
-			keep = false
+			reusable = false
 		}
 	}()
 	written := make(chan error, 1)
-	head := r.head()
-	if len(r.Body) <= directWrite {
+	head := r.encodeHead()
+	if len(r.Body) <= maxInlineBody {
 		n, err := c.Write(append(head, r.Body...))
 		if err != nil {
 			return nil, false, ioError(ctx, n > 0, err)
@@ -123,25 +123,25 @@
 			written <- err
 		}()
 	}
-	resp, keep, err = c.read(r, maxBody)
+	resp, reusable, err = c.readResponse(r, maxBody)
 	if err != nil {
-		if errors.Is(err, ErrForeign) {
+		if errors.Is(err, ErrMismatchedResponse) {
 			return nil, false, err
 		}
 		return nil, false, ioError(ctx, true, err)
 	}
 	select {
 	case err := <-written:
-		keep = keep && err == nil
+		reusable = reusable && err == nil
 	default:
-		// Answered before the whole request was sent.
-		keep = false
+		// The response arrived before the whole request was sent.
+		reusable = false
 	}
-	return resp, keep, nil
+	return resp, reusable, nil
 }
 
-// head builds the request line and headers.
-func (r *Request) head() []byte {
+// encodeHead encodes the request line and the headers.
+func (r *Request) encodeHead() []byte {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	for name, values := range r.Header {
@@ -159,52 +159,52 @@
 	return b.Bytes()
 }
 
-// read reads answers until the one that belongs to the request.
-func (c *conn) read(r *Request, maxBody int64) (*Response, bool, error) {
-	asked := &http.Request{Method: r.Method}
+// readResponse reads responses until one belongs to the request.
+func (c *conn) readResponse(r *Request, maxBody int64) (*Response, bool, error) {
+	httpReq := &http.Request{Method: r.Method}
 	for {
-		answer, err := http.ReadResponse(c.reader, asked)
+		httpResp, err := http.ReadResponse(c.reader, httpReq)
 		if err != nil {
 			return nil, false, err
 		}
-		if answer.StatusCode < http.StatusOK {
+		if httpResp.StatusCode < http.StatusOK {
 			continue
 		}
-		body, err := readBody(answer, maxBody)
+		body, err := readBody(httpResp, maxBody)
 		if err != nil {
 			return nil, false, err
 		}
-		if r.Echo != "" && answer.Header.Get(r.EchoHeader) != r.Echo {
-			c.foreign++
-			if c.foreign > maxForeign || answer.Close {
-				return nil, false, ErrForeign
+		if r.EchoValue != "" && httpResp.Header.Get(r.EchoHeader) != r.EchoValue {
+			c.mismatched++
+			if c.mismatched > maxMismatched || httpResp.Close {
+				return nil, false, ErrMismatchedResponse
 			}
 			continue
 		}
-		c.announced = keepAlive(answer.Header)
-		keep := !answer.Close && c.foreign == 0 && c.reader.Buffered() == 0
-		return &Response{Status: answer.StatusCode, Header: answer.Header, Body: body}, keep, nil
+		c.announcedTimeout = keepAliveTimeout(httpResp.Header)
+		reusable := !httpResp.Close && c.mismatched == 0 && c.reader.Buffered() == 0
+		return &Response{Status: httpResp.StatusCode, Header: httpResp.Header, Body: body}, reusable, nil
 	}
 }
 
-func readBody(answer *http.Response, maxBody int64) ([]byte, error) {
-	if answer.ContentLength > maxBody {
+func readBody(httpResp *http.Response, maxBody int64) ([]byte, error) {
+	if httpResp.ContentLength > maxBody {
 		return nil, ErrTooLarge
 	}
-	if answer.ContentLength >= 0 {
-		body := make([]byte, answer.ContentLength)
-		_, err := io.ReadFull(answer.Body, body)
+	if httpResp.ContentLength >= 0 {
+		body := make([]byte, httpResp.ContentLength)
+		_, err := io.ReadFull(httpResp.Body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(httpResp.Body, maxBody+1))
 	if err == nil && int64(len(body)) > maxBody {
 		return nil, ErrTooLarge
 	}
 	return body, err
 }
 
-// keepAlive returns the idle timeout that an answer announces, or zero.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns the idle timeout announced in the Keep-Alive header, or zero.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
--- a/transport/tlsfiles/tlsfiles.go
+++ b/transport/tlsfiles/tlsfiles.go
@@ -1,5 +1,5 @@
-// Package tlsfiles makes TLS configurations from PEM files and reads the files
-// again when they change, so that certificates are replaced without a restart.
+// Package tlsfiles builds TLS configurations from PEM files. Certificates are reloaded when their
+// files change, so that they can be replaced without a restart.
 package tlsfiles
 
 import (
@@ -14,69 +14,70 @@
 	"github.com/rockcroft/rockcroft/state/settings"
 )
 
-// lookInterval is the least time between two looks at the files.
-const lookInterval = time.Second
+// checkInterval is the minimum time between checks for changed files.
+const checkInterval = time.Second
 
-// keyPair is a certificate that follows its files.
-type keyPair struct {
+// certReloader provides a certificate and reloads it when its file changes.
+type certReloader struct {
 	certFile, keyFile string
 
-	mu      sync.Mutex
-	cert    *tls.Certificate
-	changed time.Time
-	looked  time.Time
+	mu        sync.Mutex
+	cert      *tls.Certificate
+	modTime   time.Time
+	checkedAt time.Time
 }
 
-func (k *keyPair) get() (*tls.Certificate, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.cert != nil && time.Since(k.looked) < lookInterval {
-		return k.cert, nil
+func (r *certReloader) certificate() (*tls.Certificate, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.cert != nil && time.Since(r.checkedAt) < checkInterval {
+		return r.cert, nil
 	}
-	k.looked = time.Now()
-	info, err := os.Stat(k.certFile)
+	r.checkedAt = time.Now()
+	info, err := os.Stat(r.certFile)
 	if err != nil {
-		return k.keep(fmt.Errorf("certificate: %w", err))
+		return r.cachedOr(fmt.Errorf("certificate: %w", err))
 	}
-	if k.cert != nil && info.ModTime().Equal(k.changed) {
-		return k.cert, nil
+	if r.cert != nil && info.ModTime().Equal(r.modTime) {
+		return r.cert, nil
 	}
-	cert, err := tls.LoadX509KeyPair(k.certFile, k.keyFile)
+	cert, err := tls.LoadX509KeyPair(r.certFile, r.keyFile)
 	if err != nil {
-		return k.keep(fmt.Errorf("certificate: %w", err))
+		return r.cachedOr(fmt.Errorf("certificate: %w", err))
 	}
-	k.cert = &cert
-	k.changed = info.ModTime()
-	return k.cert, nil
+	r.cert = &cert
+	r.modTime = info.ModTime()
+	return r.cert, nil
 }
 
-// keep goes on with the known certificate while the files are being replaced.
-func (k *keyPair) keep(err error) (*tls.Certificate, error) {
-	if k.cert != nil {
-		return k.cert, nil
+// cachedOr returns the loaded certificate, or err if there is none. The files cannot be read, for
+// example, while they are being replaced.
+func (r *certReloader) cachedOr(err error) (*tls.Certificate, error) {
+	if r.cert != nil {
+		return r.cert, nil
 	}
 	return nil, err
 }
 
-// Server returns the configuration of a listener that asks for no certificate
-// of its peer, or nil when TLS is off.
+// Server returns the configuration of a listener that requests no client certificates, or nil if
+// TLS is off.
 func Server(t settings.TLS) (*tls.Config, error) {
 	if !t.Enabled() {
 		return nil, nil
 	}
-	pair := &keyPair{certFile: t.Cert, keyFile: t.Key}
-	if _, err := pair.get(); err != nil {
+	reloader := &certReloader{certFile: t.Cert, keyFile: t.Key}
+	if _, err := reloader.certificate(); err != nil {
 		return nil, err
 	}
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS13,
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return pair.get() },
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return reloader.certificate() },
 	}, nil
 }
 
-// Mutual returns a configuration for both sides of connections between
-// entries, or nil when TLS is off. Each side must show a certificate of the
-// authority; names are not checked, as peers are known by IP numbers.
+// Mutual returns the configuration for both ends of connections between entries, or nil if TLS is
+// off. Each side must present a certificate issued by the authority. Names are not checked, because
+// peers are known by IP address.
 func Mutual(t settings.TLS) (*tls.Config, error) {
 	conf, err := Server(t)
 	if conf == nil || err != nil {
@@ -84,25 +85,25 @@
 	}
 	pem, err := os.ReadFile(t.Authority)
 	if err != nil {
-		return nil, fmt.Errorf("authority: %w", err)
+		return nil, fmt.Errorf("read certificate authority: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, errors.New("authority: no certificate in the file")
+		return nil, errors.New("certificate authority file contains no certificate")
 	}
-	pair := &keyPair{certFile: t.Cert, keyFile: t.Key}
+	reloader := &certReloader{certFile: t.Cert, keyFile: t.Key}
 	conf.ClientAuth = tls.RequireAndVerifyClientCert
 	conf.ClientCAs = pool
-	conf.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return pair.get() }
-	// Names are not compared, but the chain is verified below.
+	conf.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return reloader.certificate() }
+	// Skips the check of names. VerifyConnection still verifies the chain.
 	conf.InsecureSkipVerify = true
-	conf.VerifyConnection = func(state tls.ConnectionState) error { return verify(state, pool) }
+	conf.VerifyConnection = func(state tls.ConnectionState) error { return verifyChain(state, pool) }
 	return conf, nil
 }
 
-func verify(state tls.ConnectionState, pool *x509.CertPool) error {
+func verifyChain(state tls.ConnectionState, pool *x509.CertPool) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("peer shows no certificate")
+		return errors.New("peer presented no certificate")
 	}
 	opts := x509.VerifyOptions{
 		Roots:         pool,
