--- a/entry/balance.go
+++ b/entry/balance.go
@@ -19,13 +19,13 @@
 
 const (
 	// splitsPerLook bounds the ranges split at one look.
-	splitsPerLook = 16
+	maxSplitsPerRound = 16
 	// exportsPerLook bounds the ranges given to another cell at once, and
 	// exportPause is the time until reports show what it did.
-	exportsPerLook = 4
-	exportPause    = 6 * time.Second
+	maxExportsPerRound = 4
+	exportInterval     = 6 * time.Second
 	// maxRanges bounds the ranges of one service in one cell.
-	maxRanges = 2048
+	maxRangesPerCell = 2048
 )
 
 // placer chooses owners by the load in the book.
@@ -36,13 +36,13 @@
 // Place implements controller.Placer. It is called under the control's lock,
 // which also guards the book.
 func (p placer) Place(doc *cell.Cell, name string, spans []keyspace.Span, avoid string) []string {
-	needs := make(map[keyspace.Span]bool, len(spans))
+	unassigned := make(map[keyspace.Span]bool, len(spans))
 	for _, s := range spans {
-		needs[s] = true
+		unassigned[s] = true
 	}
-	items := p.e.items(doc, name)
+	items := p.e.placementItems(doc, name)
 	for i := range items {
-		if needs[items[i].Span] {
+		if unassigned[items[i].Span] {
 			items[i].Owner = ""
 		} else if items[i].Owner == "" {
 			items[i].Owner = "-"
@@ -72,7 +72,7 @@
 
 // items returns the ranges of a service with their owner or the one to come,
 // and their load. Callers hold the control's lock.
-func (e *Entry) items(doc *cell.Cell, name string) []placement.Item {
+func (e *Entry) placementItems(doc *cell.Cell, name string) []placement.Item {
 	s := doc.Service(name)
 	if s == nil {
 		return nil
@@ -86,7 +86,7 @@
 		if r.Next != "" {
 			owner = r.Next
 		}
-		out = append(out, placement.Item{Span: r.Span, Owner: owner, Load: e.book.Rate(name, r.Span)})
+		out = append(out, placement.Item{Span: r.Span, Owner: owner, Load: e.loads.Rate(name, r.Span)})
 	}
 	return out
 }
@@ -105,41 +105,41 @@
 			if conf == nil || !conf.Rebalance {
 				continue
 			}
-			b := budgets[s.Name]
-			if b == nil {
-				b = &moveBudget{}
-				budgets[s.Name] = b
+			budget := budgets[s.Name]
+			if budget == nil {
+				budget = &moveBudget{}
+				budgets[s.Name] = budget
 			}
-			e.balance(doc, conf, b)
+			e.balance(doc, conf, budget)
 		}
 	})
 }
 
 // moveBudget bounds the moves within the last minute.
 type moveBudget struct {
-	moved []time.Time
+	moveTimes []time.Time
 	// exported is when ranges were last given to another cell.
-	exported time.Time
+	lastExport time.Time
 }
 
-func (b *moveBudget) left(now time.Time, perMinute int) int {
-	kept := b.moved[:0]
-	for _, at := range b.moved {
+func (b *moveBudget) remaining(now time.Time, perMinute int) int {
+	recent := b.moveTimes[:0]
+	for _, at := range b.moveTimes {
 		if now.Sub(at) < time.Minute {
-			kept = append(kept, at)
+			recent = append(recent, at)
 		}
 	}
-	b.moved = kept
-	return perMinute - len(b.moved)
+	b.moveTimes = recent
+	return perMinute - len(b.moveTimes)
 }
 
 func (b *moveBudget) spend(now time.Time, n int) {
 	for range n {
-		b.moved = append(b.moved, now)
+		b.moveTimes = append(b.moveTimes, now)
 	}
 }
 
-func hotKeys(list []load.KeyLoad) []placement.HotKey {
+func placementHotKeys(list []load.KeyLoad) []placement.HotKey {
 	out := make([]placement.HotKey, len(list))
 	for i, k := range list {
 		out[i] = placement.HotKey{Hash: k.Hash, Load: k.Rate}
@@ -147,64 +147,64 @@
 	return out
 }
 
-func (e *Entry) balance(doc *cell.Cell, conf *service.Config, b *moveBudget) {
+func (e *Entry) balance(doc *cell.Cell, conf *service.Config, budget *moveBudget) {
 	e.control.mu.Lock()
 	defer e.control.mu.Unlock()
 	now := e.clock()
 	nodes := usableNodes(doc, conf.Name)
-	items := e.items(doc, conf.Name)
+	items := e.placementItems(doc, conf.Name)
 	imbalance := placement.Imbalance(nodes, items)
 	telemetry.Gauge(e.registry, "imbalance_permille."+conf.Name, int64(1000*imbalance))
-	e.reportCell(now, conf.Name, nodes, items)
+	e.recordOwnLoad(now, conf.Name, nodes, items)
 	core := e.control.core
 	if len(core.PendingMoves()) > 0 || len(items) == 0 {
 		return
 	}
-	if len(items) < maxRanges {
-		core.AddSplits(conf.Name, placement.Splits(nodes, items, hotKeys(e.book.HotKeys(conf.Name)), splitsPerLook))
+	if len(items) < maxRangesPerCell {
+		core.AddSplits(conf.Name, placement.Splits(nodes, items, placementHotKeys(e.loads.HotKeys(conf.Name)), maxSplitsPerRound))
 	}
 	options := placement.OptionsFor(conf.Weights.Imbalance, conf.Weights.Churn, conf.Weights.Unavailable)
-	options.MaxMoves = min(options.MaxMoves, b.left(now, conf.MovesPerMinute))
-	var list []handover.Move
+	options.MaxMoves = min(options.MaxMoves, budget.remaining(now, conf.MovesPerMinute))
+	var moves []handover.Move
 	for _, m := range placement.Rebalance(nodes, items, options) {
-		list = append(list, handover.Move{Service: conf.Name, Span: m.Span, To: m.To})
+		moves = append(moves, handover.Move{Service: conf.Name, Span: m.Span, To: m.To})
 	}
-	if len(list) == 0 && now.Sub(b.exported) >= exportPause {
-		list = e.exports(now, conf.Name, items, options)
-		if len(list) > 0 {
-			b.exported = now
+	if len(moves) == 0 && now.Sub(budget.lastExport) >= exportInterval {
+		moves = e.exportMoves(now, conf.Name, items, options)
+		if len(moves) > 0 {
+			budget.lastExport = now
 		}
 	}
-	if len(list) == 0 {
+	if len(moves) == 0 {
 		return
 	}
-	b.spend(now, len(list))
-	core.AddMoves(list)
-	telemetry.Counter(e.registry, "rebalance.moves."+conf.Name).Inc(int64(len(list)))
-	e.log.Info("rebalancing", "service", conf.Name, "moves", len(list), "imbalance", imbalance, "to_cell", list[0].ToCell)
+	budget.spend(now, len(moves))
+	core.AddMoves(moves)
+	telemetry.Counter(e.registry, "rebalance.moves."+conf.Name).Inc(int64(len(moves)))
+	e.log.Info("rebalancing", "service", conf.Name, "moves", len(moves), "imbalance", imbalance, "to_cell", moves[0].ToCell)
 }
 
 // reportCell notes the load of this cell for the others.
-func (e *Entry) reportCell(now time.Time, name string, nodes []placement.Node, items []placement.Item) {
+func (e *Entry) recordOwnLoad(now time.Time, name string, nodes []placement.Node, items []placement.Item) {
 	rate := 0.0
 	for _, it := range items {
 		rate += it.Load
 	}
-	e.cells.Add(now, load.CellLoad{
+	e.cellLoads.Add(now, load.CellLoad{
 		Cell: e.self.Cell, Service: name, Rate: rate, Upstreams: len(nodes), At: now.UnixMilli(),
 	})
 }
 
 // exports returns the moves to other cells that the balance between cells asks
 // for.
-func (e *Entry) exports(now time.Time, name string, items []placement.Item, o placement.Options) []handover.Move {
+func (e *Entry) exportMoves(now time.Time, name string, items []placement.Item, o placement.Options) []handover.Move {
 	var cells []placement.CellNode
-	for _, c := range e.cells.All(now) {
+	for _, c := range e.cellLoads.All(now) {
 		if c.Service == name {
 			cells = append(cells, placement.CellNode{Cell: c.Cell, Upstreams: c.Upstreams, Load: c.Rate})
 		}
 	}
-	o.MaxMoves = min(o.MaxMoves, exportsPerLook)
+	o.MaxMoves = min(o.MaxMoves, maxExportsPerRound)
 	var out []handover.Move
 	for _, x := range placement.Exports(e.self.Cell, cells, items, o) {
 		out = append(out, handover.Move{Service: name, Span: x.Span, ToCell: x.ToCell})
--- a/entry/beats.go
+++ b/entry/beats.go
@@ -32,21 +32,21 @@
 }
 
 // target is an entry to beat. ID is empty when only its address is known.
-type target struct {
+type beatTarget struct {
 	id   string
-	peer string
+	addr string
 }
 
 // beatTargets returns the local voters; the witnesses too while the local
 // voters alone do not support the right to send; and the seeds and the members
 // of the roster when this entry is no voter yet.
-func (e *Entry) beatTargets() []target {
+func (e *Entry) beatTargets() []beatTarget {
 	doc := e.gate.Doc()
-	var out []target
+	var out []beatTarget
 	add := func(m cell.Member) {
-		known := slices.ContainsFunc(out, func(t target) bool { return t.peer == m.Peer })
+		known := slices.ContainsFunc(out, func(t beatTarget) bool { return t.addr == m.Peer })
 		if m.ID != e.self.ID && m.Peer != e.self.Peer && !known {
-			out = append(out, target{id: m.ID, peer: m.Peer})
+			out = append(out, beatTarget{id: m.ID, addr: m.Peer})
 		}
 	}
 	if doc != nil {
@@ -72,13 +72,13 @@
 	return out
 }
 
-func (e *Entry) beat(ctx context.Context, t target) {
+func (e *Entry) beat(ctx context.Context, t beatTarget) {
 	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
 	req := e.beatRequest(t)
 	askedAt := e.clock()
 	version := e.gate.Version()
-	resp, err := e.peers.Client(t.peer).Beat(ctx, req)
+	resp, err := e.peers.Client(t.addr).Beat(ctx, req)
 	if err != nil {
 		telemetry.Counter(e.registry, "beats.failed").Inc(1)
 		return
@@ -87,17 +87,17 @@
 	if resp.Granted && version == req.Version {
 		e.gate.RecordPromise(resp.Responder.GetId(), askedAt)
 	}
-	e.heard(memberFrom(resp.Responder), resp.Version)
-	if e.behind(resp) {
-		e.pull(ctx, t.peer)
+	e.recordContact(memberFromProto(resp.Responder), resp.Version)
+	if e.shouldPull(resp) {
+		e.pullDocuments(ctx, t.addr)
 	}
 }
 
-func (e *Entry) beatRequest(t target) *peerpb.BeatRequest {
+func (e *Entry) beatRequest(t beatTarget) *peerpb.BeatRequest {
 	req := &peerpb.BeatRequest{
 		To:     t.id,
 		Cell:   e.self.Cell,
-		Sender: memberTo(e.self),
+		Sender: memberToProto(e.self),
 		Digest: e.docs.Digest(),
 	}
 	doc := e.gate.Doc()
@@ -108,13 +108,13 @@
 	req.Guest = !doc.Quorum.HasLocal(e.self.ID)
 	// Only those that judge upstreams are told what was seen of them.
 	if slices.ContainsFunc(e.control.leaders(), func(m cell.Member) bool { return m.ID == t.id }) {
-		req.Observations = e.watched.report(e.clock())
+		req.Observations = e.leases.observationsToProto(e.clock())
 	}
 	return req
 }
 
 // behind reports whether the responder knows newer documents, or others.
-func (e *Entry) behind(resp *peerpb.BeatResponse) bool {
+func (e *Entry) shouldPull(resp *peerpb.BeatResponse) bool {
 	if resp.Responder.GetCell() == e.self.Cell && max(resp.Version, resp.Floor) > e.gate.Version() {
 		return true
 	}
@@ -123,18 +123,18 @@
 
 // pull takes the documents in which another entry differs. Older ones are
 // ignored, so the order of pulls does not matter.
-func (e *Entry) pull(ctx context.Context, peer string) {
+func (e *Entry) pullDocuments(ctx context.Context, peer string) {
 	resp, err := e.peers.Client(peer).State(ctx, &peerpb.StateRequest{
 		From: e.self.ID, Cell: e.self.Cell, Version: e.gate.Version(), Buckets: e.docs.BucketDigests(),
 	})
 	if err == nil {
-		e.takeState(resp.Documents)
+		e.applyDocuments(resp.Documents)
 	}
 }
 
 // heard notes that an entry is alive and which version of its cell's document it
 // uses, zero when it told none.
-func (e *Entry) heard(m cell.Member, version uint64) {
+func (e *Entry) recordContact(m cell.Member, version uint64) {
 	if m.ID == "" || m.ID == e.self.ID {
 		return
 	}
@@ -142,7 +142,7 @@
 		e.stopSuperseded(m.ID)
 		return
 	}
-	e.control.note(func(core *controller.Core, now time.Time) { core.OnVersion(now, m, version) })
+	e.control.record(func(core *controller.Core, now time.Time) { core.OnVersion(now, m, version) })
 }
 
 // stopSuperseded ends a process whose place another one has taken: the others
@@ -166,26 +166,26 @@
 		ctx, cancel := context.WithTimeout(ctx, beatTimeout)
 		defer cancel()
 		resp, err := e.peers.Client(peer).Beat(ctx, &peerpb.BeatRequest{
-			Sender: memberTo(e.self), Digest: e.docs.Digest(), Cells: e.cellLoads(),
+			Sender: memberToProto(e.self), Digest: e.docs.Digest(), Cells: e.cellLoadsToProto(),
 		})
 		if err != nil {
 			e.peers.Bad(peer)
 			return
 		}
-		e.heard(memberFrom(resp.Responder), resp.Version)
-		e.takeCells(resp.Cells)
-		if e.behind(resp) {
-			e.pull(ctx, peer)
+		e.recordContact(memberFromProto(resp.Responder), resp.Version)
+		e.mergeCellLoads(resp.Cells)
+		if e.shouldPull(resp) {
+			e.pullDocuments(ctx, peer)
 		}
 	})
 }
 
 // cellLoads returns the loads of all cells known here.
-func (e *Entry) cellLoads() []*peerpb.CellLoad {
+func (e *Entry) cellLoadsToProto() []*peerpb.CellLoad {
 	e.control.mu.Lock()
 	defer e.control.mu.Unlock()
 	var out []*peerpb.CellLoad
-	for _, c := range e.cells.All(e.clock()) {
+	for _, c := range e.cellLoads.All(e.clock()) {
 		out = append(out, &peerpb.CellLoad{
 			Cell: c.Cell, Service: c.Service, Rate: c.Rate, Upstreams: int32(c.Upstreams), At: c.At,
 		})
@@ -194,10 +194,10 @@
 }
 
 // takeCells notes the loads of cells that another entry knows.
-func (e *Entry) takeCells(list []*peerpb.CellLoad) {
-	e.control.note(func(_ *controller.Core, now time.Time) {
+func (e *Entry) mergeCellLoads(list []*peerpb.CellLoad) {
+	e.control.record(func(_ *controller.Core, now time.Time) {
 		for _, c := range list {
-			e.cells.Add(now, load.CellLoad{
+			e.cellLoads.Add(now, load.CellLoad{
 				Cell: c.Cell, Service: c.Service, Rate: c.Rate, Upstreams: int(c.Upstreams), At: c.At,
 			})
 		}
@@ -205,50 +205,50 @@
 }
 
 func (e *Entry) randomPeer() string {
-	var all []string
+	var addrs []string
 	for _, d := range e.docs.All() {
 		if d.Roster == nil {
 			continue
 		}
 		for _, m := range d.Roster.Members {
 			if m.Peer != e.self.Peer {
-				all = append(all, m.Peer)
+				addrs = append(addrs, m.Peer)
 			}
 		}
 	}
 	for _, s := range e.conf.Seeds {
-		if s.String() != e.self.Peer && !slices.Contains(all, s.String()) {
-			all = append(all, s.String())
+		if s.String() != e.self.Peer && !slices.Contains(addrs, s.String()) {
+			addrs = append(addrs, s.String())
 		}
 	}
-	if len(all) == 0 {
+	if len(addrs) == 0 {
 		return ""
 	}
 	e.rngMu.Lock()
 	defer e.rngMu.Unlock()
-	return all[e.rng.IntN(len(all))]
+	return addrs[e.rng.IntN(len(addrs))]
 }
 
-func memberTo(m cell.Member) *peerpb.Member {
+func memberToProto(m cell.Member) *peerpb.Member {
 	return &peerpb.Member{Id: m.ID, Domain: m.Domain, Cell: m.Cell, Peer: m.Peer}
 }
 
-func memberFrom(m *peerpb.Member) cell.Member {
+func memberFromProto(m *peerpb.Member) cell.Member {
 	return cell.Member{ID: m.GetId(), Domain: m.GetDomain(), Cell: m.GetCell(), Peer: m.GetPeer()}
 }
 
 // loadInterval is the time that one report of traffic covers.
-const loadInterval = 2 * time.Second
+const loadReportInterval = 2 * time.Second
 
 // loadLoop reports the traffic of this entry to the controller of its cell, and
 // to the entry that would be the next one.
-func (e *Entry) loadLoop(ctx context.Context) {
-	e.every(ctx, loadInterval, func(ctx context.Context) {
+func (e *Entry) loadReportLoop(ctx context.Context) {
+	e.every(ctx, loadReportInterval, func(ctx context.Context) {
 		e.updateGauges()
-		req := e.loadRequest()
+		req := e.loadReport()
 		for _, m := range e.control.leaders() {
 			if m.ID == e.self.ID {
-				e.takeLoad(req)
+				e.recordLoadReport(req)
 				continue
 			}
 			go func() {
@@ -264,11 +264,11 @@
 }
 
 // loadRequest takes the counters of all ranges, in the order of the document.
-func (e *Entry) loadRequest() *peerpb.BeatRequest {
+func (e *Entry) loadReport() *peerpb.BeatRequest {
 	version, slots := e.gate.Slots()
 	req := &peerpb.BeatRequest{
-		Sender:     memberTo(e.self),
-		IntervalMs: loadInterval.Milliseconds(),
+		Sender:     memberToProto(e.self),
+		IntervalMs: loadReportInterval.Milliseconds(),
 		Digest:     e.docs.Digest(),
 		Version:    version,
 		Requests:   make([]uint32, len(slots)),
@@ -277,7 +277,7 @@
 		requests, _ := s.TakeTraffic()
 		req.Requests[i] = uint32(min(requests, math.MaxUint32))
 	}
-	for _, k := range e.tracker.Take() {
+	for _, k := range e.hotKeys.Take() {
 		req.Keys = append(req.Keys, &peerpb.KeyLoad{Service: k.Service, Hash: uint64(k.Hash), Requests: k.Requests})
 	}
 	return req
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -71,7 +71,7 @@
 	e := bd.addEntry("entry-1", "a")
 	bd.awaitVoters("a", 1)
 	for i := range 12 {
-		e.watched.with(func(w *lease.Tracker) {
+		e.leases.withLock(func(w *lease.Tracker) {
 			w.RecordAnswer(e.clock(), fmt.Sprintf("upstream-%d", i), control.Status{Boot: "0123456789abcdef.1"})
 		})
 	}
@@ -84,9 +84,9 @@
 	go func() { _ = server.Serve(countingListener{l, &bytes}) }()
 	defer func() { _ = server.Close() }()
 	client := e.peers.Client(l.Addr().String())
-	plain, full := e.beatRequest(target{id: e.self.ID}), e.beatRequest(target{id: e.self.ID})
+	plain, full := e.beatRequest(beatTarget{id: e.self.ID}), e.beatRequest(beatTarget{id: e.self.ID})
 	plain.Observations = nil
-	full.Observations = e.watched.report(e.clock())
+	full.Observations = e.leases.observationsToProto(e.clock())
 	for name, req := range map[string]*peerpb.BeatRequest{"observations=0": plain, "observations=12": full} {
 		b.Run(name, func(b *testing.B) {
 			bytes.Store(0)
@@ -118,7 +118,7 @@
 	go func() { _ = server.Serve(countingListener{l, &bytes}) }()
 	defer func() { _ = server.Close() }()
 	up := cell.Upstream{ID: u.id, Addr: l.Addr().String(), Service: "svc", State: cell.Active}
-	c := e.pool.Ensure(up, e.options("svc", 1))
+	c := e.pool.Ensure(up, e.upstreamOptions("svc", 1))
 	ctx := context.Background()
 	before := cpuMicros()
 	for b.Loop() {
@@ -210,7 +210,7 @@
 			for _, s := range slots {
 				s.RecordRequest(1000)
 			}
-			req := e.loadRequest()
+			req := e.loadReport()
 			ctx := context.Background()
 			before := cpuMicros()
 			for b.Loop() {
--- a/entry/control.go
+++ b/entry/control.go
@@ -35,7 +35,7 @@
 	leads bool
 	// term counts how often this entry became the controller.
 	term    int
-	intents intentBook
+	intents intentSet
 }
 
 func newControlLoop(e *Entry) *controlLoop {
@@ -46,18 +46,18 @@
 }
 
 // event feeds one event to the core and carries out what follows.
-func (c *controlLoop) event(feed func(core *controller.Core, now time.Time)) {
+func (c *controlLoop) dispatch(event func(core *controller.Core, now time.Time)) {
 	c.mu.Lock()
-	feed(c.core, c.e.clock())
+	event(c.core, c.e.clock())
 	c.mu.Unlock()
 	c.step()
 }
 
 // note feeds an event that needs no immediate step.
-func (c *controlLoop) note(feed func(core *controller.Core, now time.Time)) {
+func (c *controlLoop) record(event func(core *controller.Core, now time.Time)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	feed(c.core, c.e.clock())
+	event(c.core, c.e.clock())
 }
 
 func (c *controlLoop) step() {
@@ -69,7 +69,7 @@
 	c.leads = leads
 	if changed && leads {
 		c.term++
-		c.intents = intentBook{}
+		c.intents = intentSet{}
 		c.core.SetDesired(controller.DesiredState{})
 	}
 	c.mu.Unlock()
@@ -111,8 +111,8 @@
 	})
 }
 
-func (e *Entry) pursueLoop(ctx context.Context) {
-	e.every(ctx, pursueInterval, func(context.Context) { e.control.pursue() })
+func (e *Entry) intentLoop(ctx context.Context) {
+	e.every(ctx, reconcileInterval, func(context.Context) { e.control.reconcileIntents() })
 }
 
 // every calls f at once and then at the interval until ctx ends.
@@ -134,32 +134,32 @@
 	defer cancel()
 	switch cmd := cmd.(type) {
 	case controller.WriteDocument:
-		c.write(ctx, cmd)
+		c.writeDocument(ctx, cmd)
 	case controller.Apply:
-		a, err := c.e.apply(ctx, cmd)
-		c.event(func(core *controller.Core, now time.Time) { core.OnApplied(now, cmd, a, err) })
+		a, err := c.e.sendDocument(ctx, cmd)
+		c.dispatch(func(core *controller.Core, now time.Time) { core.OnApplied(now, cmd, a, err) })
 	case controller.RaiseFence:
-		a, err := c.e.raise(ctx, cmd)
-		c.event(func(core *controller.Core, now time.Time) { core.OnApplied(now, cmd, a, err) })
+		a, err := c.e.sendFence(ctx, cmd)
+		c.dispatch(func(core *controller.Core, now time.Time) { core.OnApplied(now, cmd, a, err) })
 	case controller.SendGrants:
 		err := c.e.sendGrants(ctx, cmd)
-		c.event(func(core *controller.Core, now time.Time) { core.OnGranted(now, cmd, err) })
+		c.dispatch(func(core *controller.Core, now time.Time) { core.OnGranted(now, cmd, err) })
 	case controller.SendRevocations:
 		err := c.e.sendRevocations(ctx, cmd)
-		c.event(func(core *controller.Core, now time.Time) { core.OnRevoked(now, cmd, err) })
+		c.dispatch(func(core *controller.Core, now time.Time) { core.OnRevoked(now, cmd, err) })
 	case controller.ResetUpstream:
-		boot, err := c.e.reset(ctx, cmd)
-		c.event(func(core *controller.Core, now time.Time) { core.OnReset(now, cmd, boot, err) })
+		boot, err := c.e.resetUpstream(ctx, cmd)
+		c.dispatch(func(core *controller.Core, now time.Time) { core.OnReset(now, cmd, boot, err) })
 	case controller.RecordExport:
-		d, err := c.e.redirect(ctx, cmd)
-		c.event(func(core *controller.Core, now time.Time) { core.OnExportRecorded(now, cmd, d, err) })
+		d, err := c.e.recordExport(ctx, cmd)
+		c.dispatch(func(core *controller.Core, now time.Time) { core.OnExportRecorded(now, cmd, d, err) })
 	case controller.PublishRoster:
-		err := c.e.publish(ctx, cmd)
-		c.event(func(core *controller.Core, now time.Time) { core.OnRosterPublished(now, cmd, err) })
+		err := c.e.publishRoster(ctx, cmd)
+		c.dispatch(func(core *controller.Core, now time.Time) { core.OnRosterPublished(now, cmd, err) })
 	}
 }
 
-func (c *controlLoop) write(ctx context.Context, cmd controller.WriteDocument) {
+func (c *controlLoop) writeDocument(ctx context.Context, cmd controller.WriteDocument) {
 	version, err := platform.PutOwn(ctx, c.e.store, platform.KindCell, cmd.Doc.Name, cmd.Doc, cmd.Expect)
 	if err != nil {
 		telemetry.Counter(c.e.registry, "platform.writes_failed").Inc(1)
@@ -170,16 +170,16 @@
 	if err == nil {
 		// Taken into use here before anything else: should this entry lead
 		// no more, the others learn of the document from its beats.
-		c.e.takeCell(cmd.Doc)
+		c.e.applyCell(cmd.Doc)
 	}
-	c.event(func(core *controller.Core, now time.Time) { core.OnWritten(now, cmd, version, err) })
+	c.dispatch(func(core *controller.Core, now time.Time) { core.OnWritten(now, cmd, version, err) })
 }
 
-func (e *Entry) apply(ctx context.Context, cmd controller.Apply) (controller.ApplyResult, error) {
+func (e *Entry) sendDocument(ctx context.Context, cmd controller.Apply) (controller.ApplyResult, error) {
 	if cmd.To.ID == e.self.ID {
-		return e.applyHere(ctx, cmd.Doc, cmd.DrainWait), nil
+		return e.applyAndDrain(ctx, cmd.Doc, cmd.DrainWait), nil
 	}
-	doc, err := encodeCell(cmd.Doc)
+	doc, err := cellToProto(cmd.Doc)
 	if err != nil {
 		return controller.ApplyResult{}, err
 	}
@@ -189,25 +189,25 @@
 		Fence:       cmd.Doc.Fence,
 		Documents:   []*peerpb.Document{doc},
 		DrainWaitMs: cmd.DrainWait.Milliseconds(),
-		Sender:      memberTo(e.self),
+		Sender:      memberToProto(e.self),
 	})
 	if err != nil {
 		return controller.ApplyResult{}, answer.Wrap(answer.Unreachable, err)
 	}
-	return appliedFrom(resp, cmd.Doc.Version), nil
+	return applyResultFromProto(resp, cmd.Doc.Version), nil
 }
 
-func (e *Entry) raise(ctx context.Context, cmd controller.RaiseFence) (controller.ApplyResult, error) {
+func (e *Entry) sendFence(ctx context.Context, cmd controller.RaiseFence) (controller.ApplyResult, error) {
 	resp, err := e.peers.Client(cmd.To.Peer).Apply(ctx, &peerpb.ApplyRequest{
 		To: cmd.To.ID, Cell: e.self.Cell, Fence: cmd.Fence,
 	})
 	if err != nil {
 		return controller.ApplyResult{}, answer.Wrap(answer.Unreachable, err)
 	}
-	return appliedFrom(resp, 0), nil
+	return applyResultFromProto(resp, 0), nil
 }
 
-func appliedFrom(resp *peerpb.ApplyResponse, version uint64) controller.ApplyResult {
+func applyResultFromProto(resp *peerpb.ApplyResponse, version uint64) controller.ApplyResult {
 	a := controller.ApplyResult{
 		Ack: fence.Ack{
 			Voter:        resp.Voter,
@@ -231,18 +231,18 @@
 
 // applyHere takes a cell document into use and waits until no request is in
 // flight on ranges that were taken away, for the given time at most.
-func (e *Entry) applyHere(ctx context.Context, doc *cell.Cell, wait time.Duration) controller.ApplyResult {
-	e.takeCell(doc)
-	const look = 2 * time.Millisecond
-	until := e.clock().Add(wait)
-	for len(e.gate.BusyRanges()) > 0 && e.clock().Before(until) && ctx.Err() == nil {
-		time.Sleep(look)
+func (e *Entry) applyAndDrain(ctx context.Context, doc *cell.Cell, wait time.Duration) controller.ApplyResult {
+	e.applyCell(doc)
+	const pollInterval = 2 * time.Millisecond
+	deadline := e.clock().Add(wait)
+	for len(e.gate.BusyRanges()) > 0 && e.clock().Before(deadline) && ctx.Err() == nil {
+		time.Sleep(pollInterval)
 	}
 	return controller.ApplyResult{
 		Ack:     e.gate.RaiseFence(e.self.Cell, doc.Fence),
 		Version: doc.Version,
 		Busy:    e.gate.BusyRanges(),
-		Leases:  e.watched.lost(e.clock()),
+		Leases:  e.leases.lostLeases(e.clock()),
 	}
 }
 
@@ -264,7 +264,7 @@
 	return err
 }
 
-func (e *Entry) reset(ctx context.Context, cmd controller.ResetUpstream) (string, error) {
+func (e *Entry) resetUpstream(ctx context.Context, cmd controller.ResetUpstream) (string, error) {
 	u := e.pool.Get(cmd.Upstream.ID)
 	if u == nil {
 		return "", answer.New(answer.NotFound, "upstream %s is not known here", cmd.Upstream.ID)
@@ -278,24 +278,24 @@
 
 // redirect records an exported range in the directory. Another writer may have
 // done so before.
-func (e *Entry) redirect(ctx context.Context, cmd controller.RecordExport) (*cell.Directory, error) {
-	obj, err := e.store.Get(ctx, platform.KindDirectory, cmd.Service)
+func (e *Entry) recordExport(ctx context.Context, cmd controller.RecordExport) (*cell.Directory, error) {
+	stored, err := e.store.Get(ctx, platform.KindDirectory, cmd.Service)
 	if err != nil {
 		return nil, answer.Wrap(answer.PlatformDown, err)
 	}
-	d, err := cell.DecodeDirectory(obj.Value)
+	directory, err := cell.DecodeDirectory(stored.Value)
 	if err != nil {
 		return nil, err
 	}
-	seg := d.Find(cmd.Range.First)
-	if seg == nil || seg.Cell != e.self.Cell {
-		return d, nil
+	segment := directory.Find(cmd.Range.First)
+	if segment == nil || segment.Cell != e.self.Cell {
+		return directory, nil
 	}
-	next := d.Clone()
+	next := directory.Clone()
 	next.Version++
 	next.WriteID = newID()
 	next.Assign(cmd.Range.Span, cmd.Range.NextCell, cmd.Range.Epoch)
-	if _, err := platform.PutOwn(ctx, e.store, platform.KindDirectory, next.Service, next, obj.Version); err != nil {
+	if _, err := platform.PutOwn(ctx, e.store, platform.KindDirectory, next.Service, next, stored.Version); err != nil {
 		return nil, answer.Wrap(answer.PlatformDown, err)
 	}
 	e.addDocument(next)
@@ -303,7 +303,7 @@
 }
 
 // publish stores the member list of the cell.
-func (e *Entry) publish(ctx context.Context, cmd controller.PublishRoster) error {
+func (e *Entry) publishRoster(ctx context.Context, cmd controller.PublishRoster) error {
 	r := cmd.Roster
 	var expect uint64
 	obj, err := e.store.Get(ctx, platform.KindRoster, r.Cell)
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -28,14 +28,14 @@
 
 const (
 	// watchWait is how long one watch waits for a change.
-	watchWait = 10 * time.Second
+	watchTimeout = 10 * time.Second
 	// ownCellInterval is the time between reads of the cell's own document.
 	// Writes by another controller show earlier, by a conflict or a beat.
 	ownCellInterval = 10 * time.Second
 	// idlePause is the time between looks while another entry leads.
-	idlePause = 200 * time.Millisecond
+	idleInterval = 200 * time.Millisecond
 	// failurePause is the time between tries while the platform fails.
-	failurePause = 300 * time.Millisecond
+	retryInterval = 300 * time.Millisecond
 )
 
 // addDocument adds a shared document in its typed form to the store of documents.
@@ -53,10 +53,10 @@
 	case *service.Config:
 		kind = docstore.Service
 	}
-	e.addDocumentData(kind, data)
+	e.addEncodedDocument(kind, data)
 }
 
-func (e *Entry) addDocumentData(kind docstore.Kind, data []byte) {
+func (e *Entry) addEncodedDocument(kind docstore.Kind, data []byte) {
 	d, err := docstore.Parse(kind, data)
 	if err != nil {
 		telemetry.Counter(e.registry, "documents.malformed").Inc(1)
@@ -67,13 +67,13 @@
 }
 
 // onDocument takes a shared document into use.
-func (e *Entry) onDocument(d *docstore.Document) {
+func (e *Entry) handleDocument(d *docstore.Document) {
 	switch d.Kind {
 	case docstore.Directory:
 		e.gate.ApplyDirectory(d.Directory)
-		e.control.note(func(core *controller.Core, _ time.Time) { core.OnDirectory(d.Directory) })
+		e.control.record(func(core *controller.Core, _ time.Time) { core.OnDirectory(d.Directory) })
 	case docstore.Roster:
-		e.control.note(func(core *controller.Core, now time.Time) { core.OnRoster(now, d.Roster) })
+		e.control.record(func(core *controller.Core, now time.Time) { core.OnRoster(now, d.Roster) })
 	case docstore.Service:
 		e.log.Info("configuration in force", "service", d.Name, "version", d.Version)
 	}
@@ -81,11 +81,11 @@
 
 // takeCell takes a document of the entry's own cell into use: at the gate, at
 // the controller, and for the clients of upstreams.
-func (e *Entry) takeCell(doc *cell.Cell) {
-	named := make(map[string]bool, len(doc.Upstreams))
+func (e *Entry) applyCell(doc *cell.Cell) {
+	listed := make(map[string]bool, len(doc.Upstreams))
 	for _, u := range doc.Upstreams {
-		named[u.ID] = true
-		e.pool.Ensure(u, e.options(u.Service, len(doc.Quorum.Local)))
+		listed[u.ID] = true
+		e.pool.Ensure(u, e.upstreamOptions(u.Service, len(doc.Quorum.Local)))
 	}
 	e.applyMu.Lock()
 	defer e.applyMu.Unlock()
@@ -94,21 +94,21 @@
 		return
 	}
 	e.gate.Apply(doc)
-	e.outages.compare(old, doc, e.clock(), e.watched.lastSeen, e.registry)
-	e.watched.with(func(b *lease.Tracker) { e.markUpstreams(b, doc) })
-	e.pool.Keep(named)
-	e.control.note(func(core *controller.Core, now time.Time) { core.OnDocument(now, doc, 0) })
+	e.outages.update(old, doc, e.clock(), e.leases.lastAnswer, e.registry)
+	e.leases.withLock(func(tracker *lease.Tracker) { e.updateLostUpstreams(tracker, doc) })
+	e.pool.Keep(listed)
+	e.control.record(func(core *controller.Core, now time.Time) { core.OnDocument(now, doc, 0) })
 }
 
 // markUpstreams stops the renewals of lost upstreams and gives up requests that
 // are in flight towards them.
-func (e *Entry) markUpstreams(b *lease.Tracker, doc *cell.Cell) {
+func (e *Entry) updateLostUpstreams(tracker *lease.Tracker, doc *cell.Cell) {
 	for _, u := range doc.Upstreams {
 		if u.State != cell.Lost {
-			b.MarkUsable(e.clock(), u.ID)
+			tracker.MarkUsable(e.clock(), u.ID)
 			continue
 		}
-		if b.MarkLost(e.clock(), u.ID) {
+		if tracker.MarkLost(e.clock(), u.ID) {
 			e.pool.Get(u.ID).Abort()
 			e.log.Warn("upstream lost", "upstream", u.ID, "version", doc.Version)
 		}
@@ -117,11 +117,11 @@
 
 // options returns the bounds for one upstream, its share among the entries of
 // the cell.
-func (e *Entry) options(name string, entries int) upstreams.Options {
+func (e *Entry) upstreamOptions(name string, entries int) upstreams.Options {
 	conf := e.docs.Service(name)
 	if conf == nil {
-		c := service.Default()
-		conf = &c
+		defaults := service.Default()
+		conf = &defaults
 	}
 	entries = max(entries, 1)
 	connections := max(conf.Connections/max(entries, 4), 2)
@@ -140,7 +140,7 @@
 func (e *Entry) readOwnCell(ctx context.Context) {
 	obj, err := e.store.Get(ctx, platform.KindCell, e.self.Cell)
 	if errors.Is(err, platform.ErrNotFound) {
-		e.control.event(func(core *controller.Core, _ time.Time) { core.OnDocumentMissing() })
+		e.control.dispatch(func(core *controller.Core, _ time.Time) { core.OnDocumentMissing() })
 		return
 	}
 	if err != nil {
@@ -152,13 +152,13 @@
 		telemetry.Counter(e.registry, "documents.malformed").Inc(1)
 		return
 	}
-	e.takeCell(doc)
-	e.control.event(func(core *controller.Core, now time.Time) { core.OnDocument(now, doc, obj.Version) })
+	e.applyCell(doc)
+	e.control.dispatch(func(core *controller.Core, now time.Time) { core.OnDocument(now, doc, obj.Version) })
 }
 
 func (e *Entry) ownCellLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := idlePause
+		wait := idleInterval
 		if e.control.isLeader() {
 			e.readOwnCell(ctx)
 		}
@@ -172,39 +172,39 @@
 // watchLoop follows one kind of objects while this entry leads.
 func (e *Entry) watchLoop(ctx context.Context, kind string) {
 	var after uint64
-	seen := 0
-	down := false
+	lastTerm := 0
+	failing := false
 	for ctx.Err() == nil {
 		term, leads := e.control.leaderTerm()
 		if !leads {
-			sleep(ctx, idlePause)
+			sleep(ctx, idleInterval)
 			continue
 		}
-		if term != seen {
-			seen, after = term, 0
+		if term != lastTerm {
+			lastTerm, after = term, 0
 		}
-		batch, err := e.store.Watch(ctx, kind, after, watchWait)
+		batch, err := e.store.Watch(ctx, kind, after, watchTimeout)
 		if err != nil && ctx.Err() == nil {
-			if !down {
+			if !failing {
 				e.log.Warn("platform does not answer", "kind", kind, "err", err)
 			}
-			down = true
+			failing = true
 			telemetry.Counter(e.registry, "platform.watches_failed").Inc(1)
-			sleep(ctx, failurePause)
+			sleep(ctx, retryInterval)
 			continue
 		}
-		if down {
+		if failing {
 			e.log.Info("platform answers again", "kind", kind)
-			down = false
+			failing = false
 		}
 		after = batch.Revision
 		for _, obj := range batch.Objects {
-			e.takeObject(kind, obj)
+			e.handleObject(kind, obj)
 		}
 	}
 }
 
-func (e *Entry) takeObject(kind string, obj platform.Object) {
+func (e *Entry) handleObject(kind string, obj platform.Object) {
 	switch kind {
 	case platform.KindIntent:
 		i, err := intent.Decode(obj.Value)
@@ -212,9 +212,9 @@
 			telemetry.Counter(e.registry, "documents.malformed").Inc(1)
 			return
 		}
-		e.control.takeIntent(i, obj.Version)
+		e.control.recordIntent(i, obj.Version)
 	default:
-		e.addDocumentData(docstore.Kind(kind), obj.Value)
+		e.addEncodedDocument(docstore.Kind(kind), obj.Value)
 	}
 }
 
@@ -228,7 +228,7 @@
 }
 
 // encodeCell wraps a cell document for a message between entries.
-func encodeCell(doc *cell.Cell) (*peerpb.Document, error) {
+func cellToProto(doc *cell.Cell) (*peerpb.Document, error) {
 	data, err := json.Marshal(doc)
 	if err != nil {
 		return nil, fmt.Errorf("cell document: %w", err)
@@ -237,10 +237,10 @@
 }
 
 // takeState takes documents that another entry sent.
-func (e *Entry) takeState(docs []*peerpb.Document) {
+func (e *Entry) applyDocuments(docs []*peerpb.Document) {
 	for _, d := range docs {
 		if d.Kind != platform.KindCell {
-			e.addDocumentData(docstore.Kind(d.Kind), d.Data)
+			e.addEncodedDocument(docstore.Kind(d.Kind), d.Data)
 			continue
 		}
 		doc, err := cell.Decode(d.Data)
@@ -249,7 +249,7 @@
 			continue
 		}
 		if doc.Name == e.self.Cell {
-			e.takeCell(doc)
+			e.applyCell(doc)
 		}
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -53,17 +53,17 @@
 	peers   *peers.Pool
 	proxy   *front.Proxy
 	control *controlLoop
-	watched *watchedUpstreams
-	tracker *load.Tracker
+	leases  *leaseTracker
+	hotKeys *load.Tracker
 	// book and cells are guarded by the lock of control.
-	book  *load.Aggregator
-	cells *load.Cells
+	loads     *load.Aggregator
+	cellLoads *load.Cells
 
 	flushSpans func(context.Context) error
 	draining   atomic.Bool
 	superseded chan error
 	listeners  listeners
-	background sync.WaitGroup
+	loops      sync.WaitGroup
 
 	// applyMu orders the documents of the cell taken into use.
 	applyMu sync.Mutex
@@ -110,16 +110,16 @@
 	}
 	e.flushSpans = flush
 	e.gate = gate.New(e.self, e.limits.Fence, e.clock)
-	e.docs = docstore.New(e.onDocument)
+	e.docs = docstore.New(e.handleDocument)
 	e.pool = upstreams.NewPool(e.clock)
 	e.peers = peers.NewPool(peerTLS, e.clock)
-	e.watched = &watchedUpstreams{book: lease.NewTracker(lease.Limits{
+	e.leases = &leaseTracker{tracker: lease.NewTracker(lease.Limits{
 		TTL:          e.limits.LeaseTTL,
 		DriftPercent: e.limits.Fence.DriftPercent,
 	})}
-	e.tracker = load.NewTracker()
-	e.book = load.NewAggregator()
-	e.cells = load.NewCells()
+	e.hotKeys = load.NewTracker()
+	e.loads = load.NewAggregator()
+	e.cellLoads = load.NewCells()
 	e.control = newControlLoop(e)
 	e.proxy = front.New(front.Parts{
 		Self:    e.self,
@@ -131,7 +131,7 @@
 		Tracer:  tracer,
 		Meters:  telemetry.NewRequests(e.registry),
 		Rand:    newRand(conf.Seed),
-		Observe: e.tracker.Record,
+		Observe: e.hotKeys.Record,
 	})
 	return e, nil
 }
@@ -195,15 +195,15 @@
 	if err != nil {
 		return err
 	}
-	life, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
+	loopCtx, stopLoops := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopLoops()
 	failed := make(chan error, 3)
 	servers := []*http.Server{
-		e.start(e.listeners.callers, callerTLS, e.proxy.Callers(), failed),
-		e.start(e.listeners.peers, peerTLS, e.peerHandler(), failed),
-		e.start(e.listeners.admin, nil, e.adminHandler(), failed),
+		e.startServer(e.listeners.callers, callerTLS, e.proxy.Callers(), failed),
+		e.startServer(e.listeners.peers, peerTLS, e.peerHandler(), failed),
+		e.startServer(e.listeners.admin, nil, e.adminHandler(), failed),
 	}
-	e.run(life)
+	e.startLoops(loopCtx)
 	e.log.Info("serving", "id", e.self.ID, "domain", e.self.Domain, "cell", e.self.Cell)
 	select {
 	case <-ctx.Done():
@@ -211,13 +211,13 @@
 	case err = <-e.superseded:
 	}
 	e.drain(servers)
-	stop()
-	e.background.Wait()
+	stopLoops()
+	e.loops.Wait()
 	return err
 }
 
 // start serves a handler on a listener.
-func (e *Entry) start(l net.Listener, conf *tls.Config, h http.Handler, failed chan<- error) *http.Server {
+func (e *Entry) startServer(l net.Listener, conf *tls.Config, h http.Handler, failed chan<- error) *http.Server {
 	if conf != nil {
 		l = tls.NewListener(l, conf)
 	}
@@ -237,21 +237,21 @@
 }
 
 // run starts the loops of the process.
-func (e *Entry) run(ctx context.Context) {
+func (e *Entry) startLoops(ctx context.Context) {
 	for _, loop := range []func(context.Context){
-		e.beatLoop, e.renewLoop, e.gossipLoop, e.stepLoop, e.ownCellLoop, e.pursueLoop, e.loadLoop, e.balanceLoop,
+		e.beatLoop, e.renewLoop, e.gossipLoop, e.stepLoop, e.ownCellLoop, e.intentLoop, e.loadReportLoop, e.balanceLoop,
 	} {
-		e.spawn(ctx, loop)
+		e.startLoop(ctx, loop)
 	}
 	for _, kind := range watchedKinds {
-		e.spawn(ctx, func(ctx context.Context) { e.watchLoop(ctx, kind) })
+		e.startLoop(ctx, func(ctx context.Context) { e.watchLoop(ctx, kind) })
 	}
 }
 
-func (e *Entry) spawn(ctx context.Context, loop func(context.Context)) {
-	e.background.Add(1)
+func (e *Entry) startLoop(ctx context.Context, loop func(context.Context)) {
+	e.loops.Add(1)
 	go func() {
-		defer e.background.Done()
+		defer e.loops.Done()
 		loop(ctx)
 	}()
 }
@@ -261,25 +261,25 @@
 // connection after its answer. Then it finishes what is in flight. It goes on
 // voting and beating until all is done.
 func (e *Entry) drain(servers []*http.Server) {
-	began := e.clock()
+	started := e.clock()
 	e.draining.Store(true)
-	limit, cancel := context.WithTimeout(context.Background(), e.conf.DrainLimit.D())
+	drainCtx, cancel := context.WithTimeout(context.Background(), e.conf.DrainLimit.D())
 	defer cancel()
 	for _, s := range servers {
 		s.SetKeepAlivesEnabled(false)
 	}
-	sleep(limit, e.conf.DrainNotice.D())
-	cut := 0
+	sleep(drainCtx, e.conf.DrainNotice.D())
+	aborted := 0
 	for _, s := range servers {
-		if err := s.Shutdown(limit); err != nil {
-			cut++
+		if err := s.Shutdown(drainCtx); err != nil {
+			aborted++
 			_ = s.Close()
 		}
 	}
-	if err := e.flushSpans(limit); err != nil {
+	if err := e.flushSpans(drainCtx); err != nil {
 		e.log.Warn("spans not flushed", "err", err)
 	}
-	e.log.Info("drained", "took", e.clock().Sub(began).Round(time.Millisecond), "listeners_cut", cut)
+	e.log.Info("drained", "took", e.clock().Sub(started).Round(time.Millisecond), "listeners_cut", aborted)
 }
 
 // ready reports whether callers can be served: documents are there and the
--- a/entry/gauges.go
+++ b/entry/gauges.go
@@ -8,14 +8,14 @@
 // updateGauges shows the state of this entry in its counters.
 func (e *Entry) updateGauges() {
 	now := e.clock()
-	telemetry.Gauge(e.registry, "entry.may_send", flag(e.gate.MaySend()))
+	telemetry.Gauge(e.registry, "entry.may_send", boolGauge(e.gate.MaySend()))
 	telemetry.Gauge(e.registry, "entry.right_left_ms", max(e.gate.RightUntil().Sub(now).Milliseconds(), 0))
-	telemetry.Gauge(e.registry, "controller.leads", flag(e.control.isLeader()))
+	telemetry.Gauge(e.registry, "controller.leads", boolGauge(e.control.isLeader()))
 	doc := e.gate.Doc()
 	if doc == nil {
 		return
 	}
-	lost, moving := 0, 0
+	lost, unowned := 0, 0
 	for _, u := range doc.Upstreams {
 		if u.State == cell.Lost {
 			lost++
@@ -24,7 +24,7 @@
 	for _, s := range doc.Services {
 		for _, r := range s.Ranges {
 			if r.Phase != cell.Owned {
-				moving++
+				unowned++
 			}
 		}
 	}
@@ -32,7 +32,7 @@
 	telemetry.Gauge(e.registry, "cell.fence", int64(doc.Fence))
 	telemetry.Gauge(e.registry, "cell.voters", int64(len(doc.Quorum.Local)))
 	telemetry.Gauge(e.registry, "cell.upstreams_lost", int64(lost))
-	telemetry.Gauge(e.registry, "cell.ranges_without_owner", int64(moving))
+	telemetry.Gauge(e.registry, "cell.ranges_without_owner", int64(unowned))
 	for _, u := range e.pool.All() {
 		limit, inflight, waiting := u.Limiter.Load()
 		telemetry.Gauge(e.registry, "upstream."+u.ID+".limit", int64(limit))
@@ -41,7 +41,7 @@
 	}
 }
 
-func flag(on bool) int64 {
+func boolGauge(on bool) int64 {
 	if on {
 		return 1
 	}
--- a/entry/intents.go
+++ b/entry/intents.go
@@ -16,7 +16,7 @@
 )
 
 // intentBook holds the unfinished intents that the controller carries out.
-type intentBook struct {
+type intentSet struct {
 	byID map[string]storedIntent
 }
 
@@ -26,7 +26,7 @@
 	version uint64
 }
 
-func (b *intentBook) take(i *intent.Intent, version uint64) {
+func (b *intentSet) add(i *intent.Intent, version uint64) {
 	if known, ok := b.byID[i.ID]; ok && known.version >= version {
 		return
 	}
@@ -38,7 +38,7 @@
 
 // open returns the confirmed intents with a part for the cell that is not
 // carried out yet, the oldest first.
-func (b *intentBook) open(cellName string) []storedIntent {
+func (b *intentSet) unfinished(cellName string) []storedIntent {
 	var out []storedIntent
 	for _, s := range b.byID {
 		i := s.intent
@@ -55,52 +55,52 @@
 	return out
 }
 
-func (c *controlLoop) takeIntent(i *intent.Intent, version uint64) {
+func (c *controlLoop) recordIntent(i *intent.Intent, version uint64) {
 	c.mu.Lock()
-	c.intents.take(i, version)
+	c.intents.add(i, version)
 	c.mu.Unlock()
-	c.pursue()
+	c.reconcileIntents()
 }
 
 // pursue tells the core what the open intents ask, and reports those that are
 // carried out.
-func (c *controlLoop) pursue() {
+func (c *controlLoop) reconcileIntents() {
 	c.mu.Lock()
-	open := c.intents.open(c.e.self.Cell)
+	unfinished := c.intents.unfinished(c.e.self.Cell)
 	doc := c.core.Doc()
 	leads := c.core.Leads(c.e.clock())
 	if doc == nil || !leads {
 		c.mu.Unlock()
 		return
 	}
-	var wants controller.DesiredState
+	var desired controller.DesiredState
 	var finished []storedIntent
-	for _, s := range open {
-		if c.addWants(&wants, s.intent, doc) {
+	for _, s := range unfinished {
+		if c.addDesired(&desired, s.intent, doc) {
 			finished = append(finished, s)
 		}
 	}
-	c.core.SetDesired(wants)
+	c.core.SetDesired(desired)
 	c.mu.Unlock()
 	for _, s := range finished {
-		go c.finishIntent(s)
+		go c.recordProgress(s)
 	}
 }
 
 // addWants adds what the intent still asks of this cell. It returns true when
 // nothing is left.
-func (c *controlLoop) addWants(w *controller.DesiredState, i *intent.Intent, doc *cell.Cell) bool {
+func (c *controlLoop) addDesired(desired *controller.DesiredState, i *intent.Intent, doc *cell.Cell) bool {
 	done := true
 	for _, s := range i.Plan.Steps {
 		if s.Cell != c.e.self.Cell {
 			continue
 		}
-		done = c.addStep(w, i, s, doc) && done
+		done = c.addStep(desired, i, s, doc) && done
 	}
 	return done
 }
 
-func (c *controlLoop) addStep(w *controller.DesiredState, i *intent.Intent, s intent.Step, doc *cell.Cell) bool {
+func (c *controlLoop) addStep(desired *controller.DesiredState, i *intent.Intent, s intent.Step, doc *cell.Cell) bool {
 	switch s.Action {
 	case planner.ActionAdd:
 		if u := doc.Upstream(s.To); u != nil {
@@ -108,47 +108,47 @@
 		}
 		for _, u := range i.Spec.Upstreams {
 			if u.ID == s.To {
-				w.Upstreams = append(w.Upstreams, cell.Upstream{ID: u.ID, Service: u.Service, Addr: u.Addr.String()})
+				desired.Upstreams = append(desired.Upstreams, cell.Upstream{ID: u.ID, Service: u.Service, Addr: u.Addr.String()})
 			}
 		}
 		return false
 	case planner.ActionDrain:
-		w.Drain = append(w.Drain, s.From)
+		desired.Drain = append(desired.Drain, s.From)
 		return doc.Upstream(s.From) == nil
 	case planner.ActionEvict:
-		w.Evict = append(w.Evict, s.From)
+		desired.Evict = append(desired.Evict, s.From)
 		return doc.Upstream(s.From) == nil
 	case planner.ActionMove:
-		return c.addMove(w, i, s, doc)
+		return c.addMove(desired, i, s, doc)
 	}
 	return true
 }
 
 // addMove wants a move unless it is carried out, or cannot be any more because
 // its new owner has left.
-func (c *controlLoop) addMove(w *controller.DesiredState, i *intent.Intent, s intent.Step, doc *cell.Cell) bool {
-	held := false
-	for _, r := range rangesIn(doc, s) {
-		held = held || s.ToCell != "" || r.Phase != cell.Owned || r.Owner != s.To
+func (c *controlLoop) addMove(desired *controller.DesiredState, i *intent.Intent, s intent.Step, doc *cell.Cell) bool {
+	pending := false
+	for _, r := range rangesOverlapping(doc, s) {
+		pending = pending || s.ToCell != "" || r.Phase != cell.Owned || r.Owner != s.To
 	}
-	if s.ToCell == "" && len(rangesIn(doc, s)) == 0 && doc.Upstream(s.To) != nil {
+	if s.ToCell == "" && len(rangesOverlapping(doc, s)) == 0 && doc.Upstream(s.To) != nil {
 		// The range is on its way from another cell.
 		return false
 	}
-	if !held || s.To != "" && doc.Upstream(s.To) == nil && !joins(i, s.To) {
+	if !pending || s.To != "" && doc.Upstream(s.To) == nil && !addsUpstream(i, s.To) {
 		return true
 	}
-	w.Moves = append(w.Moves, handover.Move{
+	desired.Moves = append(desired.Moves, handover.Move{
 		Service: s.Service, Span: s.Span, To: s.To, ToCell: s.ToCell, Intent: i.ID,
 	})
 	return false
 }
 
-func joins(i *intent.Intent, id string) bool {
+func addsUpstream(i *intent.Intent, id string) bool {
 	return slices.ContainsFunc(i.Spec.Upstreams, func(u intent.Upstream) bool { return u.ID == id })
 }
 
-func rangesIn(doc *cell.Cell, s intent.Step) []cell.Range {
+func rangesOverlapping(doc *cell.Cell, s intent.Step) []cell.Range {
 	var out []cell.Range
 	if svc := doc.Service(s.Service); svc != nil {
 		for _, r := range svc.Ranges {
@@ -161,7 +161,7 @@
 }
 
 // finishIntent records that this cell has carried out its part.
-func (c *controlLoop) finishIntent(s storedIntent) {
+func (c *controlLoop) recordProgress(s storedIntent) {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
 	next := *s.intent
@@ -177,14 +177,14 @@
 		if obj, err := c.e.store.Get(ctx, platform.KindIntent, next.ID); err == nil {
 			if known, err := intent.Decode(obj.Value); err == nil {
 				c.mu.Lock()
-				c.intents.take(known, obj.Version)
+				c.intents.add(known, obj.Version)
 				c.mu.Unlock()
 			}
 		}
 		return
 	}
 	c.mu.Lock()
-	c.intents.take(&next, version)
+	c.intents.add(&next, version)
 	c.mu.Unlock()
 	c.e.log.Info("intent carried out here", "intent", next.ID, "kind", next.Spec.Kind, "state", next.State)
 }
@@ -208,9 +208,9 @@
 }
 
 // pursueInterval is the time between looks at open intents.
-const pursueInterval = 200 * time.Millisecond
+const reconcileInterval = 200 * time.Millisecond
 
-func encode(v any) []byte {
+func encodeJSON(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return nil
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -79,7 +79,7 @@
 }
 
 // view reads what plans are computed from.
-func (e *Entry) view(ctx context.Context) (planner.View, error) {
+func (e *Entry) planView(ctx context.Context) (planner.View, error) {
 	v := planner.View{
 		Cells:       make(map[string]*cell.Cell),
 		Directories: make(map[string]*cell.Directory),
@@ -87,7 +87,7 @@
 		Rate: func(name string, span keyspace.Span) float64 {
 			e.control.mu.Lock()
 			defer e.control.mu.Unlock()
-			return e.book.Rate(name, span)
+			return e.loads.Rate(name, span)
 		},
 	}
 	cells, err := e.store.List(ctx, platform.KindCell)
@@ -129,7 +129,7 @@
 	if findings := spec.Check(); len(findings) > 0 {
 		return nil, twirpError(answer.New(answer.BadRequest, "%s", findings[0].String()))
 	}
-	view, err := o.e.view(ctx)
+	view, err := o.e.planView(ctx)
 	if err != nil {
 		return nil, twirpError(err)
 	}
@@ -150,10 +150,10 @@
 		return nil, twirpError(platformError(err))
 	}
 	o.e.log.Info("intent created", "intent", i.ID, "kind", spec.Kind, "by", req.By)
-	return &operatorpb.IntentResponse{Intent: encode(i)}, nil
+	return &operatorpb.IntentResponse{Intent: encodeJSON(i)}, nil
 }
 
-func (o operator) load(ctx context.Context, id string) (storedIntent, error) {
+func (o operator) loadIntent(ctx context.Context, id string) (storedIntent, error) {
 	obj, err := o.e.store.Get(ctx, platform.KindIntent, id)
 	if err != nil {
 		return storedIntent{}, platformError(err)
@@ -165,21 +165,21 @@
 // ConfirmIntent implements operatorpb.Operator. Confirming twice has no further
 // effect.
 func (o operator) ConfirmIntent(ctx context.Context, req *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error) {
-	s, err := o.load(ctx, req.Id)
+	s, err := o.loadIntent(ctx, req.Id)
 	if err != nil {
 		return nil, twirpError(err)
 	}
 	i := s.intent
 	switch i.State {
 	case intent.Confirmed, intent.Done:
-		return &operatorpb.IntentResponse{Intent: encode(i)}, nil
+		return &operatorpb.IntentResponse{Intent: encodeJSON(i)}, nil
 	case intent.Cancelled:
 		return nil, twirpError(answer.New(answer.Conflict, "intent %s is cancelled", i.ID))
 	}
-	if err := o.refresh(ctx, s); err != nil {
+	if err := o.replan(ctx, s); err != nil {
 		return nil, twirpError(err)
 	}
-	if err := o.e.enact(ctx, i); err != nil {
+	if err := o.e.writePlannedDocuments(ctx, i); err != nil {
 		return nil, twirpError(err)
 	}
 	i.State = intent.Confirmed
@@ -191,13 +191,13 @@
 		return nil, twirpError(platformError(err))
 	}
 	o.e.log.Info("intent confirmed", "intent", i.ID, "kind", i.Spec.Kind, "by", req.By)
-	return &operatorpb.IntentResponse{Intent: encode(i)}, nil
+	return &operatorpb.IntentResponse{Intent: encodeJSON(i)}, nil
 }
 
 // refresh computes the plan again. When it comes out otherwise, the new plan is
 // stored for another look and the confirm is refused.
-func (o operator) refresh(ctx context.Context, s storedIntent) error {
-	view, err := o.e.view(ctx)
+func (o operator) replan(ctx context.Context, s storedIntent) error {
+	view, err := o.e.planView(ctx)
 	if err != nil {
 		return err
 	}
@@ -220,8 +220,8 @@
 }
 
 // changedBasis says which documents changed between two plans.
-func changedBasis(old, now []intent.Basis) string {
-	for _, b := range now {
+func changedBasis(old, current []intent.Basis) string {
+	for _, b := range current {
 		for _, a := range old {
 			if a.Kind == b.Kind && a.Name == b.Name && a.Version != b.Version {
 				return b.Kind + " " + b.Name + " has changed"
@@ -233,7 +233,7 @@
 
 // CancelIntent implements operatorpb.Operator.
 func (o operator) CancelIntent(ctx context.Context, req *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error) {
-	s, err := o.load(ctx, req.Id)
+	s, err := o.loadIntent(ctx, req.Id)
 	if err != nil {
 		return nil, twirpError(err)
 	}
@@ -246,16 +246,16 @@
 	if _, err := platform.PutOwn(ctx, o.e.store, platform.KindIntent, i.ID, i, s.version); err != nil {
 		return nil, twirpError(platformError(err))
 	}
-	return &operatorpb.IntentResponse{Intent: encode(i)}, nil
+	return &operatorpb.IntentResponse{Intent: encodeJSON(i)}, nil
 }
 
 // GetIntent implements operatorpb.Operator.
 func (o operator) GetIntent(ctx context.Context, req *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error) {
-	s, err := o.load(ctx, req.Id)
+	s, err := o.loadIntent(ctx, req.Id)
 	if err != nil {
 		return nil, twirpError(err)
 	}
-	return &operatorpb.IntentResponse{Intent: encode(s.intent)}, nil
+	return &operatorpb.IntentResponse{Intent: encodeJSON(s.intent)}, nil
 }
 
 // ListIntents implements operatorpb.Operator.
@@ -267,7 +267,7 @@
 	resp := &operatorpb.ListIntentsResponse{}
 	for _, s := range list {
 		if req.State == "" || string(s.intent.State) == req.State {
-			resp.Intents = append(resp.Intents, encode(s.intent))
+			resp.Intents = append(resp.Intents, encodeJSON(s.intent))
 		}
 	}
 	return resp, nil
@@ -275,15 +275,15 @@
 
 // enact writes the shared documents that a plan changes. Each write is made
 // once: a repeat finds it done.
-func (e *Entry) enact(ctx context.Context, i *intent.Intent) error {
+func (e *Entry) writePlannedDocuments(ctx context.Context, i *intent.Intent) error {
 	for _, s := range i.Plan.Steps {
 		var err error
 		switch s.Action {
 		case planner.ActionConfigure:
-			err = e.configure(ctx, i.Spec.Service)
+			err = e.writeConfiguration(ctx, i.Spec.Service)
 		case planner.ActionDirect:
 			if i.Spec.Kind != intent.CreateService {
-				err = e.direct(ctx, s)
+				err = e.reassignSpan(ctx, s)
 			}
 		}
 		if err != nil {
@@ -322,7 +322,7 @@
 }
 
 // configure stores the next version of a service's configuration.
-func (e *Entry) configure(ctx context.Context, conf *service.Config) error {
+func (e *Entry) writeConfiguration(ctx context.Context, conf *service.Config) error {
 	next := *conf
 	next.Version = 1
 	next.WriteID = newID()
@@ -346,7 +346,7 @@
 }
 
 // direct gives a span of the directory to another cell.
-func (e *Entry) direct(ctx context.Context, s intent.Step) error {
+func (e *Entry) reassignSpan(ctx context.Context, s intent.Step) error {
 	obj, err := e.store.Get(ctx, platform.KindDirectory, s.Service)
 	if err != nil {
 		return platformError(err)
@@ -355,7 +355,7 @@
 	if err != nil {
 		return err
 	}
-	epoch, err := e.epochBeyond(ctx, s)
+	epoch, err := e.epochAboveGrants(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -372,7 +372,7 @@
 
 // epochBeyond returns an epoch above all that the cell losing the span may have
 // granted: reserved grants are one above the epoch in its document.
-func (e *Entry) epochBeyond(ctx context.Context, s intent.Step) (uint64, error) {
+func (e *Entry) epochAboveGrants(ctx context.Context, s intent.Step) (uint64, error) {
 	obj, err := e.store.Get(ctx, platform.KindCell, s.From)
 	if err != nil {
 		return 0, platformError(err)
@@ -382,7 +382,7 @@
 		return 0, err
 	}
 	var epoch uint64
-	for _, r := range rangesIn(c, s) {
+	for _, r := range rangesOverlapping(c, s) {
 		epoch = max(epoch, r.Epoch+2)
 	}
 	return epoch, nil
--- a/entry/peerserver.go
+++ b/entry/peerserver.go
@@ -37,14 +37,14 @@
 	if req.Sender == nil || req.Sender.Id == "" {
 		return nil, twirp.RequiredArgumentError("sender")
 	}
-	sender := memberFrom(req.Sender)
+	sender := memberFromProto(req.Sender)
 	resp := &peerpb.BeatResponse{
 		Version:   e.gate.Version(),
-		Responder: memberTo(e.self),
+		Responder: memberToProto(e.self),
 		Digest:    e.docs.Digest(),
 	}
-	e.heard(sender, req.Version)
-	e.control.note(func(core *controller.Core, now time.Time) {
+	e.recordContact(sender, req.Version)
+	e.control.record(func(core *controller.Core, now time.Time) {
 		if sender.Cell != e.self.Cell {
 			return
 		}
@@ -58,11 +58,11 @@
 		}
 	})
 	if req.IntervalMs > 0 && sender.Cell == e.self.Cell {
-		e.takeLoad(req)
+		e.recordLoadReport(req)
 	}
 	if req.Cell == "" && req.IntervalMs == 0 {
-		e.takeCells(req.Cells)
-		resp.Cells = e.cellLoads()
+		e.mergeCellLoads(req.Cells)
+		resp.Cells = e.cellLoadsToProto()
 	}
 	// A beat to an earlier incarnation asks for a promise that this process
 	// must not give in its name.
@@ -76,7 +76,7 @@
 
 // takeLoad notes the traffic that an entry of the cell saw. Counters of another
 // version of the document are left out: their order may differ.
-func (e *Entry) takeLoad(req *peerpb.BeatRequest) {
+func (e *Entry) recordLoadReport(req *peerpb.BeatRequest) {
 	interval := time.Duration(req.IntervalMs) * time.Millisecond
 	version, slots := e.gate.Slots()
 	if req.Version != version || len(req.Requests) != len(slots) {
@@ -92,8 +92,8 @@
 	for _, k := range req.Keys {
 		keys = append(keys, load.KeyRate{Service: k.Service, Hash: keyspace.Hash(k.Hash), Requests: k.Requests})
 	}
-	e.control.note(func(_ *controller.Core, now time.Time) {
-		e.book.Report(now, req.Sender.Id, ranges, keys, interval)
+	e.control.record(func(_ *controller.Core, now time.Time) {
+		e.loads.Report(now, req.Sender.Id, ranges, keys, interval)
 	})
 }
 
@@ -115,8 +115,8 @@
 		if doc.Name != e.self.Cell {
 			return nil, twirp.InvalidArgumentError("documents", "the document is of another cell")
 		}
-		e.heard(memberFrom(req.Sender), doc.Version)
-		a := e.applyHere(ctx, doc, time.Duration(req.DrainWaitMs)*time.Millisecond)
+		e.recordContact(memberFromProto(req.Sender), doc.Version)
+		a := e.applyAndDrain(ctx, doc, time.Duration(req.DrainWaitMs)*time.Millisecond)
 		return applyResponse(a), nil
 	}
 	if req.Fence == 0 {
@@ -129,7 +129,7 @@
 	resp := &peerpb.ApplyResponse{
 		Voter:       a.Ack.Voter,
 		Fence:       a.Ack.Fence,
-		GuestWaitMs: roundUp(a.Ack.NonVoterWait),
+		GuestWaitMs: ceilMillis(a.Ack.NonVoterWait),
 	}
 	for _, b := range a.Busy {
 		resp.Busy = append(resp.Busy, &peerpb.BusyRange{
@@ -137,13 +137,13 @@
 		})
 	}
 	for _, l := range a.Leases {
-		resp.Leases = append(resp.Leases, &peerpb.Lease{Upstream: l.Upstream, RemainingMs: roundUp(l.Remaining)})
+		resp.Leases = append(resp.Leases, &peerpb.Lease{Upstream: l.Upstream, RemainingMs: ceilMillis(l.Remaining)})
 	}
 	return resp
 }
 
 // roundUp returns whole milliseconds, never less than d.
-func roundUp(d time.Duration) int64 {
+func ceilMillis(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
 
@@ -158,7 +158,7 @@
 	}
 	doc := e.gate.Doc()
 	if doc != nil && req.Cell == doc.Name && req.Version < doc.Version {
-		d, err := encodeCell(doc)
+		d, err := cellToProto(doc)
 		if err != nil {
 			return nil, twirp.InternalErrorWith(err)
 		}
--- a/entry/product_test.go
+++ b/entry/product_test.go
@@ -114,7 +114,7 @@
 	}
 	b.await("configuration everywhere", everywhere)
 	for _, d := range former {
-		b.entries[1].addDocumentData(d.Kind, d.Data)
+		b.entries[1].addEncodedDocument(d.Kind, d.Data)
 	}
 	b.store.down.Store(true)
 	b.addEntry("entry-late", "b")
--- a/entry/renewals.go
+++ b/entry/renewals.go
@@ -13,41 +13,41 @@
 )
 
 // watchedUpstreams is a lease tracker for concurrent use.
-type watchedUpstreams struct {
-	mu   sync.Mutex
-	book *lease.Tracker
+type leaseTracker struct {
+	mu      sync.Mutex
+	tracker *lease.Tracker
 }
 
 // with runs f on the tracker.
-func (w *watchedUpstreams) with(f func(*lease.Tracker)) {
+func (w *leaseTracker) withLock(f func(*lease.Tracker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f(w.book)
+	f(w.tracker)
 }
 
-func (w *watchedUpstreams) lastSeen(id string) time.Time {
+func (w *leaseTracker) lastAnswer(id string) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.book.LastAnswer(id)
+	return w.tracker.LastAnswer(id)
 }
 
-func (w *watchedUpstreams) lost(now time.Time) []lease.RemainingLease {
+func (w *leaseTracker) lostLeases(now time.Time) []lease.RemainingLease {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.book.LostLeases(now)
+	return w.tracker.LostLeases(now)
 }
 
-func (w *watchedUpstreams) seen(now time.Time) []lease.UpstreamObservation {
+func (w *leaseTracker) observations(now time.Time) []lease.UpstreamObservation {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.book.Observations(now)
+	return w.tracker.Observations(now)
 }
 
 // report returns the observations for a beat.
-func (w *watchedUpstreams) report(now time.Time) []*peerpb.Observation {
-	seen := w.seen(now)
-	out := make([]*peerpb.Observation, len(seen))
-	for i, s := range seen {
+func (w *leaseTracker) observationsToProto(now time.Time) []*peerpb.Observation {
+	observations := w.observations(now)
+	out := make([]*peerpb.Observation, len(observations))
+	for i, s := range observations {
 		out[i] = &peerpb.Observation{
 			Upstream: s.Upstream, Boot: s.Boot, SilentMs: s.Silent.Milliseconds(), Refused: s.Refused, Leaving: s.Leaving,
 		}
@@ -63,34 +63,34 @@
 		if doc == nil {
 			return
 		}
-		e.watched.with(func(b *lease.Tracker) { b.Prune(doc) })
+		e.leases.withLock(func(tracker *lease.Tracker) { tracker.Prune(doc) })
 		for _, u := range doc.Upstreams {
-			if c := e.pool.Get(u.ID); c != nil {
-				go e.renew(ctx, u, c)
+			if client := e.pool.Get(u.ID); client != nil {
+				go e.renew(ctx, u, client)
 			}
 		}
-		seen := e.watched.seen(e.clock())
-		e.control.note(func(core *controller.Core, now time.Time) {
-			for _, s := range seen {
+		observations := e.leases.observations(e.clock())
+		e.control.record(func(core *controller.Core, now time.Time) {
+			for _, s := range observations {
 				core.OnObservation(now, e.self.ID, s.Upstream, s.Observation)
 			}
 		})
 	})
 }
 
-func (e *Entry) renew(ctx context.Context, u cell.Upstream, c *upstreams.Upstream) {
-	e.watched.mu.Lock()
-	r, ok := e.watched.book.NextRenewal(e.clock(), e.gate.RightUntil(), u)
-	e.watched.mu.Unlock()
+func (e *Entry) renew(ctx context.Context, u cell.Upstream, client *upstreams.Upstream) {
+	e.leases.mu.Lock()
+	r, ok := e.leases.tracker.NextRenewal(e.clock(), e.gate.RightUntil(), u)
+	e.leases.mu.Unlock()
 	if !ok {
 		return
 	}
-	st, err := c.Renew(ctx, r)
-	e.watched.with(func(b *lease.Tracker) {
+	st, err := client.Renew(ctx, r)
+	e.leases.withLock(func(tracker *lease.Tracker) {
 		if err != nil {
-			b.RecordFailure(e.clock(), u.ID, upstreams.Refused(err))
+			tracker.RecordFailure(e.clock(), u.ID, upstreams.Refused(err))
 			return
 		}
-		b.RecordAnswer(e.clock(), u.ID, st)
+		tracker.RecordAnswer(e.clock(), u.ID, st)
 	})
 }
--- a/entry/sorted.go
+++ b/entry/sorted.go
@@ -9,11 +9,11 @@
 	"github.com/rockcroft/rockcroft/state/cell"
 )
 
-func sortedCells(m map[string]*cell.Cell) []string {
+func sortedCellNames(m map[string]*cell.Cell) []string {
 	return slices.Sorted(maps.Keys(m))
 }
 
-func sortInForce(list []*operatorpb.InForce) {
+func sortConfigurations(list []*operatorpb.InForce) {
 	slices.SortFunc(list, func(a, b *operatorpb.InForce) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Cell, b.Cell))
 	})
--- a/entry/status.go
+++ b/entry/status.go
@@ -22,17 +22,17 @@
 			Version: e.gate.Version(),
 		},
 	}
-	view, err := e.view(ctx)
+	view, err := e.planView(ctx)
 	if err != nil {
 		resp.PlatformError = err.Error()
 		if doc := e.gate.Doc(); doc != nil {
 			view.Cells[doc.Name] = doc
 		}
 	}
-	for _, name := range sortedCells(view.Cells) {
+	for _, name := range sortedCellNames(view.Cells) {
 		resp.Cells = append(resp.Cells, e.cellStatus(view.Cells[name]))
 	}
-	resp.InForce = e.inForce(ctx)
+	resp.InForce = e.configurationsInForce(ctx)
 	return resp, nil
 }
 
@@ -53,7 +53,7 @@
 				u.Ranges++
 				u.Share += r.Width()
 				e.control.mu.Lock()
-				u.Rate += e.book.Rate(s.Name, r.Span)
+				u.Rate += e.loads.Rate(s.Name, r.Span)
 				e.control.mu.Unlock()
 				continue
 			}
@@ -67,7 +67,7 @@
 }
 
 // inForce asks one entry of each cell which configuration it uses.
-func (e *Entry) inForce(ctx context.Context) []*operatorpb.InForce {
+func (e *Entry) configurationsInForce(ctx context.Context) []*operatorpb.InForce {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	var out []*operatorpb.InForce
@@ -78,18 +78,18 @@
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			found := e.askInForce(ctx, d.Roster)
+			found := e.fetchConfigurations(ctx, d.Roster)
 			mu.Lock()
 			defer mu.Unlock()
 			out = append(out, found...)
 		}()
 	}
 	wait.Wait()
-	sortInForce(out)
+	sortConfigurations(out)
 	return out
 }
 
-func (e *Entry) askInForce(ctx context.Context, r *cell.Roster) []*operatorpb.InForce {
+func (e *Entry) fetchConfigurations(ctx context.Context, r *cell.Roster) []*operatorpb.InForce {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	var out []*operatorpb.InForce
--- a/entry/unavailable.go
+++ b/entry/unavailable.go
@@ -10,13 +10,13 @@
 )
 
 // unavailableSample is the sample size of the histograms.
-const unavailableSample = 4096
+const histogramSampleSize = 4096
 
 // outages measures, for each range of the cell, the time between the last
 // moment its owner could serve and the first moment the next one could, as this
 // entry saw it. It is guarded by the caller.
 type outages struct {
-	open map[outageID]outage
+	ongoing map[outageID]outage
 }
 
 type outageID struct {
@@ -32,27 +32,27 @@
 
 // compare notes ranges that lost their owner and reports those that have one
 // again. LastSeen returns the last answer of an upstream.
-func (o *outages) compare(old, doc *cell.Cell, now time.Time, lastSeen func(string) time.Time, registry metrics.Registry) {
-	if o.open == nil {
-		o.open = make(map[outageID]outage)
+func (o *outages) update(old, doc *cell.Cell, now time.Time, lastAnswer func(string) time.Time, registry metrics.Registry) {
+	if o.ongoing == nil {
+		o.ongoing = make(map[outageID]outage)
 	}
 	for _, s := range doc.Services {
 		for _, r := range s.Ranges {
 			id := outageID{s.Name, r.First}
-			known, ok := o.open[id]
+			current, ok := o.ongoing[id]
 			switch {
 			case r.Phase == cell.Owned && ok:
 				name := "unavailable_us.unplanned"
-				if known.planned {
+				if current.planned {
 					name = "unavailable_us.planned"
 				}
-				h := metrics.GetOrRegisterHistogram(name, registry, metrics.NewUniformSample(unavailableSample))
-				h.Update(now.Sub(known.since).Microseconds())
-				delete(o.open, id)
+				h := metrics.GetOrRegisterHistogram(name, registry, metrics.NewUniformSample(histogramSampleSize))
+				h.Update(now.Sub(current.since).Microseconds())
+				delete(o.ongoing, id)
 			case r.Phase == cell.Releasing && !ok && wasOwned(old, s.Name, r):
-				o.open[id] = began(doc, r, now, lastSeen)
+				o.ongoing[id] = newOutage(doc, r, now, lastAnswer)
 			case r.Phase == cell.Exported:
-				delete(o.open, id)
+				delete(o.ongoing, id)
 			}
 		}
 	}
@@ -71,11 +71,11 @@
 }
 
 // began returns the start of an outage: for a lost owner its last answer.
-func began(doc *cell.Cell, r cell.Range, now time.Time, lastSeen func(string) time.Time) outage {
+func newOutage(doc *cell.Cell, r cell.Range, now time.Time, lastAnswer func(string) time.Time) outage {
 	out := outage{span: r.Span, since: now, planned: true}
 	if u := doc.Upstream(r.Owner); u != nil && u.State == cell.Lost {
 		out.planned = false
-		if at := lastSeen(r.Owner); !at.IsZero() {
+		if at := lastAnswer(r.Owner); !at.IsZero() {
 			out.since = at
 		}
 	}
