--- a/entry/bed_test.go
+++ b/entry/bed_test.go
@@ -28,61 +28,61 @@
 
 // patience bounds waits in tests. It is far above what is expected, so that a
 // busy machine does not change the verdict.
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 // switchStore is a store that can be switched off.
-type switchStore struct {
+type switchableStore struct {
 	*platform.Memory
 	down atomic.Bool
 	// downAfter switches the store off right after a cell document for which
 	// it returns true was written, before the writer hears of it.
-	downAfter func(*cell.Cell) bool
+	failAfter func(*cell.Cell) bool
 }
 
-var errDown = fmt.Errorf("the platform is down")
+var errStoreDown = fmt.Errorf("the platform is down")
 
-func (s *switchStore) Get(ctx context.Context, kind, name string) (platform.Object, error) {
+func (s *switchableStore) Get(ctx context.Context, kind, name string) (platform.Object, error) {
 	if s.down.Load() {
-		return platform.Object{}, errDown
+		return platform.Object{}, errStoreDown
 	}
 	return s.Memory.Get(ctx, kind, name)
 }
 
-func (s *switchStore) List(ctx context.Context, kind string) (platform.Batch, error) {
+func (s *switchableStore) List(ctx context.Context, kind string) (platform.Batch, error) {
 	if s.down.Load() {
-		return platform.Batch{}, errDown
+		return platform.Batch{}, errStoreDown
 	}
 	return s.Memory.List(ctx, kind)
 }
 
-func (s *switchStore) Put(ctx context.Context, obj platform.Object, expect uint64) (uint64, error) {
+func (s *switchableStore) Put(ctx context.Context, obj platform.Object, expect uint64) (uint64, error) {
 	if s.down.Load() {
-		return 0, errDown
+		return 0, errStoreDown
 	}
 	version, err := s.Memory.Put(ctx, obj, expect)
-	if err == nil && s.downAfter != nil && obj.Kind == platform.KindCell {
-		if doc, err := cell.Decode(obj.Value); err == nil && s.downAfter(doc) {
+	if err == nil && s.failAfter != nil && obj.Kind == platform.KindCell {
+		if doc, err := cell.Decode(obj.Value); err == nil && s.failAfter(doc) {
 			s.down.Store(true)
 		}
 	}
 	return version, err
 }
 
-func (s *switchStore) Watch(ctx context.Context, kind string, after uint64, wait time.Duration) (platform.Batch, error) {
+func (s *switchableStore) Watch(ctx context.Context, kind string, after uint64, wait time.Duration) (platform.Batch, error) {
 	if s.down.Load() {
-		return platform.Batch{}, errDown
+		return platform.Batch{}, errStoreDown
 	}
 	return s.Memory.Watch(ctx, kind, after, min(wait, 100*time.Millisecond))
 }
 
 // bed is a deployment within the test process, over real connections.
-type bed struct {
-	t         testing.TB
-	store     *switchStore
-	entries   []*runningEntry
-	upstreams []*runningUpstream
-	client    *http.Client
-	edit      func(*settings.Entry)
+type testCluster struct {
+	t            testing.TB
+	store        *switchableStore
+	entries      []*runningEntry
+	upstreams    []*runningUpstream
+	client       *http.Client
+	editSettings func(*settings.Entry)
 }
 
 type runningEntry struct {
@@ -100,10 +100,10 @@
 	listener net.Listener
 }
 
-func newBed(t testing.TB) *bed {
-	return &bed{
+func newTestCluster(t testing.TB) *testCluster {
+	return &testCluster{
 		t:      t,
-		store:  &switchStore{Memory: platform.NewMemory()},
+		store:  &switchableStore{Memory: platform.NewMemory()},
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
 }
@@ -113,7 +113,7 @@
 }
 
 // addEntry starts an entry in a cell. The ones started before are its seeds.
-func (b *bed) addEntry(id, cellName string) *runningEntry {
+func (b *testCluster) addEntry(id, cellName string) *runningEntry {
 	b.t.Helper()
 	conf := settings.DefaultEntry()
 	conf.ID, conf.Domain, conf.Cell = id, cellName, cellName
@@ -124,8 +124,8 @@
 		_, peers, _ := e.Addresses()
 		conf.Seeds = append(conf.Seeds, jsonc.Addr{AddrPort: netip.MustParseAddrPort(peers)})
 	}
-	if b.edit != nil {
-		b.edit(&conf)
+	if b.editSettings != nil {
+		b.editSettings(&conf)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	e, err := Provision(context.Background(), conf, b.store, log)
@@ -142,13 +142,13 @@
 }
 
 // addUpstream starts a stand-in upstream.
-func (b *bed) addUpstream(id, cellName string, edit func(*upstream.Settings)) *runningUpstream {
+func (b *testCluster) addUpstream(id, cellName string, editSettings func(*upstream.Settings)) *runningUpstream {
 	b.t.Helper()
 	conf := upstream.DefaultSettings()
 	conf.ID = id
 	conf.ReadTime, conf.WriteTime = jsonc.Duration(time.Millisecond), jsonc.Duration(time.Millisecond)
-	if edit != nil {
-		edit(&conf)
+	if editSettings != nil {
+		editSettings(&conf)
 	}
 	s, err := upstream.New(conf, upstream.NewBoot())
 	if err != nil {
@@ -167,23 +167,23 @@
 }
 
 // await polls until f returns nil.
-func (b *bed) await(what string, f func() error) {
+func (b *testCluster) eventually(what string, f func() error) {
 	b.t.Helper()
-	limit := time.Now().Add(patience)
+	limit := time.Now().Add(testTimeout)
 	for {
 		err := f()
 		if err == nil {
 			return
 		}
 		if time.Now().After(limit) {
-			b.t.Fatalf("%s: %v%s", what, err, b.explain())
+			b.t.Fatalf("%s: %v%s", what, err, b.controllerStates())
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
 // explain tells what each controller waits for.
-func (b *bed) explain() string {
+func (b *testCluster) controllerStates() string {
 	var out strings.Builder
 	for _, e := range b.entries {
 		e.control.mu.Lock()
@@ -193,9 +193,9 @@
 	return out.String()
 }
 
-func (b *bed) operator() operator { return operator{b.entries[0].Entry} }
+func (b *testCluster) operator() operator { return operator{b.entries[0].Entry} }
 
-func (b *bed) serviceSpec(name string, checks bool) intent.Spec {
+func (b *testCluster) serviceSpec(name string, checks bool) intent.Spec {
 	conf := service.Default()
 	conf.Name = name
 	conf.ChecksFences = checks
@@ -214,7 +214,7 @@
 }
 
 // create states an intent.
-func (b *bed) create(spec intent.Spec) (*intent.Intent, error) {
+func (b *testCluster) create(spec intent.Spec) (*intent.Intent, error) {
 	data, err := json.Marshal(spec)
 	if err != nil {
 		return nil, err
@@ -226,7 +226,7 @@
 	return intent.Decode(resp.Intent)
 }
 
-func (b *bed) confirm(id string) (*intent.Intent, error) {
+func (b *testCluster) confirm(id string) (*intent.Intent, error) {
 	resp, err := b.operator().ConfirmIntent(context.Background(), &operatorpb.IntentRequest{Id: id})
 	if err != nil {
 		return nil, err
@@ -236,13 +236,13 @@
 
 // enact states and confirms an intent; a plan that went stale is confirmed in
 // its new form.
-func (b *bed) enact(spec intent.Spec) string {
+func (b *testCluster) createAndConfirm(spec intent.Spec) string {
 	b.t.Helper()
 	i, err := b.create(spec)
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.await("confirm", func() error {
+	b.eventually("confirm", func() error {
 		_, err := b.confirm(i.ID)
 		return err
 	})
@@ -250,9 +250,9 @@
 }
 
 // awaitDone waits until an intent is carried out.
-func (b *bed) awaitDone(id string) {
+func (b *testCluster) awaitDone(id string) {
 	b.t.Helper()
-	b.await("intent "+id, func() error {
+	b.eventually("intent "+id, func() error {
 		resp, err := b.operator().GetIntent(context.Background(), &operatorpb.IntentRequest{Id: id})
 		if err != nil {
 			return err
@@ -266,9 +266,9 @@
 }
 
 // awaitVoters waits until the entries of a cell all vote.
-func (b *bed) awaitVoters(cellName string, n int) {
+func (b *testCluster) awaitVoters(cellName string, n int) {
 	b.t.Helper()
-	b.await("voters of "+cellName, func() error {
+	b.eventually("voters of "+cellName, func() error {
 		obj, err := b.store.Memory.Get(context.Background(), platform.KindCell, cellName)
 		if err != nil {
 			return err
@@ -282,11 +282,11 @@
 }
 
 // awaitServed waits until every entry answers requests to a spread of keys.
-func (b *bed) awaitServed(name string) {
+func (b *testCluster) awaitServed(name string) {
 	b.t.Helper()
 	for _, e := range b.entries {
 		for k := range 32 {
-			b.await("service "+name, func() error {
+			b.eventually("service "+name, func() error {
 				resp := b.send(e.callers, http.MethodGet, name, fmt.Sprintf("key-%d", k), nil)
 				if resp.status != http.StatusOK {
 					return fmt.Errorf("%s answers %d %s", e.self.ID, resp.status, resp.body)
@@ -304,7 +304,7 @@
 }
 
 // send sends one request with a key and further headers, given in pairs.
-func (b *bed) send(addr, method, name, key string, body io.Reader, headers ...string) response {
+func (b *testCluster) send(addr, method, name, key string, body io.Reader, headers ...string) response {
 	req, err := http.NewRequest(method, "http://"+addr+"/"+name+"/op", body)
 	if err != nil {
 		return response{body: err.Error()}
@@ -325,7 +325,7 @@
 }
 
 // runs gathers what all upstreams ran.
-func (b *bed) runs() []upstream.Run {
+func (b *testCluster) runs() []upstream.Run {
 	var out []upstream.Run
 	for _, u := range b.upstreams {
 		out = append(out, u.Runs()...)
@@ -335,8 +335,8 @@
 
 // twoCells starts two cells of two entries and two upstreams each, with one
 // service.
-func twoCells(t testing.TB, checks bool) *bed {
-	b := newBed(t)
+func twoCells(t testing.TB, checks bool) *testCluster {
+	b := newTestCluster(t)
 	for _, c := range []string{"a", "b"} {
 		for i := range 2 {
 			b.addEntry(fmt.Sprintf("entry-%s%d", c, i), c)
@@ -345,7 +345,7 @@
 	}
 	b.awaitVoters("a", 2)
 	b.awaitVoters("b", 2)
-	b.awaitDone(b.enact(b.serviceSpec("svc", checks)))
+	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", checks)))
 	b.awaitServed("svc")
 	return b
 }
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -67,12 +67,12 @@
 // the observations of twelve upstreams: processor time of both ends, and bytes
 // of both directions.
 func BenchmarkBeat(b *testing.B) {
-	bd := newBed(b)
-	e := bd.addEntry("entry-1", "a")
-	bd.awaitVoters("a", 1)
+	cluster := newTestCluster(b)
+	e := cluster.addEntry("entry-1", "a")
+	cluster.awaitVoters("a", 1)
 	for i := range 12 {
-		e.leases.withLock(func(w *lease.Tracker) {
-			w.RecordAnswer(e.clock(), fmt.Sprintf("upstream-%d", i), control.Status{Boot: "0123456789abcdef.1"})
+		e.leases.withLock(func(tracker *lease.Tracker) {
+			tracker.RecordAnswer(e.clock(), fmt.Sprintf("upstream-%d", i), control.Status{Boot: "0123456789abcdef.1"})
 		})
 	}
 	var bytes atomic.Int64
@@ -106,9 +106,9 @@
 
 // BenchmarkRenew measures one lease renewal, both ends.
 func BenchmarkRenew(b *testing.B) {
-	bd := newBed(b)
-	e := bd.addEntry("entry-1", "a")
-	u := bd.addUpstream("up", "a", nil)
+	cluster := newTestCluster(b)
+	e := cluster.addEntry("entry-1", "a")
+	u := cluster.addUpstream("up", "a", nil)
 	var bytes atomic.Int64
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -132,7 +132,7 @@
 }
 
 // cellOf returns a cell of n ranges and twelve upstreams.
-func cellOf(n int) *cell.Cell {
+func testCell(n int) *cell.Cell {
 	doc := &cell.Cell{Name: "a", Domain: "a", Version: 1, Fence: 1, WriteID: "w"}
 	for i := range 12 {
 		doc.Upstreams = append(doc.Upstreams, cell.Upstream{
@@ -150,7 +150,7 @@
 func BenchmarkCellDocument(b *testing.B) {
 	for _, n := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprintf("ranges=%d", n), func(b *testing.B) {
-			doc := cellOf(n)
+			doc := testCell(n)
 			var data []byte
 			b.ReportAllocs()
 			for b.Loop() {
@@ -167,24 +167,24 @@
 	}
 }
 
-type nowhere struct{}
+type noPlacement struct{}
 
-func (nowhere) Place(_ *cell.Cell, _ string, spans []keyspace.Span, _ string) []string {
+func (noPlacement) Place(_ *cell.Cell, _ string, spans []keyspace.Span, _ string) []string {
 	return make([]string, len(spans))
 }
 
-type checked struct{}
+type allCheckFences struct{}
 
-func (checked) ChecksFences(string) bool { return true }
+func (allCheckFences) ChecksFences(string) bool { return true }
 
 // BenchmarkStep measures one look of the controller at a cell at rest.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprintf("ranges=%d", n), func(b *testing.B) {
 			self := cell.Member{ID: "e#1", Cell: "a", Domain: "a", Peer: "p"}
-			doc := cellOf(n)
+			doc := testCell(n)
 			doc.Quorum.Local = []cell.Member{self}
-			core := controller.NewCore(self, controller.DefaultLimits(), nowhere{}, checked{}, func() string { return "w" })
+			core := controller.NewCore(self, controller.DefaultLimits(), noPlacement{}, allCheckFences{}, func() string { return "w" })
 			now := time.Unix(1000, 0)
 			core.OnDocument(now, doc, 1)
 			b.ReportAllocs()
@@ -201,9 +201,9 @@
 func BenchmarkLoadReport(b *testing.B) {
 	for _, n := range []int{200, 800} {
 		b.Run(fmt.Sprintf("ranges=%d", n), func(b *testing.B) {
-			bd := newBed(b)
-			e := bd.addEntry("entry-1", "a")
-			doc := cellOf(n)
+			cluster := newTestCluster(b)
+			e := cluster.addEntry("entry-1", "a")
+			doc := testCell(n)
 			doc.Version = 1000
 			e.gate.Apply(doc)
 			_, slots := e.gate.Slots()
@@ -237,9 +237,9 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				l := docstore.New(func(*docstore.Document) {})
+				store := docstore.New(func(*docstore.Document) {})
 				for _, d := range docs {
-					l.Add(d)
+					store.Add(d)
 				}
 			}
 			b.ReportMetric(float64(size), "document-bytes")
@@ -266,7 +266,7 @@
 }
 
 // passThrough is the plain proxy that an entry is compared with.
-func passThrough(addr string) http.Handler {
+func plainProxy(addr string) http.Handler {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		out, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+addr+r.URL.Path, r.Body)
@@ -294,28 +294,28 @@
 // BenchmarkProxy compares an entry with a plain pass-through and with no proxy
 // at all, over real connections, one request at a time.
 func BenchmarkProxy(b *testing.B) {
-	bd := newBed(b)
-	e := bd.addEntry("entry-1", "a")
-	u := bd.addUpstream("up", "a", func(s *upstream.Settings) { s.ReadTime, s.ConnectionCost = 0, 0 })
-	bd.awaitVoters("a", 1)
-	bd.awaitDone(bd.enact(bd.serviceSpec("svc", true)))
-	bd.awaitServed("svc")
-	plain := httptest.NewServer(passThrough(u.addr))
+	cluster := newTestCluster(b)
+	e := cluster.addEntry("entry-1", "a")
+	u := cluster.addUpstream("up", "a", func(s *upstream.Settings) { s.ReadTime, s.ConnectionCost = 0, 0 })
+	cluster.awaitVoters("a", 1)
+	cluster.awaitDone(cluster.createAndConfirm(cluster.serviceSpec("svc", true)))
+	cluster.awaitServed("svc")
+	plain := httptest.NewServer(plainProxy(u.addr))
 	defer plain.Close()
-	epoch := fmt.Sprint(bd.epochOf("svc", "k"))
-	for _, way := range []struct{ name, addr string }{
+	epoch := fmt.Sprint(cluster.epochOf("svc", "k"))
+	for _, target := range []struct{ name, addr string }{
 		{"direct", u.addr}, {"passthrough", plain.Listener.Addr().String()}, {"entry", e.callers},
 	} {
-		b.Run(way.name, func(b *testing.B) {
+		b.Run(target.name, func(b *testing.B) {
 			h := hdrhistogram.New(1, 10_000_000, 3)
 			before := cpuMicros()
 			for b.Loop() {
-				began := time.Now()
-				resp := bd.send(way.addr, http.MethodGet, "svc", "k", nil, header.Idempotent, "true", header.Epoch, epoch)
+				start := time.Now()
+				resp := cluster.send(target.addr, http.MethodGet, "svc", "k", nil, header.Idempotent, "true", header.Epoch, epoch)
 				if resp.status != http.StatusOK {
 					b.Fatalf("%d %s", resp.status, resp.body)
 				}
-				_ = h.RecordValue(time.Since(began).Microseconds())
+				_ = h.RecordValue(time.Since(start).Microseconds())
 			}
 			b.ReportMetric((cpuMicros()-before)/float64(b.N), "cpu-us/op")
 			b.ReportMetric(float64(h.ValueAtQuantile(99)), "p99-us")
--- a/entry/faults_test.go
+++ b/entry/faults_test.go
@@ -21,11 +21,11 @@
 // TestNonIdempotentIsSentOnce has the upstream break off each answer after it
 // ran the request.
 func TestNonIdempotentIsSentOnce(t *testing.T) {
-	b := newBed(t)
+	b := newTestCluster(t)
 	e := b.addEntry("entry", "a")
 	u := b.addUpstream("up", "a", nil)
 	b.awaitVoters("a", 1)
-	b.awaitDone(b.enact(b.serviceSpec("svc", true)))
+	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
 	b.awaitServed("svc")
 	u.SetFaults(upstream.Faults{BreakEvery: 1})
 	tests := []struct {
@@ -73,11 +73,11 @@
 
 // TestIdempotentIsRetried has the upstream break off every other answer.
 func TestIdempotentIsRetried(t *testing.T) {
-	b := newBed(t)
+	b := newTestCluster(t)
 	e := b.addEntry("entry", "a")
 	u := b.addUpstream("up", "a", nil)
 	b.awaitVoters("a", 1)
-	b.awaitDone(b.enact(b.serviceSpec("svc", true)))
+	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
 	b.awaitServed("svc")
 	u.SetFaults(upstream.Faults{BreakEvery: 2})
 	for i := range 10 {
@@ -105,9 +105,9 @@
 
 // TestOutageWithLostEntry loses one of two entries of a cell while the platform
 // is down: the other serves on.
-func TestOutageWithLostEntry(t *testing.T) {
+func TestEntryLossDuringPlatformOutage(t *testing.T) {
 	b := twoCells(t, true)
-	b.await("witnesses", func() error {
+	b.eventually("witnesses", func() error {
 		if q := b.entries[1].gate.Doc().Quorum; len(q.Wide) < 4 {
 			return fmt.Errorf("%d in the wide set", len(q.Wide))
 		}
@@ -127,30 +127,30 @@
 // any more: the only voter ends, while the store is down, right after it has
 // written that another entry votes too and before it could write that its sole
 // vote is over. The other one was heard nothing from but that document.
-func TestSoleVoterEndsWhileAnotherJoins(t *testing.T) {
-	t.Run("one cell", func(t *testing.T) { soleVoterEnds(t) })
-	t.Run("beside another cell", func(t *testing.T) { soleVoterEnds(t, "entry-b0", "entry-b1") })
+func TestSoleVoterStopsWhileAnotherJoins(t *testing.T) {
+	t.Run("one cell", func(t *testing.T) { testSoleVoterStops(t) })
+	t.Run("beside another cell", func(t *testing.T) { testSoleVoterStops(t, "entry-b0", "entry-b1") })
 }
 
 // soleVoterEnds plays it beside entries of another cell.
-func soleVoterEnds(t *testing.T, others ...string) {
-	b := newBed(t)
-	b.store.downAfter = func(doc *cell.Cell) bool {
+func testSoleVoterStops(t *testing.T, otherEntries ...string) {
+	b := newTestCluster(t)
+	b.store.failAfter = func(doc *cell.Cell) bool {
 		return doc.Name == "a" && len(doc.Quorum.Local) == 2 && len(doc.Previous) > 0
 	}
-	for _, id := range others {
+	for _, id := range otherEntries {
 		b.addEntry(id, "b")
 	}
-	if len(others) > 0 {
-		b.awaitVoters("b", len(others))
+	if len(otherEntries) > 0 {
+		b.awaitVoters("b", len(otherEntries))
 	}
 	first := b.addEntry("entry-a0", "a")
 	b.addUpstream("up-a0", "a", func(s *upstream.Settings) { s.ChecksFences = true })
 	b.awaitVoters("a", 1)
-	b.awaitDone(b.enact(b.serviceSpec("svc", true)))
+	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
 	b.awaitServed("svc")
 	second := b.addEntry("entry-a1", "a")
-	b.await("the second entry's vote", func() error {
+	b.eventually("the second entry's vote", func() error {
 		doc := second.gate.Doc()
 		if doc == nil || !doc.Quorum.HasLocal(second.self.ID) {
 			return fmt.Errorf("not known to it")
@@ -172,16 +172,16 @@
 func TestLostUpstream(t *testing.T) {
 	b := twoCells(t, true)
 	var stop atomic.Bool
-	var told outcomes
+	var results outcomes
 	var wait sync.WaitGroup
 	wait.Add(1)
 	go func() {
 		defer wait.Done()
-		told.flood(b, 8, &stop)
+		results.sendUntil(b, 8, &stop)
 	}()
 	frozen := b.upstreams[0]
 	frozen.SetFaults(upstream.Faults{Frozen: true})
-	b.await("loss of "+frozen.id, func() error {
+	b.eventually("loss of "+frozen.id, func() error {
 		u := b.entries[0].gate.Doc().Upstream(frozen.id)
 		if u.State != cell.Lost {
 			return fmt.Errorf("is %s", u.State)
@@ -190,7 +190,7 @@
 	})
 	b.awaitServed("svc")
 	frozen.SetFaults(upstream.Faults{})
-	b.await("return of "+frozen.id, func() error {
+	b.eventually("return of "+frozen.id, func() error {
 		u := b.entries[0].gate.Doc().Upstream(frozen.id)
 		if u.State != cell.Active || u.Boot == "" {
 			return fmt.Errorf("is %s", u.State)
@@ -199,7 +199,7 @@
 	})
 	stop.Store(true)
 	wait.Wait()
-	told.verify(t, b)
+	results.verify(t, b)
 }
 
 // TestMalformedObjectsAreIgnored stores objects that cannot be parsed.
@@ -214,13 +214,13 @@
 			}
 		}
 	}
-	b.awaitDone(b.enact(intent.Spec{Kind: intent.Move, ServiceName: "svc", Key: "key-1", To: "up-a0"}))
+	b.awaitDone(b.createAndConfirm(intent.Spec{Kind: intent.Move, ServiceName: "svc", Key: "key-1", To: "up-a0"}))
 	b.awaitServed("svc")
 }
 
 // TestPromisesAreBoundToTheIncarnation asks a voter in the name of another one.
 func TestPromisesAreBoundToTheIncarnation(t *testing.T) {
-	b := newBed(t)
+	b := newTestCluster(t)
 	e := b.addEntry("entry", "a")
 	b.awaitVoters("a", 1)
 	sender := &peerpb.Member{Id: "x#1", Cell: "a", Domain: "a", Peer: "127.0.0.1:1"}
--- a/entry/product_test.go
+++ b/entry/product_test.go
@@ -22,12 +22,12 @@
 )
 
 // spanSink stands in for a receiver of traces.
-type spanSink struct {
+type spanCollector struct {
 	mu    sync.Mutex
 	spans map[string][]string
 }
 
-func (s *spanSink) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *spanCollector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	data, _ := io.ReadAll(r.Body)
 	var req collector.ExportTraceServiceRequest
 	if proto.Unmarshal(data, &req) != nil {
@@ -49,11 +49,11 @@
 // TestTracesHaveASpanForEachHop sends a request with a trace context to the
 // wrong cell: it passes two entries and an upstream.
 func TestTracesHaveASpanForEachHop(t *testing.T) {
-	sink := &spanSink{spans: make(map[string][]string)}
-	server := httptest.NewServer(sink)
+	received := &spanCollector{spans: make(map[string][]string)}
+	server := httptest.NewServer(received)
 	defer server.Close()
-	b := newBed(t)
-	b.edit = func(s *settings.Entry) {
+	b := newTestCluster(t)
+	b.editSettings = func(s *settings.Entry) {
 		s.Trace = settings.Trace{
 			Exporter: "otlp", SampleShare: 0,
 			Endpoint: jsonc.Addr{AddrPort: netip.MustParseAddrPort(server.Listener.Addr().String())},
@@ -64,7 +64,7 @@
 	b.addUpstream("up-a", "a", nil)
 	b.awaitVoters("a", 1)
 	b.awaitVoters("b", 1)
-	b.awaitDone(b.enact(b.serviceSpec("svc", true)))
+	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
 	b.awaitServed("svc")
 	const id = "0af7651916cd43dd8448eb211c80319c"
 	resp := b.send(b.entries[1].callers, http.MethodGet, "svc", "k", nil,
@@ -76,10 +76,10 @@
 		e.stop()
 		<-e.done
 	}
-	sink.mu.Lock()
-	defer sink.mu.Unlock()
+	received.mu.Lock()
+	defer received.mu.Unlock()
 	count := make(map[string]int)
-	for _, name := range sink.spans[id] {
+	for _, name := range received.spans[id] {
 		count[name]++
 	}
 	if count["entry"] != 2 || count["forward"] != 1 || count["upstream"] != 1 {
@@ -88,7 +88,7 @@
 }
 
 // versionAt returns the configuration version in force at an entry.
-func versionAt(e *runningEntry, name string) uint64 {
+func configurationVersion(e *runningEntry, name string) uint64 {
 	if conf := e.docs.Service(name); conf != nil {
 		return conf.Version
 	}
@@ -97,35 +97,35 @@
 
 // TestConfigurationReachesAllAndNeverGoesBack changes a configuration, feeds an
 // entry the former one, and starts an entry while the platform is down.
-func TestConfigurationReachesAllAndNeverGoesBack(t *testing.T) {
+func TestConfigurationReachesAllAndNeverReverts(t *testing.T) {
 	b := twoCells(t, true)
 	conf := service.Default()
 	conf.Name = "svc"
 	conf.QueueLength = 7
-	former := b.entries[0].docs.All()
-	b.enact(intent.Spec{Kind: intent.Configure, Service: &conf})
+	previous := b.entries[0].docs.All()
+	b.createAndConfirm(intent.Spec{Kind: intent.Configure, Service: &conf})
 	everywhere := func() error {
 		for _, e := range b.entries {
-			if v := versionAt(e, "svc"); v != 2 {
+			if v := configurationVersion(e, "svc"); v != 2 {
 				return fmt.Errorf("%s uses version %d", e.self.ID, v)
 			}
 		}
 		return nil
 	}
-	b.await("configuration everywhere", everywhere)
-	for _, d := range former {
+	b.eventually("configuration everywhere", everywhere)
+	for _, d := range previous {
 		b.entries[1].addEncodedDocument(d.Kind, d.Data)
 	}
 	b.store.down.Store(true)
 	b.addEntry("entry-late", "b")
-	b.await("configuration at the late entry", everywhere)
+	b.eventually("configuration at the late entry", everywhere)
 	b.store.down.Store(false)
 }
 
 // TestInvalidConfigurationIsRefused states a configuration that contradicts
 // itself.
 func TestInvalidConfigurationIsRefused(t *testing.T) {
-	b := newBed(t)
+	b := newTestCluster(t)
 	b.addEntry("entry", "a")
 	b.awaitVoters("a", 1)
 	spec := b.serviceSpec("svc", true)
@@ -140,7 +140,7 @@
 
 // TestCreateNamesOneCellPerSpan creates a service in two cells. No span may be
 // with one cell first and with another one later: the first may have granted it.
-func TestCreateNamesOneCellPerSpan(t *testing.T) {
+func TestCreateAssignsEachSpanToOneCell(t *testing.T) {
 	b := twoCells(t, true)
 	for _, e := range b.entries {
 		if v := e.docs.Directory("svc").Version; v != 1 {
@@ -167,7 +167,7 @@
 		u.SetFaults(frozenFaults)
 	}
 	b.entries = b.entries[:2]
-	b.enact(intent.Spec{Kind: intent.EvictCell, Names: []string{"b"}})
+	b.createAndConfirm(intent.Spec{Kind: intent.EvictCell, Names: []string{"b"}})
 	b.awaitServed("svc")
 	if d := b.entries[0].docs.Directory("svc"); len(d.Segments) == 0 || d.Segments[0].Cell != "a" {
 		t.Errorf("directory %+v", d)
--- a/entry/serve_test.go
+++ b/entry/serve_test.go
@@ -64,7 +64,7 @@
 }
 
 func TestOversizedHeaderIsRefused(t *testing.T) {
-	b := newBed(t)
+	b := newTestCluster(t)
 	e := b.addEntry("entry", "a")
 	resp := b.send(e.callers, http.MethodGet, "svc", "k", nil, "X-Large", strings.Repeat("x", 64<<10))
 	if resp.status != http.StatusRequestHeaderFieldsTooLarge {
@@ -78,16 +78,16 @@
 	list []load.Outcome
 }
 
-func (o *outcomes) ask(b *bed, addr, name, key, id string, idempotent bool) response {
+func (o *outcomes) send(b *testCluster, addr, name, key, id string, idempotent bool) response {
 	method := http.MethodPost
 	if idempotent {
 		method = http.MethodGet
 	}
-	begun := time.Now()
+	start := time.Now()
 	resp := b.send(addr, method, name, key, nil, header.RequestID, id)
 	out := load.ParseOutcome(load.Outcome{
 		Service: name, Key: key, RequestID: id, Idempotent: idempotent,
-		Start: begun.UnixNano(), End: time.Now().UnixNano(),
+		Start: start.UnixNano(), End: time.Now().UnixNano(),
 	}, resp.status, resp.header, []byte(resp.body))
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -96,23 +96,23 @@
 }
 
 // flood sends requests through all entries until stop is set.
-func (o *outcomes) flood(b *bed, workers int, stop *atomic.Bool) {
+func (o *outcomes) sendUntil(b *testCluster, workers int, stop *atomic.Bool) {
 	parallel(workers, func(worker int) {
 		for n := 0; !stop.Load(); n++ {
 			addr := b.entries[(worker+n)%len(b.entries)].callers
 			key := fmt.Sprintf("key-%d", (worker*31+n)%64)
-			o.ask(b, addr, "svc", key, fmt.Sprintf("r-%d-%d", worker, n), n%3 != 0)
+			o.send(b, addr, "svc", key, fmt.Sprintf("r-%d-%d", worker, n), n%3 != 0)
 		}
 	})
 }
 
-func (o *outcomes) verify(t *testing.T, b *bed) {
+func (o *outcomes) verify(t *testing.T, b *testCluster) {
 	t.Helper()
 	r := check.History(o.list, b.runs())
 	if len(r.Violations) > 0 {
 		t.Errorf("%d violations, the first: %v", len(r.Violations), r.Violations[0])
 	}
-	if got := check.Owners(o.list, patience); got != check.Linearizable {
+	if got := check.Owners(o.list, testTimeout); got != check.Linearizable {
 		t.Errorf("the owners that callers saw: %s", got)
 	}
 	if r.Outcomes == 0 || r.Runs == 0 {
@@ -122,30 +122,30 @@
 
 // TestPlannedMovesLoseNothing moves ranges within and across cells and drains
 // an upstream under load: every request is answered.
-func TestPlannedMovesLoseNothing(t *testing.T) {
+func TestPlannedMovesAnswerEveryRequest(t *testing.T) {
 	b := twoCells(t, true)
 	var stop atomic.Bool
-	var told outcomes
+	var results outcomes
 	var wait sync.WaitGroup
 	wait.Add(1)
 	go func() {
 		defer wait.Done()
-		told.flood(b, 8, &stop)
+		results.sendUntil(b, 8, &stop)
 	}()
 	for _, to := range []string{"up-a0", "up-b1", "up-a1"} {
 		for _, key := range []string{"key-1", "key-2"} {
-			b.awaitDone(b.enact(intent.Spec{Kind: intent.Move, ServiceName: "svc", Key: key, To: to}))
+			b.awaitDone(b.createAndConfirm(intent.Spec{Kind: intent.Move, ServiceName: "svc", Key: key, To: to}))
 		}
 	}
-	b.awaitDone(b.enact(intent.Spec{Kind: intent.Leave, Names: []string{"up-b0"}}))
+	b.awaitDone(b.createAndConfirm(intent.Spec{Kind: intent.Leave, Names: []string{"up-b0"}}))
 	stop.Store(true)
 	wait.Wait()
-	for _, o := range told.list {
+	for _, o := range results.list {
 		if !o.OK() {
 			t.Errorf("request %s, key %s: %d %s", o.RequestID, o.Key, o.Status, o.Kind)
 		}
 	}
-	told.verify(t, b)
+	results.verify(t, b)
 	for _, u := range b.upstreams {
 		if u.id == "up-b0" && !u.Empty() {
 			t.Error("the upstream that left still holds ranges")
@@ -155,10 +155,10 @@
 
 // TestGracefulStopCutsNothing stops entries and upstreams under load, one after
 // the other. Callers that reach a stopping entry go to the next one.
-func TestGracefulStopCutsNothing(t *testing.T) {
+func TestGracefulStopFailsNoRequest(t *testing.T) {
 	b := twoCells(t, true)
 	var stop atomic.Bool
-	var cut atomic.Int64
+	var failed atomic.Int64
 	addr := b.entries[1].callers
 	var wait sync.WaitGroup
 	for worker := range 6 {
@@ -169,7 +169,7 @@
 				resp := b.send(addr, http.MethodPost, "svc", fmt.Sprintf("key-%d", n%64), nil,
 					header.RequestID, fmt.Sprintf("g-%d-%d", worker, n))
 				if resp.status != http.StatusOK {
-					cut.Add(1)
+					failed.Add(1)
 					t.Errorf("%d %s", resp.status, resp.body)
 				}
 			}
@@ -180,7 +180,7 @@
 		t.Error(err)
 	}
 	b.upstreams[2].stop()
-	b.await("drained", func() error {
+	b.eventually("drained", func() error {
 		if !b.upstreams[2].Empty() {
 			return fmt.Errorf("ranges are left")
 		}
@@ -190,7 +190,7 @@
 	wait.Wait()
 }
 
-func TestConfirms(t *testing.T) {
+func TestConfirmIntent(t *testing.T) {
 	b := twoCells(t, true)
 	move := func(to string) *intent.Intent {
 		i, err := b.create(intent.Spec{Kind: intent.Move, ServiceName: "svc", Key: "key-1", To: to})
@@ -216,15 +216,15 @@
 	})
 	t.Run("racing", func(t *testing.T) {
 		i := move("up-a1")
-		var won atomic.Int64
+		var confirmed atomic.Int64
 		parallel(4, func(int) {
 			if _, err := b.confirm(i.ID); err == nil {
-				won.Add(1)
+				confirmed.Add(1)
 			} else if kind(err) != answer.Conflict {
 				t.Errorf("kind %q: %v", kind(err), err)
 			}
 		})
-		if won.Load() == 0 {
+		if confirmed.Load() == 0 {
 			t.Error("no confirm succeeded")
 		}
 		b.awaitDone(i.ID)
@@ -259,12 +259,12 @@
 	})
 }
 
-func TestAnswersStreamWhole(t *testing.T) {
-	b := newBed(t)
+func TestLargeBodyIsProxied(t *testing.T) {
+	b := newTestCluster(t)
 	e := b.addEntry("entry", "a")
 	b.addUpstream("up", "a", nil)
 	b.awaitVoters("a", 1)
-	b.awaitDone(b.enact(b.serviceSpec("svc", true)))
+	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
 	b.awaitServed("svc")
 	body := bytes.Repeat([]byte("0123456789abcdef"), 20_000)
 	resp := b.send(e.callers, http.MethodPost, "svc", "k", bytes.NewReader(body), header.RequestID, "large")
@@ -277,7 +277,7 @@
 }
 
 // epochOf returns the epoch of a key's range.
-func (b *bed) epochOf(name, key string) uint64 {
+func (b *testCluster) epochOf(name, key string) uint64 {
 	for _, e := range b.entries {
 		if r := e.gate.Route(name, hashOf(key)); r.Slot != nil {
 			return r.Slot.Epoch
--- a/entry/tls_test.go
+++ b/entry/tls_test.go
@@ -22,15 +22,15 @@
 )
 
 // authority signs certificates for tests.
-type authority struct {
+type testCA struct {
 	t    *testing.T
 	dir  string
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func newAuthority(t *testing.T) *authority {
-	a := &authority{t: t, dir: t.TempDir()}
+func newTestCA(t *testing.T) *testCA {
+	a := &testCA{t: t, dir: t.TempDir()}
 	a.cert, a.key = a.sign("ca", &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "ca"}, IsCA: true, BasicConstraintsValid: true,
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), KeyUsage: x509.KeyUsageCertSign,
@@ -39,7 +39,7 @@
 }
 
 // sign writes NAME.crt and NAME.key.
-func (a *authority) sign(name string, c *x509.Certificate) (*x509.Certificate, *ecdsa.PrivateKey) {
+func (a *testCA) sign(name string, c *x509.Certificate) (*x509.Certificate, *ecdsa.PrivateKey) {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return parsed, key
 }
 
-func (a *authority) write(name, kind string, der []byte) {
+func (a *testCA) write(name, kind string, der []byte) {
 	data := pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 	if err := os.WriteFile(filepath.Join(a.dir, name), data, 0o600); err != nil {
 		a.t.Fatal(err)
@@ -74,7 +74,7 @@
 }
 
 // issue writes a certificate for the loopback address and returns its settings.
-func (a *authority) issue(name string, serial int64) settings.TLS {
+func (a *testCA) issue(name string, serial int64) settings.TLS {
 	a.sign(name, &x509.Certificate{
 		SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: name},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
@@ -89,21 +89,21 @@
 // TestPeersNeedACertificate runs two cells with TLS between entries: requests
 // pass, and a call without a certificate, or with one of another authority,
 // does not.
-func TestPeersNeedACertificate(t *testing.T) {
-	ca := newAuthority(t)
-	b := newBed(t)
-	b.edit = func(s *settings.Entry) { s.PeerTLS = ca.issue(s.ID, 2) }
+func TestPeersRequireACertificate(t *testing.T) {
+	ca := newTestCA(t)
+	b := newTestCluster(t)
+	b.editSettings = func(s *settings.Entry) { s.PeerTLS = ca.issue(s.ID, 2) }
 	b.addEntry("entry-a", "a")
 	b.addEntry("entry-b", "b")
 	b.addUpstream("up-a", "a", nil)
 	b.addUpstream("up-b", "b", nil)
 	b.awaitVoters("a", 1)
 	b.awaitVoters("b", 1)
-	b.awaitDone(b.enact(b.serviceSpec("svc", true)))
+	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
 	b.awaitServed("svc")
 
-	stranger := newAuthority(t)
-	foreign := stranger.issue("stranger", 3)
+	otherCA := newTestCA(t)
+	foreign := otherCA.issue("stranger", 3)
 	pair, err := tls.LoadX509KeyPair(foreign.Cert, foreign.Key)
 	if err != nil {
 		t.Fatal(err)
@@ -129,10 +129,10 @@
 }
 
 // TestCertificatesAreReplaced writes a new certificate while the entry runs.
-func TestCertificatesAreReplaced(t *testing.T) {
-	ca := newAuthority(t)
-	b := newBed(t)
-	b.edit = func(s *settings.Entry) { s.CallerTLS = ca.issue("callers", 2) }
+func TestCertificatesAreReloaded(t *testing.T) {
+	ca := newTestCA(t)
+	b := newTestCluster(t)
+	b.editSettings = func(s *settings.Entry) { s.CallerTLS = ca.issue("callers", 2) }
 	e := b.addEntry("entry", "a")
 	serial := func() int64 {
 		conn, err := tls.Dial("tcp", e.callers, &tls.Config{InsecureSkipVerify: true})
@@ -150,7 +150,7 @@
 	if err := os.Chtimes(filepath.Join(ca.dir, "callers.crt"), later, later); err != nil {
 		t.Fatal(err)
 	}
-	b.await("the new certificate", func() error {
+	b.eventually("the new certificate", func() error {
 		if got := serial(); got != 9 {
 			return os.ErrNotExist
 		}
