--- a/ctl/intents.go
+++ b/ctl/intents.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			return create(cmd, o, spec)
+			return createIntent(cmd, o, spec)
 		},
 	}
 	cmd.Flags().StringVarP(&file, "file", "f", "", "specification, JSON with comments")
@@ -79,7 +79,7 @@
 // Check implements jsonc.Checker.
 func (f *specFile) Check() []jsonc.Finding { return f.intent().Check() }
 
-func create(cmd *cobra.Command, o *options, spec *intent.Spec) error {
+func createIntent(cmd *cobra.Command, o *options, spec *intent.Spec) error {
 	data, err := json.Marshal(spec)
 	if err != nil {
 		return err
@@ -115,7 +115,7 @@
 }
 
 // byID makes a command that acts on one intent.
-func byID(o *options, use, short, example string,
+func intentCommand(o *options, use, short, example string,
 	call func(operatorpb.Operator, *cobra.Command, *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error),
 ) *cobra.Command {
 	return &cobra.Command{
@@ -134,7 +134,7 @@
 }
 
 func showCommand(o *options) *cobra.Command {
-	return byID(o, "show", "Show an intent, its plan and its progress", "  rockcroftctl show i-3f9a",
+	return intentCommand(o, "show", "Show an intent, its plan and its progress", "  rockcroftctl show i-3f9a",
 		func(c operatorpb.Operator, cmd *cobra.Command, r *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error) {
 			ctx, cancel := callContext(cmd)
 			defer cancel()
@@ -143,7 +143,7 @@
 }
 
 func confirmCommand(o *options) *cobra.Command {
-	return byID(o, "confirm", "Confirm a plan; a stale one is refused with exit code 3", "  rockcroftctl confirm i-3f9a",
+	return intentCommand(o, "confirm", "Confirm a plan; a stale one is refused with exit code 3", "  rockcroftctl confirm i-3f9a",
 		func(c operatorpb.Operator, cmd *cobra.Command, r *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error) {
 			ctx, cancel := callContext(cmd)
 			defer cancel()
@@ -152,7 +152,7 @@
 }
 
 func cancelCommand(o *options) *cobra.Command {
-	return byID(o, "cancel", "Withdraw an intent that is not confirmed", "  rockcroftctl cancel i-3f9a",
+	return intentCommand(o, "cancel", "Withdraw an intent that is not confirmed", "  rockcroftctl cancel i-3f9a",
 		func(c operatorpb.Operator, cmd *cobra.Command, r *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error) {
 			ctx, cancel := callContext(cmd)
 			defer cancel()
@@ -167,7 +167,7 @@
 		Example: "  rockcroftctl leave status-3",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return create(cmd, o, &intent.Spec{Kind: intent.Leave, Names: args})
+			return createIntent(cmd, o, &intent.Spec{Kind: intent.Leave, Names: args})
 		},
 	}
 }
@@ -179,7 +179,7 @@
 		Example: "  rockcroftctl evict billing-2",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return create(cmd, o, &intent.Spec{Kind: intent.Evict, Names: args})
+			return createIntent(cmd, o, &intent.Spec{Kind: intent.Evict, Names: args})
 		},
 	}
 }
@@ -200,7 +200,7 @@
 				}
 				spec.Span = &parsed
 			}
-			return create(cmd, o, spec)
+			return createIntent(cmd, o, spec)
 		},
 	}
 	cmd.Flags().StringVar(&serviceName, "service", "", "service of the key")
--- a/ctl/owners.go
+++ b/ctl/owners.go
@@ -37,9 +37,9 @@
 		if _, err := fmt.Fprintf(o.out, "%s  %d upstreams, %d moves under way\n", s.Service, len(s.Owners), s.Moving); err != nil {
 			return err
 		}
-		for _, one := range s.Owners {
+		for _, owner := range s.Owners {
 			if _, err := fmt.Fprintf(o.out, "    %s  %d keys in %d spans, %.0f of %.0f requests a second%s\n",
-				one.Upstream, one.Keys, one.Spans, one.Load, one.Capacity, whyNoKeys(one)); err != nil {
+				owner.Upstream, owner.Keys, owner.Spans, owner.Load, owner.Capacity, unusableReason(owner)); err != nil {
 				return err
 			}
 		}
@@ -48,16 +48,16 @@
 }
 
 // whyNoKeys says why the upstream is given no keys, or nothing when it is.
-func whyNoKeys(one *placementpb.OwnerState) string {
-	failing := time.Duration(one.FailingMs) * time.Millisecond
+func unusableReason(owner *placementpb.OwnerState) string {
+	failing := time.Duration(owner.FailingMs) * time.Millisecond
 	switch {
-	case one.Usable:
+	case owner.Usable:
 		return ""
-	case one.FailingMs > 0 && one.Reached:
+	case owner.FailingMs > 0 && owner.Reached:
 		return fmt.Sprintf("; given none: grants fail for %s, other calls are answered", failing)
-	case one.FailingMs > 0:
+	case owner.FailingMs > 0:
 		return fmt.Sprintf("; given none: calls fail for %s", failing)
-	case one.Warming:
+	case owner.Warming:
 		return "; given none: warms up"
 	}
 	return "; given none: leaves or has ended"
--- a/ctl/placements.go
+++ b/ctl/placements.go
@@ -18,8 +18,8 @@
 		Long:  "Talks to the peer address of any gateway, named by --entry.",
 	}
 	cmd.AddCommand(pinCommand(o), drainCommand(o),
-		referenceCommand(o, "confirm", "Put a planned intent in force", placementpb.Placement.Confirm),
-		referenceCommand(o, "cancel", "Withdraw an intent", placementpb.Placement.Cancel),
+		placementIntentCommand(o, "confirm", "Put a planned intent in force", placementpb.Placement.Confirm),
+		placementIntentCommand(o, "cancel", "Withdraw an intent", placementpb.Placement.Cancel),
 		placementListCommand(o))
 	return cmd
 }
@@ -43,7 +43,7 @@
 			if last < 0 {
 				return usageError{fmt.Errorf("--keys is required")}
 			}
-			return state(cmd, o, &placementpb.Intent{
+			return createPlacementIntent(cmd, o, &placementpb.Intent{
 				Kind: "pin", Service: service, Upstream: to, First: uint32(first), Last: uint32(last), By: operatorName(),
 			})
 		},
@@ -62,26 +62,26 @@
 		Example: "  rockcroftctl placement drain i-7f3a91c2 --service status",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return state(cmd, o, &placementpb.Intent{Kind: "drain", Service: service, Upstream: args[0], By: operatorName()})
+			return createPlacementIntent(cmd, o, &placementpb.Intent{Kind: "drain", Service: service, Upstream: args[0], By: operatorName()})
 		},
 	}
 	cmd.Flags().StringVar(&service, "service", "", "service of the upstream")
 	return cmd
 }
 
-func state(cmd *cobra.Command, o *options, i *placementpb.Intent) error {
+func createPlacementIntent(cmd *cobra.Command, o *options, i *placementpb.Intent) error {
 	ctx, cancel := callContext(cmd)
 	defer cancel()
-	answer, err := o.placement().State(ctx, i)
+	resp, err := o.placement().State(ctx, i)
 	if err != nil {
 		return err
 	}
-	return o.printPlacement(answer)
+	return o.printPlacement(resp)
 }
 
-type referenceCall func(placementpb.Placement, context.Context, *placementpb.Reference) (*placementpb.Intent, error)
+type placementIntentCall func(placementpb.Placement, context.Context, *placementpb.Reference) (*placementpb.Intent, error)
 
-func referenceCommand(o *options, use, short string, call referenceCall) *cobra.Command {
+func placementIntentCommand(o *options, use, short string, call placementIntentCall) *cobra.Command {
 	return &cobra.Command{
 		Use:   use + " INTENT",
 		Short: short,
@@ -89,11 +89,11 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, cancel := callContext(cmd)
 			defer cancel()
-			answer, err := call(o.placement(), ctx, &placementpb.Reference{Id: args[0]})
+			resp, err := call(o.placement(), ctx, &placementpb.Reference{Id: args[0]})
 			if err != nil {
 				return err
 			}
-			return o.printPlacement(answer)
+			return o.printPlacement(resp)
 		},
 	}
 }
@@ -106,11 +106,11 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, cancel := callContext(cmd)
 			defer cancel()
-			answer, err := o.placement().List(ctx, &placementpb.ListRequest{})
+			resp, err := o.placement().List(ctx, &placementpb.ListRequest{})
 			if err != nil {
 				return err
 			}
-			for _, i := range answer.List {
+			for _, i := range resp.List {
 				if err := o.printPlacement(i); err != nil {
 					return err
 				}
--- a/ctl/print.go
+++ b/ctl/print.go
@@ -21,21 +21,21 @@
 	if err != nil {
 		return err
 	}
-	head := process.NewText(o.out)
-	head.Printf("intent   %s\nkind     %s\nstate    %s\nwhy      %s\n", i.ID, i.Spec.Kind, i.State, i.Plan.Why)
+	header := process.NewText(o.out)
+	header.Printf("intent   %s\nkind     %s\nstate    %s\nwhy      %s\n", i.ID, i.Spec.Kind, i.State, i.Plan.Why)
 	c := i.Plan.Cost
-	head.Printf("cost     %d ranges, churn %.3f (least %.3f), unavailable %s a key\n",
+	header.Printf("cost     %d ranges, churn %.3f (least %.3f), unavailable %s a key\n",
 		c.Ranges, c.Churn, c.LeastChurn, c.Unavailable.D())
-	head.Printf("balance  %.3f before, %.3f after\n", c.ImbalanceBefore, c.ImbalanceAfter)
+	header.Printf("balance  %.3f before, %.3f after\n", c.ImbalanceBefore, c.ImbalanceAfter)
 	if len(i.Progress) > 0 {
-		head.Printf("done in  %s\n", strings.Join(i.Progress, ", "))
+		header.Printf("done in  %s\n", strings.Join(i.Progress, ", "))
 	}
 	t := process.NewTable(o.out)
 	t.Printf("\nCELL\tACTION\tSERVICE\tSPAN\tFROM\tTO\n")
 	for _, s := range i.Plan.Steps {
 		t.Printf("%s\t%s\t%s\t%s\t%s\t%s%s\n", s.Cell, s.Action, s.Service, s.Span, s.From, s.To, s.ToCell)
 	}
-	return errors.Join(head.Close(), t.Close())
+	return errors.Join(header.Close(), t.Close())
 }
 
 func (o *options) printIntents(list [][]byte) error {
@@ -82,11 +82,11 @@
 
 func (o *options) printStatus(r *operatorpb.StatusResponse) error {
 	e := r.Entry
-	head := process.NewText(o.out)
-	head.Printf("entry %s of cell %s: controller %v, may send %v, version %d\n",
+	header := process.NewText(o.out)
+	header.Printf("entry %s of cell %s: controller %v, may send %v, version %d\n",
 		e.Id, e.Cell, e.Leads, e.MaySend, e.Version)
 	if r.PlatformError != "" {
-		head.Printf("platform: %s\n", r.PlatformError)
+		header.Printf("platform: %s\n", r.PlatformError)
 	}
 	t := process.NewTable(o.out)
 	t.Printf("\nCELL\tDOMAIN\tVERSION\tFENCE\tENTRIES\n")
@@ -110,5 +110,5 @@
 	for _, f := range r.InForce {
 		t.Printf("%s\t%d\t%s\t%s\t%s\n", f.Service, f.Version, f.Cell, f.Domain, f.Entry)
 	}
-	return errors.Join(head.Close(), t.Close())
+	return errors.Join(header.Close(), t.Close())
 }
--- a/ctl/story.go
+++ b/ctl/story.go
@@ -19,15 +19,15 @@
 const maxLine = 1 << 20
 
 // event is one line of a process's log.
-type event struct {
+type logEvent struct {
 	at     time.Time
 	fields map[string]any
 	// order is the place in the input, for lines of the same time.
-	order int
+	index int
 }
 
 // subject is what a story is about; unset parts do not count.
-type subject struct {
+type storyFilter struct {
 	request  string
 	upstream string
 	// first and last are a span of keys; last is -1 when none is asked for.
@@ -35,7 +35,7 @@
 }
 
 func storyCommand(o *options) *cobra.Command {
-	var s subject
+	var filter storyFilter
 	var keys string
 	cmd := &cobra.Command{
 		Use:   "story [FILE...]",
@@ -44,21 +44,21 @@
 			"before the object on a line is passed over, so that collected logs can be read as they are.",
 		RunE: func(_ *cobra.Command, files []string) error {
 			var err error
-			if s.first, s.last, err = parseKeys(keys); err != nil {
+			if filter.first, filter.last, err = parseKeys(keys); err != nil {
 				return usageError{err}
 			}
-			if s.request == "" && s.upstream == "" && s.last < 0 {
+			if filter.request == "" && filter.upstream == "" && filter.last < 0 {
 				return usageError{fmt.Errorf("one of --request, --upstream and --keys is required")}
 			}
 			events, err := readEvents(files)
 			if err != nil {
 				return err
 			}
-			return o.tell(selectEvents(events, s))
+			return o.printEvents(selectEvents(events, filter))
 		},
 	}
-	cmd.Flags().StringVar(&s.request, "request", "", "id of a request")
-	cmd.Flags().StringVar(&s.upstream, "upstream", "", "id of an upstream")
+	cmd.Flags().StringVar(&filter.request, "request", "", "id of a request")
+	cmd.Flags().StringVar(&filter.upstream, "upstream", "", "id of an upstream")
 	cmd.Flags().StringVar(&keys, "keys", "", "a key, or a span of keys such as 100-199")
 	return cmd
 }
@@ -82,11 +82,11 @@
 }
 
 // readEvents reads all files, or standard input when there are none.
-func readEvents(files []string) ([]event, error) {
+func readEvents(files []string) ([]logEvent, error) {
 	if len(files) == 0 {
 		return scanEvents(os.Stdin, nil)
 	}
-	var events []event
+	var events []logEvent
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
@@ -103,17 +103,17 @@
 	return events, nil
 }
 
-func scanEvents(r io.Reader, events []event) ([]event, error) {
+func scanEvents(r io.Reader, events []logEvent) ([]logEvent, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
 		line := scanner.Bytes()
-		begin := bytes.IndexByte(line, '{')
-		if begin < 0 {
+		start := bytes.IndexByte(line, '{')
+		if start < 0 {
 			continue
 		}
 		var fields map[string]any
-		decoder := json.NewDecoder(bytes.NewReader(line[begin:]))
+		decoder := json.NewDecoder(bytes.NewReader(line[start:]))
 		decoder.UseNumber()
 		if decoder.Decode(&fields) != nil {
 			// Not a line of a log.
@@ -123,45 +123,45 @@
 		if err != nil {
 			continue
 		}
-		events = append(events, event{at: at, fields: fields, order: len(events)})
+		events = append(events, logEvent{at: at, fields: fields, index: len(events)})
 	}
 	return events, scanner.Err()
 }
 
 // selectEvents returns the events about the subject and, for requests and keys,
 // what happened to the upstreams and keys concerned shortly before.
-func selectEvents(events []event, s subject) []event {
-	var out []event
+func selectEvents(events []logEvent, filter storyFilter) []logEvent {
+	var out []logEvent
 	for _, e := range events {
-		if e.about(s) {
+		if e.matches(filter) {
 			out = append(out, e)
 		}
 	}
-	if s.request != "" {
-		out = append(out, background(events, out)...)
+	if filter.request != "" {
+		out = append(out, relatedEvents(events, out)...)
 	}
 	sort.SliceStable(out, func(i, j int) bool {
 		if !out[i].at.Equal(out[j].at) {
 			return out[i].at.Before(out[j].at)
 		}
-		return out[i].order < out[j].order
+		return out[i].index < out[j].index
 	})
 	return out
 }
 
-func (e event) about(s subject) bool {
+func (e logEvent) matches(filter storyFilter) bool {
 	switch {
-	case s.request != "":
-		return e.fields["request"] == s.request
-	case s.upstream != "":
-		return e.mentions(s.upstream) && e.fields["request"] == nil
+	case filter.request != "":
+		return e.fields["request"] == filter.request
+	case filter.upstream != "":
+		return e.mentions(filter.upstream) && e.fields["request"] == nil
 	}
-	first, last, ok := e.keys()
-	return ok && first <= s.last && last >= s.first && e.fields["request"] == nil
+	first, last, ok := e.keySpan()
+	return ok && first <= filter.last && last >= filter.first && e.fields["request"] == nil
 }
 
 // mentions reports whether the event names the upstream.
-func (e event) mentions(upstream string) bool {
+func (e logEvent) mentions(upstream string) bool {
 	for _, name := range []string{"upstream", "from"} {
 		if e.fields[name] == upstream {
 			return true
@@ -171,12 +171,12 @@
 }
 
 // keys returns the span of keys that the event is about.
-func (e event) keys() (first, last int, ok bool) {
-	low, ok := e.number("first")
+func (e logEvent) keySpan() (first, last int, ok bool) {
+	low, ok := e.intField("first")
 	if !ok {
 		return 0, 0, false
 	}
-	high, ok := e.number("last")
+	high, ok := e.intField("last")
 	if !ok {
 		high = low
 	}
@@ -184,7 +184,7 @@
 }
 
 // number returns a field that is a whole number.
-func (e event) number(name string) (int, bool) {
+func (e logEvent) intField(name string) (int, bool) {
 	n, ok := e.fields[name].(json.Number)
 	if !ok {
 		return 0, false
@@ -195,21 +195,21 @@
 
 // backgroundTime is how long before a request's first line the background of its
 // story begins: longer than a grant lasts.
-const backgroundTime = 6 * time.Second
+const relatedWindow = 6 * time.Second
 
 // background returns what is known of the upstreams and the key of a request
 // from shortly before it, and changes of the leader.
-func background(events, about []event) []event {
-	if len(about) == 0 {
+func relatedEvents(events, matched []logEvent) []logEvent {
+	if len(matched) == 0 {
 		return nil
 	}
-	begin, end := about[0].at.Add(-backgroundTime), about[len(about)-1].at
-	var out []event
+	start, end := matched[0].at.Add(-relatedWindow), matched[len(matched)-1].at
+	var out []logEvent
 	for _, e := range events {
-		if e.at.Before(begin) || e.at.After(end) || e.fields["request"] != nil {
+		if e.at.Before(start) || e.at.After(end) || e.fields["request"] != nil {
 			continue
 		}
-		if e.concerns(about) {
+		if e.relatesTo(matched) {
 			out = append(out, e)
 		}
 	}
@@ -218,22 +218,22 @@
 
 // leaderMessages are the lines about who decides and whether the store and other
 // gateways are reached.
-var leaderMessages = map[string]bool{
+var clusterMessages = map[string]bool{
 	"leading": true, "no longer leading": true, "lease given up": true, "lease not renewed": true,
 	"store not reached": true, "store reached again": true, "stopping": true,
 	"reports to other gateways fail": true, "reports succeed again": true,
 }
 
-func (e event) concerns(about []event) bool {
-	if message, ok := e.fields["msg"].(string); ok && leaderMessages[message] {
+func (e logEvent) relatesTo(matched []logEvent) bool {
+	if message, ok := e.fields["msg"].(string); ok && clusterMessages[message] {
 		return true
 	}
-	first, last, spanned := e.keys()
-	for _, a := range about {
+	first, last, spanned := e.keySpan()
+	for _, a := range matched {
 		if u, ok := a.fields["upstream"].(string); ok && u != "" && e.mentions(u) && !spanned {
 			return true
 		}
-		if key, ok := a.number("key"); ok && spanned && first <= key && key <= last {
+		if key, ok := a.intField("key"); ok && spanned && first <= key && key <= last {
 			return true
 		}
 	}
@@ -241,7 +241,7 @@
 }
 
 // tell prints the events, one a line or as JSON.
-func (o *options) tell(events []event) error {
+func (o *options) printEvents(events []logEvent) error {
 	if o.json() {
 		list := make([]map[string]any, len(events))
 		for i, e := range events {
@@ -250,7 +250,7 @@
 		return writeJSON(o.out, list)
 	}
 	for _, e := range events {
-		if _, err := fmt.Fprintln(o.out, e.line()); err != nil {
+		if _, err := fmt.Fprintln(o.out, e.format()); err != nil {
 			return err
 		}
 	}
@@ -258,7 +258,7 @@
 }
 
 // line formats an event: time, process, message, then the rest by name.
-func (e event) line() string {
+func (e logEvent) format() string {
 	var names []string
 	for name := range e.fields {
 		switch name {
--- a/ctl/story_test.go
+++ b/ctl/story_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestStoryRefuses(t *testing.T) {
+func TestStoryUsageErrors(t *testing.T) {
 	for _, args := range [][]string{{}, {"--keys", "x"}, {"--keys", "9-1"}} {
 		if _, err := story(t, args...); ExitCode(err) != ExitUsage {
 			t.Errorf("%v: %v", args, err)
--- a/ctl/suspects.go
+++ b/ctl/suspects.go
@@ -47,12 +47,12 @@
 		return writeJSON(o.out, state)
 	}
 	for _, s := range state.List {
-		what := "sent on"
+		status := "sent on"
 		if s.Refused {
-			what = "sent no more"
+			status = "sent no more"
 		}
 		last := (time.Duration(s.LastMs) * time.Millisecond).Round(time.Second)
-		if _, err := fmt.Fprintf(o.out, "%s  %d upstreams ended with it, the last %s ago; %s\n", s.Digest, s.Crashes, last, what); err != nil {
+		if _, err := fmt.Fprintf(o.out, "%s  %d upstreams ended with it, the last %s ago; %s\n", s.Digest, s.Crashes, last, status); err != nil {
 			return err
 		}
 	}
--- a/ctl/unread.go
+++ b/ctl/unread.go
@@ -34,13 +34,13 @@
 		return writeJSON(o.out, state)
 	}
 	for _, h := range state.Headers {
-		what := "sent"
+		status := "sent"
 		if !h.Sent {
-			what = "not sent any more"
+			status = "not sent any more"
 		}
 		last := (time.Duration(h.LastMs) * time.Millisecond).Round(time.Second)
 		if _, err := fmt.Fprintf(o.out, "%s  %s  %d answers, first by %s, the last %s ago; %s\n",
-			h.Service, h.Name, h.Answers, h.Upstream, last, what); err != nil {
+			h.Service, h.Name, h.Answers, h.Upstream, last, status); err != nil {
 			return err
 		}
 	}
--- a/ctl/watches.go
+++ b/ctl/watches.go
@@ -36,7 +36,7 @@
 	}
 	for _, w := range state.Watches {
 		heard := time.Duration(w.HeardMs) * time.Millisecond
-		if _, err := fmt.Fprintf(o.out, "%s  heard %s ago; %s\n", w.Kind, heard, watchText(w)); err != nil {
+		if _, err := fmt.Fprintf(o.out, "%s  heard %s ago; %s\n", w.Kind, heard, watchStateText(w)); err != nil {
 			return err
 		}
 	}
@@ -48,7 +48,7 @@
 }
 
 // watchText says what a watch does.
-func watchText(w *placementpb.WatchState) string {
+func watchStateText(w *placementpb.WatchState) string {
 	switch {
 	case w.Silent:
 		return "watched, hears nothing"
