--- a/entry/balance.go
+++ b/entry/balance.go
@@ -14,27 +14,28 @@
 	"github.com/rockcroft/rockcroft/transport/telemetry"
 )
 
-// balanceInterval is the time between looks at the balance.
+// balanceInterval is the time between two rebalancing rounds.
 const balanceInterval = 2 * time.Second
 
 const (
-	// splitsPerLook bounds the ranges split at one look.
+	// maxSplitsPerRound bounds the ranges that one round splits.
 	maxSplitsPerRound = 16
-	// exportsPerLook bounds the ranges given to another cell at once, and
-	// exportPause is the time until reports show what it did.
+	// maxExportsPerRound bounds the ranges handed to other cells in one round.
+	// exportInterval is the time between two such rounds, long enough for the
+	// load reports to show the effect of the first.
 	maxExportsPerRound = 4
 	exportInterval     = 6 * time.Second
-	// maxRanges bounds the ranges of one service in one cell.
+	// maxRangesPerCell bounds the ranges of one service in one cell.
 	maxRangesPerCell = 2048
 )
 
-// placer chooses owners by the load in the book.
+// placer chooses the owners of ranges by the load that the entries reported.
 type placer struct{ e *Entry }
 
 func (e *Entry) placer() controller.Placer { return placer{e} }
 
-// Place implements controller.Placer. It is called under the control's lock,
-// which also guards the book.
+// Place implements controller.Placer. Callers hold the lock of Entry.control,
+// which also guards Entry.loads.
 func (p placer) Place(doc *cell.Cell, name string, spans []keyspace.Span, avoid string) []string {
 	unassigned := make(map[keyspace.Span]bool, len(spans))
 	for _, s := range spans {
@@ -59,7 +60,8 @@
 	return out
 }
 
-// usableNodes returns the upstreams that may take ranges.
+// usableNodes returns the upstreams of a service that can own ranges: the active
+// ones whose process is known.
 func usableNodes(doc *cell.Cell, name string) []placement.Node {
 	var out []placement.Node
 	for _, u := range doc.UpstreamsOf(name, cell.Active) {
@@ -70,8 +72,9 @@
 	return out
 }
 
-// items returns the ranges of a service with their owner or the one to come,
-// and their load. Callers hold the control's lock.
+// placementItems returns the ranges of a service, each with its load and its
+// owner; a range that is being moved counts for its next owner. Callers hold the
+// lock of Entry.control.
 func (e *Entry) placementItems(doc *cell.Cell, name string) []placement.Item {
 	s := doc.Service(name)
 	if s == nil {
@@ -91,8 +94,9 @@
 	return out
 }
 
-// balanceLoop splits hot ranges and moves load, within the limits that the
-// configuration of each service sets.
+// balanceLoop splits hot ranges and moves ranges between upstreams and cells,
+// within the limits that the configuration of each service sets. Only the
+// controller of the cell does so.
 func (e *Entry) balanceLoop(ctx context.Context) {
 	budgets := make(map[string]*moveBudget)
 	e.every(ctx, balanceInterval, func(context.Context) {
@@ -115,13 +119,14 @@
 	})
 }
 
-// moveBudget bounds the moves within the last minute.
+// moveBudget limits the moves of one service per minute.
 type moveBudget struct {
 	moveTimes []time.Time
-	// exported is when ranges were last given to another cell.
+	// lastExport is when ranges were last handed to another cell.
 	lastExport time.Time
 }
 
+// remaining returns how many more moves the limit allows now.
 func (b *moveBudget) remaining(now time.Time, perMinute int) int {
 	recent := b.moveTimes[:0]
 	for _, at := range b.moveTimes {
@@ -147,6 +152,8 @@
 	return out
 }
 
+// balance runs one rebalancing round for a service. It starts no moves while
+// earlier ones are pending.
 func (e *Entry) balance(doc *cell.Cell, conf *service.Config, budget *moveBudget) {
 	e.control.mu.Lock()
 	defer e.control.mu.Unlock()
@@ -184,7 +191,8 @@
 	e.log.Info("rebalancing", "service", conf.Name, "moves", len(moves), "imbalance", imbalance, "to_cell", moves[0].ToCell)
 }
 
-// reportCell notes the load of this cell for the others.
+// recordOwnLoad records the load of this cell, which gossip carries to the other
+// cells.
 func (e *Entry) recordOwnLoad(now time.Time, name string, nodes []placement.Node, items []placement.Item) {
 	rate := 0.0
 	for _, it := range items {
@@ -195,8 +203,8 @@
 	})
 }
 
-// exports returns the moves to other cells that the balance between cells asks
-// for.
+// exports returns the moves to other cells that even out the load between the
+// cells.
 func (e *Entry) exportMoves(now time.Time, name string, items []placement.Item, o placement.Options) []handover.Move {
 	var cells []placement.CellNode
 	for _, c := range e.cellLoads.All(now) {
--- a/entry/beats.go
+++ b/entry/beats.go
@@ -14,15 +14,16 @@
 	"github.com/rockcroft/rockcroft/transport/telemetry"
 )
 
-// gossipInterval is the time between comparisons of documents with an entry
-// of any cell, chosen at random.
+// gossipInterval is the time between two comparisons of documents with a random
+// entry of any cell.
 const gossipInterval = time.Second
 
-// beatTimeout bounds one beat. It leaves room for the next one within the
-// lifetime of a promise.
+// beatTimeout bounds one Beat call. It is short enough that a second attempt can
+// still succeed before a promise expires.
 const beatTimeout = 400 * time.Millisecond
 
-// beatLoop asks the voters of the cell for promises.
+// beatLoop asks the voters of the cell for the promises on which this entry's right
+// to send rests.
 func (e *Entry) beatLoop(ctx context.Context) {
 	e.every(ctx, e.conf.BeatInterval.D(), func(ctx context.Context) {
 		for _, t := range e.beatTargets() {
@@ -31,15 +32,17 @@
 	})
 }
 
-// target is an entry to beat. ID is empty when only its address is known.
+// beatTarget is an entry to send beats to. The id is empty if only the address is
+// known.
 type beatTarget struct {
 	id   string
 	addr string
 }
 
-// beatTargets returns the local voters; the witnesses too while the local
-// voters alone do not support the right to send; and the seeds and the members
-// of the roster when this entry is no voter yet.
+// beatTargets returns the local voters. It adds the witnesses in other cells while
+// the local voters alone do not keep up the right to send, that is, while the right
+// lasts for less than half the lifetime of a promise. It adds the members of the
+// roster and the seeds while this entry is not a voter.
 func (e *Entry) beatTargets() []beatTarget {
 	doc := e.gate.Doc()
 	var out []beatTarget
@@ -72,6 +75,7 @@
 	return out
 }
 
+// beat sends one beat and records the promise if the voter granted one.
 func (e *Entry) beat(ctx context.Context, t beatTarget) {
 	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
@@ -106,14 +110,16 @@
 	}
 	req.Version = doc.Version
 	req.Guest = !doc.Quorum.HasLocal(e.self.ID)
-	// Only those that judge upstreams are told what was seen of them.
+	// Only the controller and its successor need the observations: they decide
+	// which upstreams are lost.
 	if slices.ContainsFunc(e.control.leaders(), func(m cell.Member) bool { return m.ID == t.id }) {
 		req.Observations = e.leases.observationsToProto(e.clock())
 	}
 	return req
 }
 
-// behind reports whether the responder knows newer documents, or others.
+// shouldPull reports whether the responder has a newer document of this cell or a
+// different set of shared documents.
 func (e *Entry) shouldPull(resp *peerpb.BeatResponse) bool {
 	if resp.Responder.GetCell() == e.self.Cell && max(resp.Version, resp.Floor) > e.gate.Version() {
 		return true
@@ -121,8 +127,8 @@
 	return resp.Digest != e.docs.Digest()
 }
 
-// pull takes the documents in which another entry differs. Older ones are
-// ignored, so the order of pulls does not matter.
+// pullDocuments fetches the documents in which another entry differs from this
+// one. Older versions are ignored, so the order of pulls does not matter.
 func (e *Entry) pullDocuments(ctx context.Context, peer string) {
 	resp, err := e.peers.Client(peer).State(ctx, &peerpb.StateRequest{
 		From: e.self.ID, Cell: e.self.Cell, Version: e.gate.Version(), Buckets: e.docs.BucketDigests(),
@@ -132,8 +138,9 @@
 	}
 }
 
-// heard notes that an entry is alive and which version of its cell's document it
-// uses, zero when it told none.
+// recordContact records that an entry is alive and which version of its cell's
+// document it uses; the version is zero if the entry did not report one. If the
+// entry supersedes this one, this process stops.
 func (e *Entry) recordContact(m cell.Member, version uint64) {
 	if m.ID == "" || m.ID == e.self.ID {
 		return
@@ -145,8 +152,8 @@
 	e.control.record(func(core *controller.Core, now time.Time) { core.OnVersion(now, m, version) })
 }
 
-// stopSuperseded ends a process whose place another one has taken: the others
-// count this one as ended.
+// stopSuperseded stops this process because a newer process with the same
+// configured id has appeared. The other entries already treat this one as ended.
 func (e *Entry) stopSuperseded(by string) {
 	err := answer.New(answer.Conflict, "%s takes the place of %s; an id belongs to one VM", by, e.self.ID)
 	select {
@@ -155,8 +162,9 @@
 	}
 }
 
-// gossipLoop compares documents with one entry of any cell, so that changes
-// reach cells whose controller is cut off from the platform.
+// gossipLoop compares documents with a random entry of any cell, so that changes
+// also reach cells whose controller cannot reach the platform. It exchanges the
+// loads of the cells as well.
 func (e *Entry) gossipLoop(ctx context.Context) {
 	e.every(ctx, gossipInterval, func(ctx context.Context) {
 		peer := e.randomPeer()
@@ -180,7 +188,7 @@
 	})
 }
 
-// cellLoads returns the loads of all cells known here.
+// cellLoadsToProto returns the known loads of all cells.
 func (e *Entry) cellLoadsToProto() []*peerpb.CellLoad {
 	e.control.mu.Lock()
 	defer e.control.mu.Unlock()
@@ -193,7 +201,7 @@
 	return out
 }
 
-// takeCells notes the loads of cells that another entry knows.
+// mergeCellLoads adds the cell loads that another entry sent.
 func (e *Entry) mergeCellLoads(list []*peerpb.CellLoad) {
 	e.control.record(func(_ *controller.Core, now time.Time) {
 		for _, c := range list {
@@ -237,11 +245,11 @@
 	return cell.Member{ID: m.GetId(), Domain: m.GetDomain(), Cell: m.GetCell(), Peer: m.GetPeer()}
 }
 
-// loadInterval is the time that one report of traffic covers.
+// loadReportInterval is the time that one load report covers.
 const loadReportInterval = 2 * time.Second
 
-// loadLoop reports the traffic of this entry to the controller of its cell, and
-// to the entry that would be the next one.
+// loadReportLoop reports the traffic of this entry to the controller of its cell
+// and to the entry that would succeed it.
 func (e *Entry) loadReportLoop(ctx context.Context) {
 	e.every(ctx, loadReportInterval, func(ctx context.Context) {
 		e.updateGauges()
@@ -255,15 +263,16 @@
 				ctx, cancel := context.WithTimeout(ctx, beatTimeout)
 				defer cancel()
 				if _, err := e.peers.Client(m.Peer).Beat(ctx, req); err != nil {
-					// The counters of one interval are lost; the next beat has its own.
-					e.log.Debug("load not told", "leader", m.ID, "error", err)
+					// The counts of this interval are lost; the next report covers its own.
+					e.log.Debug("load report not sent", "leader", m.ID, "error", err)
 				}
 			}()
 		}
 	})
 }
 
-// loadRequest takes the counters of all ranges, in the order of the document.
+// loadReport builds a load report and resets the counters it is built from. The
+// requests are listed by range, in the order of the cell document.
 func (e *Entry) loadReport() *peerpb.BeatRequest {
 	version, slots := e.gate.Slots()
 	req := &peerpb.BeatRequest{
--- a/entry/bed_test.go
+++ b/entry/bed_test.go
@@ -26,16 +26,16 @@
 	"github.com/rockcroft/rockcroft/transport/platform"
 )
 
-// patience bounds waits in tests. It is far above what is expected, so that a
-// busy machine does not change the verdict.
+// testTimeout bounds the waits in tests. It is far above the expected times so that
+// tests also pass on a busy machine.
 const testTimeout = 30 * time.Second
 
-// switchStore is a store that can be switched off.
+// switchableStore is an in-memory store that can be made to fail.
 type switchableStore struct {
 	*platform.Memory
 	down atomic.Bool
-	// downAfter switches the store off right after a cell document for which
-	// it returns true was written, before the writer hears of it.
+	// failAfter is called for each cell document written. If it returns true,
+	// the store fails from then on, even before the writer has the result.
 	failAfter func(*cell.Cell) bool
 }
 
@@ -75,7 +75,8 @@
 	return s.Memory.Watch(ctx, kind, after, min(wait, 100*time.Millisecond))
 }
 
-// bed is a deployment within the test process, over real connections.
+// testCluster runs entries and upstreams in the test process, connected over
+// loopback TCP.
 type testCluster struct {
 	t            testing.TB
 	store        *switchableStore
@@ -112,7 +113,7 @@
 	return jsonc.Addr{AddrPort: netip.MustParseAddrPort("127.0.0.1:0")}
 }
 
-// addEntry starts an entry in a cell. The ones started before are its seeds.
+// addEntry starts an entry in a cell, with the entries started before as its seeds.
 func (b *testCluster) addEntry(id, cellName string) *runningEntry {
 	b.t.Helper()
 	conf := settings.DefaultEntry()
@@ -166,7 +167,7 @@
 	return r
 }
 
-// await polls until f returns nil.
+// eventually polls f until it returns nil, and fails the test after testTimeout.
 func (b *testCluster) eventually(what string, f func() error) {
 	b.t.Helper()
 	limit := time.Now().Add(testTimeout)
@@ -182,7 +183,7 @@
 	}
 }
 
-// explain tells what each controller waits for.
+// controllerStates describes what each entry's controller is waiting for.
 func (b *testCluster) controllerStates() string {
 	var out strings.Builder
 	for _, e := range b.entries {
@@ -213,7 +214,7 @@
 	}
 }
 
-// create states an intent.
+// create creates an intent.
 func (b *testCluster) create(spec intent.Spec) (*intent.Intent, error) {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -234,8 +235,8 @@
 	return intent.Decode(resp.Intent)
 }
 
-// enact states and confirms an intent; a plan that went stale is confirmed in
-// its new form.
+// createAndConfirm creates an intent and confirms it, again if its plan has become
+// stale.
 func (b *testCluster) createAndConfirm(spec intent.Spec) string {
 	b.t.Helper()
 	i, err := b.create(spec)
@@ -249,7 +250,7 @@
 	return i.ID
 }
 
-// awaitDone waits until an intent is carried out.
+// awaitDone waits until an intent is done.
 func (b *testCluster) awaitDone(id string) {
 	b.t.Helper()
 	b.eventually("intent "+id, func() error {
@@ -259,13 +260,13 @@
 		}
 		i, err := intent.Decode(resp.Intent)
 		if err == nil && i.State != intent.Done {
-			err = fmt.Errorf("is %s, done in %v", i.State, i.Progress)
+			err = fmt.Errorf("state %s, finished in cells %v", i.State, i.Progress)
 		}
 		return err
 	})
 }
 
-// awaitVoters waits until the entries of a cell all vote.
+// awaitVoters waits until a cell has n local voters.
 func (b *testCluster) awaitVoters(cellName string, n int) {
 	b.t.Helper()
 	b.eventually("voters of "+cellName, func() error {
@@ -275,13 +276,13 @@
 		}
 		c, err := cell.Decode(obj.Value)
 		if err == nil && len(c.Quorum.Local) != n {
-			err = fmt.Errorf("%d instead of %d", len(c.Quorum.Local), n)
+			err = fmt.Errorf("%d voters, want %d", len(c.Quorum.Local), n)
 		}
 		return err
 	})
 }
 
-// awaitServed waits until every entry answers requests to a spread of keys.
+// awaitServed waits until every entry serves requests for a sample of keys.
 func (b *testCluster) awaitServed(name string) {
 	b.t.Helper()
 	for _, e := range b.entries {
@@ -303,7 +304,8 @@
 	body   string
 }
 
-// send sends one request with a key and further headers, given in pairs.
+// send sends one request with a key and further headers, given as name and value
+// pairs.
 func (b *testCluster) send(addr, method, name, key string, body io.Reader, headers ...string) response {
 	req, err := http.NewRequest(method, "http://"+addr+"/"+name+"/op", body)
 	if err != nil {
@@ -324,7 +326,7 @@
 	return response{resp.StatusCode, resp.Header, strings.TrimSpace(string(data))}
 }
 
-// runs gathers what all upstreams ran.
+// runs returns the requests that all upstreams ran.
 func (b *testCluster) runs() []upstream.Run {
 	var out []upstream.Run
 	for _, u := range b.upstreams {
@@ -350,7 +352,7 @@
 	return b
 }
 
-// parallel runs f on several goroutines and waits for all.
+// parallel runs f in n goroutines and waits for all of them.
 func parallel(n int, f func(i int)) {
 	var wait sync.WaitGroup
 	for i := range n {
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -27,7 +27,7 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// cpuMicros returns the processor time of this process in microseconds.
+// cpuMicros returns the CPU time of this process in microseconds.
 func cpuMicros() float64 {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
@@ -36,7 +36,7 @@
 	return float64(r.Utime.Nano()+r.Stime.Nano()) / 1000
 }
 
-// countingConn counts the bytes of a connection in both directions.
+// countingListener counts the bytes of its connections in both directions.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -63,9 +63,9 @@
 	return c.Conn.Write(b)
 }
 
-// BenchmarkBeat measures one beat, to a plain voter and to the controller with
-// the observations of twelve upstreams: processor time of both ends, and bytes
-// of both directions.
+// BenchmarkBeat measures one beat without observations, as a voter receives it, and
+// one with the observations of twelve upstreams, as the controller receives it: the
+// CPU time of sender and receiver, and the bytes in both directions.
 func BenchmarkBeat(b *testing.B) {
 	cluster := newTestCluster(b)
 	e := cluster.addEntry("entry-1", "a")
@@ -104,7 +104,8 @@
 	}
 }
 
-// BenchmarkRenew measures one lease renewal, both ends.
+// BenchmarkRenew measures one lease renewal: the CPU time of sender and receiver,
+// and the bytes in both directions.
 func BenchmarkRenew(b *testing.B) {
 	cluster := newTestCluster(b)
 	e := cluster.addEntry("entry-1", "a")
@@ -131,7 +132,7 @@
 	b.ReportMetric(float64(bytes.Load())/float64(b.N), "bytes/op")
 }
 
-// cellOf returns a cell of n ranges and twelve upstreams.
+// testCell returns a cell document with n ranges and twelve upstreams.
 func testCell(n int) *cell.Cell {
 	doc := &cell.Cell{Name: "a", Domain: "a", Version: 1, Fence: 1, WriteID: "w"}
 	for i := range 12 {
@@ -177,7 +178,7 @@
 
 func (allCheckFences) ChecksFences(string) bool { return true }
 
-// BenchmarkStep measures one look of the controller at a cell at rest.
+// BenchmarkStep measures one step of the controller in a cell where nothing changes.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{200, 800, 3200} {
 		b.Run(fmt.Sprintf("ranges=%d", n), func(b *testing.B) {
@@ -196,8 +197,8 @@
 	}
 }
 
-// BenchmarkLoadReport measures building, sending and merging the traffic
-// report of one entry.
+// BenchmarkLoadReport measures how the controller handles the load report of one
+// entry, and the size of the report.
 func BenchmarkLoadReport(b *testing.B) {
 	for _, n := range []int{200, 800} {
 		b.Run(fmt.Sprintf("ranges=%d", n), func(b *testing.B) {
@@ -224,8 +225,8 @@
 	}
 }
 
-// BenchmarkRosters measures adding the rosters of a whole fleet and the memory
-// they take.
+// BenchmarkRosters measures adding the rosters of all cells of a fleet to a document
+// store, and the memory that this allocates.
 func BenchmarkRosters(b *testing.B) {
 	for _, cells := range []int{83, 663} {
 		b.Run(fmt.Sprintf("cells=%d", cells), func(b *testing.B) {
@@ -265,7 +266,7 @@
 	return d
 }
 
-// passThrough is the plain proxy that an entry is compared with.
+// plainProxy returns a minimal HTTP proxy to addr as the baseline for an entry.
 func plainProxy(addr string) http.Handler {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -291,8 +292,8 @@
 	})
 }
 
-// BenchmarkProxy compares an entry with a plain pass-through and with no proxy
-// at all, over real connections, one request at a time.
+// BenchmarkProxy compares requests through an entry with requests through a minimal
+// proxy and with direct ones, over loopback TCP, one at a time.
 func BenchmarkProxy(b *testing.B) {
 	cluster := newTestCluster(b)
 	e := cluster.addEntry("entry-1", "a")
--- a/entry/control.go
+++ b/entry/control.go
@@ -19,21 +19,21 @@
 	"github.com/rockcroft/rockcroft/transport/telemetry"
 )
 
-// stepInterval is the time between looks at what is to be done when no event
-// asks for one.
+// stepInterval is the time between two steps of the controller when no event
+// triggers one.
 const stepInterval = 50 * time.Millisecond
 
-// commandTimeout bounds one command beyond its own wait.
+// commandTimeout bounds one command, in addition to the drain wait.
 const commandTimeout = time.Second
 
-// controlLoop runs the deterministic core: it feeds events in, one at a time, and
-// carries out the commands that come out.
+// controlLoop runs the deterministic controller core: it passes events to the core,
+// one at a time, and executes the commands that the core returns.
 type controlLoop struct {
 	e     *Entry
 	mu    sync.Mutex
 	core  *controller.Core
 	leads bool
-	// term counts how often this entry became the controller.
+	// term counts how many times this entry has become the controller.
 	term    int
 	intents intentSet
 }
@@ -45,7 +45,7 @@
 	}
 }
 
-// event feeds one event to the core and carries out what follows.
+// dispatch passes one event to the core and executes the resulting commands.
 func (c *controlLoop) dispatch(event func(core *controller.Core, now time.Time)) {
 	c.mu.Lock()
 	event(c.core, c.e.clock())
@@ -53,13 +53,16 @@
 	c.step()
 }
 
-// note feeds an event that needs no immediate step.
+// record passes one event to the core and leaves the resulting commands to the
+// next step.
 func (c *controlLoop) record(event func(core *controller.Core, now time.Time)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	event(c.core, c.e.clock())
 }
 
+// step executes the commands that are due. When this entry becomes the controller,
+// it discards the intents of its previous term.
 func (c *controlLoop) step() {
 	c.mu.Lock()
 	now := c.e.clock()
@@ -74,7 +77,7 @@
 	}
 	c.mu.Unlock()
 	if changed {
-		c.e.log.Info("controller", "leads", leads, "cell", c.e.self.Cell)
+		c.e.log.Info("controller leadership changed", "leads", leads, "cell", c.e.self.Cell)
 	}
 	for _, cmd := range commands {
 		go c.execute(cmd)
@@ -88,16 +91,16 @@
 	return c.leads
 }
 
-// leaders returns the controller of the cell and the next one, as this entry
-// sees them.
+// leaders returns the controller of the cell and its successor, as this entry sees
+// them.
 func (c *controlLoop) leaders() []cell.Member {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.core.Leaders(c.e.clock())
 }
 
-// leaderTerm returns how often this entry became the controller, and whether it
-// is now.
+// leaderTerm returns how many times this entry has become the controller, and
+// whether it is the controller now.
 func (c *controlLoop) leaderTerm() (int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +118,7 @@
 	e.every(ctx, reconcileInterval, func(context.Context) { e.control.reconcileIntents() })
 }
 
-// every calls f at once and then at the interval until ctx ends.
+// every calls f immediately and then once per interval until ctx ends.
 func (e *Entry) every(ctx context.Context, interval time.Duration, f func(context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -168,13 +171,14 @@
 		c.e.readOwnCell(ctx)
 	}
 	if err == nil {
-		// Taken into use here before anything else: should this entry lead
-		// no more, the others learn of the document from its beats.
+		// Applied here even if this entry is no longer the controller: the
+		// other entries then learn of the document from its beats.
 		c.e.applyCell(cmd.Doc)
 	}
 	c.dispatch(func(core *controller.Core, now time.Time) { core.OnWritten(now, cmd, version, err) })
 }
 
+// sendDocument applies a cell document at one entry, which may be this one.
 func (e *Entry) sendDocument(ctx context.Context, cmd controller.Apply) (controller.ApplyResult, error) {
 	if cmd.To.ID == e.self.ID {
 		return e.applyAndDrain(ctx, cmd.Doc, cmd.DrainWait), nil
@@ -197,6 +201,7 @@
 	return applyResultFromProto(resp, cmd.Doc.Version), nil
 }
 
+// sendFence asks an entry to raise the fence of this cell.
 func (e *Entry) sendFence(ctx context.Context, cmd controller.RaiseFence) (controller.ApplyResult, error) {
 	resp, err := e.peers.Client(cmd.To.Peer).Apply(ctx, &peerpb.ApplyRequest{
 		To: cmd.To.ID, Cell: e.self.Cell, Fence: cmd.Fence,
@@ -229,8 +234,8 @@
 	return a
 }
 
-// applyHere takes a cell document into use and waits until no request is in
-// flight on ranges that were taken away, for the given time at most.
+// applyAndDrain applies a cell document at this entry and waits, for at most the
+// given time, until no request is in flight on ranges that the document took away.
 func (e *Entry) applyAndDrain(ctx context.Context, doc *cell.Cell, wait time.Duration) controller.ApplyResult {
 	e.applyCell(doc)
 	const pollInterval = 2 * time.Millisecond
@@ -276,8 +281,8 @@
 	return st.Boot, nil
 }
 
-// redirect records an exported range in the directory. Another writer may have
-// done so before.
+// recordExport assigns an exported range to its new cell in the directory. It
+// returns the stored directory if the range is no longer assigned to this cell.
 func (e *Entry) recordExport(ctx context.Context, cmd controller.RecordExport) (*cell.Directory, error) {
 	stored, err := e.store.Get(ctx, platform.KindDirectory, cmd.Service)
 	if err != nil {
@@ -302,7 +307,8 @@
 	return next, nil
 }
 
-// publish stores the member list of the cell.
+// publishRoster stores the roster of the cell on the platform unless the stored one
+// is at least as new.
 func (e *Entry) publishRoster(ctx context.Context, cmd controller.PublishRoster) error {
 	r := cmd.Roster
 	var expect uint64
@@ -326,8 +332,8 @@
 	return nil
 }
 
-// ChecksFences implements controller.Services. A service whose configuration is
-// not known yet counts as one whose upstreams check nothing.
+// ChecksFences implements controller.Services. It returns false for a service whose
+// configuration is not known yet.
 func (e *Entry) ChecksFences(name string) bool {
 	conf := e.docs.Service(name)
 	return conf != nil && conf.ChecksFences
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -20,25 +20,26 @@
 	"github.com/rockcroft/rockcroft/transport/upstreams"
 )
 
-// watchedKinds are followed by the controller of a cell. The others of the cell
-// hear of changes from it.
+// watchedKinds are the kinds of objects that the controller of a cell watches on
+// the platform. The other entries receive changes from entry to entry.
 var watchedKinds = []string{
 	platform.KindService, platform.KindDirectory, platform.KindRoster, platform.KindIntent,
 }
 
 const (
-	// watchWait is how long one watch waits for a change.
+	// watchTimeout bounds the wait of one watch call for a change.
 	watchTimeout = 10 * time.Second
-	// ownCellInterval is the time between reads of the cell's own document.
-	// Writes by another controller show earlier, by a conflict or a beat.
+	// ownCellInterval is the time between two reads of the cell's own document.
+	// Writes by another controller are noticed earlier, by a conflict or a beat.
 	ownCellInterval = 10 * time.Second
-	// idlePause is the time between looks while another entry leads.
+	// idleInterval is the time between two checks whether this entry has become
+	// the controller or has received its first cell document.
 	idleInterval = 200 * time.Millisecond
-	// failurePause is the time between tries while the platform fails.
+	// retryInterval is the time between two attempts while the platform fails.
 	retryInterval = 300 * time.Millisecond
 )
 
-// addDocument adds a shared document in its typed form to the store of documents.
+// addDocument adds a decoded shared document to the document store.
 func (e *Entry) addDocument(doc any) {
 	data, err := json.Marshal(doc)
 	if err != nil {
@@ -56,6 +57,8 @@
 	e.addEncodedDocument(kind, data)
 }
 
+// addEncodedDocument adds a shared document to the document store. Malformed ones
+// are counted and ignored.
 func (e *Entry) addEncodedDocument(kind docstore.Kind, data []byte) {
 	d, err := docstore.Parse(kind, data)
 	if err != nil {
@@ -66,7 +69,7 @@
 	e.docs.Add(d)
 }
 
-// onDocument takes a shared document into use.
+// handleDocument applies a new version of a shared document.
 func (e *Entry) handleDocument(d *docstore.Document) {
 	switch d.Kind {
 	case docstore.Directory:
@@ -79,8 +82,9 @@
 	}
 }
 
-// takeCell takes a document of the entry's own cell into use: at the gate, at
-// the controller, and for the clients of upstreams.
+// applyCell applies a document of this entry's own cell to the gate, the
+// controller, the lease tracker and the pool of upstream clients. It ignores
+// versions that are not newer than the current one.
 func (e *Entry) applyCell(doc *cell.Cell) {
 	listed := make(map[string]bool, len(doc.Upstreams))
 	for _, u := range doc.Upstreams {
@@ -100,8 +104,8 @@
 	e.control.record(func(core *controller.Core, now time.Time) { core.OnDocument(now, doc, 0) })
 }
 
-// markUpstreams stops the renewals of lost upstreams and gives up requests that
-// are in flight towards them.
+// updateLostUpstreams stops the lease renewals of lost upstreams and aborts the
+// requests that are in flight to them.
 func (e *Entry) updateLostUpstreams(tracker *lease.Tracker, doc *cell.Cell) {
 	for _, u := range doc.Upstreams {
 		if u.State != cell.Lost {
@@ -115,8 +119,9 @@
 	}
 }
 
-// options returns the bounds for one upstream, its share among the entries of
-// the cell.
+// upstreamOptions returns the connection and admission limits for one upstream:
+// this entry's share of the service's limits, given the number of entries in the
+// cell.
 func (e *Entry) upstreamOptions(name string, entries int) upstreams.Options {
 	conf := e.docs.Service(name)
 	if conf == nil {
@@ -156,6 +161,7 @@
 	e.control.dispatch(func(core *controller.Core, now time.Time) { core.OnDocument(now, doc, obj.Version) })
 }
 
+// ownCellLoop reads the document of the cell while this entry is the controller.
 func (e *Entry) ownCellLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := idleInterval
@@ -169,7 +175,8 @@
 	}
 }
 
-// watchLoop follows one kind of objects while this entry leads.
+// watchLoop watches one kind of objects while this entry is the controller. Each
+// term starts again at revision 0.
 func (e *Entry) watchLoop(ctx context.Context, kind string) {
 	var after uint64
 	lastTerm := 0
@@ -186,7 +193,7 @@
 		batch, err := e.store.Watch(ctx, kind, after, watchTimeout)
 		if err != nil && ctx.Err() == nil {
 			if !failing {
-				e.log.Warn("platform does not answer", "kind", kind, "err", err)
+				e.log.Warn("platform watch failing", "kind", kind, "err", err)
 			}
 			failing = true
 			telemetry.Counter(e.registry, "platform.watches_failed").Inc(1)
@@ -194,7 +201,7 @@
 			continue
 		}
 		if failing {
-			e.log.Info("platform answers again", "kind", kind)
+			e.log.Info("platform watch recovered", "kind", kind)
 			failing = false
 		}
 		after = batch.Revision
@@ -227,7 +234,7 @@
 	}
 }
 
-// encodeCell wraps a cell document for a message between entries.
+// cellToProto encodes a cell document for a message to another entry.
 func cellToProto(doc *cell.Cell) (*peerpb.Document, error) {
 	data, err := json.Marshal(doc)
 	if err != nil {
@@ -236,7 +243,7 @@
 	return &peerpb.Document{Kind: platform.KindCell, Name: doc.Name, Version: doc.Version, Data: data}, nil
 }
 
-// takeState takes documents that another entry sent.
+// applyDocuments applies the documents that another entry sent.
 func (e *Entry) applyDocuments(docs []*peerpb.Document) {
 	for _, d := range docs {
 		if d.Kind != platform.KindCell {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,7 +1,9 @@
-// Package entry is the process on an entry VM: it serves callers, votes, and
-// runs the controller of its cell when it is its turn.
+// Package entry implements the process that runs on an entry VM. It proxies the
+// requests of callers, votes in the quorum of its cell, and runs the cell's
+// controller while it is the leader.
 //
-// The lifecycle is Provision, Serve, Drain. Settings are validated before.
+// Provision builds an entry from validated settings. Serve runs it and drains it
+// before returning.
 package entry
 
 import (
@@ -55,7 +57,7 @@
 	control *controlLoop
 	leases  *leaseTracker
 	hotKeys *load.Tracker
-	// book and cells are guarded by the lock of control.
+	// loads and cellLoads are guarded by control.mu.
 	loads     *load.Aggregator
 	cellLoads *load.Cells
 
@@ -65,7 +67,7 @@
 	listeners  listeners
 	loops      sync.WaitGroup
 
-	// applyMu orders the documents of the cell taken into use.
+	// applyMu serializes the application of cell documents.
 	applyMu sync.Mutex
 	outages outages
 
@@ -77,8 +79,8 @@
 	callers, peers, admin net.Listener
 }
 
-// Provision builds an entry from checked settings and opens its listeners.
-// Store is the platform; tests pass a fake.
+// Provision builds an entry from validated settings and opens its listeners. The
+// store is a client of the platform; tests pass a fake.
 func Provision(ctx context.Context, conf settings.Entry, store platform.Store, log *slog.Logger) (*Entry, error) {
 	e := &Entry{
 		conf:     conf,
@@ -136,6 +138,8 @@
 	return e, nil
 }
 
+// newRand returns a random generator with the given seed, or with a random one if
+// the seed is zero.
 func newRand(seed uint64) *mathrand.Rand {
 	if seed == 0 {
 		var b [8]byte
@@ -148,7 +152,7 @@
 	return mathrand.New(mathrand.NewPCG(seed, seed))
 }
 
-// newID returns an id for writes and intents.
+// newID returns a random id for writes and intents.
 func newID() string {
 	var b [12]byte
 	// The source never fails; see crypto/rand.
@@ -177,7 +181,8 @@
 	return err
 }
 
-// Addresses of the open listeners, for settings that let the kernel choose.
+// Addresses returns the addresses of the open listeners, which differ from the
+// settings if these let the kernel choose the port.
 func (e *Entry) Addresses() (callers, peers, admin string) {
 	return e.listeners.callers.Addr().String(), e.listeners.peers.Addr().String(), e.listeners.admin.Addr().String()
 }
@@ -185,7 +190,8 @@
 // Self returns the identity of this process.
 func (e *Entry) Self() cell.Member { return e.self }
 
-// Serve runs until ctx ends, then drains and returns.
+// Serve runs until ctx ends, a server fails or another process supersedes this one,
+// then drains and returns.
 func (e *Entry) Serve(ctx context.Context) error {
 	callerTLS, err := tlsfiles.Server(e.conf.CallerTLS)
 	if err != nil {
@@ -216,7 +222,8 @@
 	return err
 }
 
-// start serves a handler on a listener.
+// startServer starts to serve a handler on a listener and sends the error of a
+// server that fails to failed.
 func (e *Entry) startServer(l net.Listener, conf *tls.Config, h http.Handler, failed chan<- error) *http.Server {
 	if conf != nil {
 		l = tls.NewListener(l, conf)
@@ -236,7 +243,7 @@
 	return s
 }
 
-// run starts the loops of the process.
+// startLoops starts the background loops.
 func (e *Entry) startLoops(ctx context.Context) {
 	for _, loop := range []func(context.Context){
 		e.beatLoop, e.renewLoop, e.gossipLoop, e.stepLoop, e.ownCellLoop, e.intentLoop, e.loadReportLoop, e.balanceLoop,
@@ -256,10 +263,11 @@
 	}()
 }
 
-// drain ends the process without cutting off a request. The entry first turns
-// unready and goes on serving until the balancer has noticed, closing each
-// connection after its answer. Then it finishes what is in flight. It goes on
-// voting and beating until all is done.
+// drain stops the servers without aborting requests. The entry first reports that
+// it is not ready and keeps serving until the load balancer has noticed, closing
+// each connection after its response. Then it waits for the requests in flight. It
+// keeps voting and sending beats until the servers have stopped. Requests that
+// outlast the drain limit are aborted.
 func (e *Entry) drain(servers []*http.Server) {
 	started := e.clock()
 	e.draining.Store(true)
@@ -282,8 +290,8 @@
 	e.log.Info("drained", "took", e.clock().Sub(started).Round(time.Millisecond), "listeners_cut", aborted)
 }
 
-// ready reports whether callers can be served: documents are there and the
-// entry may send.
+// ready reports whether the entry can serve callers: it has a cell document, has
+// the right to send and is not draining.
 func (e *Entry) ready() bool {
 	return !e.draining.Load() && e.gate.Version() > 0 && e.gate.MaySend()
 }
--- a/entry/faults_test.go
+++ b/entry/faults_test.go
@@ -18,8 +18,8 @@
 	"github.com/rockcroft/rockcroft/transport/platform"
 )
 
-// TestNonIdempotentIsSentOnce has the upstream break off each answer after it
-// ran the request.
+// TestNonIdempotentIsSentOnce checks that a request that is not idempotent is not
+// sent again if the upstream runs it but breaks the connection before the response.
 func TestNonIdempotentIsSentOnce(t *testing.T) {
 	b := newTestCluster(t)
 	e := b.addEntry("entry", "a")
@@ -46,19 +46,19 @@
 				t.Errorf("ran %q, want unknown", got)
 			}
 			if resp.header.Get(header.Epoch) == "" {
-				t.Error("the answer names no epoch to ask again with")
+				t.Error("the response has no epoch to repeat the request with")
 			}
 			if n := u.Attempts(id); n != 1 {
-				t.Errorf("the upstream saw %d tries", n)
+				t.Errorf("the upstream saw %d attempts, want 1", n)
 			}
 		})
 	}
 	u.SetFaults(upstream.Faults{})
-	// Asked again with the epoch, the owner answers from what it kept.
+	// Repeated with the epoch, the owner returns the stored response.
 	resp := b.send(e.callers, http.MethodPost, "svc", "k", nil, header.RequestID, "once-0",
 		header.Repeat, fmt.Sprint(b.epochOf("svc", "k")))
 	if resp.status != http.StatusOK {
-		t.Errorf("the repeat got %d %s", resp.status, resp.body)
+		t.Errorf("repeated request: %d %s", resp.status, resp.body)
 	}
 	ran := 0
 	for _, r := range u.Runs() {
@@ -67,11 +67,12 @@
 		}
 	}
 	if ran != 1 {
-		t.Errorf("ran %d times", ran)
+		t.Errorf("the request ran %d times, want once", ran)
 	}
 }
 
-// TestIdempotentIsRetried has the upstream break off every other answer.
+// TestIdempotentIsRetried checks that idempotent requests succeed although the
+// upstream breaks the connection before every other response.
 func TestIdempotentIsRetried(t *testing.T) {
 	b := newTestCluster(t)
 	e := b.addEntry("entry", "a")
@@ -83,13 +84,13 @@
 	for i := range 10 {
 		resp := b.send(e.callers, http.MethodGet, "svc", "k", nil)
 		if resp.status != http.StatusOK {
-			t.Errorf("request %d got %d %s", i, resp.status, resp.body)
+			t.Errorf("request %d: %d %s", i, resp.status, resp.body)
 		}
 	}
 }
 
-// TestStartWithPlatformDown starts an entry during an outage: it learns
-// configuration and assignment from its peers and serves.
+// TestStartWithPlatformDown checks that an entry that starts during a platform outage
+// gets the configuration and the range owners from its peers and serves.
 func TestStartWithPlatformDown(t *testing.T) {
 	b := twoCells(t, true)
 	b.store.down.Store(true)
@@ -97,19 +98,19 @@
 	b.awaitServed("svc")
 	late := b.entries[len(b.entries)-1]
 	if late.gate.Version() != b.entries[0].gate.Version() {
-		t.Errorf("version %d, the others have %d", late.gate.Version(), b.entries[0].gate.Version())
+		t.Errorf("cell document version %d, want %d as at the other entries", late.gate.Version(), b.entries[0].gate.Version())
 	}
 	b.store.down.Store(false)
 	b.awaitVoters("a", 3)
 }
 
-// TestOutageWithLostEntry loses one of two entries of a cell while the platform
-// is down: the other serves on.
+// TestEntryLossDuringPlatformOutage checks that one of two entries of a cell keeps
+// serving when the other stops while the platform is down.
 func TestEntryLossDuringPlatformOutage(t *testing.T) {
 	b := twoCells(t, true)
 	b.eventually("witnesses", func() error {
 		if q := b.entries[1].gate.Doc().Quorum; len(q.Wide) < 4 {
-			return fmt.Errorf("%d in the wide set", len(q.Wide))
+			return fmt.Errorf("%d witnesses, want at least 4", len(q.Wide))
 		}
 		return nil
 	})
@@ -123,16 +124,16 @@
 	b.awaitServed("svc")
 }
 
-// TestSoleVoterEndsWhileAnotherJoins guards against a cell that nobody can lead
-// any more: the only voter ends, while the store is down, right after it has
-// written that another entry votes too and before it could write that its sole
-// vote is over. The other one was heard nothing from but that document.
+// TestSoleVoterStopsWhileAnotherJoins guards against a cell that is left without a
+// controller. The only voter writes a document that adds a second voter, and stops
+// while the store is down, before it can write that the former quorum no longer
+// counts. The second voter has received nothing but that document.
 func TestSoleVoterStopsWhileAnotherJoins(t *testing.T) {
 	t.Run("one cell", func(t *testing.T) { testSoleVoterStops(t) })
 	t.Run("beside another cell", func(t *testing.T) { testSoleVoterStops(t, "entry-b0", "entry-b1") })
 }
 
-// soleVoterEnds plays it beside entries of another cell.
+// testSoleVoterStops runs the scenario with the given entries in another cell.
 func testSoleVoterStops(t *testing.T, otherEntries ...string) {
 	b := newTestCluster(t)
 	b.store.failAfter = func(doc *cell.Cell) bool {
@@ -150,15 +151,15 @@
 	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
 	b.awaitServed("svc")
 	second := b.addEntry("entry-a1", "a")
-	b.eventually("the second entry's vote", func() error {
+	b.eventually("the second entry to be a voter", func() error {
 		doc := second.gate.Doc()
 		if doc == nil || !doc.Quorum.HasLocal(second.self.ID) {
-			return fmt.Errorf("not known to it")
+			return fmt.Errorf("the second entry does not know it is a voter")
 		}
 		return nil
 	})
 	if len(second.gate.Doc().Previous) == 0 {
-		t.Fatal("the sole vote is over already")
+		t.Fatal("the former quorum has already been removed")
 	}
 	first.stop()
 	<-first.done
@@ -168,7 +169,8 @@
 	b.awaitServed("svc")
 }
 
-// TestLostUpstream ends an upstream without notice under load.
+// TestLostUpstream checks that the history of the requests has no violations when an
+// upstream freezes under load and later returns.
 func TestLostUpstream(t *testing.T) {
 	b := twoCells(t, true)
 	var stop atomic.Bool
@@ -202,7 +204,8 @@
 	results.verify(t, b)
 }
 
-// TestMalformedObjectsAreIgnored stores objects that cannot be parsed.
+// TestMalformedObjectsAreIgnored checks that the cluster keeps working when the store
+// holds objects that cannot be parsed.
 func TestMalformedObjectsAreIgnored(t *testing.T) {
 	b := twoCells(t, true)
 	ctx := context.Background()
@@ -218,7 +221,8 @@
 	b.awaitServed("svc")
 }
 
-// TestPromisesAreBoundToTheIncarnation asks a voter in the name of another one.
+// TestPromisesAreBoundToTheIncarnation checks that a voter grants no promise and
+// raises no fence for a call that is addressed to another incarnation of it.
 func TestPromisesAreBoundToTheIncarnation(t *testing.T) {
 	b := newTestCluster(t)
 	e := b.addEntry("entry", "a")
@@ -231,9 +235,9 @@
 		t.Fatal(err)
 	}
 	if resp.Granted {
-		t.Error("a promise was given in the name of an earlier incarnation")
+		t.Error("granted a promise for an earlier incarnation")
 	}
 	if _, err := (peerServer{e.Entry}).Apply(context.Background(), &peerpb.ApplyRequest{To: "entry#1", Cell: "a", Fence: 9}); err == nil {
-		t.Error("a fence was followed in the name of another incarnation")
+		t.Error("raised a fence for another incarnation")
 	}
 }
--- a/entry/gauges.go
+++ b/entry/gauges.go
@@ -5,7 +5,7 @@
 	"github.com/rockcroft/rockcroft/transport/telemetry"
 )
 
-// updateGauges shows the state of this entry in its counters.
+// updateGauges sets the gauges that describe the state of this entry.
 func (e *Entry) updateGauges() {
 	now := e.clock()
 	telemetry.Gauge(e.registry, "entry.may_send", boolGauge(e.gate.MaySend()))
--- a/entry/intents.go
+++ b/entry/intents.go
@@ -15,17 +15,18 @@
 	"github.com/rockcroft/rockcroft/transport/platform"
 )
 
-// intentBook holds the unfinished intents that the controller carries out.
+// intentSet holds the latest known version of each intent, by id.
 type intentSet struct {
 	byID map[string]storedIntent
 }
 
-// storedIntent is an intent with the platform version of its object.
+// storedIntent is an intent with the version of its object on the platform.
 type storedIntent struct {
 	intent  *intent.Intent
 	version uint64
 }
 
+// add stores an intent unless the known version is at least as new.
 func (b *intentSet) add(i *intent.Intent, version uint64) {
 	if known, ok := b.byID[i.ID]; ok && known.version >= version {
 		return
@@ -36,8 +37,8 @@
 	b.byID[i.ID] = storedIntent{i, version}
 }
 
-// open returns the confirmed intents with a part for the cell that is not
-// carried out yet, the oldest first.
+// unfinished returns the confirmed intents with steps in the cell that are not
+// finished yet, the oldest first.
 func (b *intentSet) unfinished(cellName string) []storedIntent {
 	var out []storedIntent
 	for _, s := range b.byID {
@@ -62,8 +63,8 @@
 	c.reconcileIntents()
 }
 
-// pursue tells the core what the open intents ask, and reports those that are
-// carried out.
+// reconcileIntents sets the core's desired state from the unfinished intents, and
+// records the progress of those that are finished in this cell.
 func (c *controlLoop) reconcileIntents() {
 	c.mu.Lock()
 	unfinished := c.intents.unfinished(c.e.self.Cell)
@@ -87,8 +88,8 @@
 	}
 }
 
-// addWants adds what the intent still asks of this cell. It returns true when
-// nothing is left.
+// addDesired adds the unfinished steps of an intent in this cell to the desired
+// state. It returns true if there are none.
 func (c *controlLoop) addDesired(desired *controller.DesiredState, i *intent.Intent, doc *cell.Cell) bool {
 	done := true
 	for _, s := range i.Plan.Steps {
@@ -100,6 +101,8 @@
 	return done
 }
 
+// addStep adds one step to the desired state unless it is finished. It returns true
+// if the step is finished.
 func (c *controlLoop) addStep(desired *controller.DesiredState, i *intent.Intent, s intent.Step, doc *cell.Cell) bool {
 	switch s.Action {
 	case planner.ActionAdd:
@@ -124,15 +127,15 @@
 	return true
 }
 
-// addMove wants a move unless it is carried out, or cannot be any more because
-// its new owner has left.
+// addMove adds a move to the desired state unless it is finished or its new owner
+// has left. It returns true if the move is finished or no longer possible.
 func (c *controlLoop) addMove(desired *controller.DesiredState, i *intent.Intent, s intent.Step, doc *cell.Cell) bool {
 	pending := false
 	for _, r := range rangesOverlapping(doc, s) {
 		pending = pending || s.ToCell != "" || r.Phase != cell.Owned || r.Owner != s.To
 	}
 	if s.ToCell == "" && len(rangesOverlapping(doc, s)) == 0 && doc.Upstream(s.To) != nil {
-		// The range is on its way from another cell.
+		// The range is still being moved here from another cell.
 		return false
 	}
 	if !pending || s.To != "" && doc.Upstream(s.To) == nil && !addsUpstream(i, s.To) {
@@ -144,6 +147,7 @@
 	return false
 }
 
+// addsUpstream reports whether the intent itself adds the upstream.
 func addsUpstream(i *intent.Intent, id string) bool {
 	return slices.ContainsFunc(i.Spec.Upstreams, func(u intent.Upstream) bool { return u.ID == id })
 }
@@ -160,7 +164,8 @@
 	return out
 }
 
-// finishIntent records that this cell has carried out its part.
+// recordProgress records on the platform that this cell has finished its steps of
+// the intent. The intent is done once all its cells have.
 func (c *controlLoop) recordProgress(s storedIntent) {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	defer cancel()
@@ -172,8 +177,8 @@
 	}
 	version, err := platform.PutOwn(ctx, c.e.store, platform.KindIntent, next.ID, &next, s.version)
 	if err != nil {
-		// Another cell reported at the same time: take its version and try
-		// again with the next look.
+		// Another cell may have recorded its progress at the same time: load its
+		// version, and retry at the next reconciliation.
 		if obj, err := c.e.store.Get(ctx, platform.KindIntent, next.ID); err == nil {
 			if known, err := intent.Decode(obj.Value); err == nil {
 				c.mu.Lock()
@@ -186,10 +191,10 @@
 	c.mu.Lock()
 	c.intents.add(&next, version)
 	c.mu.Unlock()
-	c.e.log.Info("intent carried out here", "intent", next.ID, "kind", next.Spec.Kind, "state", next.State)
+	c.e.log.Info("intent finished in this cell", "intent", next.ID, "kind", next.Spec.Kind, "state", next.State)
 }
 
-// listIntents reads all intents from the platform.
+// listIntents reads all intents from the platform, the newest first.
 func (e *Entry) listIntents(ctx context.Context) ([]storedIntent, error) {
 	batch, err := e.store.List(ctx, platform.KindIntent)
 	if err != nil {
@@ -207,7 +212,7 @@
 	return out, nil
 }
 
-// pursueInterval is the time between looks at open intents.
+// reconcileInterval is the time between two reconciliations of the intents.
 const reconcileInterval = 200 * time.Millisecond
 
 func encodeJSON(v any) []byte {
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -23,7 +23,8 @@
 	"github.com/rockcroft/rockcroft/transport/telemetry"
 )
 
-// adminHandler serves operators, readiness, health, counters and profiles.
+// adminHandler serves the operator API, health and readiness checks, metrics and
+// profiles.
 func (e *Entry) adminHandler() http.Handler {
 	r := mux.NewRouter()
 	rpc := operatorpb.NewOperatorServer(operator{e})
@@ -45,7 +46,8 @@
 // operator implements operatorpb.Operator.
 type operator struct{ e *Entry }
 
-// twirpError carries the kind of an error in its metadata.
+// twirpError converts an error to a Twirp error that carries the error's kind in
+// its metadata.
 func twirpError(err error) error {
 	if err == nil {
 		return nil
@@ -65,7 +67,7 @@
 	return twirp.NewError(code, err.Error()).WithMeta("kind", string(kind))
 }
 
-// platformError gives errors of the store their kind.
+// platformError wraps an error of the platform's store with its kind.
 func platformError(err error) error {
 	switch {
 	case err == nil:
@@ -78,7 +80,7 @@
 	return answer.Wrap(answer.PlatformDown, err)
 }
 
-// view reads what plans are computed from.
+// planView reads the state from which plans are computed.
 func (e *Entry) planView(ctx context.Context) (planner.View, error) {
 	v := planner.View{
 		Cells:       make(map[string]*cell.Cell),
@@ -162,8 +164,7 @@
 	return storedIntent{i, obj.Version}, err
 }
 
-// ConfirmIntent implements operatorpb.Operator. Confirming twice has no further
-// effect.
+// ConfirmIntent implements operatorpb.Operator. It is idempotent.
 func (o operator) ConfirmIntent(ctx context.Context, req *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error) {
 	s, err := o.loadIntent(ctx, req.Id)
 	if err != nil {
@@ -194,8 +195,8 @@
 	return &operatorpb.IntentResponse{Intent: encodeJSON(i)}, nil
 }
 
-// refresh computes the plan again. When it comes out otherwise, the new plan is
-// stored for another look and the confirm is refused.
+// replan computes the plan of an intent again. If its steps have changed, replan
+// stores the new plan for the operator to review and returns an error.
 func (o operator) replan(ctx context.Context, s storedIntent) error {
 	view, err := o.e.planView(ctx)
 	if err != nil {
@@ -219,7 +220,7 @@
 		changedBasis(old.Basis, plan.Basis), len(plan.Steps), len(old.Steps))
 }
 
-// changedBasis says which documents changed between two plans.
+// changedBasis describes the first document found to have changed between two plans.
 func changedBasis(old, current []intent.Basis) string {
 	for _, b := range current {
 		for _, a := range old {
@@ -273,8 +274,8 @@
 	return resp, nil
 }
 
-// enact writes the shared documents that a plan changes. Each write is made
-// once: a repeat finds it done.
+// writePlannedDocuments writes the shared documents that the plan of an intent
+// changes. If the response to a write is lost, platform.PutOwn finds the write done.
 func (e *Entry) writePlannedDocuments(ctx context.Context, i *intent.Intent) error {
 	for _, s := range i.Plan.Steps {
 		var err error
@@ -296,9 +297,9 @@
 	return nil
 }
 
-// createDirectory writes the first directory of a service in one piece: a cell
-// that is named for a span grants it at once, so that no span may be named for
-// another cell first.
+// createDirectory writes the first directory of a service in a single write. A cell
+// grants a span as soon as the directory assigns it to that cell, so no span may be
+// assigned to one cell first and to another cell by a later write.
 func (e *Entry) createDirectory(ctx context.Context, name string, steps []intent.Step) error {
 	d := &cell.Directory{Service: name, Version: 1, WriteID: newID()}
 	for _, s := range steps {
@@ -311,7 +312,7 @@
 	}
 	_, err := platform.PutOwn(ctx, e.store, platform.KindDirectory, name, d, 0)
 	if errors.Is(err, platform.ErrConflict) {
-		// An earlier try of this confirm wrote it.
+		// An earlier attempt to confirm the intent wrote it.
 		return nil
 	}
 	if err != nil {
@@ -321,7 +322,7 @@
 	return nil
 }
 
-// configure stores the next version of a service's configuration.
+// writeConfiguration stores the next version of a service's configuration.
 func (e *Entry) writeConfiguration(ctx context.Context, conf *service.Config) error {
 	next := *conf
 	next.Version = 1
@@ -345,7 +346,7 @@
 	return nil
 }
 
-// direct gives a span of the directory to another cell.
+// reassignSpan assigns a span of the directory to another cell.
 func (e *Entry) reassignSpan(ctx context.Context, s intent.Step) error {
 	obj, err := e.store.Get(ctx, platform.KindDirectory, s.Service)
 	if err != nil {
@@ -370,8 +371,9 @@
 	return nil
 }
 
-// epochBeyond returns an epoch above all that the cell losing the span may have
-// granted: reserved grants are one above the epoch in its document.
+// epochAboveGrants returns an epoch above every epoch that the cell losing the span
+// may have granted. That cell may have reserved grants one epoch above the one in
+// its document, so the result is two above it.
 func (e *Entry) epochAboveGrants(ctx context.Context, s intent.Step) (uint64, error) {
 	obj, err := e.store.Get(ctx, platform.KindCell, s.From)
 	if err != nil {
@@ -388,5 +390,5 @@
 	return epoch, nil
 }
 
-// statusTimeout bounds the question to one other entry.
+// statusTimeout bounds the State call to one other entry.
 const statusTimeout = 300 * time.Millisecond
--- a/entry/peerserver.go
+++ b/entry/peerserver.go
@@ -19,7 +19,7 @@
 	"github.com/rockcroft/rockcroft/transport/telemetry"
 )
 
-// peerHandler serves the other entries.
+// peerHandler serves the calls and forwarded requests of other entries.
 func (e *Entry) peerHandler() http.Handler {
 	r := mux.NewRouter().SkipClean(true).UseEncodedPath()
 	rpc := peerpb.NewPeerServer(peerServer{e})
@@ -64,8 +64,8 @@
 		e.mergeCellLoads(req.Cells)
 		resp.Cells = e.cellLoadsToProto()
 	}
-	// A beat to an earlier incarnation asks for a promise that this process
-	// must not give in its name.
+	// A beat to an earlier incarnation of this entry asks for a promise that this
+	// process must not give.
 	if req.Cell != "" && req.To == e.self.ID {
 		p := e.gate.Promise(req.Cell, req.Version, req.Guest)
 		resp.Granted = p.Granted
@@ -74,8 +74,9 @@
 	return resp, nil
 }
 
-// takeLoad notes the traffic that an entry of the cell saw. Counters of another
-// version of the document are left out: their order may differ.
+// recordLoadReport records the load report of an entry of the cell. It ignores a
+// report made with another version of the cell document, which may list the ranges
+// in another order.
 func (e *Entry) recordLoadReport(req *peerpb.BeatRequest) {
 	interval := time.Duration(req.IntervalMs) * time.Millisecond
 	version, slots := e.gate.Slots()
@@ -142,7 +143,7 @@
 	return resp
 }
 
-// roundUp returns whole milliseconds, never less than d.
+// ceilMillis returns d in milliseconds, rounded up.
 func ceilMillis(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
--- a/entry/product_test.go
+++ b/entry/product_test.go
@@ -21,7 +21,8 @@
 	"github.com/rockcroft/rockcroft/transport/platform"
 )
 
-// spanSink stands in for a receiver of traces.
+// spanCollector is a fake OTLP trace collector. It keeps the names of the spans of
+// each trace.
 type spanCollector struct {
 	mu    sync.Mutex
 	spans map[string][]string
@@ -46,8 +47,8 @@
 	}
 }
 
-// TestTracesHaveASpanForEachHop sends a request with a trace context to the
-// wrong cell: it passes two entries and an upstream.
+// TestTracesHaveASpanForEachHop sends a request with a trace context to an entry of
+// the wrong cell, so that it passes through two entries and an upstream.
 func TestTracesHaveASpanForEachHop(t *testing.T) {
 	received := &spanCollector{spans: make(map[string][]string)}
 	server := httptest.NewServer(received)
@@ -87,7 +88,7 @@
 	}
 }
 
-// versionAt returns the configuration version in force at an entry.
+// configurationVersion returns the configuration version in force at an entry.
 func configurationVersion(e *runningEntry, name string) uint64 {
 	if conf := e.docs.Service(name); conf != nil {
 		return conf.Version
@@ -95,8 +96,9 @@
 	return 0
 }
 
-// TestConfigurationReachesAllAndNeverGoesBack changes a configuration, feeds an
-// entry the former one, and starts an entry while the platform is down.
+// TestConfigurationReachesAllAndNeverReverts checks that a new configuration reaches
+// all entries, that the previous one does not replace it when it arrives again, and
+// that an entry that starts while the platform is down gets the new one.
 func TestConfigurationReachesAllAndNeverReverts(t *testing.T) {
 	b := twoCells(t, true)
 	conf := service.Default()
@@ -122,8 +124,8 @@
 	b.store.down.Store(false)
 }
 
-// TestInvalidConfigurationIsRefused states a configuration that contradicts
-// itself.
+// TestInvalidConfigurationIsRefused checks that a configuration with inconsistent
+// values is neither accepted nor stored.
 func TestInvalidConfigurationIsRefused(t *testing.T) {
 	b := newTestCluster(t)
 	b.addEntry("entry", "a")
@@ -131,31 +133,32 @@
 	spec := b.serviceSpec("svc", true)
 	spec.Service.MaxDeadline = 0
 	if _, err := b.create(spec); err == nil {
-		t.Error("accepted")
+		t.Error("invalid configuration accepted")
 	}
 	if _, err := b.store.Get(context.Background(), platform.KindService, "svc"); err == nil {
-		t.Error("stored")
+		t.Error("invalid configuration stored")
 	}
 }
 
-// TestCreateNamesOneCellPerSpan creates a service in two cells. No span may be
-// with one cell first and with another one later: the first may have granted it.
+// TestCreateAssignsEachSpanToOneCell checks that a service in two cells is created
+// with a single directory write. If a span were assigned to one cell first and to
+// another later, the first cell could already have granted it.
 func TestCreateAssignsEachSpanToOneCell(t *testing.T) {
 	b := twoCells(t, true)
 	for _, e := range b.entries {
 		if v := e.docs.Directory("svc").Version; v != 1 {
-			t.Errorf("%s: the directory took %d writes", e.self.ID, v)
+			t.Errorf("%s: directory version %d, want 1", e.self.ID, v)
 		}
 		for _, r := range e.gate.Doc().Service("svc").Ranges {
 			if r.Epoch != 1 {
-				t.Errorf("%s: range %s was granted before, epoch %d", e.self.ID, r.Span, r.Epoch)
+				t.Errorf("%s: range %s has epoch %d, want 1: it was granted before", e.self.ID, r.Span, r.Epoch)
 			}
 		}
 	}
 }
 
-// TestEvictedCellIsTakenOver loses a whole cell. Its keys are served by the
-// other one once an operator confirms, at higher epochs.
+// TestEvictedCellIsTakenOver checks that when a whole cell is lost and an operator
+// confirms its eviction, the other cell serves its keys at higher epochs.
 func TestEvictedCellIsTakenOver(t *testing.T) {
 	b := twoCells(t, true)
 	half := keyspace.Whole().Split(2)[1]
@@ -174,7 +177,7 @@
 	}
 	for _, s := range b.entries[0].gate.Doc().Service("svc").Ranges {
 		if half.Covers(s.Span) && s.Epoch < 3 {
-			t.Errorf("range %s has epoch %d, the lost cell may have granted 2", s.Span, s.Epoch)
+			t.Errorf("range %s has epoch %d, want at least 3: the lost cell may have granted 2", s.Span, s.Epoch)
 		}
 	}
 }
--- a/entry/renewals.go
+++ b/entry/renewals.go
@@ -12,13 +12,13 @@
 	"github.com/rockcroft/rockcroft/transport/upstreams"
 )
 
-// watchedUpstreams is a lease tracker for concurrent use.
+// leaseTracker wraps a lease.Tracker for concurrent use.
 type leaseTracker struct {
 	mu      sync.Mutex
 	tracker *lease.Tracker
 }
 
-// with runs f on the tracker.
+// withLock runs f on the tracker while holding the lock.
 func (w *leaseTracker) withLock(f func(*lease.Tracker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -43,7 +43,7 @@
 	return w.tracker.Observations(now)
 }
 
-// report returns the observations for a beat.
+// observationsToProto returns the observations of the upstreams for a beat.
 func (w *leaseTracker) observationsToProto(now time.Time) []*peerpb.Observation {
 	observations := w.observations(now)
 	out := make([]*peerpb.Observation, len(observations))
@@ -55,8 +55,8 @@
 	return out
 }
 
-// renewLoop renews the leases of the upstreams of the cell. The same message
-// shows whether they are alive.
+// renewLoop renews the leases of the upstreams of the cell. The renewals also serve
+// as health checks.
 func (e *Entry) renewLoop(ctx context.Context) {
 	e.every(ctx, e.conf.RenewInterval.D(), func(ctx context.Context) {
 		doc := e.gate.Doc()
--- a/entry/serve_test.go
+++ b/entry/serve_test.go
@@ -59,7 +59,7 @@
 		})
 	}
 	if after := len(b.runs()); after != before {
-		t.Errorf("%d refused requests ran", after-before)
+		t.Errorf("%d refused requests ran, want none", after-before)
 	}
 }
 
@@ -72,7 +72,7 @@
 	}
 }
 
-// outcomes collects what callers were told, for the history check.
+// outcomes collects the responses that callers received, for the history check.
 type outcomes struct {
 	mu   sync.Mutex
 	list []load.Outcome
@@ -95,7 +95,7 @@
 	return resp
 }
 
-// flood sends requests through all entries until stop is set.
+// sendUntil sends requests through all entries until stop is set.
 func (o *outcomes) sendUntil(b *testCluster, workers int, stop *atomic.Bool) {
 	parallel(workers, func(worker int) {
 		for n := 0; !stop.Load(); n++ {
@@ -110,18 +110,18 @@
 	t.Helper()
 	r := check.History(o.list, b.runs())
 	if len(r.Violations) > 0 {
-		t.Errorf("%d violations, the first: %v", len(r.Violations), r.Violations[0])
+		t.Errorf("%d violations, first: %v", len(r.Violations), r.Violations[0])
 	}
 	if got := check.Owners(o.list, testTimeout); got != check.Linearizable {
-		t.Errorf("the owners that callers saw: %s", got)
+		t.Errorf("history of owners as seen by callers: %s", got)
 	}
 	if r.Outcomes == 0 || r.Runs == 0 {
 		t.Errorf("nothing was checked: %+v", r)
 	}
 }
 
-// TestPlannedMovesLoseNothing moves ranges within and across cells and drains
-// an upstream under load: every request is answered.
+// TestPlannedMovesAnswerEveryRequest checks that every request succeeds while ranges
+// move within and across cells and an upstream is drained.
 func TestPlannedMovesAnswerEveryRequest(t *testing.T) {
 	b := twoCells(t, true)
 	var stop atomic.Bool
@@ -148,13 +148,14 @@
 	results.verify(t, b)
 	for _, u := range b.upstreams {
 		if u.id == "up-b0" && !u.Empty() {
-			t.Error("the upstream that left still holds ranges")
+			t.Error("the drained upstream still owns ranges")
 		}
 	}
 }
 
-// TestGracefulStopCutsNothing stops entries and upstreams under load, one after
-// the other. Callers that reach a stopping entry go to the next one.
+// TestGracefulStopFailsNoRequest stops an entry and then an upstream under load, and
+// checks that every request succeeds. All requests go to another entry, as callers
+// that reach a stopping entry move on to the next one.
 func TestGracefulStopFailsNoRequest(t *testing.T) {
 	b := twoCells(t, true)
 	var stop atomic.Bool
@@ -182,7 +183,7 @@
 	b.upstreams[2].stop()
 	b.eventually("drained", func() error {
 		if !b.upstreams[2].Empty() {
-			return fmt.Errorf("ranges are left")
+			return fmt.Errorf("the upstream still owns ranges")
 		}
 		return nil
 	})
@@ -276,7 +277,7 @@
 	}
 }
 
-// epochOf returns the epoch of a key's range.
+// epochOf returns the epoch of the range that a key belongs to.
 func (b *testCluster) epochOf(name, key string) uint64 {
 	for _, e := range b.entries {
 		if r := e.gate.Route(name, hashOf(key)); r.Slot != nil {
--- a/entry/status.go
+++ b/entry/status.go
@@ -66,7 +66,8 @@
 	return out
 }
 
-// inForce asks one entry of each cell which configuration it uses.
+// configurationsInForce asks one entry of each cell which configuration versions it
+// uses.
 func (e *Entry) configurationsInForce(ctx context.Context) []*operatorpb.InForce {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
--- a/entry/tls_test.go
+++ b/entry/tls_test.go
@@ -21,7 +21,7 @@
 	"github.com/rockcroft/rockcroft/transport/peers"
 )
 
-// authority signs certificates for tests.
+// testCA is a certificate authority for tests.
 type testCA struct {
 	t    *testing.T
 	dir  string
@@ -38,7 +38,7 @@
 	return a
 }
 
-// sign writes NAME.crt and NAME.key.
+// sign signs a certificate for a new key and writes both to NAME.crt and NAME.key.
 func (a *testCA) sign(name string, c *x509.Certificate) (*x509.Certificate, *ecdsa.PrivateKey) {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -73,7 +73,8 @@
 	}
 }
 
-// issue writes a certificate for the loopback address and returns its settings.
+// issue writes a certificate for the loopback address and returns the TLS settings
+// that use it.
 func (a *testCA) issue(name string, serial int64) settings.TLS {
 	a.sign(name, &x509.Certificate{
 		SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: name},
@@ -86,9 +87,9 @@
 	}
 }
 
-// TestPeersNeedACertificate runs two cells with TLS between entries: requests
-// pass, and a call without a certificate, or with one of another authority,
-// does not.
+// TestPeersRequireACertificate checks that with TLS between entries two cells serve
+// requests, and that the peer listener refuses clients without a certificate or with
+// one from another authority.
 func TestPeersRequireACertificate(t *testing.T) {
 	ca := newTestCA(t)
 	b := newTestCluster(t)
@@ -128,7 +129,8 @@
 	}
 }
 
-// TestCertificatesAreReplaced writes a new certificate while the entry runs.
+// TestCertificatesAreReloaded checks that a running entry uses a certificate that
+// replaces the one on disk.
 func TestCertificatesAreReloaded(t *testing.T) {
 	ca := newTestCA(t)
 	b := newTestCluster(t)
--- a/entry/unavailable.go
+++ b/entry/unavailable.go
@@ -9,12 +9,12 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// unavailableSample is the sample size of the histograms.
+// histogramSampleSize is the sample size of the outage histograms.
 const histogramSampleSize = 4096
 
-// outages measures, for each range of the cell, the time between the last
-// moment its owner could serve and the first moment the next one could, as this
-// entry saw it. It is guarded by the caller.
+// outages measures, for each range of the cell, how long the range was unavailable
+// from this entry's point of view: from the last moment its owner could serve it to
+// the first moment its next owner could. It is not safe for concurrent use.
 type outages struct {
 	ongoing map[outageID]outage
 }
@@ -30,8 +30,9 @@
 	planned bool
 }
 
-// compare notes ranges that lost their owner and reports those that have one
-// again. LastSeen returns the last answer of an upstream.
+// update starts an outage for each range that lost its owner, and records the
+// duration of the outages of ranges that have an owner again. The function
+// lastAnswer returns the time of an upstream's last answer.
 func (o *outages) update(old, doc *cell.Cell, now time.Time, lastAnswer func(string) time.Time, registry metrics.Registry) {
 	if o.ongoing == nil {
 		o.ongoing = make(map[outageID]outage)
@@ -70,7 +71,8 @@
 	return i >= 0 && s.Ranges[i].Phase == cell.Owned
 }
 
-// began returns the start of an outage: for a lost owner its last answer.
+// newOutage returns an outage that starts now or, if the owner was lost, with the
+// owner's last answer.
 func newOutage(doc *cell.Cell, r cell.Range, now time.Time, lastAnswer func(string) time.Time) outage {
 	out := outage{span: r.Span, since: now, planned: true}
 	if u := doc.Upstream(r.Owner); u != nil && u.State == cell.Lost {
