--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -1,4 +1,4 @@
-// Package ctl is the operators' command line.
+// Package ctl implements rockcroftctl, the command line for operators.
 package ctl
 
 import (
@@ -28,10 +28,10 @@
 	ExitUnavailable = 4
 )
 
-// callTimeout bounds one call to an entry.
+// callTimeout bounds one call to an entry or a gateway.
 const callTimeout = 5 * time.Second
 
-// options are the flags that all commands share.
+// options holds the flags and the output that all commands share.
 type options struct {
 	entry  jsonc.Addr
 	output string
@@ -44,7 +44,7 @@
 
 func (o *options) json() bool { return o.output == "json" }
 
-// Command returns the root command, which writes to out.
+// Command returns the root command. Its commands write to out.
 func Command(out io.Writer) *cobra.Command {
 	o := &options{out: out}
 	var entry string
@@ -77,11 +77,12 @@
 	return root
 }
 
+// usageError marks an error in the arguments; ExitCode maps it to ExitUsage.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
 
-// ExitCode maps an error to the exit code that scripts can use.
+// ExitCode maps the error of a command to the exit code of the process.
 func ExitCode(err error) int {
 	if err == nil {
 		return ExitOK
@@ -113,7 +114,8 @@
 	return context.WithTimeout(cmd.Context(), callTimeout)
 }
 
-// operatorName is recorded with intents.
+// operatorName returns the user name to record with intents, or an empty string if
+// it is not known.
 func operatorName() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
--- a/ctl/evacuations.go
+++ b/ctl/evacuations.go
@@ -9,7 +9,8 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// evacuationsCommand shows how far the platform's evacuations of failure domains are.
+// evacuationsCommand returns the command that shows the progress of the platform's evacuations of
+// failure domains.
 func evacuationsCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "evacuations",
@@ -28,7 +29,8 @@
 	}
 }
 
-// printEvacuations prints a line a failure domain, and those gateways that lag behind.
+// printEvacuations prints a line for each evacuated failure domain and for each gateway that does not
+// have the latest revision yet.
 func (o *options) printEvacuations(state *placementpb.EvacuationsState) error {
 	if o.json() {
 		return writeJSON(o.out, state)
--- a/ctl/evacuations_test.go
+++ b/ctl/evacuations_test.go
@@ -9,7 +9,7 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// TestPrintEvacuations names the gateways that do not know yet.
+// TestPrintEvacuations checks that gateways with an older revision are listed.
 func TestPrintEvacuations(t *testing.T) {
 	var out bytes.Buffer
 	o := &options{out: &out}
--- a/ctl/intents.go
+++ b/ctl/intents.go
@@ -30,12 +30,12 @@
 		},
 	}
 	cmd.Flags().StringVarP(&file, "file", "f", "", "specification, JSON with comments")
-	// The flag was defined above, so marking cannot fail.
+	// Fails only for a flag that is not defined.
 	_ = cmd.MarkFlagRequired("file")
 	return cmd
 }
 
-// loadSpec reads a specification. A service in it starts from the defaults.
+// loadSpec reads the specification of an intent from a file.
 func loadSpec(path string) (*intent.Spec, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -52,7 +52,8 @@
 	return spec.intent(), nil
 }
 
-// specFile is a specification whose service starts from the defaults.
+// specFile is the specification of an intent as a file holds it. Fields that the file omits in
+// service have their defaults.
 type specFile struct {
 	Kind        intent.Kind       `json:"kind"`
 	Service     service.Config    `json:"service"`
@@ -79,6 +80,7 @@
 // Check implements jsonc.Checker.
 func (f *specFile) Check() []jsonc.Finding { return f.intent().Check() }
 
+// createIntent creates an intent and prints it with its plan.
 func createIntent(cmd *cobra.Command, o *options, spec *intent.Spec) error {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -114,7 +116,7 @@
 	return cmd
 }
 
-// byID makes a command that acts on one intent.
+// intentCommand returns a command that makes one call for the intent with a given ID.
 func intentCommand(o *options, use, short, example string,
 	call func(operatorpb.Operator, *cobra.Command, *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error),
 ) *cobra.Command {
@@ -210,6 +212,7 @@
 	return cmd
 }
 
+// parseSpan parses a span of the hash space, FIRST-LAST in hexadecimal digits.
 func parseSpan(text string) (keyspace.Span, error) {
 	var s keyspace.Span
 	var first, last uint64
--- a/ctl/owners.go
+++ b/ctl/owners.go
@@ -9,7 +9,8 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// ownersCommand shows which upstream owns how much, and what keeps keys where they are.
+// ownersCommand returns the command that shows how many keys and how much load each upstream has, and
+// why some upstreams get no keys.
 func ownersCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "owners",
@@ -47,7 +48,8 @@
 	return nil
 }
 
-// whyNoKeys says why the upstream is given no keys, or nothing when it is.
+// unusableReason describes why the upstream gets no keys. It returns an empty string if the upstream
+// is usable.
 func unusableReason(owner *placementpb.OwnerState) string {
 	failing := time.Duration(owner.FailingMs) * time.Millisecond
 	switch {
--- a/ctl/owners_test.go
+++ b/ctl/owners_test.go
@@ -9,7 +9,7 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// TestPrintOwners says of upstreams that are given no keys why.
+// TestPrintOwners checks that the reason is printed for upstreams that get no keys.
 func TestPrintOwners(t *testing.T) {
 	var out bytes.Buffer
 	o := &options{out: &out}
--- a/ctl/placements.go
+++ b/ctl/placements.go
@@ -10,7 +10,7 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// placementCommand groups what operators of the platform's gateways state.
+// placementCommand groups the commands for intents about the placement of keys.
 func placementCommand(o *options) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "placement",
@@ -69,6 +69,7 @@
 	return cmd
 }
 
+// createPlacementIntent creates an intent and prints it with its plan.
 func createPlacementIntent(cmd *cobra.Command, o *options, i *placementpb.Intent) error {
 	ctx, cancel := callContext(cmd)
 	defer cancel()
@@ -79,6 +80,7 @@
 	return o.printPlacement(resp)
 }
 
+// placementIntentCall is a call that takes the ID of an intent.
 type placementIntentCall func(placementpb.Placement, context.Context, *placementpb.Reference) (*placementpb.Intent, error)
 
 func placementIntentCommand(o *options, use, short string, call placementIntentCall) *cobra.Command {
--- a/ctl/story.go
+++ b/ctl/story.go
@@ -15,22 +15,23 @@
 	"github.com/spf13/cobra"
 )
 
-// maxLine bounds a log line in bytes.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-// event is one line of a process's log.
+// logEvent is one line of the log of a process.
 type logEvent struct {
 	at     time.Time
 	fields map[string]any
-	// order is the place in the input, for lines of the same time.
+	// index is the position in the input, which orders lines of the same time.
 	index int
 }
 
-// subject is what a story is about; unset parts do not count.
+// storyFilter selects the log events about a request, an upstream or keys. One of them is set; if
+// more are, the request takes precedence, then the upstream.
 type storyFilter struct {
 	request  string
 	upstream string
-	// first and last are a span of keys; last is -1 when none is asked for.
+	// first and last are a span of keys; last is -1 if no keys are selected.
 	first, last int
 }
 
@@ -63,7 +64,7 @@
 	return cmd
 }
 
-// parseKeys reads a key or a span; empty gives a last key of -1.
+// parseKeys parses a key or a span of keys. For an empty text, last is -1.
 func parseKeys(text string) (first, last int, err error) {
 	if text == "" {
 		return 0, -1, nil
@@ -81,7 +82,7 @@
 	return first, last, nil
 }
 
-// readEvents reads all files, or standard input when there are none.
+// readEvents reads the events of all files, or of standard input if there are none.
 func readEvents(files []string) ([]logEvent, error) {
 	if len(files) == 0 {
 		return scanEvents(os.Stdin, nil)
@@ -103,6 +104,8 @@
 	return events, nil
 }
 
+// scanEvents appends the events that it reads from r. It ignores what precedes the JSON object on a
+// line, and lines without a JSON object or a valid time.
 func scanEvents(r io.Reader, events []logEvent) ([]logEvent, error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
@@ -116,7 +119,7 @@
 		decoder := json.NewDecoder(bytes.NewReader(line[start:]))
 		decoder.UseNumber()
 		if decoder.Decode(&fields) != nil {
-			// Not a line of a log.
+			// Not a log line.
 			continue
 		}
 		at, err := time.Parse(time.RFC3339Nano, fmt.Sprint(fields["time"]))
@@ -128,8 +131,8 @@
 	return events, scanner.Err()
 }
 
-// selectEvents returns the events about the subject and, for requests and keys,
-// what happened to the upstreams and keys concerned shortly before.
+// selectEvents returns the events that match the filter, ordered by time. For a request, it includes
+// the related events of the upstreams and keys involved, from shortly before.
 func selectEvents(events []logEvent, filter storyFilter) []logEvent {
 	var out []logEvent
 	for _, e := range events {
@@ -149,6 +152,7 @@
 	return out
 }
 
+// matches reports whether the event matches the filter.
 func (e logEvent) matches(filter storyFilter) bool {
 	switch {
 	case filter.request != "":
@@ -160,7 +164,7 @@
 	return ok && first <= filter.last && last >= filter.first && e.fields["request"] == nil
 }
 
-// mentions reports whether the event names the upstream.
+// mentions reports whether one of the event's fields is the upstream.
 func (e logEvent) mentions(upstream string) bool {
 	for _, name := range []string{"upstream", "from"} {
 		if e.fields[name] == upstream {
@@ -170,7 +174,7 @@
 	return false
 }
 
-// keys returns the span of keys that the event is about.
+// keySpan returns the span of keys that the event is about, if it has one.
 func (e logEvent) keySpan() (first, last int, ok bool) {
 	low, ok := e.intField("first")
 	if !ok {
@@ -183,7 +187,7 @@
 	return low, high, true
 }
 
-// number returns a field that is a whole number.
+// intField returns the value of an integer field.
 func (e logEvent) intField(name string) (int, bool) {
 	n, ok := e.fields[name].(json.Number)
 	if !ok {
@@ -193,12 +197,12 @@
 	return int(whole), err == nil
 }
 
-// backgroundTime is how long before a request's first line the background of its
-// story begins: longer than a grant lasts.
+// relatedWindow is how long before the first event of a request related events are included. It is
+// longer than a grant lasts.
 const relatedWindow = 6 * time.Second
 
-// background returns what is known of the upstreams and the key of a request
-// from shortly before it, and changes of the leader.
+// relatedEvents returns the events about the upstreams and the key of a request, and the cluster
+// events, from relatedWindow before its first event until its last one.
 func relatedEvents(events, matched []logEvent) []logEvent {
 	if len(matched) == 0 {
 		return nil
@@ -216,14 +220,16 @@
 	return out
 }
 
-// leaderMessages are the lines about who decides and whether the store and other
-// gateways are reached.
+// clusterMessages are the messages of events that affect every request: changes of the leader, and the
+// loss and recovery of the connections to the store and to other gateways.
 var clusterMessages = map[string]bool{
 	"leading": true, "no longer leading": true, "lease given up": true, "lease not renewed": true,
 	"store not reached": true, "store reached again": true, "stopping": true,
 	"reports to other gateways fail": true, "reports succeed again": true,
 }
 
+// relatesTo reports whether the event is about the cluster, or about an upstream or a key of the
+// matched events.
 func (e logEvent) relatesTo(matched []logEvent) bool {
 	if message, ok := e.fields["msg"].(string); ok && clusterMessages[message] {
 		return true
@@ -240,7 +246,7 @@
 	return false
 }
 
-// tell prints the events, one a line or as JSON.
+// printEvents prints the events, one per line or as JSON.
 func (o *options) printEvents(events []logEvent) error {
 	if o.json() {
 		list := make([]map[string]any, len(events))
@@ -257,7 +263,8 @@
 	return nil
 }
 
-// line formats an event: time, process, message, then the rest by name.
+// format returns the event as one line: time, level, process and message, then the other fields sorted
+// by name.
 func (e logEvent) format() string {
 	var names []string
 	for name := range e.fields {
--- a/ctl/suspects.go
+++ b/ctl/suspects.go
@@ -9,7 +9,8 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// suspectsCommand shows requests that were on upstreams when these ended, and lets them through.
+// suspectsCommand returns the command that shows the requests suspected of crashing upstreams, and its
+// subcommand that lets such a request through again.
 func suspectsCommand(o *options) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "suspects",
@@ -41,7 +42,7 @@
 	return cmd
 }
 
-// printSuspects prints a line a request.
+// printSuspects prints a line for each suspected request.
 func (o *options) printSuspects(state *placementpb.SuspectsState) error {
 	if o.json() {
 		return writeJSON(o.out, state)
--- a/ctl/unread.go
+++ b/ctl/unread.go
@@ -9,7 +9,8 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// unreadCommand shows which headers of upstreams' answers no code reads.
+// unreadCommand returns the command that shows the response headers of upstreams that the gateway does
+// not interpret.
 func unreadCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "unread",
@@ -28,7 +29,7 @@
 	}
 }
 
-// printUnread prints a line a header.
+// printUnread prints a line for each header.
 func (o *options) printUnread(state *placementpb.UnreadState) error {
 	if o.json() {
 		return writeJSON(o.out, state)
--- a/ctl/watches.go
+++ b/ctl/watches.go
@@ -9,7 +9,8 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// watchesCommand shows how old what a gateway has heard from the store is.
+// watchesCommand returns the command that shows how long ago a gateway last received data from the
+// store, by kind of object.
 func watchesCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "watches",
@@ -29,7 +30,7 @@
 	}
 }
 
-// printWatches prints a line a kind.
+// printWatches prints a line for each kind of object.
 func (o *options) printWatches(state *placementpb.WatchesState) error {
 	if o.json() {
 		return writeJSON(o.out, state)
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// watchText says what a watch does.
+// watchStateText describes the state of a watch.
 func watchStateText(w *placementpb.WatchState) string {
 	switch {
 	case w.Silent:
--- a/ctl/watches_test.go
+++ b/ctl/watches_test.go
@@ -9,7 +9,7 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// TestPrintWatches tells a watch that hears nothing from one that is not wanted.
+// TestPrintWatches checks that a watch that receives nothing is told from one that is not needed.
 func TestPrintWatches(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
