--- a/ctl/intents.go
+++ b/ctl/intents.go
@@ -26,16 +26,16 @@
 			if err != nil {
 				return err
 			}
-			return create(cmd, o, spec)
+			return createIntent(cmd, o, spec)
 		},
 	}
 	cmd.Flags().StringVarP(&file, "file", "f", "", "specification, JSON with comments")
-	// The flag was defined above, so marking cannot fail.
+	// Fails only for a flag that is not defined.
 	_ = cmd.MarkFlagRequired("file")
 	return cmd
 }
 
-// loadSpec reads a specification. A service in it starts from the defaults.
+// loadSpec reads the specification of an intent from a file.
 func loadSpec(path string) (*intent.Spec, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -52,7 +52,8 @@
 	return spec.intent(), nil
 }
 
-// specFile is a specification whose service starts from the defaults.
+// specFile is the specification of an intent as a file holds it. Fields that the file omits in
+// service have their defaults.
 type specFile struct {
 	Kind        intent.Kind       `json:"kind"`
 	Service     service.Config    `json:"service"`
@@ -79,7 +80,8 @@
 // Check implements jsonc.Checker.
 func (f *specFile) Check() []jsonc.Diagnostic { return f.intent().Check() }
 
-func create(cmd *cobra.Command, o *options, spec *intent.Spec) error {
+// createIntent creates an intent and prints it with its plan.
+func createIntent(cmd *cobra.Command, o *options, spec *intent.Spec) error {
 	data, err := json.Marshal(spec)
 	if err != nil {
 		return err
@@ -114,8 +116,8 @@
 	return cmd
 }
 
-// byID makes a command that acts on one intent.
-func byID(o *options, use, short, example string,
+// intentCommand returns a command that makes one call for the intent with a given ID.
+func intentCommand(o *options, use, short, example string,
 	call func(operatorpb.Operator, *cobra.Command, *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error),
 ) *cobra.Command {
 	return &cobra.Command{
@@ -134,7 +136,7 @@
 }
 
 func showCommand(o *options) *cobra.Command {
-	return byID(o, "show", "Show an intent, its plan and its progress", "  rockcroftctl show i-3f9a",
+	return intentCommand(o, "show", "Show an intent, its plan and its progress", "  rockcroftctl show i-3f9a",
 		func(c operatorpb.Operator, cmd *cobra.Command, r *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error) {
 			ctx, cancel := callContext(cmd)
 			defer cancel()
@@ -143,7 +145,7 @@
 }
 
 func confirmCommand(o *options) *cobra.Command {
-	return byID(o, "confirm", "Confirm a plan; a stale one is refused with exit code 3", "  rockcroftctl confirm i-3f9a",
+	return intentCommand(o, "confirm", "Confirm a plan; a stale one is refused with exit code 3", "  rockcroftctl confirm i-3f9a",
 		func(c operatorpb.Operator, cmd *cobra.Command, r *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error) {
 			ctx, cancel := callContext(cmd)
 			defer cancel()
@@ -152,7 +154,7 @@
 }
 
 func cancelCommand(o *options) *cobra.Command {
-	return byID(o, "cancel", "Withdraw an intent that is not confirmed", "  rockcroftctl cancel i-3f9a",
+	return intentCommand(o, "cancel", "Withdraw an intent that is not confirmed", "  rockcroftctl cancel i-3f9a",
 		func(c operatorpb.Operator, cmd *cobra.Command, r *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error) {
 			ctx, cancel := callContext(cmd)
 			defer cancel()
@@ -167,7 +169,7 @@
 		Example: "  rockcroftctl leave status-3",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return create(cmd, o, &intent.Spec{Kind: intent.Leave, Names: args})
+			return createIntent(cmd, o, &intent.Spec{Kind: intent.Leave, Names: args})
 		},
 	}
 }
@@ -179,7 +181,7 @@
 		Example: "  rockcroftctl evict billing-2",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return create(cmd, o, &intent.Spec{Kind: intent.Evict, Names: args})
+			return createIntent(cmd, o, &intent.Spec{Kind: intent.Evict, Names: args})
 		},
 	}
 }
@@ -200,7 +202,7 @@
 				}
 				spec.Span = &parsed
 			}
-			return create(cmd, o, spec)
+			return createIntent(cmd, o, spec)
 		},
 	}
 	cmd.Flags().StringVar(&serviceName, "service", "", "service of the key")
@@ -210,6 +212,7 @@
 	return cmd
 }
 
+// parseSpan parses a span of the hash space, FIRST-LAST in hexadecimal digits.
 func parseSpan(text string) (keyspace.Span, error) {
 	var s keyspace.Span
 	var first, last uint64
--- a/ctl/unread.go
+++ b/ctl/unread.go
@@ -9,7 +9,8 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// unreadCommand shows which headers of upstreams' answers no code reads.
+// unreadCommand returns the command that shows the response headers of upstreams that the gateway does
+// not interpret.
 func unreadCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "unread",
@@ -28,19 +29,19 @@
 	}
 }
 
-// printUnread prints a line a header.
+// printUnread prints a line for each header.
 func (o *options) printUnread(state *placementpb.UnreadState) error {
 	if o.json() {
 		return writeJSON(o.out, state)
 	}
 	for _, h := range state.Headers {
-		what := "sent"
+		status := "sent"
 		if !h.Sent {
-			what = "not sent any more"
+			status = "not sent any more"
 		}
 		last := (time.Duration(h.LastMs) * time.Millisecond).Round(time.Second)
 		if _, err := fmt.Fprintf(o.out, "%s  %s  %d answers, first by %s, the last %s ago; %s\n",
-			h.Service, h.Name, h.Answers, h.Upstream, last, what); err != nil {
+			h.Service, h.Name, h.Answers, h.Upstream, last, status); err != nil {
 			return err
 		}
 	}
--- a/ctl/watches.go
+++ b/ctl/watches.go
@@ -9,7 +9,8 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// watchesCommand shows how old what a gateway has heard from the store is.
+// watchesCommand returns the command that shows how long ago a gateway last received data from the
+// store, by kind of object.
 func watchesCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "watches",
@@ -29,14 +30,14 @@
 	}
 }
 
-// printWatches prints a line a kind.
+// printWatches prints a line for each kind of object.
 func (o *options) printWatches(state *placementpb.WatchesState) error {
 	if o.json() {
 		return writeJSON(o.out, state)
 	}
 	for _, w := range state.Watches {
 		heard := time.Duration(w.HeardMs) * time.Millisecond
-		if _, err := fmt.Fprintf(o.out, "%s  heard %s ago; %s\n", w.Kind, heard, watchText(w)); err != nil {
+		if _, err := fmt.Fprintf(o.out, "%s  heard %s ago; %s\n", w.Kind, heard, watchStateText(w)); err != nil {
 			return err
 		}
 	}
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// watchText says what a watch does.
-func watchText(w *placementpb.WatchState) string {
+// watchStateText describes the state of a watch.
+func watchStateText(w *placementpb.WatchState) string {
 	switch {
 	case w.Silent:
 		return "watched, hears nothing"
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,7 +1,9 @@
-// Package entry is the process on an entry VM: it serves callers, votes, and
-// runs the controller of its cell when it is its turn.
+// Package entry implements the process that runs on an entry VM. It proxies the
+// requests of callers, votes in the quorum of its cell, and runs the cell's
+// controller while it is the leader.
 //
-// The lifecycle is Provision, Serve, Drain. Settings are validated before.
+// Provision builds an entry from validated settings. Serve runs it and drains it
+// before returning.
 package entry
 
 import (
@@ -53,19 +55,19 @@
 	peers   *peers.Pool
 	proxy   *front.Proxy
 	control *controlLoop
-	watched *watchedUpstreams
-	tracker *load.Tracker
-	// book and cells are guarded by the lock of control.
-	book  *load.Aggregator
-	cells *load.Cells
+	leases  *leaseTracker
+	hotKeys *load.Tracker
+	// loads and cellLoads are guarded by control.mu.
+	loads     *load.Aggregator
+	cellLoads *load.Cells
 
 	flushSpans func(context.Context) error
 	draining   atomic.Bool
 	superseded chan error
 	listeners  listeners
-	background sync.WaitGroup
+	loops      sync.WaitGroup
 
-	// applyMu orders the documents of the cell taken into use.
+	// applyMu serializes the application of cell documents.
 	applyMu sync.Mutex
 	outages outages
 
@@ -77,8 +79,8 @@
 	callers, peers, admin net.Listener
 }
 
-// Provision builds an entry from checked settings and opens its listeners.
-// Store is the platform; tests pass a fake.
+// Provision builds an entry from validated settings and opens its listeners. The
+// store is a client of the platform; tests pass a fake.
 func Provision(ctx context.Context, conf settings.Entry, store platform.Store, log *slog.Logger) (*Entry, error) {
 	e := &Entry{
 		conf:     conf,
@@ -110,16 +112,16 @@
 	}
 	e.flushSpans = flush
 	e.gate = gate.New(e.self, e.limits.Fence, e.clock)
-	e.docs = docstore.New(e.onDocument)
+	e.docs = docstore.New(e.handleDocument)
 	e.pool = upstreams.NewPool(e.clock)
 	e.peers = peers.NewPool(peerTLS, e.clock)
-	e.watched = &watchedUpstreams{book: lease.NewTracker(lease.Limits{
+	e.leases = &leaseTracker{tracker: lease.NewTracker(lease.Limits{
 		TTL:          e.limits.LeaseTTL,
 		DriftPercent: e.limits.Fence.DriftPercent,
 	})}
-	e.tracker = load.NewTracker()
-	e.book = load.NewAggregator()
-	e.cells = load.NewCells()
+	e.hotKeys = load.NewTracker()
+	e.loads = load.NewAggregator()
+	e.cellLoads = load.NewCells()
 	e.control = newControlLoop(e)
 	e.proxy = front.New(front.Dependencies{
 		Self:    e.self,
@@ -131,11 +133,13 @@
 		Tracer:  tracer,
 		Metrics: telemetry.NewRequests(e.registry),
 		Rand:    newRand(conf.Seed),
-		Observe: e.tracker.Record,
+		Observe: e.hotKeys.Record,
 	})
 	return e, nil
 }
 
+// newRand returns a random generator with the given seed, or with a random one if
+// the seed is zero.
 func newRand(seed uint64) *mathrand.Rand {
 	if seed == 0 {
 		var b [8]byte
@@ -148,7 +152,7 @@
 	return mathrand.New(mathrand.NewPCG(seed, seed))
 }
 
-// newID returns an id for writes and intents.
+// newID returns a random id for writes and intents.
 func newID() string {
 	var b [12]byte
 	// The source never fails; see crypto/rand.
@@ -177,7 +181,8 @@
 	return err
 }
 
-// Addresses of the open listeners, for settings that let the kernel choose.
+// Addresses returns the addresses of the open listeners, which differ from the
+// settings if these let the kernel choose the port.
 func (e *Entry) Addresses() (callers, peers, admin string) {
 	return e.listeners.callers.Addr().String(), e.listeners.peers.Addr().String(), e.listeners.admin.Addr().String()
 }
@@ -185,7 +190,8 @@
 // Self returns the identity of this process.
 func (e *Entry) Self() cell.Member { return e.self }
 
-// Serve runs until ctx ends, then drains and returns.
+// Serve runs until ctx ends, a server fails or another process supersedes this one,
+// then drains and returns.
 func (e *Entry) Serve(ctx context.Context) error {
 	callerTLS, err := tlsfiles.Server(e.conf.CallerTLS)
 	if err != nil {
@@ -195,15 +201,15 @@
 	if err != nil {
 		return err
 	}
-	life, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
+	loopCtx, stopLoops := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopLoops()
 	failed := make(chan error, 3)
 	servers := []*http.Server{
-		e.start(e.listeners.callers, callerTLS, e.proxy.Callers(), failed),
-		e.start(e.listeners.peers, peerTLS, e.peerHandler(), failed),
-		e.start(e.listeners.admin, nil, e.adminHandler(), failed),
+		e.startServer(e.listeners.callers, callerTLS, e.proxy.Callers(), failed),
+		e.startServer(e.listeners.peers, peerTLS, e.peerHandler(), failed),
+		e.startServer(e.listeners.admin, nil, e.adminHandler(), failed),
 	}
-	e.run(life)
+	e.startLoops(loopCtx)
 	e.log.Info("serving", "id", e.self.ID, "domain", e.self.Domain, "cell", e.self.Cell)
 	select {
 	case <-ctx.Done():
@@ -211,13 +217,14 @@
 	case err = <-e.superseded:
 	}
 	e.drain(servers)
-	stop()
-	e.background.Wait()
+	stopLoops()
+	e.loops.Wait()
 	return err
 }
 
-// start serves a handler on a listener.
-func (e *Entry) start(l net.Listener, conf *tls.Config, h http.Handler, failed chan<- error) *http.Server {
+// startServer starts to serve a handler on a listener and sends the error of a
+// server that fails to failed.
+func (e *Entry) startServer(l net.Listener, conf *tls.Config, h http.Handler, failed chan<- error) *http.Server {
 	if conf != nil {
 		l = tls.NewListener(l, conf)
 	}
@@ -236,54 +243,55 @@
 	return s
 }
 
-// run starts the loops of the process.
-func (e *Entry) run(ctx context.Context) {
+// startLoops starts the background loops.
+func (e *Entry) startLoops(ctx context.Context) {
 	for _, loop := range []func(context.Context){
-		e.beatLoop, e.renewLoop, e.gossipLoop, e.stepLoop, e.ownCellLoop, e.pursueLoop, e.loadLoop, e.balanceLoop,
+		e.beatLoop, e.renewLoop, e.gossipLoop, e.stepLoop, e.ownCellLoop, e.intentLoop, e.loadReportLoop, e.balanceLoop,
 	} {
-		e.spawn(ctx, loop)
+		e.startLoop(ctx, loop)
 	}
 	for _, kind := range watchedKinds {
-		e.spawn(ctx, func(ctx context.Context) { e.watchLoop(ctx, kind) })
+		e.startLoop(ctx, func(ctx context.Context) { e.watchLoop(ctx, kind) })
 	}
 }
 
-func (e *Entry) spawn(ctx context.Context, loop func(context.Context)) {
-	e.background.Add(1)
+func (e *Entry) startLoop(ctx context.Context, loop func(context.Context)) {
+	e.loops.Add(1)
 	go func() {
-		defer e.background.Done()
+		defer e.loops.Done()
 		loop(ctx)
 	}()
 }
 
-// drain ends the process without cutting off a request. The entry first turns
-// unready and goes on serving until the balancer has noticed, closing each
-// connection after its answer. Then it finishes what is in flight. It goes on
-// voting and beating until all is done.
+// drain stops the servers without aborting requests. The entry first reports that
+// it is not ready and keeps serving until the load balancer has noticed, closing
+// each connection after its response. Then it waits for the requests in flight. It
+// keeps voting and sending beats until the servers have stopped. Requests that
+// outlast the drain limit are aborted.
 func (e *Entry) drain(servers []*http.Server) {
-	began := e.clock()
+	started := e.clock()
 	e.draining.Store(true)
-	limit, cancel := context.WithTimeout(context.Background(), e.conf.DrainLimit.D())
+	drainCtx, cancel := context.WithTimeout(context.Background(), e.conf.DrainLimit.D())
 	defer cancel()
 	for _, s := range servers {
 		s.SetKeepAlivesEnabled(false)
 	}
-	sleep(limit, e.conf.DrainNotice.D())
-	cut := 0
+	sleep(drainCtx, e.conf.DrainNotice.D())
+	aborted := 0
 	for _, s := range servers {
-		if err := s.Shutdown(limit); err != nil {
-			cut++
+		if err := s.Shutdown(drainCtx); err != nil {
+			aborted++
 			_ = s.Close()
 		}
 	}
-	if err := e.flushSpans(limit); err != nil {
+	if err := e.flushSpans(drainCtx); err != nil {
 		e.log.Warn("spans not flushed", "err", err)
 	}
-	e.log.Info("drained", "took", e.clock().Sub(began).Round(time.Millisecond), "listeners_cut", cut)
+	e.log.Info("drained", "took", e.clock().Sub(started).Round(time.Millisecond), "listeners_cut", aborted)
 }
 
-// ready reports whether callers can be served: documents are there and the
-// entry may send.
+// ready reports whether the entry can serve callers: it has a cell document, has
+// the right to send and is not draining.
 func (e *Entry) ready() bool {
 	return !e.draining.Load() && e.gate.Version() > 0 && e.gate.MaySend()
 }
--- a/entry/faults_test.go
+++ b/entry/faults_test.go
@@ -18,14 +18,14 @@
 	"github.com/rockcroft/rockcroft/transport/platform"
 )
 
-// TestNonIdempotentIsSentOnce has the upstream break off each answer after it
-// ran the request.
+// TestNonIdempotentIsSentOnce checks that a request that is not idempotent is not
+// sent again if the upstream runs it but breaks the connection before the response.
 func TestNonIdempotentIsSentOnce(t *testing.T) {
-	b := newBed(t)
+	b := newTestCluster(t)
 	e := b.addEntry("entry", "a")
 	u := b.addUpstream("up", "a", nil)
 	b.awaitVoters("a", 1)
-	b.awaitDone(b.enact(b.serviceSpec("svc", true)))
+	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
 	b.awaitServed("svc")
 	u.SetFaults(upstream.Faults{BreakEvery: 1})
 	tests := []struct {
@@ -46,19 +46,19 @@
 				t.Errorf("ran %q, want unknown", got)
 			}
 			if resp.header.Get(header.Epoch) == "" {
-				t.Error("the answer names no epoch to ask again with")
+				t.Error("the response has no epoch to repeat the request with")
 			}
 			if n := u.Attempts(id); n != 1 {
-				t.Errorf("the upstream saw %d tries", n)
+				t.Errorf("the upstream saw %d attempts, want 1", n)
 			}
 		})
 	}
 	u.SetFaults(upstream.Faults{})
-	// Asked again with the epoch, the owner answers from what it kept.
+	// Repeated with the epoch, the owner returns the stored response.
 	resp := b.send(e.callers, http.MethodPost, "svc", "k", nil, header.RequestID, "once-0",
 		header.Repeat, fmt.Sprint(b.epochOf("svc", "k")))
 	if resp.status != http.StatusOK {
-		t.Errorf("the repeat got %d %s", resp.status, resp.body)
+		t.Errorf("repeated request: %d %s", resp.status, resp.body)
 	}
 	ran := 0
 	for _, r := range u.Runs() {
@@ -67,29 +67,30 @@
 		}
 	}
 	if ran != 1 {
-		t.Errorf("ran %d times", ran)
+		t.Errorf("the request ran %d times, want once", ran)
 	}
 }
 
-// TestIdempotentIsRetried has the upstream break off every other answer.
+// TestIdempotentIsRetried checks that idempotent requests succeed although the
+// upstream breaks the connection before every other response.
 func TestIdempotentIsRetried(t *testing.T) {
-	b := newBed(t)
+	b := newTestCluster(t)
 	e := b.addEntry("entry", "a")
 	u := b.addUpstream("up", "a", nil)
 	b.awaitVoters("a", 1)
-	b.awaitDone(b.enact(b.serviceSpec("svc", true)))
+	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
 	b.awaitServed("svc")
 	u.SetFaults(upstream.Faults{BreakEvery: 2})
 	for i := range 10 {
 		resp := b.send(e.callers, http.MethodGet, "svc", "k", nil)
 		if resp.status != http.StatusOK {
-			t.Errorf("request %d got %d %s", i, resp.status, resp.body)
+			t.Errorf("request %d: %d %s", i, resp.status, resp.body)
 		}
 	}
 }
 
-// TestStartWithPlatformDown starts an entry during an outage: it learns
-// configuration and assignment from its peers and serves.
+// TestStartWithPlatformDown checks that an entry that starts during a platform outage
+// gets the configuration and the range owners from its peers and serves.
 func TestStartWithPlatformDown(t *testing.T) {
 	b := twoCells(t, true)
 	b.store.down.Store(true)
@@ -97,19 +98,19 @@
 	b.awaitServed("svc")
 	late := b.entries[len(b.entries)-1]
 	if late.gate.Version() != b.entries[0].gate.Version() {
-		t.Errorf("version %d, the others have %d", late.gate.Version(), b.entries[0].gate.Version())
+		t.Errorf("cell document version %d, want %d as at the other entries", late.gate.Version(), b.entries[0].gate.Version())
 	}
 	b.store.down.Store(false)
 	b.awaitVoters("a", 3)
 }
 
-// TestOutageWithLostEntry loses one of two entries of a cell while the platform
-// is down: the other serves on.
-func TestOutageWithLostEntry(t *testing.T) {
+// TestEntryLossDuringPlatformOutage checks that one of two entries of a cell keeps
+// serving when the other stops while the platform is down.
+func TestEntryLossDuringPlatformOutage(t *testing.T) {
 	b := twoCells(t, true)
-	b.await("witnesses", func() error {
+	b.eventually("witnesses", func() error {
 		if q := b.entries[1].gate.Doc().Quorum; len(q.Wide) < 4 {
-			return fmt.Errorf("%d in the wide set", len(q.Wide))
+			return fmt.Errorf("%d witnesses, want at least 4", len(q.Wide))
 		}
 		return nil
 	})
@@ -123,42 +124,42 @@
 	b.awaitServed("svc")
 }
 
-// TestSoleVoterEndsWhileAnotherJoins guards against a cell that nobody can lead
-// any more: the only voter ends, while the store is down, right after it has
-// written that another entry votes too and before it could write that its sole
-// vote is over. The other one was heard nothing from but that document.
-func TestSoleVoterEndsWhileAnotherJoins(t *testing.T) {
-	t.Run("one cell", func(t *testing.T) { soleVoterEnds(t) })
-	t.Run("beside another cell", func(t *testing.T) { soleVoterEnds(t, "entry-b0", "entry-b1") })
+// TestSoleVoterStopsWhileAnotherJoins guards against a cell that is left without a
+// controller. The only voter writes a document that adds a second voter, and stops
+// while the store is down, before it can write that the former quorum no longer
+// counts. The second voter has received nothing but that document.
+func TestSoleVoterStopsWhileAnotherJoins(t *testing.T) {
+	t.Run("one cell", func(t *testing.T) { testSoleVoterStops(t) })
+	t.Run("beside another cell", func(t *testing.T) { testSoleVoterStops(t, "entry-b0", "entry-b1") })
 }
 
-// soleVoterEnds plays it beside entries of another cell.
-func soleVoterEnds(t *testing.T, others ...string) {
-	b := newBed(t)
-	b.store.downAfter = func(doc *cell.Cell) bool {
+// testSoleVoterStops runs the scenario with the given entries in another cell.
+func testSoleVoterStops(t *testing.T, otherEntries ...string) {
+	b := newTestCluster(t)
+	b.store.failAfter = func(doc *cell.Cell) bool {
 		return doc.Name == "a" && len(doc.Quorum.Local) == 2 && len(doc.Previous) > 0
 	}
-	for _, id := range others {
+	for _, id := range otherEntries {
 		b.addEntry(id, "b")
 	}
-	if len(others) > 0 {
-		b.awaitVoters("b", len(others))
+	if len(otherEntries) > 0 {
+		b.awaitVoters("b", len(otherEntries))
 	}
 	first := b.addEntry("entry-a0", "a")
 	b.addUpstream("up-a0", "a", func(s *upstream.Settings) { s.ChecksFences = true })
 	b.awaitVoters("a", 1)
-	b.awaitDone(b.enact(b.serviceSpec("svc", true)))
+	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
 	b.awaitServed("svc")
 	second := b.addEntry("entry-a1", "a")
-	b.await("the second entry's vote", func() error {
+	b.eventually("the second entry to be a voter", func() error {
 		doc := second.gate.Doc()
 		if doc == nil || !doc.Quorum.HasLocal(second.self.ID) {
-			return fmt.Errorf("not known to it")
+			return fmt.Errorf("the second entry does not know it is a voter")
 		}
 		return nil
 	})
 	if len(second.gate.Doc().Previous) == 0 {
-		t.Fatal("the sole vote is over already")
+		t.Fatal("the former quorum has already been removed")
 	}
 	first.stop()
 	<-first.done
@@ -168,20 +169,21 @@
 	b.awaitServed("svc")
 }
 
-// TestLostUpstream ends an upstream without notice under load.
+// TestLostUpstream checks that the history of the requests has no violations when an
+// upstream freezes under load and later returns.
 func TestLostUpstream(t *testing.T) {
 	b := twoCells(t, true)
 	var stop atomic.Bool
-	var told outcomes
+	var results outcomes
 	var wait sync.WaitGroup
 	wait.Add(1)
 	go func() {
 		defer wait.Done()
-		told.flood(b, 8, &stop)
+		results.sendUntil(b, 8, &stop)
 	}()
 	frozen := b.upstreams[0]
 	frozen.SetFaults(upstream.Faults{Frozen: true})
-	b.await("loss of "+frozen.id, func() error {
+	b.eventually("loss of "+frozen.id, func() error {
 		u := b.entries[0].gate.Doc().Upstream(frozen.id)
 		if u.State != cell.Lost {
 			return fmt.Errorf("is %s", u.State)
@@ -190,7 +192,7 @@
 	})
 	b.awaitServed("svc")
 	frozen.SetFaults(upstream.Faults{})
-	b.await("return of "+frozen.id, func() error {
+	b.eventually("return of "+frozen.id, func() error {
 		u := b.entries[0].gate.Doc().Upstream(frozen.id)
 		if u.State != cell.Active || u.Boot == "" {
 			return fmt.Errorf("is %s", u.State)
@@ -199,10 +201,11 @@
 	})
 	stop.Store(true)
 	wait.Wait()
-	told.verify(t, b)
+	results.verify(t, b)
 }
 
-// TestMalformedObjectsAreIgnored stores objects that cannot be parsed.
+// TestMalformedObjectsAreIgnored checks that the cluster keeps working when the store
+// holds objects that cannot be parsed.
 func TestMalformedObjectsAreIgnored(t *testing.T) {
 	b := twoCells(t, true)
 	ctx := context.Background()
@@ -214,13 +217,14 @@
 			}
 		}
 	}
-	b.awaitDone(b.enact(intent.Spec{Kind: intent.Move, ServiceName: "svc", Key: "key-1", To: "up-a0"}))
+	b.awaitDone(b.createAndConfirm(intent.Spec{Kind: intent.Move, ServiceName: "svc", Key: "key-1", To: "up-a0"}))
 	b.awaitServed("svc")
 }
 
-// TestPromisesAreBoundToTheIncarnation asks a voter in the name of another one.
+// TestPromisesAreBoundToTheIncarnation checks that a voter grants no promise and
+// raises no fence for a call that is addressed to another incarnation of it.
 func TestPromisesAreBoundToTheIncarnation(t *testing.T) {
-	b := newBed(t)
+	b := newTestCluster(t)
 	e := b.addEntry("entry", "a")
 	b.awaitVoters("a", 1)
 	sender := &peerpb.Member{Id: "x#1", Cell: "a", Domain: "a", Peer: "127.0.0.1:1"}
@@ -231,9 +235,9 @@
 		t.Fatal(err)
 	}
 	if resp.Granted {
-		t.Error("a promise was given in the name of an earlier incarnation")
+		t.Error("granted a promise for an earlier incarnation")
 	}
 	if _, err := (peerServer{e.Entry}).Apply(context.Background(), &peerpb.ApplyRequest{To: "entry#1", Cell: "a", Fence: 9}); err == nil {
-		t.Error("a fence was followed in the name of another incarnation")
+		t.Error("raised a fence for another incarnation")
 	}
 }
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -23,7 +23,8 @@
 	"github.com/rockcroft/rockcroft/transport/telemetry"
 )
 
-// adminHandler serves operators, readiness, health, counters and profiles.
+// adminHandler serves the operator API, health and readiness checks, metrics and
+// profiles.
 func (e *Entry) adminHandler() http.Handler {
 	r := mux.NewRouter()
 	rpc := operatorpb.NewOperatorServer(operator{e})
@@ -45,7 +46,8 @@
 // operator implements operatorpb.Operator.
 type operator struct{ e *Entry }
 
-// twirpError carries the kind of an error in its metadata.
+// twirpError converts an error to a Twirp error that carries the error's kind in
+// its metadata.
 func twirpError(err error) error {
 	if err == nil {
 		return nil
@@ -65,7 +67,7 @@
 	return twirp.NewError(code, err.Error()).WithMeta("kind", string(kind))
 }
 
-// platformError gives errors of the store their kind.
+// platformError wraps an error of the platform's store with its kind.
 func platformError(err error) error {
 	switch {
 	case err == nil:
@@ -78,8 +80,8 @@
 	return answer.Wrap(answer.PlatformDown, err)
 }
 
-// view reads what plans are computed from.
-func (e *Entry) view(ctx context.Context) (planner.View, error) {
+// planView reads the state from which plans are computed.
+func (e *Entry) planView(ctx context.Context) (planner.View, error) {
 	v := planner.View{
 		Cells:       make(map[string]*cell.Cell),
 		Directories: make(map[string]*cell.Directory),
@@ -87,7 +89,7 @@
 		Rate: func(name string, span keyspace.Span) float64 {
 			e.control.mu.Lock()
 			defer e.control.mu.Unlock()
-			return e.book.Rate(name, span)
+			return e.loads.Rate(name, span)
 		},
 	}
 	cells, err := e.store.List(ctx, platform.KindCell)
@@ -129,7 +131,7 @@
 	if findings := spec.Check(); len(findings) > 0 {
 		return nil, twirpError(answer.New(answer.BadRequest, "%s", findings[0].String()))
 	}
-	view, err := o.e.view(ctx)
+	view, err := o.e.planView(ctx)
 	if err != nil {
 		return nil, twirpError(err)
 	}
@@ -150,10 +152,10 @@
 		return nil, twirpError(platformError(err))
 	}
 	o.e.log.Info("intent created", "intent", i.ID, "kind", spec.Kind, "by", req.By)
-	return &operatorpb.IntentResponse{Intent: encode(i)}, nil
+	return &operatorpb.IntentResponse{Intent: encodeJSON(i)}, nil
 }
 
-func (o operator) load(ctx context.Context, id string) (storedIntent, error) {
+func (o operator) loadIntent(ctx context.Context, id string) (storedIntent, error) {
 	obj, err := o.e.store.Get(ctx, platform.KindIntent, id)
 	if err != nil {
 		return storedIntent{}, platformError(err)
@@ -162,24 +164,23 @@
 	return storedIntent{i, obj.Version}, err
 }
 
-// ConfirmIntent implements operatorpb.Operator. Confirming twice has no further
-// effect.
+// ConfirmIntent implements operatorpb.Operator. It is idempotent.
 func (o operator) ConfirmIntent(ctx context.Context, req *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error) {
-	s, err := o.load(ctx, req.Id)
+	s, err := o.loadIntent(ctx, req.Id)
 	if err != nil {
 		return nil, twirpError(err)
 	}
 	i := s.intent
 	switch i.State {
 	case intent.Confirmed, intent.Done:
-		return &operatorpb.IntentResponse{Intent: encode(i)}, nil
+		return &operatorpb.IntentResponse{Intent: encodeJSON(i)}, nil
 	case intent.Cancelled:
 		return nil, twirpError(answer.New(answer.Conflict, "intent %s is cancelled", i.ID))
 	}
-	if err := o.refresh(ctx, s); err != nil {
+	if err := o.replan(ctx, s); err != nil {
 		return nil, twirpError(err)
 	}
-	if err := o.e.enact(ctx, i); err != nil {
+	if err := o.e.writePlannedDocuments(ctx, i); err != nil {
 		return nil, twirpError(err)
 	}
 	i.State = intent.Confirmed
@@ -191,13 +192,13 @@
 		return nil, twirpError(platformError(err))
 	}
 	o.e.log.Info("intent confirmed", "intent", i.ID, "kind", i.Spec.Kind, "by", req.By)
-	return &operatorpb.IntentResponse{Intent: encode(i)}, nil
+	return &operatorpb.IntentResponse{Intent: encodeJSON(i)}, nil
 }
 
-// refresh computes the plan again. When it comes out otherwise, the new plan is
-// stored for another look and the confirm is refused.
-func (o operator) refresh(ctx context.Context, s storedIntent) error {
-	view, err := o.e.view(ctx)
+// replan computes the plan of an intent again. If its steps have changed, replan
+// stores the new plan for the operator to review and returns an error.
+func (o operator) replan(ctx context.Context, s storedIntent) error {
+	view, err := o.e.planView(ctx)
 	if err != nil {
 		return err
 	}
@@ -219,9 +220,9 @@
 		changedBasis(old.Basis, plan.Basis), len(plan.Steps), len(old.Steps))
 }
 
-// changedBasis says which documents changed between two plans.
-func changedBasis(old, now []intent.BasisDocument) string {
-	for _, b := range now {
+// changedBasis describes the first document found to have changed between two plans.
+func changedBasis(old, current []intent.BasisDocument) string {
+	for _, b := range current {
 		for _, a := range old {
 			if a.Kind == b.Kind && a.Name == b.Name && a.Version != b.Version {
 				return b.Kind + " " + b.Name + " has changed"
@@ -233,7 +234,7 @@
 
 // CancelIntent implements operatorpb.Operator.
 func (o operator) CancelIntent(ctx context.Context, req *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error) {
-	s, err := o.load(ctx, req.Id)
+	s, err := o.loadIntent(ctx, req.Id)
 	if err != nil {
 		return nil, twirpError(err)
 	}
@@ -246,16 +247,16 @@
 	if _, err := platform.PutWithWriteID(ctx, o.e.store, platform.KindIntent, i.ID, i, s.version); err != nil {
 		return nil, twirpError(platformError(err))
 	}
-	return &operatorpb.IntentResponse{Intent: encode(i)}, nil
+	return &operatorpb.IntentResponse{Intent: encodeJSON(i)}, nil
 }
 
 // GetIntent implements operatorpb.Operator.
 func (o operator) GetIntent(ctx context.Context, req *operatorpb.IntentRequest) (*operatorpb.IntentResponse, error) {
-	s, err := o.load(ctx, req.Id)
+	s, err := o.loadIntent(ctx, req.Id)
 	if err != nil {
 		return nil, twirpError(err)
 	}
-	return &operatorpb.IntentResponse{Intent: encode(s.intent)}, nil
+	return &operatorpb.IntentResponse{Intent: encodeJSON(s.intent)}, nil
 }
 
 // ListIntents implements operatorpb.Operator.
@@ -267,23 +268,23 @@
 	resp := &operatorpb.ListIntentsResponse{}
 	for _, s := range list {
 		if req.State == "" || string(s.intent.State) == req.State {
-			resp.Intents = append(resp.Intents, encode(s.intent))
+			resp.Intents = append(resp.Intents, encodeJSON(s.intent))
 		}
 	}
 	return resp, nil
 }
 
-// enact writes the shared documents that a plan changes. Each write is made
-// once: a repeat finds it done.
-func (e *Entry) enact(ctx context.Context, i *intent.Intent) error {
+// writePlannedDocuments writes the shared documents that the plan of an intent
+// changes. If the response to a write is lost, platform.PutWithWriteID finds the write done.
+func (e *Entry) writePlannedDocuments(ctx context.Context, i *intent.Intent) error {
 	for _, s := range i.Plan.Steps {
 		var err error
 		switch s.Action {
 		case planner.ActionConfigure:
-			err = e.configure(ctx, i.Spec.Service)
+			err = e.writeConfiguration(ctx, i.Spec.Service)
 		case planner.ActionDirect:
 			if i.Spec.Kind != intent.CreateService {
-				err = e.direct(ctx, s)
+				err = e.reassignSpan(ctx, s)
 			}
 		}
 		if err != nil {
@@ -296,9 +297,9 @@
 	return nil
 }
 
-// createDirectory writes the first directory of a service in one piece: a cell
-// that is named for a span grants it at once, so that no span may be named for
-// another cell first.
+// createDirectory writes the first directory of a service in a single write. A cell
+// grants a span as soon as the directory assigns it to that cell, so no span may be
+// assigned to one cell first and to another cell by a later write.
 func (e *Entry) createDirectory(ctx context.Context, name string, steps []intent.Step) error {
 	d := &cell.Directory{Service: name, Version: 1, WriteID: newID()}
 	for _, s := range steps {
@@ -311,7 +312,7 @@
 	}
 	_, err := platform.PutWithWriteID(ctx, e.store, platform.KindDirectory, name, d, 0)
 	if errors.Is(err, platform.ErrConflict) {
-		// An earlier try of this confirm wrote it.
+		// An earlier attempt to confirm the intent wrote it.
 		return nil
 	}
 	if err != nil {
@@ -321,8 +322,8 @@
 	return nil
 }
 
-// configure stores the next version of a service's configuration.
-func (e *Entry) configure(ctx context.Context, conf *service.Config) error {
+// writeConfiguration stores the next version of a service's configuration.
+func (e *Entry) writeConfiguration(ctx context.Context, conf *service.Config) error {
 	next := *conf
 	next.Version = 1
 	next.WriteID = newID()
@@ -345,8 +346,8 @@
 	return nil
 }
 
-// direct gives a span of the directory to another cell.
-func (e *Entry) direct(ctx context.Context, s intent.Step) error {
+// reassignSpan assigns a span of the directory to another cell.
+func (e *Entry) reassignSpan(ctx context.Context, s intent.Step) error {
 	obj, err := e.store.Get(ctx, platform.KindDirectory, s.Service)
 	if err != nil {
 		return platformError(err)
@@ -355,7 +356,7 @@
 	if err != nil {
 		return err
 	}
-	epoch, err := e.epochBeyond(ctx, s)
+	epoch, err := e.epochAboveGrants(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -370,9 +371,10 @@
 	return nil
 }
 
-// epochBeyond returns an epoch above all that the cell losing the span may have
-// granted: reserved grants are one above the epoch in its document.
-func (e *Entry) epochBeyond(ctx context.Context, s intent.Step) (uint64, error) {
+// epochAboveGrants returns an epoch above every epoch that the cell losing the span
+// may have granted. That cell may have reserved grants one epoch above the one in
+// its document, so the result is two above it.
+func (e *Entry) epochAboveGrants(ctx context.Context, s intent.Step) (uint64, error) {
 	obj, err := e.store.Get(ctx, platform.KindCell, s.From)
 	if err != nil {
 		return 0, platformError(err)
@@ -382,11 +384,11 @@
 		return 0, err
 	}
 	var epoch uint64
-	for _, r := range rangesIn(c, s) {
+	for _, r := range rangesOverlapping(c, s) {
 		epoch = max(epoch, r.Epoch+2)
 	}
 	return epoch, nil
 }
 
-// statusTimeout bounds the question to one other entry.
+// statusTimeout bounds the State call to one other entry.
 const statusTimeout = 300 * time.Millisecond
--- a/entry/peerserver.go
+++ b/entry/peerserver.go
@@ -19,7 +19,7 @@
 	"github.com/rockcroft/rockcroft/transport/telemetry"
 )
 
-// peerHandler serves the other entries.
+// peerHandler serves the calls and forwarded requests of other entries.
 func (e *Entry) peerHandler() http.Handler {
 	r := mux.NewRouter().SkipClean(true).UseEncodedPath()
 	rpc := peerpb.NewPeerServer(peerServer{e})
@@ -37,14 +37,14 @@
 	if req.Sender == nil || req.Sender.Id == "" {
 		return nil, twirp.RequiredArgumentError("sender")
 	}
-	sender := memberFrom(req.Sender)
+	sender := memberFromProto(req.Sender)
 	resp := &peerpb.BeatResponse{
 		Version:   e.gate.Version(),
-		Responder: memberTo(e.self),
+		Responder: memberToProto(e.self),
 		Digest:    e.docs.Digest(),
 	}
-	e.heard(sender, req.Version)
-	e.control.note(func(core *controller.Core, now time.Time) {
+	e.recordContact(sender, req.Version)
+	e.control.record(func(core *controller.Core, now time.Time) {
 		if sender.Cell != e.self.Cell {
 			return
 		}
@@ -58,14 +58,14 @@
 		}
 	})
 	if req.IntervalMs > 0 && sender.Cell == e.self.Cell {
-		e.takeLoad(req)
+		e.recordLoadReport(req)
 	}
 	if req.Cell == "" && req.IntervalMs == 0 {
-		e.takeCells(req.Cells)
-		resp.Cells = e.cellLoads()
+		e.mergeCellLoads(req.Cells)
+		resp.Cells = e.cellLoadsToProto()
 	}
-	// A beat to an earlier incarnation asks for a promise that this process
-	// must not give in its name.
+	// A beat to an earlier incarnation of this entry asks for a promise that this
+	// process must not give.
 	if req.Cell != "" && req.To == e.self.ID {
 		p := e.gate.Promise(req.Cell, req.Version, req.Guest)
 		resp.Granted = p.Granted
@@ -74,9 +74,10 @@
 	return resp, nil
 }
 
-// takeLoad notes the traffic that an entry of the cell saw. Counters of another
-// version of the document are left out: their order may differ.
-func (e *Entry) takeLoad(req *peerpb.BeatRequest) {
+// recordLoadReport records the load report of an entry of the cell. It ignores a
+// report made with another version of the cell document, which may list the ranges
+// in another order.
+func (e *Entry) recordLoadReport(req *peerpb.BeatRequest) {
 	interval := time.Duration(req.IntervalMs) * time.Millisecond
 	version, slots := e.gate.Slots()
 	if req.Version != version || len(req.Requests) != len(slots) {
@@ -92,8 +93,8 @@
 	for _, k := range req.Keys {
 		keys = append(keys, load.KeyRate{Service: k.Service, Hash: keyspace.Hash(k.Hash), Requests: k.Requests})
 	}
-	e.control.note(func(_ *controller.Core, now time.Time) {
-		e.book.Report(now, req.Sender.Id, ranges, keys, interval)
+	e.control.record(func(_ *controller.Core, now time.Time) {
+		e.loads.Report(now, req.Sender.Id, ranges, keys, interval)
 	})
 }
 
@@ -115,8 +116,8 @@
 		if doc.Name != e.self.Cell {
 			return nil, twirp.InvalidArgumentError("documents", "the document is of another cell")
 		}
-		e.heard(memberFrom(req.Sender), doc.Version)
-		a := e.applyHere(ctx, doc, time.Duration(req.DrainWaitMs)*time.Millisecond)
+		e.recordContact(memberFromProto(req.Sender), doc.Version)
+		a := e.applyAndDrain(ctx, doc, time.Duration(req.DrainWaitMs)*time.Millisecond)
 		return applyResponse(a), nil
 	}
 	if req.Fence == 0 {
@@ -129,7 +130,7 @@
 	resp := &peerpb.ApplyResponse{
 		Voter:       a.Ack.Voter,
 		Fence:       a.Ack.Fence,
-		GuestWaitMs: roundUp(a.Ack.NonVoterWait),
+		GuestWaitMs: ceilMillis(a.Ack.NonVoterWait),
 	}
 	for _, b := range a.Busy {
 		resp.Busy = append(resp.Busy, &peerpb.BusyRange{
@@ -137,13 +138,13 @@
 		})
 	}
 	for _, l := range a.Leases {
-		resp.Leases = append(resp.Leases, &peerpb.Lease{Upstream: l.Upstream, RemainingMs: roundUp(l.Remaining)})
+		resp.Leases = append(resp.Leases, &peerpb.Lease{Upstream: l.Upstream, RemainingMs: ceilMillis(l.Remaining)})
 	}
 	return resp
 }
 
-// roundUp returns whole milliseconds, never less than d.
-func roundUp(d time.Duration) int64 {
+// ceilMillis returns d in milliseconds, rounded up.
+func ceilMillis(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
 
@@ -158,7 +159,7 @@
 	}
 	doc := e.gate.Doc()
 	if doc != nil && req.Cell == doc.Name && req.Version < doc.Version {
-		d, err := encodeCell(doc)
+		d, err := cellToProto(doc)
 		if err != nil {
 			return nil, twirp.InternalErrorWith(err)
 		}
--- a/entry/product_test.go
+++ b/entry/product_test.go
@@ -21,13 +21,14 @@
 	"github.com/rockcroft/rockcroft/transport/platform"
 )
 
-// spanSink stands in for a receiver of traces.
-type spanSink struct {
+// spanCollector is a fake OTLP trace collector. It keeps the names of the spans of
+// each trace.
+type spanCollector struct {
 	mu    sync.Mutex
 	spans map[string][]string
 }
 
-func (s *spanSink) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *spanCollector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	data, _ := io.ReadAll(r.Body)
 	var req collector.ExportTraceServiceRequest
 	if proto.Unmarshal(data, &req) != nil {
@@ -46,14 +47,14 @@
 	}
 }
 
-// TestTracesHaveASpanForEachHop sends a request with a trace context to the
-// wrong cell: it passes two entries and an upstream.
+// TestTracesHaveASpanForEachHop sends a request with a trace context to an entry of
+// the wrong cell, so that it passes through two entries and an upstream.
 func TestTracesHaveASpanForEachHop(t *testing.T) {
-	sink := &spanSink{spans: make(map[string][]string)}
-	server := httptest.NewServer(sink)
+	received := &spanCollector{spans: make(map[string][]string)}
+	server := httptest.NewServer(received)
 	defer server.Close()
-	b := newBed(t)
-	b.edit = func(s *settings.Entry) {
+	b := newTestCluster(t)
+	b.editSettings = func(s *settings.Entry) {
 		s.Trace = settings.Trace{
 			Exporter: "otlp", SampleShare: 0,
 			Endpoint: jsonc.Addr{AddrPort: netip.MustParseAddrPort(server.Listener.Addr().String())},
@@ -64,7 +65,7 @@
 	b.addUpstream("up-a", "a", nil)
 	b.awaitVoters("a", 1)
 	b.awaitVoters("b", 1)
-	b.awaitDone(b.enact(b.serviceSpec("svc", true)))
+	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
 	b.awaitServed("svc")
 	const id = "0af7651916cd43dd8448eb211c80319c"
 	resp := b.send(b.entries[1].callers, http.MethodGet, "svc", "k", nil,
@@ -76,10 +77,10 @@
 		e.stop()
 		<-e.done
 	}
-	sink.mu.Lock()
-	defer sink.mu.Unlock()
+	received.mu.Lock()
+	defer received.mu.Unlock()
 	count := make(map[string]int)
-	for _, name := range sink.spans[id] {
+	for _, name := range received.spans[id] {
 		count[name]++
 	}
 	if count["entry"] != 2 || count["forward"] != 1 || count["upstream"] != 1 {
@@ -87,75 +88,77 @@
 	}
 }
 
-// versionAt returns the configuration version in force at an entry.
-func versionAt(e *runningEntry, name string) uint64 {
+// configurationVersion returns the configuration version in force at an entry.
+func configurationVersion(e *runningEntry, name string) uint64 {
 	if conf := e.docs.Service(name); conf != nil {
 		return conf.Version
 	}
 	return 0
 }
 
-// TestConfigurationReachesAllAndNeverGoesBack changes a configuration, feeds an
-// entry the former one, and starts an entry while the platform is down.
-func TestConfigurationReachesAllAndNeverGoesBack(t *testing.T) {
+// TestConfigurationReachesAllAndNeverReverts checks that a new configuration reaches
+// all entries, that the previous one does not replace it when it arrives again, and
+// that an entry that starts while the platform is down gets the new one.
+func TestConfigurationReachesAllAndNeverReverts(t *testing.T) {
 	b := twoCells(t, true)
 	conf := service.Default()
 	conf.Name = "svc"
 	conf.QueueLength = 7
-	former := b.entries[0].docs.All()
-	b.enact(intent.Spec{Kind: intent.Configure, Service: &conf})
+	previous := b.entries[0].docs.All()
+	b.createAndConfirm(intent.Spec{Kind: intent.Configure, Service: &conf})
 	everywhere := func() error {
 		for _, e := range b.entries {
-			if v := versionAt(e, "svc"); v != 2 {
+			if v := configurationVersion(e, "svc"); v != 2 {
 				return fmt.Errorf("%s uses version %d", e.self.ID, v)
 			}
 		}
 		return nil
 	}
-	b.await("configuration everywhere", everywhere)
-	for _, d := range former {
-		b.entries[1].addDocumentData(d.Kind, d.Data)
+	b.eventually("configuration everywhere", everywhere)
+	for _, d := range previous {
+		b.entries[1].addEncodedDocument(d.Kind, d.Data)
 	}
 	b.store.down.Store(true)
 	b.addEntry("entry-late", "b")
-	b.await("configuration at the late entry", everywhere)
+	b.eventually("configuration at the late entry", everywhere)
 	b.store.down.Store(false)
 }
 
-// TestInvalidConfigurationIsRefused states a configuration that contradicts
-// itself.
+// TestInvalidConfigurationIsRefused checks that a configuration with inconsistent
+// values is neither accepted nor stored.
 func TestInvalidConfigurationIsRefused(t *testing.T) {
-	b := newBed(t)
+	b := newTestCluster(t)
 	b.addEntry("entry", "a")
 	b.awaitVoters("a", 1)
 	spec := b.serviceSpec("svc", true)
 	spec.Service.MaxDeadline = 0
 	if _, err := b.create(spec); err == nil {
-		t.Error("accepted")
+		t.Error("invalid configuration accepted")
 	}
 	if _, err := b.store.Get(context.Background(), platform.KindService, "svc"); err == nil {
-		t.Error("stored")
+		t.Error("invalid configuration stored")
 	}
 }
 
-// TestCreateNamesOneCellPerSpan creates a service in two cells. No span may be
-// with one cell first and with another one later: the first may have granted it.
-func TestCreateNamesOneCellPerSpan(t *testing.T) {
+// TestCreateAssignsEachSpanToOneCell checks that a service in two cells is created
+// with a single directory write. If a span were assigned to one cell first and to
+// another later, the first cell could already have granted it.
+func TestCreateAssignsEachSpanToOneCell(t *testing.T) {
 	b := twoCells(t, true)
 	for _, e := range b.entries {
 		if v := e.docs.Directory("svc").Version; v != 1 {
-			t.Errorf("%s: the directory took %d writes", e.self.ID, v)
+			t.Errorf("%s: directory version %d, want 1", e.self.ID, v)
 		}
 		for _, r := range e.gate.Doc().Service("svc").Ranges {
 			if r.Epoch != 1 {
-				t.Errorf("%s: range %s was granted before, epoch %d", e.self.ID, r.Span, r.Epoch)
+				t.Errorf("%s: range %s has epoch %d, want 1: it was granted before", e.self.ID, r.Span, r.Epoch)
 			}
 		}
 	}
 }
 
-// TestEvictedCellIsTakenOver loses a whole cell. Its keys are served by the
-// other one once an operator confirms, at higher epochs.
+// TestEvictedCellIsTakenOver checks that when a whole cell is lost and an operator
+// confirms its eviction, the other cell serves its keys at higher epochs.
 func TestEvictedCellIsTakenOver(t *testing.T) {
 	b := twoCells(t, true)
 	half := keyspace.FullSpan().Split(2)[1]
@@ -167,14 +170,14 @@
 		u.SetFaults(frozenFaults)
 	}
 	b.entries = b.entries[:2]
-	b.enact(intent.Spec{Kind: intent.EvictCell, Names: []string{"b"}})
+	b.createAndConfirm(intent.Spec{Kind: intent.EvictCell, Names: []string{"b"}})
 	b.awaitServed("svc")
 	if d := b.entries[0].docs.Directory("svc"); len(d.Segments) == 0 || d.Segments[0].Cell != "a" {
 		t.Errorf("directory %+v", d)
 	}
 	for _, s := range b.entries[0].gate.Doc().Service("svc").Ranges {
 		if half.Covers(s.Span) && s.Epoch < 3 {
-			t.Errorf("range %s has epoch %d, the lost cell may have granted 2", s.Span, s.Epoch)
+			t.Errorf("range %s has epoch %d, want at least 3: the lost cell may have granted 2", s.Span, s.Epoch)
 		}
 	}
 }
--- a/entry/unavailable.go
+++ b/entry/unavailable.go
@@ -9,14 +9,14 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// unavailableSample is the sample size of the histograms.
-const unavailableSample = 4096
+// histogramSampleSize is the sample size of the outage histograms.
+const histogramSampleSize = 4096
 
-// outages measures, for each range of the cell, the time between the last
-// moment its owner could serve and the first moment the next one could, as this
-// entry saw it. It is guarded by the caller.
+// outages measures, for each range of the cell, how long the range was unavailable
+// from this entry's point of view: from the last moment its owner could serve it to
+// the first moment its next owner could. It is not safe for concurrent use.
 type outages struct {
-	open map[outageID]outage
+	ongoing map[outageID]outage
 }
 
 type outageID struct {
@@ -30,29 +30,30 @@
 	planned bool
 }
 
-// compare notes ranges that lost their owner and reports those that have one
-// again. LastSeen returns the last answer of an upstream.
-func (o *outages) compare(old, doc *cell.Cell, now time.Time, lastSeen func(string) time.Time, registry metrics.Registry) {
-	if o.open == nil {
-		o.open = make(map[outageID]outage)
+// update starts an outage for each range that lost its owner, and records the
+// duration of the outages of ranges that have an owner again. The function
+// lastAnswer returns the time of an upstream's last answer.
+func (o *outages) update(old, doc *cell.Cell, now time.Time, lastAnswer func(string) time.Time, registry metrics.Registry) {
+	if o.ongoing == nil {
+		o.ongoing = make(map[outageID]outage)
 	}
 	for _, s := range doc.Services {
 		for _, r := range s.Ranges {
 			id := outageID{s.Name, r.First}
-			known, ok := o.open[id]
+			current, ok := o.ongoing[id]
 			switch {
 			case r.Phase == cell.Owned && ok:
 				name := "unavailable_us.unplanned"
-				if known.planned {
+				if current.planned {
 					name = "unavailable_us.planned"
 				}
-				h := metrics.GetOrRegisterHistogram(name, registry, metrics.NewUniformSample(unavailableSample))
-				h.Update(now.Sub(known.since).Microseconds())
-				delete(o.open, id)
+				h := metrics.GetOrRegisterHistogram(name, registry, metrics.NewUniformSample(histogramSampleSize))
+				h.Update(now.Sub(current.since).Microseconds())
+				delete(o.ongoing, id)
 			case r.Phase == cell.Releasing && !ok && wasOwned(old, s.Name, r):
-				o.open[id] = began(doc, r, now, lastSeen)
+				o.ongoing[id] = newOutage(doc, r, now, lastAnswer)
 			case r.Phase == cell.Exported:
-				delete(o.open, id)
+				delete(o.ongoing, id)
 			}
 		}
 	}
@@ -70,12 +71,13 @@
 	return i >= 0 && s.Ranges[i].Phase == cell.Owned
 }
 
-// began returns the start of an outage: for a lost owner its last answer.
-func began(doc *cell.Cell, r cell.Range, now time.Time, lastSeen func(string) time.Time) outage {
+// newOutage returns an outage that starts now or, if the owner was lost, with the
+// owner's last answer.
+func newOutage(doc *cell.Cell, r cell.Range, now time.Time, lastAnswer func(string) time.Time) outage {
 	out := outage{span: r.Span, since: now, planned: true}
 	if u := doc.Upstream(r.Owner); u != nil && u.State == cell.Lost {
 		out.planned = false
-		if at := lastSeen(r.Owner); !at.IsZero() {
+		if at := lastAnswer(r.Owner); !at.IsZero() {
 			out.since = at
 		}
 	}
