--- a/entry/control.go
+++ b/entry/control.go
@@ -77,7 +77,7 @@
 	}
 	c.mu.Unlock()
 	if changed {
-		c.e.log.Info("controller leadership changed", "leads", leads, "cell", c.e.self.Cell)
+		c.e.log.Info("controller", "leads", leads, "cell", c.e.self.Cell)
 	}
 	for _, cmd := range commands {
 		go c.execute(cmd)
