--- a/bench/lab/client.go
+++ b/bench/lab/client.go
@@ -6,7 +6,7 @@
 
 // call is one thing that a client wants, with its tries.
 type call struct {
-	w     *world
+	sim   *simulation
 	route *Route
 	key   uint16
 	began time.Duration
@@ -30,7 +30,7 @@
 }
 
 // left is the time until the client leaves.
-func (c *call) left() time.Duration { return c.began + c.route.Patience.D() - c.w.at }
+func (c *call) left() time.Duration { return c.began + c.route.Patience.D() - c.sim.elapsed }
 
 // ask makes one try at a random gateway that runs.
 func (c *call) ask() {
@@ -38,12 +38,12 @@
 		return
 	}
 	c.tries++
-	t := &try{call: c, gateway: c.w.pickGateway()}
+	t := &try{call: c, gateway: c.sim.pickGateway()}
 	c.current = t
-	c.w.after(c.w.sc.ClientHop.D(), func() {
-		t.began, t.left = c.w.at, c.left()
+	c.sim.after(c.sim.sc.ClientHop.D(), func() {
+		t.began, t.left = c.sim.elapsed, c.left()
 		if !t.ended && t.left > 0 {
-			c.w.policy.submit(t)
+			c.sim.policy.submit(t)
 		}
 	})
 }
@@ -55,7 +55,7 @@
 	}
 	c.end(failed)
 	if t := c.current; t != nil && t.withdraw != nil {
-		c.w.after(c.w.sc.ClientHop.D(), func() {
+		c.sim.after(c.sim.sc.ClientHop.D(), func() {
 			if !t.ended {
 				t.ended = true
 				t.withdraw()
@@ -67,7 +67,7 @@
 // served answers the try with success.
 func (t *try) served() {
 	t.finish(func(c *call) {
-		if c.w.at-c.began <= c.route.Objective.D() {
+		if c.sim.elapsed-c.began <= c.route.Objective.D() {
 			c.end(onTime)
 			return
 		}
@@ -77,14 +77,14 @@
 
 // refused answers that the request did not run, and when to come back.
 func (t *try) refused(again time.Duration) {
-	t.call.heldFor += t.call.w.at - t.began
-	t.call.w.tally.route(t.call.route).refusals++
+	t.call.heldFor += t.call.sim.elapsed - t.began
+	t.call.sim.tally.route(t.call.route).refusals++
 	t.finish(func(c *call) {
 		if c.tries > c.route.Retries {
 			c.end(refused)
 			return
 		}
-		c.w.after(min(again, c.left()/3), c.ask)
+		c.sim.after(min(again, c.left()/3), c.ask)
 	})
 }
 
@@ -95,7 +95,7 @@
 			c.end(failed)
 			return
 		}
-		c.w.after(clientPause, c.ask)
+		c.sim.after(clientPause, c.ask)
 	})
 }
 
@@ -108,7 +108,7 @@
 		return
 	}
 	t.ended = true
-	t.call.w.after(t.call.w.sc.ClientHop.D(), func() {
+	t.call.sim.after(t.call.sim.sc.ClientHop.D(), func() {
 		if !t.call.ended {
 			then(t.call)
 		}
@@ -117,5 +117,5 @@
 
 func (c *call) end(o outcome) {
 	c.ended = true
-	c.w.tally.end(c, o)
+	c.sim.tally.end(c, o)
 }
--- a/bench/lab/command.go
+++ b/bench/lab/command.go
@@ -60,7 +60,7 @@
 					jobs = append(jobs, o.jobs(sc, p)...)
 				}
 			}
-			results := PlayAll(jobs)
+			results := SimulateAll(jobs)
 			if o.page != "" {
 				if err := WritePage(o.page, results); err != nil {
 					return err
@@ -82,7 +82,7 @@
 			if err != nil {
 				return err
 			}
-			a, b := PlayAll(o.jobs(scenarios[0], Product)), PlayAll(o.jobs(scenarios[1], Product))
+			a, b := SimulateAll(o.jobs(scenarios[0], Product)), SimulateAll(o.jobs(scenarios[1], Product))
 			c := compareResults(names[0], names[1], a, b)
 			if o.json {
 				return printJSON(out, c)
@@ -102,11 +102,11 @@
 			}
 			var rows []Comparison
 			for _, sc := range scenarios {
-				whole := PlayAll(o.jobs(sc, Product))
+				whole := SimulateAll(o.jobs(sc, Product))
 				for _, m := range mechanisms {
 					without := *sc
 					m.switchOff(&without.Off)
-					rows = append(rows, compareResults(m.name, sc.Name, PlayAll(o.jobs(&without, Product)), whole))
+					rows = append(rows, compareResults(m.name, sc.Name, SimulateAll(o.jobs(&without, Product)), whole))
 				}
 			}
 			if o.json {
--- a/bench/lab/control.go
+++ b/bench/lab/control.go
@@ -33,8 +33,8 @@
 
 // control is what the leader of the gateways does: it adds up reports and decides
 // who owns which keys.
-type control struct {
-	w      *world
+type controller struct {
+	sim    *simulation
 	tables map[string]*spans.Table
 	heat   map[string]*ownership.RateEstimator
 	// total adds up the reports of all gateways, by upstream, work what they have seen of
@@ -67,17 +67,17 @@
 	runs     worktime.Sum
 }
 
-func newControl(w *world) *control {
-	c := &control{
-		w: w, tables: make(map[string]*spans.Table), heat: make(map[string]*ownership.RateEstimator),
-		total: make(map[string]report), work: make(map[string]*worktime.Estimator), last: make([]map[string]report, w.sc.Gateways),
-		demand: make([]map[string]float64, w.sc.Gateways), admit: make(map[string]map[uint16]float64), balanced: make(map[string]time.Duration),
+func newController(sim *simulation) *controller {
+	c := &controller{
+		sim: sim, tables: make(map[string]*spans.Table), heat: make(map[string]*ownership.RateEstimator),
+		total: make(map[string]report), work: make(map[string]*worktime.Estimator), last: make([]map[string]report, sim.sc.Gateways),
+		demand: make([]map[string]float64, sim.sc.Gateways), admit: make(map[string]map[uint16]float64), balanced: make(map[string]time.Duration),
 		gaps: make(map[string]*spans.Gaps), settled: make(map[string]map[uint16]time.Duration), coldTo: make(map[string]map[uint16]time.Duration),
 	}
-	c.limits, c.wanted = limits.NewBook(), make([]map[string]float64, w.sc.Gateways)
-	c.book = warmup.NewAssignments(w.now().Add(-warmup.RightDuration))
-	for i := range w.sc.Services {
-		s := &w.sc.Services[i]
+	c.limits, c.wanted = limits.NewBook(), make([]map[string]float64, sim.sc.Gateways)
+	c.book = warmup.NewAssignments(sim.now().Add(-warmup.RightDuration))
+	for i := range sim.sc.Services {
+		s := &sim.sc.Services[i]
 		c.work[s.Name] = worktime.NewEstimator()
 		if !s.Keyed {
 			continue
@@ -89,17 +89,17 @@
 		}
 		c.tables[s.Name] = t
 		c.gaps[s.Name] = &spans.Gaps{}
-		c.heat[s.Name] = ownership.NewRateEstimator(w.now())
+		c.heat[s.Name] = ownership.NewRateEstimator(sim.now())
 		c.settled[s.Name], c.coldTo[s.Name] = make(map[uint16]time.Duration), make(map[uint16]time.Duration)
 	}
 	return c
 }
 
 // owners describes the upstreams of a keyed service for a plan.
-func (c *control) owners(s *Service) []ownership.Owner {
+func (c *controller) owners(s *Service) []ownership.Owner {
 	var out []ownership.Owner
-	for _, u := range c.w.upstreams[s.Name] {
-		lost := (u.dark || u.gone) && c.w.at-u.lostAt >= lapse
+	for _, u := range c.sim.upstreams[s.Name] {
+		lost := (u.dark || u.gone) && c.sim.elapsed-u.lostAt >= lapse
 		if lost {
 			continue
 		}
@@ -111,8 +111,8 @@
 }
 
 // capacity is how many requests a second the upstream can run, as far as it takes them.
-func (c *control) capacity(u *upstream, rate float64) float64 {
-	if limit, ok := c.limits.Of(u.one.ID, 0); ok && !c.w.sc.Off.NoNamedLimits {
+func (c *controller) capacity(u *upstream, rate float64) float64 {
+	if limit, ok := c.limits.Of(u.one.ID, 0); ok && !c.sim.sc.Off.NoNamedLimits {
 		return min(rate, quota.TargetUtilization*limit)
 	}
 	return rate
@@ -120,9 +120,9 @@
 
 // workAt is the time of a run at an upstream in seconds: as reported, or as it is for
 // the policy that knows everything.
-func (c *control) workAt(u *upstream) float64 {
-	if c.w.knowsAll {
-		return c.w.meanWork(u.service) / u.pace()
+func (c *controller) workAt(u *upstream) float64 {
+	if c.sim.plansWithTrueSpeeds {
+		return c.sim.meanWork(u.service) / u.pace()
 	}
 	if work := c.work[u.service.Name].Mean(u.one.ID); work > 0 {
 		return work.Seconds()
@@ -131,12 +131,12 @@
 }
 
 // reported takes one gateway's report in place of its last one.
-func (c *control) reported(g int, loads map[string]report, demand map[string]float64, keys map[string][]uint16) {
+func (c *controller) reported(g int, loads map[string]report, demand map[string]float64, keys map[string][]uint16) {
 	for id, r := range c.last[g] {
 		c.total[id] = report{inflight: c.total[id].inflight - r.inflight}
 	}
 	// In a fixed order: sums of work times depend on it.
-	for _, u := range c.w.all {
+	for _, u := range c.sim.allUpstreams {
 		id := u.one.ID
 		if r, ok := loads[id]; ok {
 			c.total[id] = report{inflight: c.total[id].inflight + r.inflight}
@@ -154,7 +154,7 @@
 }
 
 // elsewhere returns the reports of all gateways but one, added up.
-func (c *control) elsewhere(g int) map[string]report {
+func (c *controller) elsewhere(g int) map[string]report {
 	out := make(map[string]report, len(c.total))
 	own := c.last[g]
 	for id, t := range c.total {
@@ -165,9 +165,9 @@
 }
 
 // works returns the mean time of a run at each upstream, as all gateways have seen it.
-func (c *control) works() map[string]worktime.Estimate {
-	out := make(map[string]worktime.Estimate, len(c.w.all))
-	for _, u := range c.w.all {
+func (c *controller) works() map[string]worktime.Estimate {
+	out := make(map[string]worktime.Estimate, len(c.sim.allUpstreams))
+	for _, u := range c.sim.allUpstreams {
 		if one := c.work[u.service.Name].Estimate(u.one.ID); one.Work > 0 {
 			out[u.one.ID] = one
 		}
@@ -176,7 +176,7 @@
 }
 
 // askedElsewhere returns what all gateways but one are asked for, by service.
-func (c *control) askedElsewhere(g int) map[string]float64 {
+func (c *controller) askedElsewhere(g int) map[string]float64 {
 	out := make(map[string]float64)
 	for other, demand := range c.demand {
 		if other == g {
@@ -190,57 +190,57 @@
 }
 
 // plan makes and begins the moves that are due, again and again.
-func (c *control) plan() {
-	for i := range c.w.sc.Services {
-		if s := &c.w.sc.Services[i]; s.Keyed {
+func (c *controller) plan() {
+	for i := range c.sim.sc.Services {
+		if s := &c.sim.sc.Services[i]; s.Keyed {
 			c.planService(s)
 		}
 	}
-	c.w.after(planInterval, c.plan)
+	c.sim.after(planInterval, c.plan)
 }
 
-func (c *control) planService(s *Service) {
+func (c *controller) planService(s *Service) {
 	resting := make(map[uint16]bool)
 	for first, at := range c.settled[s.Name] {
-		if c.w.at-at < restTime {
+		if c.sim.elapsed-at < restTime {
 			resting[first] = true
 		}
 	}
-	before, owners, load := c.tables[s.Name], c.owners(s), c.heat[s.Name].Rates(c.w.now())
+	before, owners, load := c.tables[s.Name], c.owners(s), c.heat[s.Name].Rates(c.sim.now())
 	admit := make(map[uint16]float64)
 	for _, l := range ownership.Limits(before, owners, load) {
 		admit[l.Key] = l.AdmittedShare
 	}
 	c.admit[s.Name] = admit
-	balance := c.w.at-c.balanced[s.Name] >= balanceInterval
+	balance := c.sim.elapsed-c.balanced[s.Name] >= balanceInterval
 	if balance {
-		c.balanced[s.Name] = c.w.at
+		c.balanced[s.Name] = c.sim.elapsed
 	}
 	next := ownership.MakePlan(ownership.PlanInput{BalanceDue: balance, Table: before, Owners: owners, Load: load, RecentlyMoved: resting})
 	if next == nil {
 		return
 	}
 	c.publish(s, next)
-	c.w.tally.plans++
+	c.sim.tally.plans++
 	for _, one := range next.Spans {
 		if one.Moving() && !before.Find(one.First).Moving() {
-			c.w.tally.moved += one.Count()
-			c.w.after(moveCall, func() { c.move(s, one) })
+			c.sim.tally.moved += one.Count()
+			c.sim.after(moveCall, func() { c.move(s, one) })
 		}
 	}
 }
 
 // move takes keys back when the work on them has ended, or when a lost owner's hold
 // has, and gives them to the next owner.
-func (c *control) move(s *Service, one spans.Span) {
-	owner := c.w.byID[one.Owner]
+func (c *controller) move(s *Service, one spans.Span) {
+	owner := c.sim.upstreamByID[one.Owner]
 	lost := owner != nil && (owner.dark || owner.gone || owner.suspectedLost)
 	switch {
-	case owner != nil && lost && c.w.at-owner.lostAt < c.holdOf(owner):
-		c.w.after(moveLook, func() { c.move(s, one) })
+	case owner != nil && lost && c.sim.elapsed-owner.lostAt < c.holdOf(owner):
+		c.sim.after(moveLook, func() { c.move(s, one) })
 		return
 	case owner != nil && !lost && owner.busyWith(one.Keys):
-		c.w.after(moveLook, func() { c.move(s, one) })
+		c.sim.after(moveLook, func() { c.move(s, one) })
 		return
 	}
 	next := c.tables[s.Name].Clone()
@@ -250,18 +250,18 @@
 			t.Owner, t.Fence, t.Next, t.NextFence, t.Cold = one.Next, one.NextFence, "", 0, lost
 		}
 	}
-	c.settled[s.Name][one.First] = c.w.at
+	c.settled[s.Name][one.First] = c.sim.elapsed
 	if lost {
-		c.w.after(s.ColdFor.D(), func() { c.warm(s, one.NextFence) })
+		c.sim.after(s.ColdFor.D(), func() { c.warm(s, one.NextFence) })
 		for key := int(one.First); key <= int(one.Last); key++ {
-			c.coldTo[s.Name][uint16(key)] = c.w.at + s.ColdFor.D()
+			c.coldTo[s.Name][uint16(key)] = c.sim.elapsed + s.ColdFor.D()
 		}
 	}
 	c.publish(s, next)
 }
 
 // warm takes the mark off keys that came with the fence.
-func (c *control) warm(s *Service, fence uint64) {
+func (c *controller) warm(s *Service, fence uint64) {
 	next := c.tables[s.Name].Clone()
 	for i := range next.Spans {
 		if next.Spans[i].Fence == fence {
@@ -271,23 +271,23 @@
 	c.publish(s, next)
 }
 
-func (c *control) holdOf(u *upstream) time.Duration {
+func (c *controller) holdOf(u *upstream) time.Duration {
 	if u.gone {
-		return c.w.sc.OwnerGone.D()
+		return c.sim.sc.OwnerGone.D()
 	}
-	return c.w.sc.OwnerLost.D()
+	return c.sim.sc.OwnerLost.D()
 }
 
 // publish makes a table the one in force; gateways hear of it after a hop.
-func (c *control) publish(s *Service, t *spans.Table) {
+func (c *controller) publish(s *Service, t *spans.Table) {
 	t.Version = c.tables[s.Name].Version + 1
 	c.tables[s.Name] = t
-	c.w.after(c.w.hop(), func() {
-		if known := c.w.view[s.Name]; known != nil && known.Version >= t.Version {
+	c.sim.after(c.sim.hopDelay(), func() {
+		if known := c.sim.ownerView[s.Name]; known != nil && known.Version >= t.Version {
 			return
 		}
-		c.w.view[s.Name] = t
-		c.gaps[s.Name].Note(c.w.now(), t)
+		c.sim.ownerView[s.Name] = t
+		c.gaps[s.Name].Note(c.sim.now(), t)
 		waiting := c.waiters
 		c.waiters = nil
 		for _, wake := range waiting {
@@ -296,13 +296,13 @@
 	})
 }
 
-func (c *control) cold(s *Service, key uint16) bool { return c.w.at < c.coldTo[s.Name][key] }
+func (c *controller) cold(s *Service, key uint16) bool { return c.sim.elapsed < c.coldTo[s.Name][key] }
 
 // known lists the upstreams of a service as the store shows them.
-func (c *control) known(s *Service) []*instances.Instance {
+func (c *controller) known(s *Service) []*instances.Instance {
 	var out []*instances.Instance
-	for _, u := range c.w.upstreams[s.Name] {
-		if (u.dark || u.gone) && c.w.at-u.lostAt >= lapse {
+	for _, u := range c.sim.upstreams[s.Name] {
+		if (u.dark || u.gone) && c.sim.elapsed-u.lostAt >= lapse {
 			continue
 		}
 		one := u.one
--- a/bench/lab/delivery.go
+++ b/bench/lab/delivery.go
@@ -54,9 +54,9 @@
 	for _, f := range d.flights {
 		if !f.ended {
 			f.ended = true
-			d.service.Done(d.w.now(), f.grant, o)
+			d.service.Done(d.sim.now(), f.grant, o)
 			at := f.run.at
-			d.w.after(d.w.hop(), func() { at.abandon(f.run) })
+			d.sim.after(d.sim.hopDelay(), func() { at.abandon(f.run) })
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	}
 	owner := ""
 	if d.keyed {
-		s := d.w.view[d.route.Service].Find(d.try.call.key)
+		s := d.sim.ownerView[d.route.Service].Find(d.try.call.key)
 		if s.Moving() || s.Owner == "" || s.Fence == d.refusedFence {
 			if !atOnce {
 				d.awaitMove(s)
@@ -105,9 +105,9 @@
 		}
 		owner = s.Owner
 	}
-	until := d.w.now()
+	until := d.sim.now()
 	if !atOnce {
-		until = until.Add(patience.MaxQueueWait(d.route.Objective.D(), d.deadline-d.w.at))
+		until = until.Add(patience.MaxQueueWait(d.route.Objective.D(), d.deadline-d.sim.elapsed))
 	}
 	w := &dispatch.Request{
 		Owner: owner, Exclude: d.exclude, Priority: d.route.Priority, Objective: d.route.Objective.D(),
@@ -116,18 +116,18 @@
 	if d.keyed {
 		w.Key = d.try.call.key
 		w.Retry = !atOnce && len(d.flights) > 0
-		w.Cold = d.w.view[d.route.Service].Find(d.try.call.key).Cold
+		w.Cold = d.sim.ownerView[d.route.Service].Find(d.try.call.key).Cold
 	}
 	if !atOnce && len(d.flights) == 0 {
 		w.LateAt = start.Add(d.try.began + d.route.Objective.D())
 	}
 	w.OnDecision = func(g dispatch.Grant, r dispatch.Refusal) { d.decided(w, g, r) }
-	g, r, decided := d.service.Offer(d.w.now(), w)
+	g, r, decided := d.service.Offer(d.sim.now(), w)
 	switch {
 	case !decided:
 		d.waiting = w
-	case r == 0 && atOnce && !d.budget[d.route.Service].Spend(d.w.now(), d.w.sc.Gateways):
-		d.service.Done(d.w.now(), g, dispatch.Canceled)
+	case r == 0 && atOnce && !d.budget[d.route.Service].Spend(d.sim.now(), d.sim.sc.Gateways):
+		d.service.Done(d.sim.now(), g, dispatch.Canceled)
 	case r == 0:
 		d.send(g)
 	case !atOnce && (r == dispatch.OwnerUnresponsive || r == dispatch.NoUpstream) && d.keyed:
@@ -145,7 +145,7 @@
 
 // comeBackToKey is when a caller may come back whose key has no owner.
 func (d *delivery) comeBackToKey() time.Duration {
-	without := d.w.control.gaps[d.route.Service].Without(d.w.now(), d.try.call.key)
+	without := d.sim.controller.gaps[d.route.Service].Without(d.sim.now(), d.try.call.key)
 	return patience.RetryAfterNoOwner(without)
 }
 
@@ -153,15 +153,15 @@
 // same moment, so what follows runs after it.
 func (d *delivery) decided(w *dispatch.Request, g dispatch.Grant, r dispatch.Refusal) {
 	d.waiting = nil
-	d.w.after(0, func() {
+	d.sim.after(0, func() {
 		switch {
 		case r == 0 && d.ended:
-			d.service.Done(d.w.now(), g, dispatch.Canceled)
+			d.service.Done(d.sim.now(), g, dispatch.Canceled)
 		case d.ended:
 		case r != 0:
 			d.refuse()
 		case w.Owner != "" && d.ownerNow() != w.Owner:
-			d.service.Done(d.w.now(), g, dispatch.Canceled)
+			d.service.Done(d.sim.now(), g, dispatch.Canceled)
 			d.acquire(false)
 		default:
 			d.send(g)
@@ -170,7 +170,7 @@
 }
 
 func (d *delivery) ownerNow() string {
-	s := d.w.view[d.route.Service].Find(d.try.call.key)
+	s := d.sim.ownerView[d.route.Service].Find(d.try.call.key)
 	if s.Moving() {
 		return ""
 	}
@@ -179,11 +179,11 @@
 
 // awaitMove waits for the owner of a key that moves.
 func (d *delivery) awaitMove(s spans.Span) {
-	if lost := d.w.control.gaps[d.route.Service].Without(d.w.now(), d.try.call.key); lost > d.route.Objective.D() {
+	if lost := d.sim.controller.gaps[d.route.Service].Without(d.sim.now(), d.try.call.key); lost > d.route.Objective.D() {
 		d.refuseFor(d.comeBackToKey())
 		return
 	}
-	wait := patience.MaxMoveWait(d.route.Objective.D(), d.try.began+d.deadline-d.w.at)
+	wait := patience.MaxMoveWait(d.route.Objective.D(), d.try.began+d.deadline-d.sim.elapsed)
 	if d.refusedFence > 0 && !s.Moving() {
 		wait = refusedWait
 	}
@@ -191,16 +191,16 @@
 	wake := func() {
 		if !woken {
 			woken = true
-			d.w.after(0, func() {
-				if d.refusedFence == s.Fence && s.Fence > 0 && d.w.at >= d.try.began+wait {
+			d.sim.after(0, func() {
+				if d.refusedFence == s.Fence && s.Fence > 0 && d.sim.elapsed >= d.try.began+wait {
 					d.refusedFence = 0
 				}
 				d.acquire(false)
 			})
 		}
 	}
-	d.w.control.waiters = append(d.w.control.waiters, wake)
-	d.w.after(wait-(d.w.at-d.try.began), func() {
+	d.sim.controller.waiters = append(d.sim.controller.waiters, wake)
+	d.sim.after(wait-(d.sim.elapsed-d.try.began), func() {
 		if !woken && !d.ended {
 			woken = true
 			d.refuseFor(d.comeBackToKey())
@@ -226,15 +226,15 @@
 
 // send makes one try at an upstream.
 func (d *delivery) send(g dispatch.Grant) {
-	f := &flight{grant: g, run: &run{call: d.try.call, at: d.w.byID[g.Instance.ID]}}
+	f := &flight{grant: g, run: &run{call: d.try.call, at: d.sim.upstreamByID[g.Instance.ID]}}
 	f.run.reply = func(o dispatch.Outcome) { d.replied(f, o) }
 	d.flights = append(d.flights, f)
 	d.count(g)
-	d.w.after(d.w.hop(), func() { f.run.at.arrive(f.run) })
+	d.sim.after(d.sim.hopDelay(), func() { f.run.at.arrive(f.run) })
 	if d.hedged || !d.route.Idempotent || d.arrivals+d.running() >= d.route.Attempts {
 		return
 	}
-	d.w.after(patience.HedgeDelay(g.ExpectedLatency), func() {
+	d.sim.after(patience.HedgeDelay(g.ExpectedLatency), func() {
 		if d.ended || f.ended || d.hedged || d.running() != 1 {
 			return
 		}
@@ -251,9 +251,9 @@
 	if d.keyed {
 		return
 	}
-	d.w.tally.sent++
+	d.sim.tally.sent++
 	if g.Instance.Domain != domainName(d.index%domains) {
-		d.w.tally.crossed++
+		d.sim.tally.crossed++
 	}
 }
 
@@ -267,9 +267,9 @@
 		d.hears(f.run.at, f.grant.GrantedAt, f.run.limit, f.run.limited)
 	}
 	if f.run.load != nil {
-		d.service.ApplyLoad(d.w.now(), f.grant, *f.run.load)
+		d.service.ApplyLoad(d.sim.now(), f.grant, *f.run.load)
 	}
-	d.service.Done(d.w.now(), f.grant, o)
+	d.service.Done(d.sim.now(), f.grant, o)
 	if d.ended {
 		return
 	}
@@ -301,10 +301,10 @@
 	notRun := o == dispatch.Overloaded || o == dispatch.NotOwner
 	d.mayRun = d.mayRun || !notRun
 	if o == dispatch.NotOwner {
-		d.refusedFence = d.w.view[d.route.Service].Find(d.try.call.key).Fence
+		d.refusedFence = d.sim.ownerView[d.route.Service].Find(d.try.call.key).Fence
 	}
 	if d.mayRun && !d.route.Idempotent || d.arrivals >= d.route.Attempts {
 		return false
 	}
-	return d.budget[d.route.Service].Spend(d.w.now(), d.w.sc.Gateways)
+	return d.budget[d.route.Service].Spend(d.sim.now(), d.sim.sc.Gateways)
 }
--- a/bench/lab/engine.go
+++ b/bench/lab/engine.go
@@ -10,17 +10,17 @@
 
 // event is something that is due.
 type event struct {
-	at  time.Duration
-	seq uint64
-	do  func()
+	due    time.Duration
+	seq    uint64
+	action func()
 }
 
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
-	if q[i].at != q[j].at {
-		return q[i].at < q[j].at
+	if q[i].due != q[j].due {
+		return q[i].due < q[j].due
 	}
 	return q[i].seq < q[j].seq
 }
@@ -36,26 +36,26 @@
 
 // engine is the virtual clock with what is due.
 type engine struct {
-	queue eventQueue
-	at    time.Duration
-	seq   uint64
+	queue   eventQueue
+	elapsed time.Duration
+	seq     uint64
 }
 
 // now is the virtual time as decisions take it.
-func (e *engine) now() time.Time { return start.Add(e.at) }
+func (e *engine) now() time.Time { return start.Add(e.elapsed) }
 
 // after calls do when the time has passed.
 func (e *engine) after(d time.Duration, do func()) {
 	e.seq++
-	heap.Push(&e.queue, event{at: e.at + max(d, 0), seq: e.seq, do: do})
+	heap.Push(&e.queue, event{due: e.elapsed + max(d, 0), seq: e.seq, action: do})
 }
 
 // run plays until the time.
-func (e *engine) run(until time.Duration) {
-	for len(e.queue) > 0 && e.queue[0].at <= until {
+func (e *engine) runUntil(until time.Duration) {
+	for len(e.queue) > 0 && e.queue[0].due <= until {
 		next := heap.Pop(&e.queue).(event)
-		e.at = next.at
-		next.do()
+		e.elapsed = next.due
+		next.action()
 	}
-	e.at = until
+	e.elapsed = until
 }
--- a/bench/lab/ideal.go
+++ b/bench/lab/ideal.go
@@ -14,7 +14,7 @@
 // and then the oldest first; with none, the youngest of those that are late. Nothing
 // is refused before its client has left.
 type ideal struct {
-	w *world
+	sim *simulation
 	// queues hold what waits: by owner for keyed services, else by service. Requests
 	// for keys without an owner wait under homeless.
 	queues map[string][]*idealRun
@@ -32,9 +32,9 @@
 	gone bool
 }
 
-func newIdeal(w *world) *ideal {
-	p := &ideal{w: w, queues: make(map[string][]*idealRun), sent: make(map[*upstream][]*idealRun)}
-	w.after(idealLook, p.look)
+func newIdeal(sim *simulation) *ideal {
+	p := &ideal{sim: sim, queues: make(map[string][]*idealRun), sent: make(map[*upstream][]*idealRun)}
+	sim.after(idealLook, p.look)
 	return p
 }
 
@@ -47,15 +47,15 @@
 func (p *ideal) limited([]limits.Limit, int) {}
 
 func (p *ideal) look() {
-	p.w.after(idealLook, p.look)
+	p.sim.after(idealLook, p.look)
 	orphans := p.queues[homeless]
 	p.queues[homeless] = nil
 	for _, one := range orphans {
 		p.enqueue(one)
 	}
-	for i := range p.w.sc.Services {
-		s := &p.w.sc.Services[i]
-		for _, u := range p.w.upstreams[s.Name] {
+	for i := range p.sim.sc.Services {
+		s := &p.sim.sc.Services[i]
+		for _, u := range p.sim.upstreams[s.Name] {
 			if u.dark || u.gone {
 				p.reclaim(u)
 			}
@@ -91,10 +91,10 @@
 // enqueue lets a request wait where it belongs.
 func (p *ideal) enqueue(one *idealRun) {
 	name := one.try.call.route.Service
-	if table := p.w.control.tables[name]; table != nil {
+	if table := p.sim.controller.tables[name]; table != nil {
 		span := table.Find(one.try.call.key)
 		name = span.Owner
-		if u := p.w.byID[span.Owner]; span.Moving() || u == nil || u.dark || u.gone {
+		if u := p.sim.upstreamByID[span.Owner]; span.Moving() || u == nil || u.dark || u.gone {
 			name = homeless
 		}
 	}
@@ -111,9 +111,9 @@
 	}
 	p.enqueue(one)
 	name := t.call.route.Service
-	if table := p.w.control.tables[name]; table != nil {
-		p.w.control.heat[name].Add(t.call.key)
-		if u := p.w.byID[table.Find(t.call.key).Owner]; u != nil {
+	if table := p.sim.controller.tables[name]; table != nil {
+		p.sim.controller.heat[name].Add(t.call.key)
+		if u := p.sim.upstreamByID[table.Find(t.call.key).Owner]; u != nil {
 			p.fill(u)
 		}
 		return
@@ -126,7 +126,7 @@
 // fastestFree returns the fastest upstream of a service with a free slot.
 func (p *ideal) fastestFree(name string) *upstream {
 	var best *upstream
-	for _, u := range p.w.upstreams[name] {
+	for _, u := range p.sim.upstreams[name] {
 		if p.free(u) && (best == nil || u.pace() > best.pace()) {
 			best = u
 		}
@@ -198,7 +198,7 @@
 func (p *ideal) canBeOnTime(u *upstream, one *idealRun) bool {
 	c := one.try.call
 	took := time.Duration(c.route.Work.D().Seconds() / u.pace() * float64(time.Second))
-	return p.w.at+took+2*p.w.hop()+p.w.sc.ClientHop.D() <= c.began+c.route.Objective.D()
+	return p.sim.elapsed+took+2*p.sim.hopDelay()+p.sim.sc.ClientHop.D() <= c.began+c.route.Objective.D()
 }
 
 func (p *ideal) send(u *upstream, one *idealRun) {
@@ -218,7 +218,7 @@
 		}
 		p.fill(u)
 	}
-	p.w.after(p.w.hop(), func() { u.arrive(r) })
+	p.sim.after(p.sim.hopDelay(), func() { u.arrive(r) })
 }
 
 // drop takes a request off those sent to an upstream.
@@ -231,7 +231,7 @@
 	r := one.run
 	one.run = nil
 	p.drop(r.at, one)
-	p.w.after(p.w.hop(), func() {
+	p.sim.after(p.sim.hopDelay(), func() {
 		r.at.abandon(r)
 		p.fill(r.at)
 	})
--- a/bench/lab/lab_test.go
+++ b/bench/lab/lab_test.go
@@ -37,7 +37,7 @@
 	sc := find(t, "rough")
 	sc.Length = jsonc.Duration(10 * time.Second)
 	for _, p := range []Policy{Product, Ideal, Plain} {
-		first, again := Play(sc, p, 7), Play(sc, p, 7)
+		first, again := Simulate(sc, p, 7), Simulate(sc, p, 7)
 		if diff := cmp.Diff(first, again, cmpopts.IgnoreFields(Result{}, "WallMs")); diff != "" {
 			t.Errorf("%s: %s", p, diff)
 		}
@@ -73,7 +73,7 @@
 // product stays below, and the plainest policy below both.
 func TestIdealIsNotBeaten(t *testing.T) {
 	sc := find(t, "overload")
-	best, ours, least := Play(sc, Ideal, 1), Play(sc, Product, 1), Play(sc, Plain, 1)
+	best, ours, least := Simulate(sc, Ideal, 1), Simulate(sc, Product, 1), Simulate(sc, Plain, 1)
 	if best.Worth < ours.Worth || ours.Worth < least.Worth {
 		t.Errorf("ideal %.3f, product %.3f, plainest %.3f", best.Worth, ours.Worth, least.Worth)
 	}
--- a/bench/lab/limits.go
+++ b/bench/lab/limits.go
@@ -34,24 +34,24 @@
 func (u *upstream) inNeed(part float64, length time.Duration) {
 	got := 0
 	for _, at := range u.arrivals {
-		if u.w.at-at < limitedFrom {
+		if u.sim.elapsed-at < limitedFrom {
 			got++
 		}
 	}
-	u.need = &need{perSecond: max(1, part*float64(got)/limitedFrom.Seconds()), since: u.w.at}
-	u.w.after(length, func() { u.need = nil })
+	u.need = &need{perSecond: max(1, part*float64(got)/limitedFrom.Seconds()), since: u.sim.elapsed}
+	u.sim.after(length, func() { u.need = nil })
 }
 
 // noteArrival counts a request, and whether it is one too many for the limit. What came just
 // before the limit was named counts: it is in the queue.
 func (u *upstream) noteArrival() {
-	u.arrivals = append(slices.DeleteFunc(u.arrivals, func(at time.Duration) bool { return u.w.at-at >= limitWindow }), u.w.at)
-	if u.need == nil || u.w.at-u.need.since < limitSettles {
+	u.arrivals = append(slices.DeleteFunc(u.arrivals, func(at time.Duration) bool { return u.sim.elapsed-at >= limitWindow }), u.sim.elapsed)
+	if u.need == nil || u.sim.elapsed-u.need.since < limitSettles {
 		return
 	}
 	most := limitSlack*u.need.perSecond*limitWindow.Seconds() + limitExtra
-	if over := float64(len(u.arrivals)) / most; over > u.w.tally.overLimit {
-		u.w.tally.overLimit = over
+	if over := float64(len(u.arrivals)) / most; over > u.sim.tally.overLimit {
+		u.sim.tally.overLimit = over
 	}
 }
 
@@ -68,25 +68,25 @@
 func (g *gateway) hears(u *upstream, sent time.Time, perSecond float64, named bool) {
 	changed := false
 	if named {
-		changed = g.limits.Note(limits.Limit{Upstream: u.one.ID, PerSecond: perSecond, At: g.w.now()})
+		changed = g.limits.Note(limits.Limit{Upstream: u.one.ID, PerSecond: perSecond, At: g.sim.now()})
 	} else {
-		changed = g.limits.Unnamed(u.one.ID, 0, sent, g.w.now())
+		changed = g.limits.Unnamed(u.one.ID, 0, sent, g.sim.now())
 	}
 	if changed {
 		g.setLimits()
-		g.w.control.hears(g.index, g.limits.List())
+		g.sim.controller.hears(g.index, g.limits.List())
 	}
 }
 
 // hears takes what one gateway knows of limits over, and tells all others if it is news.
-func (c *control) hears(from int, list []limits.Limit) {
-	c.w.after(c.w.hop(), func() {
+func (c *controller) hears(from int, list []limits.Limit) {
+	c.sim.after(c.sim.hopDelay(), func() {
 		changed := false
 		for _, l := range list {
 			changed = c.limits.Note(l) || changed
 		}
 		if changed {
-			c.w.after(c.w.hop(), func() { c.w.policy.limited(c.limits.List(), from) })
+			c.sim.after(c.sim.hopDelay(), func() { c.sim.policy.limited(c.limits.List(), from) })
 		}
 	})
 }
@@ -107,7 +107,7 @@
 // setLimits lets what the gateway knows of limits take effect.
 func (g *gateway) setLimits() {
 	for _, name := range g.names {
-		g.dispatch[name].SetLimits(g.w.now(), g.limitNews())
+		g.dispatch[name].SetLimits(g.sim.now(), g.limitNews())
 	}
 }
 
@@ -130,7 +130,7 @@
 
 // wantedBut returns what all gateways but one are asked for that upstreams with a limit would
 // get.
-func (c *control) wantedBut(g int) map[string]float64 {
+func (c *controller) wantedBut(g int) map[string]float64 {
 	out := make(map[string]float64)
 	for _, l := range c.limits.List() {
 		out[l.Upstream] = 0
@@ -147,9 +147,9 @@
 }
 
 // limitedShare names Share of the upstreams of the trouble's service as in need.
-func (w *world) limitedShare(t *Trouble) {
-	rng := rand.New(rand.NewPCG(uint64(t.At), uint64(len(w.all))))
-	all := w.upstreams[t.Service]
+func (sim *simulation) startNamedLimits(t *Trouble) {
+	rng := rand.New(rand.NewPCG(uint64(t.At), uint64(len(sim.allUpstreams))))
+	all := sim.upstreams[t.Service]
 	for _, i := range rng.Perm(len(all))[:int(t.Share*float64(len(all)))] {
 		all[i].inNeed(t.Factor, t.For.D())
 	}
--- a/bench/lab/limits_test.go
+++ b/bench/lab/limits_test.go
@@ -21,7 +21,7 @@
 			calm.Troubles = nil
 			unread.Off = dispatch.Mechanisms{NoNamedLimits: true}
 			for seed := uint64(1); seed <= 2; seed++ {
-				played := PlayAll([]Job{{&calm, Product, seed}, {hit, Product, seed}, {&unread, Product, seed}})
+				played := SimulateAll([]Job{{&calm, Product, seed}, {hit, Product, seed}, {&unread, Product, seed}})
 				without, with, flooded := played[0], played[1], played[2]
 				if with.OverLimit > 1 {
 					t.Errorf("seed %d: an upstream got %.2f times what it may", seed, with.OverLimit)
--- a/bench/lab/load_test.go
+++ b/bench/lab/load_test.go
@@ -19,7 +19,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sc := find(t, name)
-			ours, limit := Play(sc, Product, 1), Play(sc, Ideal, 1)
+			ours, limit := Simulate(sc, Product, 1), Simulate(sc, Ideal, 1)
 			if ratio := ours.Worth / limit.Worth; ratio < least {
 				t.Errorf("worth %.3f, %.3f of the limit, want %.2f", ours.Worth, ratio, least)
 			}
@@ -35,7 +35,7 @@
 // TestFullUpstreamsAreRare: while a key is hot and the upstreams never answer what they
 // cannot queue, hardly any request meets a full one. (177 before, of some 36,000.)
 func TestFullUpstreamsAreRare(t *testing.T) {
-	r := Play(find(t, "hot-key"), Product, 1)
+	r := Simulate(find(t, "hot-key"), Product, 1)
 	if r.Full > 20 {
 		t.Errorf("%d requests met an upstream without room", r.Full)
 	}
@@ -47,7 +47,7 @@
 // hot keys were limited: worth 0.511, 0.10 of the calls failed and 15,700 requests met a full
 // owner (means of two seeds).
 func TestSize(t *testing.T) {
-	r := Play(find(t, "size"), Product, 1)
+	r := Simulate(find(t, "size"), Product, 1)
 	if r.Worth < 0.59 {
 		t.Errorf("worth %.3f", r.Worth)
 	}
@@ -62,7 +62,7 @@
 // TestSizeAny plays hundreds of gateways before upstreams that any request may go to. Worth was
 // 0.854 when each gateway sent to the best of sixteen that it drew anew for each request.
 func TestSizeAny(t *testing.T) {
-	if r := Play(find(t, "size-any"), Product, 1); r.Worth < 0.93 {
+	if r := Simulate(find(t, "size-any"), Product, 1); r.Worth < 0.93 {
 		t.Errorf("worth %.3f", r.Worth)
 	}
 }
@@ -99,7 +99,7 @@
 func meanWorth(sc *Scenario) float64 {
 	sum := 0.0
 	for seed := range uint64(ablationSeeds) {
-		sum += Play(sc, Product, seed+1).Worth
+		sum += Simulate(sc, Product, seed+1).Worth
 	}
 	return sum / ablationSeeds
 }
--- a/bench/lab/plain.go
+++ b/bench/lab/plain.go
@@ -10,13 +10,13 @@
 // plain is the plainest policy: each gateway sends to the owner, or to the upstream
 // with the least in flight from here, and refuses when that has all slots taken.
 type plain struct {
-	w        *world
+	sim      *simulation
 	inflight []map[*upstream]int
 }
 
-func newPlain(w *world) *plain {
-	p := &plain{w: w}
-	for range w.sc.Gateways {
+func newPlain(sim *simulation) *plain {
+	p := &plain{sim: sim}
+	for range sim.sc.Gateways {
 		p.inflight = append(p.inflight, make(map[*upstream]int))
 	}
 	return p
@@ -32,7 +32,7 @@
 func (p *plain) submit(t *try) {
 	mine := p.inflight[t.gateway]
 	u := p.pick(t, mine)
-	if p.w.down[t.gateway] {
+	if p.sim.gatewayDown[t.gateway] {
 		t.failed()
 		return
 	}
@@ -53,12 +53,12 @@
 	}
 	drop := func() {
 		if end() {
-			p.w.after(p.w.hop(), func() { u.abandon(r) })
+			p.sim.after(p.sim.hopDelay(), func() { u.abandon(r) })
 			t.failed()
 		}
 	}
 	t.withdraw = drop
-	p.w.after(min(t.call.route.Timeout.D(), t.left), drop)
+	p.sim.after(min(t.call.route.Timeout.D(), t.left), drop)
 	r.reply = func(o dispatch.Outcome) {
 		if !end() {
 			return
@@ -72,17 +72,17 @@
 			t.refused(plainComeBack)
 		}
 	}
-	p.w.after(p.w.hop(), func() { u.arrive(r) })
+	p.sim.after(p.sim.hopDelay(), func() { u.arrive(r) })
 }
 
 func (p *plain) pick(t *try, mine map[*upstream]int) *upstream {
 	name := t.call.route.Service
-	if view := p.w.view[name]; view != nil {
-		return p.w.byID[view.Find(t.call.key).Owner]
+	if view := p.sim.ownerView[name]; view != nil {
+		return p.sim.upstreamByID[view.Find(t.call.key).Owner]
 	}
 	var best *upstream
-	for _, u := range p.w.upstreams[name] {
-		lapsed := (u.dark || u.gone) && p.w.at-u.lostAt >= lapse
+	for _, u := range p.sim.upstreams[name] {
+		lapsed := (u.dark || u.gone) && p.sim.elapsed-u.lostAt >= lapse
 		if !u.leaving && !lapsed && (best == nil || mine[u] < mine[best]) {
 			best = u
 		}
--- a/bench/lab/result.go
+++ b/bench/lab/result.go
@@ -80,20 +80,20 @@
 }
 
 // Play runs the scenario once.
-func Play(sc *Scenario, p Policy, seed uint64) *Result {
+func Simulate(sc *Scenario, p Policy, seed uint64) *Result {
 	began := time.Now()
-	w := newWorld(sc, seed)
+	sim := newSimulation(sc, seed)
 	switch p {
 	case Ideal:
-		w.policy = newIdeal(w)
-		w.knowsAll = true
+		sim.policy = newIdeal(sim)
+		sim.plansWithTrueSpeeds = true
 	case Plain:
-		w.policy = newPlain(w)
+		sim.policy = newPlain(sim)
 	default:
-		w.policy = newProduct(w, seed)
+		sim.policy = newProduct(sim, seed)
 	}
-	w.play()
-	r := w.result(p, seed)
+	sim.runScenario()
+	r := sim.result(p, seed)
 	r.WallMs = float64(time.Since(began).Microseconds()) / 1000
 	return r
 }
@@ -106,14 +106,14 @@
 }
 
 // PlayAll plays jobs on half of the processors and returns the results in their order.
-func PlayAll(jobs []Job) []*Result {
+func SimulateAll(jobs []Job) []*Result {
 	results := make([]*Result, len(jobs))
 	next := make(chan int)
 	var all sync.WaitGroup
 	for range max(runtime.GOMAXPROCS(0)/2, 1) {
 		all.Go(func() {
 			for i := range next {
-				results[i] = Play(jobs[i].Scenario, jobs[i].Policy, jobs[i].Seed)
+				results[i] = Simulate(jobs[i].Scenario, jobs[i].Policy, jobs[i].Seed)
 			}
 		})
 	}
@@ -125,22 +125,22 @@
 	return results
 }
 
-func (w *world) result(p Policy, seed uint64) *Result {
-	r := &Result{Scenario: w.sc.Name, Policy: p, Seed: seed, Full: w.tally.full, Crossed: float64(w.tally.crossed) / float64(max(w.tally.sent, 1))}
-	r.Fell, r.OverLimit = w.tally.fell, w.tally.overLimit
-	r.Moved, r.Plans = float64(w.tally.moved)/(spans.MaxKey+1), w.tally.plans
+func (sim *simulation) result(p Policy, seed uint64) *Result {
+	r := &Result{Scenario: sim.sc.Name, Policy: p, Seed: seed, Full: sim.tally.full, Crossed: float64(sim.tally.crossed) / float64(max(sim.tally.sent, 1))}
+	r.Fell, r.OverLimit = sim.tally.fell, sim.tally.overLimit
+	r.Moved, r.Plans = float64(sim.tally.moved)/(spans.MaxKey+1), sim.tally.plans
 	worth, owed := 0.0, 0.0
-	for i := range w.sc.Routes {
-		one := w.tally.route(&w.sc.Routes[i])
+	for i := range sim.sc.Routes {
+		one := sim.tally.route(&sim.sc.Routes[i])
 		r.Routes = append(r.Routes, one.result())
 		worth, owed = worth+one.worth(), owed+one.owed()
 	}
 	r.Worth = worth / max(owed, 1)
-	r.Imbalance = w.imbalance()
-	for _, u := range w.all {
+	r.Imbalance = sim.imbalance()
+	for _, u := range sim.allUpstreams {
 		r.MostOverSlots = max(r.MostOverSlots, float64(u.most)/float64(u.service.Slots))
 	}
-	for _, s := range w.tally.seconds {
+	for _, s := range sim.tally.seconds {
 		r.Seconds = append(r.Seconds, Second{s[onTime], s[late], s[refused], s[failed]})
 	}
 	return r
@@ -159,9 +159,9 @@
 }
 
 // imbalance compares the busiest owner with the mean one, each over its capacity.
-func (w *world) imbalance() float64 {
+func (sim *simulation) imbalance() float64 {
 	most, sum, n := 0.0, 0.0, 0
-	for _, u := range w.all {
+	for _, u := range sim.allUpstreams {
 		if u.service.Keyed {
 			utilization := u.busy.Seconds()
 			most, sum, n = max(most, utilization), sum+utilization, n+1
--- a/bench/lab/scenario.go
+++ b/bench/lab/scenario.go
@@ -175,7 +175,7 @@
 
 // mostRequests bounds the requests of one run: an event takes about a microsecond
 // and some hundred bytes.
-const mostRequests = 5_000_000
+const maxRequests = 5_000_000
 
 // Check implements jsonc.Checker.
 func (s *Scenario) Check() []jsonc.Diagnostic {
@@ -216,7 +216,7 @@
 			total *= 1 + (one.Factor-1)*one.For.D().Seconds()/max(s.Length.D().Seconds(), 1)
 		}
 	}
-	add(total > mostRequests || math.IsNaN(total), "routes", fmt.Sprintf("make %.0f requests, at most %d can be played", total, mostRequests))
+	add(total > maxRequests || math.IsNaN(total), "routes", fmt.Sprintf("make %.0f requests, at most %d can be played", total, maxRequests))
 	return out
 }
 
--- a/bench/lab/tally.go
+++ b/bench/lab/tally.go
@@ -18,7 +18,7 @@
 )
 
 // longestLatency bounds the histograms of latency, in microseconds.
-const longestLatency = 60_000_000
+const maxLatencyMicros = 60_000_000
 
 // tally counts what clients got.
 type tally struct {
@@ -52,7 +52,7 @@
 	t := &tally{routes: make(map[string]*routeTally)}
 	for i := range s.Routes {
 		r := &s.Routes[i]
-		t.routes[r.Name] = &routeTally{route: r, latency: hdrhistogram.New(1, longestLatency, 2)}
+		t.routes[r.Name] = &routeTally{route: r, latency: hdrhistogram.New(1, maxLatencyMicros, 2)}
 	}
 	return t
 }
@@ -68,7 +68,7 @@
 	}
 	if o == onTime || o == late {
 		// It cannot fail: no client waits for as long as the histogram's bound.
-		_ = one.latency.RecordValue((c.w.at - c.began).Microseconds())
+		_ = one.latency.RecordValue((c.sim.elapsed - c.began).Microseconds())
 	}
 	second := int(c.began / time.Second)
 	for len(t.seconds) <= second {
--- a/bench/lab/upstream.go
+++ b/bench/lab/upstream.go
@@ -28,7 +28,7 @@
 
 // upstream runs requests: some at once, some queued, more not.
 type upstream struct {
-	w       *world
+	sim     *simulation
 	service *Service
 	one     instances.Instance
 	speed   float64
@@ -55,14 +55,14 @@
 // domains is the number of failure domains of every scenario.
 const domains = 4
 
-func newUpstream(w *world, s *Service, i int) *upstream {
+func newUpstream(sim *simulation, s *Service, i int) *upstream {
 	speed := 1.0
 	if len(s.Speeds) > 0 {
 		// Each failure domain gets all speeds.
 		speed = s.Speeds[(i/domains+i)%len(s.Speeds)]
 	}
 	u := &upstream{
-		w: w, service: s, speed: speed, slower: 1, noise: 1,
+		sim: sim, service: s, speed: speed, slower: 1, noise: 1,
 		one: instances.Instance{
 			ID: fmt.Sprintf("%s-%d", s.Name, i), Service: s.Name, Slots: s.Slots,
 			Domain: domainName(i % domains),
@@ -70,7 +70,7 @@
 	}
 	if s.NoiseShare > 0 {
 		// Machines do not change all at the same moments.
-		w.after(time.Duration(w.noise.Float64()*float64(s.NoiseEvery.D())), u.drawNoise)
+		sim.after(time.Duration(sim.noiseRNG.Float64()*float64(s.NoiseEvery.D())), u.drawNoise)
 	}
 	return u
 }
@@ -78,10 +78,10 @@
 // drawNoise draws how slow its machine is, again and again.
 func (u *upstream) drawNoise() {
 	u.noise = 1
-	if u.w.noise.Float64() < u.service.NoiseShare {
+	if u.sim.noiseRNG.Float64() < u.service.NoiseShare {
 		u.noise = u.service.NoiseFactor
 	}
-	u.w.after(u.service.NoiseEvery.D(), u.drawNoise)
+	u.sim.after(u.service.NoiseEvery.D(), u.drawNoise)
 }
 
 // load is what the upstream tells with an answer, or nil.
@@ -118,7 +118,7 @@
 
 // full does what an upstream without room does.
 func (u *upstream) full(r *run) {
-	u.w.tally.full++
+	u.sim.tally.full++
 	switch u.service.WhenFull {
 	case FullRefuses:
 		u.answer(r, dispatch.Overloaded)
@@ -128,7 +128,7 @@
 }
 
 func (u *upstream) holds(key uint16) bool {
-	s := u.w.control.tables[u.service.Name].Find(key)
+	s := u.sim.controller.tables[u.service.Name].Find(key)
 	return s.Owner == u.one.ID && !s.Moving()
 }
 
@@ -136,21 +136,21 @@
 func (u *upstream) answer(r *run, o dispatch.Outcome) {
 	r.ended = true
 	r.limit, r.limited = u.named()
-	u.w.after(u.w.hop(), func() { r.reply(o) })
+	u.sim.after(u.sim.hopDelay(), func() { r.reply(o) })
 }
 
 func (u *upstream) begin(r *run) {
-	r.running, r.started = true, u.w.at
+	r.running, r.started = true, u.sim.elapsed
 	u.running = append(u.running, r)
-	took := u.w.draw(r.call.route)
+	took := u.sim.drawWorkTime(r.call.route)
 	factor := u.noise / u.pace()
 	if u.warming() {
 		factor *= u.service.WarmUpFactor
 	}
-	if u.service.Keyed && u.w.control.cold(u.service, r.call.key) {
+	if u.service.Keyed && u.sim.controller.cold(u.service, r.call.key) {
 		factor *= u.service.ColdFactor
 	}
-	u.w.after(time.Duration(float64(took)*factor), func() {
+	u.sim.after(time.Duration(float64(took)*factor), func() {
 		if r.ended || u.dark || u.gone {
 			return
 		}
@@ -164,7 +164,7 @@
 // leave frees the slot of a running request.
 func (u *upstream) leave(r *run) {
 	u.running = slices.DeleteFunc(u.running, func(other *run) bool { return other == r })
-	u.busy += u.w.at - r.started
+	u.busy += u.sim.elapsed - r.started
 }
 
 // next lets queued requests run. Those for keys that have moved are refused.
@@ -190,14 +190,14 @@
 	r.ended = true
 	if r.running {
 		u.leave(r)
-		u.w.tally.route(r.call.route).wasted += u.w.at - r.started
+		u.sim.tally.route(r.call.route).wasted += u.sim.elapsed - r.started
 		u.next()
 	}
 }
 
 // lose lets the upstream fall silent or refuse connections.
 func (u *upstream) lose(gone bool) {
-	u.dark, u.gone, u.lostAt = !gone, gone, u.w.at
+	u.dark, u.gone, u.lostAt = !gone, gone, u.sim.elapsed
 	lost := append(u.queue, u.running...)
 	for len(u.running) > 0 {
 		u.leave(u.running[0])
--- a/bench/lab/warmup.go
+++ b/bench/lab/warmup.go
@@ -14,16 +14,16 @@
 // fallenFor is how long an upstream that broke is away before it starts again.
 const fallenFor = 2 * time.Second
 
-func (u *upstream) warming() bool { return u.w.at < u.warmUntil }
+func (u *upstream) warming() bool { return u.sim.elapsed < u.warmUntil }
 
 // start lets the upstream serve again, as another start of it that warms up.
 func (u *upstream) start() {
 	u.back()
 	u.one.BornMs++
-	u.warmUntil = u.w.at + u.service.WarmUp.D()
+	u.warmUntil = u.sim.elapsed + u.service.WarmUp.D()
 	u.lately = nil
 	u.enter(u.service.WarmUp.D())
-	u.w.after(u.service.WarmUp.D(), func() {
+	u.sim.after(u.service.WarmUp.D(), func() {
 		if !u.warming() && !u.gone {
 			u.enter(0)
 		}
@@ -34,7 +34,7 @@
 func (u *upstream) enter(left time.Duration) {
 	u.one.Revision++
 	u.one.WarmUp = left
-	u.w.after(u.w.hop(), func() { u.w.policy.changed(u.service) })
+	u.sim.after(u.sim.hopDelay(), func() { u.sim.policy.changed(u.service) })
 }
 
 // breaks notes a request to an upstream that warms up, and reports whether it is one too
@@ -43,25 +43,25 @@
 	if !u.warming() || u.service.Breaks == 0 {
 		return false
 	}
-	u.lately = append(slices.DeleteFunc(u.lately, func(at time.Duration) bool { return u.w.at-at >= time.Second }), u.w.at)
+	u.lately = append(slices.DeleteFunc(u.lately, func(at time.Duration) bool { return u.sim.elapsed-at >= time.Second }), u.sim.elapsed)
 	if len(u.lately) <= u.service.Breaks {
 		return false
 	}
-	u.w.tally.fell++
+	u.sim.tally.fell++
 	u.lose(true)
-	u.w.after(fallenFor, u.start)
+	u.sim.after(fallenFor, u.start)
 	return true
 }
 
 // coldReturn lets the upstreams of a failure domain end, and start again together.
-func (w *world) coldReturn(t *Trouble) {
-	for _, u := range w.upstreams[t.Service] {
+func (sim *simulation) coldRestart(t *Trouble) {
+	for _, u := range sim.upstreams[t.Service] {
 		if u.one.Domain != domainName(t.Count) {
 			continue
 		}
 		u.lose(true)
-		w.after(lapse, func() { w.policy.changed(u.service) })
-		w.after(t.For.D(), u.start)
+		sim.after(lapse, func() { sim.policy.changed(u.service) })
+		sim.after(t.For.D(), u.start)
 	}
 }
 
@@ -69,9 +69,9 @@
 
 // rights names the gateways that may send to upstreams that warm up, and returns until when
 // the one of the number may.
-func (c *control) rights(gateway int) map[string]time.Time {
+func (c *controller) rights(gateway int) map[string]time.Time {
 	var warming []warmup.Upstream
-	for _, u := range c.w.all {
+	for _, u := range c.sim.allUpstreams {
 		if u.warming() && !u.gone && u.service.StartBound > 0 && !u.service.Keyed {
 			warming = append(warming, warmup.Upstream{
 				ID: u.one.ID, Incarnation: u.one.Incarnation(), Service: u.service.Name, Domain: u.one.Domain,
@@ -82,15 +82,15 @@
 		return nil
 	}
 	var gateways []warmup.Gateway
-	for i := range c.w.sc.Gateways {
-		if !c.w.down[i] {
+	for i := range c.sim.sc.Gateways {
+		if !c.sim.gatewayDown[i] {
 			gateways = append(gateways, warmup.Gateway{Node: gatewayName(i), Domain: domainName(i % domains)})
 		}
 	}
 	out := make(map[string]time.Time)
-	for _, r := range c.book.Assign(c.w.now(), warming, gateways) {
+	for _, r := range c.book.Assign(c.sim.now(), warming, gateways) {
 		if r.Gateway == gatewayName(gateway) {
-			out[r.Upstream] = c.w.now().Add(warmup.RightDuration)
+			out[r.Upstream] = c.sim.now().Add(warmup.RightDuration)
 		}
 	}
 	return out
--- a/bench/lab/warmup_test.go
+++ b/bench/lab/warmup_test.go
@@ -35,7 +35,7 @@
 	}
 	back := hit.Troubles[0].At.D() + hit.Troubles[0].For.D() + hit.Services[0].WarmUp.D()
 	from := int(back/time.Second) + 1
-	played := PlayAll([]Job{{calm, Product, seed}, {&hit, Product, seed}, {&unbounded, Product, seed}})
+	played := SimulateAll([]Job{{calm, Product, seed}, {&hit, Product, seed}, {&unbounded, Product, seed}})
 	without, with, flooded := played[0], played[1], played[2]
 	if with.Fell > 0 {
 		t.Errorf("%d upstreams broke while they warmed up", with.Fell)
@@ -62,7 +62,7 @@
 	for i := range untold.Services {
 		untold.Services[i].TellsLoad = false
 	}
-	played := PlayAll([]Job{{told, Product, seed}, {&untold, Product, seed}})
+	played := SimulateAll([]Job{{told, Product, seed}, {&untold, Product, seed}})
 	with, without := played[0], played[1]
 	if with.Worth < without.Worth+0.01 {
 		t.Errorf("worth %.3f with told loads, %.3f without", with.Worth, without.Worth)
--- a/bench/lab/world.go
+++ b/bench/lab/world.go
@@ -24,90 +24,90 @@
 }
 
 // world is one run of a scenario.
-type world struct {
+type simulation struct {
 	engine
 	sc  *Scenario
 	rng *rand.Rand
 	// noise draws the noise of upstreams.
-	noise     *rand.Rand
-	upstreams map[string][]*upstream
-	byID      map[string]*upstream
+	noiseRNG     *rand.Rand
+	upstreams    map[string][]*upstream
+	upstreamByID map[string]*upstream
 	// all are the upstreams in a fixed order.
-	all     []*upstream
-	control *control
+	allUpstreams []*upstream
+	controller   *controller
 	// view are the owners of keys as all gateways know them.
-	view   map[string]*spans.Table
-	policy policy
+	ownerView map[string]*spans.Table
+	policy    policy
 	// knowsAll says that the policy plans owners by the true speeds.
-	knowsAll bool
-	tally    *tally
-	down     []bool
+	plansWithTrueSpeeds bool
+	tally               *tally
+	gatewayDown         []bool
 	// popularity is the cumulative popularity of keys, by route, offset the first key.
 	popularity map[string][]float64
-	offset     uint16
-	work       map[string]distuv.LogNormal
+	firstKey   uint16
+	workTimes  map[string]distuv.LogNormal
 }
 
 // seeds of the parts of a run, so that changing one part leaves the others alone.
 const (
-	trafficSeed = 1
-	policySeed  = 2
-	noiseSeed   = 3
+	trafficStream = 1
+	policyStream  = 2
+	noiseStream   = 3
 )
 
-func newWorld(sc *Scenario, seed uint64) *world {
-	w := &world{
-		sc: sc, rng: rand.New(rand.NewPCG(seed, trafficSeed)), noise: rand.New(rand.NewPCG(seed, noiseSeed)), upstreams: make(map[string][]*upstream),
-		byID: make(map[string]*upstream), view: make(map[string]*spans.Table), tally: newTally(sc),
-		down: make([]bool, sc.Gateways), popularity: make(map[string][]float64), work: make(map[string]distuv.LogNormal),
+func newSimulation(sc *Scenario, seed uint64) *simulation {
+	sim := &simulation{
+		sc: sc, rng: rand.New(rand.NewPCG(seed, trafficStream)), noiseRNG: rand.New(rand.NewPCG(seed, noiseStream)), upstreams: make(map[string][]*upstream),
+		upstreamByID: make(map[string]*upstream), ownerView: make(map[string]*spans.Table), tally: newTally(sc),
+		gatewayDown: make([]bool, sc.Gateways), popularity: make(map[string][]float64), workTimes: make(map[string]distuv.LogNormal),
 	}
-	w.offset = uint16(w.rng.IntN(spans.MaxKey + 1))
+	sim.firstKey = uint16(sim.rng.IntN(spans.MaxKey + 1))
 	for i := range sc.Services {
 		s := &sc.Services[i]
 		for j := range s.Upstreams {
-			u := newUpstream(w, s, j)
-			w.upstreams[s.Name] = append(w.upstreams[s.Name], u)
-			w.byID[u.one.ID] = u
-			w.all = append(w.all, u)
+			u := newUpstream(sim, s, j)
+			sim.upstreams[s.Name] = append(sim.upstreams[s.Name], u)
+			sim.upstreamByID[u.one.ID] = u
+			sim.allUpstreams = append(sim.allUpstreams, u)
 		}
 	}
 	for i := range sc.Routes {
-		w.prepare(&sc.Routes[i])
+		sim.prepareRoute(&sc.Routes[i])
 	}
-	w.control = newControl(w)
-	for name, t := range w.control.tables {
-		w.view[name] = t
+	sim.controller = newController(sim)
+	for name, t := range sim.controller.tables {
+		sim.ownerView[name] = t
 	}
-	return w
+	return sim
 }
 
 // prepare works out the distributions of a route.
-func (w *world) prepare(r *Route) {
+func (sim *simulation) prepareRoute(r *Route) {
 	// The mean of a lognormal distribution is exp(mu + sigma^2/2).
 	mean := r.Work.D().Seconds() / (1 + r.Tail*max(r.TailFactor-1, 0))
-	w.work[r.Name] = distuv.LogNormal{Mu: math.Log(mean) - r.Spread*r.Spread/2, Sigma: r.Spread, Src: w.rng}
+	sim.workTimes[r.Name] = distuv.LogNormal{Mu: math.Log(mean) - r.Spread*r.Spread/2, Sigma: r.Spread, Src: sim.rng}
 	sum := 0.0
 	var cumulative []float64
 	for k := range r.Keys {
 		sum += math.Pow(float64(k+1), -r.Skew)
 		cumulative = append(cumulative, sum)
 	}
-	w.popularity[r.Name] = cumulative
+	sim.popularity[r.Name] = cumulative
 }
 
 // draw returns the time of one run at speed 1.
-func (w *world) draw(r *Route) time.Duration {
-	took := w.work[r.Name].Rand()
-	if r.Tail > 0 && w.rng.Float64() < r.Tail {
+func (sim *simulation) drawWorkTime(r *Route) time.Duration {
+	took := sim.workTimes[r.Name].Rand()
+	if r.Tail > 0 && sim.rng.Float64() < r.Tail {
 		took *= max(r.TailFactor, 1)
 	}
 	return time.Duration(took * float64(time.Second))
 }
 
 // meanWork is the mean time of a run for a service at speed 1, in seconds.
-func (w *world) meanWork(s *Service) float64 {
+func (sim *simulation) meanWork(s *Service) float64 {
 	sum, rate := 0.0, 0.0
-	for _, r := range w.sc.Routes {
+	for _, r := range sim.sc.Routes {
 		if r.Service == s.Name {
 			sum, rate = sum+r.Work.D().Seconds()*r.Rate, rate+r.Rate
 		}
@@ -116,27 +116,27 @@
 }
 
 // key draws what a request is about.
-func (w *world) key(r *Route) uint16 {
-	if hot, ok := w.hotKey(r); ok {
+func (sim *simulation) drawKey(r *Route) uint16 {
+	if hot, ok := sim.hotKey(r); ok {
 		return hot
 	}
-	cumulative := w.popularity[r.Name]
+	cumulative := sim.popularity[r.Name]
 	if len(cumulative) == 0 {
-		return uint16(w.rng.IntN(spans.MaxKey + 1))
+		return uint16(sim.rng.IntN(spans.MaxKey + 1))
 	}
-	k := sort.SearchFloat64s(cumulative, w.rng.Float64()*cumulative[len(cumulative)-1])
-	return w.offset + uint16(k)
+	k := sort.SearchFloat64s(cumulative, sim.rng.Float64()*cumulative[len(cumulative)-1])
+	return sim.firstKey + uint16(k)
 }
 
 // hotKey returns a key that a trouble has made hot, for its share of requests.
-func (w *world) hotKey(r *Route) (uint16, bool) {
-	for i := range w.sc.Troubles {
-		t := &w.sc.Troubles[i]
-		if t.Kind == HotKey && t.Route == r.Name && w.during(t) && w.rng.Float64() < t.Share {
+func (sim *simulation) hotKey(r *Route) (uint16, bool) {
+	for i := range sim.sc.Troubles {
+		t := &sim.sc.Troubles[i]
+		if t.Kind == HotKey && t.Route == r.Name && sim.active(t) && sim.rng.Float64() < t.Share {
 			// Far apart, and the same in every run of a seed.
-			hot := w.offset + uint16((i+1)*hotDistance)
+			hot := sim.firstKey + uint16((i+1)*hotDistance)
 			if t.Count > 1 {
-				hot += uint16(w.rng.IntN(t.Count))
+				hot += uint16(sim.rng.IntN(t.Count))
 			}
 			return hot, true
 		}
@@ -147,43 +147,43 @@
 // hotDistance keeps hot keys apart from the busy ones and from each other.
 const hotDistance = 9973
 
-func (w *world) during(t *Trouble) bool {
-	return w.at >= t.At.D() && w.at < t.At.D()+t.For.D()
+func (sim *simulation) active(t *Trouble) bool {
+	return sim.elapsed >= t.At.D() && sim.elapsed < t.At.D()+t.For.D()
 }
 
-func (w *world) hop() time.Duration { return w.sc.Hop.D() }
+func (sim *simulation) hopDelay() time.Duration { return sim.sc.Hop.D() }
 
-func (w *world) pickGateway() int {
+func (sim *simulation) pickGateway() int {
 	for {
-		if g := w.rng.IntN(w.sc.Gateways); !w.down[g] {
+		if g := sim.rng.IntN(sim.sc.Gateways); !sim.gatewayDown[g] {
 			return g
 		}
 	}
 }
 
 // arrivals makes the calls of a route, one after the other.
-func (w *world) arrivals(r *Route) {
+func (sim *simulation) generateCalls(r *Route) {
 	if r.Rate <= 0 {
 		return
 	}
-	gap := distuv.Exponential{Rate: w.rate(r), Src: w.rng}.Rand()
-	w.after(time.Duration(gap*float64(time.Second)), func() {
-		if w.at >= w.sc.Length.D() {
+	gap := distuv.Exponential{Rate: sim.rate(r), Src: sim.rng}.Rand()
+	sim.after(time.Duration(gap*float64(time.Second)), func() {
+		if sim.elapsed >= sim.sc.Length.D() {
 			return
 		}
-		c := &call{w: w, route: r, key: w.key(r), began: w.at}
+		c := &call{sim: sim, route: r, key: sim.drawKey(r), began: sim.elapsed}
 		c.ask()
-		w.after(r.Patience.D(), c.leaves)
-		w.arrivals(r)
+		sim.after(r.Patience.D(), c.leaves)
+		sim.generateCalls(r)
 	})
 }
 
 // rate is the present rate of a route in requests a second.
-func (w *world) rate(r *Route) float64 {
-	rate := r.Rate * (1 + w.sc.Wave*math.Sin(2*math.Pi*w.at.Seconds()/w.sc.WavePeriod.D().Seconds()))
-	for i := range w.sc.Troubles {
-		t := &w.sc.Troubles[i]
-		if t.Kind == Burst && (t.Route == "" || t.Route == r.Name) && w.during(t) {
+func (sim *simulation) rate(r *Route) float64 {
+	rate := r.Rate * (1 + sim.sc.Wave*math.Sin(2*math.Pi*sim.elapsed.Seconds()/sim.sc.WavePeriod.D().Seconds()))
+	for i := range sim.sc.Troubles {
+		t := &sim.sc.Troubles[i]
+		if t.Kind == Burst && (t.Route == "" || t.Route == r.Name) && sim.active(t) {
 			rate *= t.Factor
 		}
 	}
@@ -191,68 +191,68 @@
 }
 
 // play runs the scenario to its end and until the last client has left.
-func (w *world) play() {
-	for i := range w.sc.Routes {
-		w.arrivals(&w.sc.Routes[i])
+func (sim *simulation) runScenario() {
+	for i := range sim.sc.Routes {
+		sim.generateCalls(&sim.sc.Routes[i])
 	}
-	for i := range w.sc.Troubles {
-		t := &w.sc.Troubles[i]
-		w.after(t.At.D(), func() { w.begin(t) })
+	for i := range sim.sc.Troubles {
+		t := &sim.sc.Troubles[i]
+		sim.after(t.At.D(), func() { sim.startDisturbance(t) })
 	}
-	w.after(planInterval, w.control.plan)
+	sim.after(planInterval, sim.controller.plan)
 	longest := time.Duration(0)
-	for _, r := range w.sc.Routes {
+	for _, r := range sim.sc.Routes {
 		longest = max(longest, r.Patience.D())
 	}
-	w.run(w.sc.Length.D() + longest + time.Second)
+	sim.runUntil(sim.sc.Length.D() + longest + time.Second)
 }
 
 // begin lets a trouble begin, and end when its time is over.
-func (w *world) begin(t *Trouble) {
+func (sim *simulation) startDisturbance(t *Trouble) {
 	switch t.Kind {
 	case Dark, Gone, Slow, Drain:
-		for _, u := range w.some(t) {
-			w.hit(t, u)
+		for _, u := range sim.pickUpstreams(t) {
+			sim.disturb(t, u)
 		}
 	case ColdReturn:
-		w.coldReturn(t)
+		sim.coldRestart(t)
 	case Need:
-		w.limitedShare(t)
+		sim.startNamedLimits(t)
 	case GatewayLost:
-		for _, g := range w.rng.Perm(w.sc.Gateways)[:int(t.Share*float64(w.sc.Gateways))] {
-			w.down[g] = true
-			w.policy.gatewayLost(g)
-			w.after(t.For.D(), func() { w.down[g] = false })
+		for _, g := range sim.rng.Perm(sim.sc.Gateways)[:int(t.Share*float64(sim.sc.Gateways))] {
+			sim.gatewayDown[g] = true
+			sim.policy.gatewayLost(g)
+			sim.after(t.For.D(), func() { sim.gatewayDown[g] = false })
 		}
 	}
 }
 
 // some draws the upstreams that a trouble hits.
-func (w *world) some(t *Trouble) []*upstream {
-	all := w.upstreams[t.Service]
+func (sim *simulation) pickUpstreams(t *Trouble) []*upstream {
+	all := sim.upstreams[t.Service]
 	var out []*upstream
-	for _, i := range w.rng.Perm(len(all))[:int(math.Ceil(t.Share*float64(len(all))))] {
+	for _, i := range sim.rng.Perm(len(all))[:int(math.Ceil(t.Share*float64(len(all))))] {
 		out = append(out, all[i])
 	}
 	return out
 }
 
-func (w *world) hit(t *Trouble, u *upstream) {
-	news := func() { w.policy.changed(u.service) }
+func (sim *simulation) disturb(t *Trouble, u *upstream) {
+	news := func() { sim.policy.changed(u.service) }
 	switch t.Kind {
 	case Slow:
 		u.slower = t.Factor
-		w.after(t.For.D(), func() { u.slower = 1 })
+		sim.after(t.For.D(), func() { u.slower = 1 })
 	case Drain:
 		u.leaving = true
-		w.after(w.hop(), news)
+		sim.after(sim.hopDelay(), news)
 	default:
 		u.lose(t.Kind == Gone)
-		w.after(suspectAfter, func() { u.suspectedLost = u.dark || u.gone })
-		w.after(lapse, news)
-		w.after(t.For.D(), func() {
+		sim.after(suspectAfter, func() { u.suspectedLost = u.dark || u.gone })
+		sim.after(lapse, news)
+		sim.after(t.For.D(), func() {
 			u.back()
-			w.after(w.hop(), news)
+			sim.after(sim.hopDelay(), news)
 		})
 	}
 }
