--- a/bench/lab/command.go
+++ b/bench/lab/command.go
@@ -105,7 +105,7 @@
 				whole := SimulateAll(o.jobs(sc, Product))
 				for _, m := range mechanisms {
 					without := *sc
-					m.switchOff(&without.Off)
+					m.switchOff(&without.Disabled)
 					rows = append(rows, compareResults(m.name, sc.Name, SimulateAll(o.jobs(&without, Product)), whole))
 				}
 			}
--- a/bench/lab/control.go
+++ b/bench/lab/control.go
@@ -112,7 +112,7 @@
 
 // capacity is how many requests a second the upstream can run, as far as it takes them.
 func (c *controller) capacity(u *upstream, rate float64) float64 {
-	if limit, ok := c.limits.Of(u.one.ID, 0); ok && !c.sim.sc.Off.NoNamedLimits {
+	if limit, ok := c.limits.Of(u.one.ID, 0); ok && !c.sim.sc.Disabled.NoNamedLimits {
 		return min(rate, quota.TargetUtilization*limit)
 	}
 	return rate
@@ -273,9 +273,9 @@
 
 func (c *controller) holdOf(u *upstream) time.Duration {
 	if u.gone {
-		return c.sim.sc.OwnerGone.D()
+		return c.sim.sc.RefusingOwnerTimeout.D()
 	}
-	return c.sim.sc.OwnerLost.D()
+	return c.sim.sc.SilentOwnerTimeout.D()
 }
 
 // publish makes a table the one in force; gateways hear of it after a hop.
--- a/bench/lab/delivery.go
+++ b/bench/lab/delivery.go
@@ -252,7 +252,7 @@
 		return
 	}
 	d.sim.tally.sent++
-	if g.Instance.Domain != domainName(d.index%domains) {
+	if g.Instance.Domain != domainName(d.index%failureDomains) {
 		d.sim.tally.crossed++
 	}
 }
--- a/bench/lab/gateway.go
+++ b/bench/lab/gateway.go
@@ -56,16 +56,16 @@
 		for j := range sim.sc.Services {
 			s := &sim.sc.Services[j]
 			rng := rand.New(rand.NewPCG(seed+policyStream, uint64(i*len(sim.sc.Services)+j)))
-			d := dispatch.NewService(domainName(i%domains), drainTime, rng)
-			d.Disabled = sim.sc.Off
-			d.SetWarmUp(sim.now(), dispatch.WarmUp{MaxPerSecond: s.StartBound, Keyed: s.Keyed})
+			d := dispatch.NewService(domainName(i%failureDomains), drainTime, rng)
+			d.Disabled = sim.sc.Disabled
+			d.SetWarmUp(sim.now(), dispatch.WarmUp{MaxPerSecond: s.WarmUpRateLimit, Keyed: s.Keyed})
 			d.SetUpstreams(sim.now(), sim.controller.known(s))
 			g.dispatch[s.Name] = d
 			g.names = append(g.names, s.Name)
 			g.budget[s.Name] = retry.NewWindowBudget(sim.now(), sim.sc.RetryWindow.D(), budgetShare*sim.sc.RetryShare, budgetShare*sim.sc.RetryAllowance)
 		}
 		p.gateways = append(p.gateways, g)
-		sim.after(time.Duration(i)*sim.sc.Report.D()/time.Duration(sim.sc.Gateways), g.report)
+		sim.after(time.Duration(i)*sim.sc.ReportInterval.D()/time.Duration(sim.sc.Gateways), g.report)
 		sim.after(tickInterval, g.tick)
 	}
 	return p
@@ -118,7 +118,7 @@
 // report tells the control what this gateway has in flight, and takes what the others
 // have a hop later.
 func (g *gateway) report() {
-	g.sim.after(g.sim.sc.Report.D(), g.report)
+	g.sim.after(g.sim.sc.ReportInterval.D(), g.report)
 	if g.sim.gatewayDown[g.index] {
 		return
 	}
--- a/bench/lab/ideal.go
+++ b/bench/lab/ideal.go
@@ -135,7 +135,7 @@
 }
 
 func (p *ideal) free(u *upstream) bool {
-	return !u.dark && !u.gone && !u.leaving && !(u.warming() && u.service.Breaks > 0) && len(p.sent[u]) < u.service.Slots
+	return !u.dark && !u.gone && !u.leaving && !(u.warming() && u.service.MaxWarmUpRate > 0) && len(p.sent[u]) < u.service.Slots
 }
 
 // pace is the present speed of an upstream.
@@ -197,7 +197,7 @@
 
 func (p *ideal) canBeOnTime(u *upstream, one *idealRun) bool {
 	c := one.try.call
-	took := time.Duration(c.route.Work.D().Seconds() / u.pace() * float64(time.Second))
+	took := time.Duration(c.route.WorkTime.D().Seconds() / u.pace() * float64(time.Second))
 	return p.sim.elapsed+took+2*p.sim.hopDelay()+p.sim.sc.ClientHop.D() <= c.began+c.route.Objective.D()
 }
 
--- a/bench/lab/limits.go
+++ b/bench/lab/limits.go
@@ -147,10 +147,10 @@
 }
 
 // limitedShare names Share of the upstreams of the trouble's service as in need.
-func (sim *simulation) startNamedLimits(t *Trouble) {
-	rng := rand.New(rand.NewPCG(uint64(t.At), uint64(len(sim.allUpstreams))))
+func (sim *simulation) startNamedLimits(t *Disturbance) {
+	rng := rand.New(rand.NewPCG(uint64(t.Start), uint64(len(sim.allUpstreams))))
 	all := sim.upstreams[t.Service]
 	for _, i := range rng.Perm(len(all))[:int(t.Share*float64(len(all)))] {
-		all[i].inNeed(t.Factor, t.For.D())
+		all[i].inNeed(t.Factor, t.Duration.D())
 	}
 }
--- a/bench/lab/limits_test.go
+++ b/bench/lab/limits_test.go
@@ -18,8 +18,8 @@
 			hit := find(t, "in-need")
 			hit.Gateways = gateways
 			calm, unread := *hit, *hit
-			calm.Troubles = nil
-			unread.Off = dispatch.Mechanisms{NoNamedLimits: true}
+			calm.Disturbances = nil
+			unread.Disabled = dispatch.Mechanisms{NoNamedLimits: true}
 			for seed := uint64(1); seed <= 2; seed++ {
 				played := SimulateAll([]Job{{&calm, Product, seed}, {hit, Product, seed}, {&unread, Product, seed}})
 				without, with, flooded := played[0], played[1], played[2]
--- a/bench/lab/load_test.go
+++ b/bench/lab/load_test.go
@@ -83,7 +83,7 @@
 			t.Parallel()
 			sc := find(t, c.scenario)
 			without := *sc
-			c.switchOff(&without.Off)
+			c.switchOff(&without.Disabled)
 			with, less := meanWorth(sc), meanWorth(&without)
 			if with <= less {
 				t.Errorf("worth %.4f with it, %.4f without", with, less)
--- a/bench/lab/scenario.go
+++ b/bench/lab/scenario.go
@@ -44,17 +44,17 @@
 	// WarmUp is how long an upstream that has started runs WarmUpFactor times as long, and
 	// breaks when more than Breaks requests reach it within a second. StartBound is the
 	// bound that operators name for that; zero for none.
-	WarmUp       jsonc.Duration `json:"warm_up"`
-	WarmUpFactor float64        `json:"warm_up_factor"`
-	Breaks       int            `json:"breaks"`
-	StartBound   float64        `json:"start_bound"`
+	WarmUp          jsonc.Duration `json:"warm_up"`
+	WarmUpFactor    float64        `json:"warm_up_factor"`
+	MaxWarmUpRate   int            `json:"breaks"`
+	WarmUpRateLimit float64        `json:"start_bound"`
 	// NoiseShare of the upstreams take NoiseFactor times as long at any moment; it is drawn
 	// anew for each every NoiseEvery.
 	NoiseShare  float64        `json:"noise_share"`
 	NoiseFactor float64        `json:"noise_factor"`
 	NoiseEvery  jsonc.Duration `json:"noise_every"`
 	// TellsLoad says that its upstreams tell their load with each answer.
-	TellsLoad bool `json:"tells_load"`
+	ReportsLoad bool `json:"tells_load"`
 }
 
 // Route is one kind of request.
@@ -65,7 +65,7 @@
 	Rate float64 `json:"rate"`
 	// Work is the mean time of a run at speed 1; its logarithm has the deviation
 	// Spread. A share Tail takes TailFactor times as long.
-	Work       jsonc.Duration `json:"work"`
+	WorkTime   jsonc.Duration `json:"work"`
 	Spread     float64        `json:"spread"`
 	Tail       float64        `json:"tail"`
 	TailFactor float64        `json:"tail_factor"`
@@ -90,36 +90,36 @@
 // Kinds of troubles.
 const (
 	// Burst multiplies the traffic by Factor.
-	Burst = "burst"
+	TrafficBurst = "burst"
 	// HotKey gives Share of a route's requests one key, or Count neighbouring ones.
 	HotKey = "hot_key"
 	// Dark lets Share of a service's upstreams fall silent, Gone refuse connections.
-	Dark = "dark"
-	Gone = "gone"
+	Silent   = "dark"
+	Refusing = "gone"
 	// Slow makes Share of a service's upstreams slower by Factor.
-	Slow = "slow"
+	Slowdown = "slow"
 	// Drain takes Share of a service's upstreams away after notice.
-	Drain = "drain"
+	Draining = "drain"
 	// ColdReturn lets a service's upstreams in the failure domain of the number Count end,
 	// and start again together.
-	ColdReturn = "cold_return"
+	ColdRestart = "cold_return"
 	// Need lets Share of a service's upstreams name Factor times what they get as the requests a
 	// second that they take.
-	Need = "need"
+	NamedLimits = "need"
 	// GatewayLost lets Share of the gateways end.
-	GatewayLost = "gateway_lost"
+	GatewayFailure = "gateway_lost"
 )
 
 // Trouble is something that happens for a while.
-type Trouble struct {
-	Kind    string         `json:"kind"`
-	At      jsonc.Duration `json:"at"`
-	For     jsonc.Duration `json:"for"`
-	Share   float64        `json:"share"`
-	Factor  float64        `json:"factor"`
-	Count   int            `json:"count"`
-	Service string         `json:"service"`
-	Route   string         `json:"route"`
+type Disturbance struct {
+	Kind     string         `json:"kind"`
+	Start    jsonc.Duration `json:"at"`
+	Duration jsonc.Duration `json:"for"`
+	Share    float64        `json:"share"`
+	Factor   float64        `json:"factor"`
+	Count    int            `json:"count"`
+	Service  string         `json:"service"`
+	Route    string         `json:"route"`
 }
 
 // Scenario is what is played.
@@ -129,47 +129,47 @@
 	Gateways int            `json:"gateways"`
 	// Report is the time between reports of gateways, Hop the time one way between
 	// any two processes, ClientHop between a client and a gateway.
-	Report    jsonc.Duration `json:"report"`
-	Hop       jsonc.Duration `json:"hop"`
-	ClientHop jsonc.Duration `json:"client_hop"`
+	ReportInterval jsonc.Duration `json:"report"`
+	Hop            jsonc.Duration `json:"hop"`
+	ClientHop      jsonc.Duration `json:"client_hop"`
 	// Wave is the part by which traffic swings within WavePeriod.
-	Wave       float64        `json:"wave"`
-	WavePeriod jsonc.Duration `json:"wave_period"`
+	RateSwing   float64        `json:"wave"`
+	SwingPeriod jsonc.Duration `json:"wave_period"`
 	// OwnerLost is how long the keys of a silent owner stay without one, OwnerGone of
 	// one that refuses connections.
-	OwnerLost jsonc.Duration `json:"owner_lost"`
-	OwnerGone jsonc.Duration `json:"owner_gone"`
+	SilentOwnerTimeout   jsonc.Duration `json:"owner_lost"`
+	RefusingOwnerTimeout jsonc.Duration `json:"owner_gone"`
 	// RetryShare and RetryAllowance bound second tries, in RetryWindow.
 	RetryShare     float64        `json:"retry_share"`
 	RetryAllowance float64        `json:"retry_allowance"`
 	RetryWindow    jsonc.Duration `json:"retry_window"`
 	Services       []Service      `json:"services"`
 	Routes         []Route        `json:"routes"`
-	Troubles       []Trouble      `json:"troubles"`
+	Disturbances   []Disturbance  `json:"troubles"`
 	// Off are mechanisms of the decisions that are switched off.
-	Off dispatch.Mechanisms `json:"off"`
+	Disabled dispatch.Mechanisms `json:"off"`
 }
 
 // Default times of a scenario; a file names what differs.
 const (
-	defaultLength     = 40 * time.Second
-	defaultReport     = 250 * time.Millisecond
-	defaultHop        = 500 * time.Microsecond
-	defaultClientHop  = 8 * time.Millisecond
-	defaultWavePeriod = 11 * time.Second
-	defaultOwnerLost  = 4500 * time.Millisecond
-	defaultOwnerGone  = 1200 * time.Millisecond
-	defaultWindow     = 10 * time.Second
+	defaultLength               = 40 * time.Second
+	defaultReportInterval       = 250 * time.Millisecond
+	defaultHop                  = 500 * time.Microsecond
+	defaultClientHop            = 8 * time.Millisecond
+	defaultSwingPeriod          = 11 * time.Second
+	defaultSilentOwnerTimeout   = 4500 * time.Millisecond
+	defaultRefusingOwnerTimeout = 1200 * time.Millisecond
+	defaultRetryWindow          = 10 * time.Second
 )
 
 // DefaultScenario returns the defaults.
 func DefaultScenario() Scenario {
 	return Scenario{
-		Length: jsonc.Duration(defaultLength), Report: jsonc.Duration(defaultReport),
+		Length: jsonc.Duration(defaultLength), ReportInterval: jsonc.Duration(defaultReportInterval),
 		Hop: jsonc.Duration(defaultHop), ClientHop: jsonc.Duration(defaultClientHop),
-		WavePeriod: jsonc.Duration(defaultWavePeriod),
-		OwnerLost:  jsonc.Duration(defaultOwnerLost), OwnerGone: jsonc.Duration(defaultOwnerGone),
-		RetryShare: 0.2, RetryAllowance: 64, RetryWindow: jsonc.Duration(defaultWindow),
+		SwingPeriod:        jsonc.Duration(defaultSwingPeriod),
+		SilentOwnerTimeout: jsonc.Duration(defaultSilentOwnerTimeout), RefusingOwnerTimeout: jsonc.Duration(defaultRefusingOwnerTimeout),
+		RetryShare: 0.2, RetryAllowance: 64, RetryWindow: jsonc.Duration(defaultRetryWindow),
 	}
 }
 
@@ -188,11 +188,11 @@
 	add(s.Name == "", "name", "is required")
 	add(s.Length <= 0, "length", "must be positive")
 	add(s.Gateways <= 0, "gateways", "must be positive")
-	add(s.Report <= 0, "report", "must be positive")
+	add(s.ReportInterval <= 0, "report", "must be positive")
 	add(s.Hop < 0, "hop", "must not be negative")
 	add(s.ClientHop < 0, "client_hop", "must not be negative")
-	add(s.Wave < 0 || s.Wave >= 1, "wave", "must lie between 0 and 1")
-	add(s.WavePeriod <= 0, "wave_period", "must be positive")
+	add(s.RateSwing < 0 || s.RateSwing >= 1, "wave", "must lie between 0 and 1")
+	add(s.SwingPeriod <= 0, "wave_period", "must be positive")
 	add(s.RetryShare < 0, "retry_share", "must not be negative")
 	add(s.RetryAllowance < 0, "retry_allowance", "must not be negative")
 	add(s.RetryWindow <= 0, "retry_window", "must be positive")
@@ -210,19 +210,19 @@
 		add(!services[one.Service], fmt.Sprintf("routes[%d].service", i), "is not among the services")
 		total += one.Rate * time.Duration(s.Length).Seconds()
 	}
-	for i, one := range s.Troubles {
+	for i, one := range s.Disturbances {
 		one.check(fmt.Sprintf("troubles[%d].", i), services, routes, add)
-		if one.Kind == Burst && one.Factor > 1 {
-			total *= 1 + (one.Factor-1)*one.For.D().Seconds()/max(s.Length.D().Seconds(), 1)
+		if one.Kind == TrafficBurst && one.Factor > 1 {
+			total *= 1 + (one.Factor-1)*one.Duration.D().Seconds()/max(s.Length.D().Seconds(), 1)
 		}
 	}
 	add(total > maxRequests || math.IsNaN(total), "routes", fmt.Sprintf("make %.0f requests, at most %d can be played", total, maxRequests))
 	return out
 }
 
-type addFinding func(bad bool, path, message string)
+type addDiagnostic func(bad bool, path, message string)
 
-func (s *Service) check(path string, add addFinding) {
+func (s *Service) check(path string, add addDiagnostic) {
 	add(s.Name == "", path+"name", "is required")
 	add(s.Upstreams <= 0, path+"upstreams", "must be positive")
 	add(s.Slots <= 0, path+"slots", "must be positive")
@@ -232,17 +232,17 @@
 		add(speed <= 0, path+"speeds", "must be positive")
 	}
 	add(s.ColdFactor < 0, path+"cold_factor", "must not be negative")
-	add(s.Breaks < 0 || s.StartBound < 0, path+"breaks", "and start_bound must not be negative")
+	add(s.MaxWarmUpRate < 0 || s.WarmUpRateLimit < 0, path+"breaks", "and start_bound must not be negative")
 	add(s.WarmUp > 0 && s.WarmUpFactor <= 0, path+"warm_up_factor", "must be positive")
 	add(s.NoiseShare < 0 || s.NoiseShare > 1, path+"noise_share", "must lie between 0 and 1")
 	add(s.NoiseShare > 0 && s.NoiseFactor <= 0, path+"noise_factor", "must be positive")
 	add(s.NoiseShare > 0 && s.NoiseEvery <= 0, path+"noise_every", "must be positive")
 }
 
-func (r *Route) check(path string, add addFinding) {
+func (r *Route) check(path string, add addDiagnostic) {
 	add(r.Name == "", path+"name", "is required")
 	add(r.Rate < 0, path+"rate", "must not be negative")
-	add(r.Work <= 0, path+"work", "must be positive")
+	add(r.WorkTime <= 0, path+"work", "must be positive")
 	add(r.Spread < 0, path+"spread", "must not be negative")
 	add(r.Tail < 0 || r.Tail > 1, path+"tail", "must lie between 0 and 1")
 	add(r.Objective <= 0, path+"objective", "must be positive")
@@ -255,25 +255,25 @@
 	add(r.Skew < 0, path+"skew", "must not be negative")
 }
 
-func (t *Trouble) check(path string, services, routes map[string]bool, add addFinding) {
-	add(t.At < 0, path+"at", "must not be negative")
-	add(t.For < 0, path+"for", "must not be negative")
+func (t *Disturbance) check(path string, services, routes map[string]bool, add addDiagnostic) {
+	add(t.Start < 0, path+"at", "must not be negative")
+	add(t.Duration < 0, path+"for", "must not be negative")
 	add(t.Share < 0 || t.Share > 1, path+"share", "must lie between 0 and 1")
 	switch t.Kind {
-	case Burst:
+	case TrafficBurst:
 		add(t.Factor <= 0, path+"factor", "must be positive")
 	case HotKey:
 		add(!routes[t.Route], path+"route", "is not among the routes")
 		add(t.Count < 0 || t.Count > spans.MaxKey, path+"count", "must lie between 0 and the largest key")
-	case ColdReturn:
+	case ColdRestart:
 		add(!services[t.Service], path+"service", "is not among the services")
-		add(t.Count < 0 || t.Count >= domains, path+"count", "is no failure domain")
-	case Slow, Need:
+		add(t.Count < 0 || t.Count >= failureDomains, path+"count", "is no failure domain")
+	case Slowdown, NamedLimits:
 		add(t.Factor <= 0, path+"factor", "must be positive")
 		add(!services[t.Service], path+"service", "is not among the services")
-	case Dark, Gone, Drain:
+	case Silent, Refusing, Draining:
 		add(!services[t.Service], path+"service", "is not among the services")
-	case GatewayLost:
+	case GatewayFailure:
 	default:
 		add(true, path+"kind", "is not known")
 	}
--- a/bench/lab/upstream.go
+++ b/bench/lab/upstream.go
@@ -53,19 +53,19 @@
 }
 
 // domains is the number of failure domains of every scenario.
-const domains = 4
+const failureDomains = 4
 
 func newUpstream(sim *simulation, s *Service, i int) *upstream {
 	speed := 1.0
 	if len(s.Speeds) > 0 {
 		// Each failure domain gets all speeds.
-		speed = s.Speeds[(i/domains+i)%len(s.Speeds)]
+		speed = s.Speeds[(i/failureDomains+i)%len(s.Speeds)]
 	}
 	u := &upstream{
 		sim: sim, service: s, speed: speed, slower: 1, noise: 1,
 		one: instances.Instance{
 			ID: fmt.Sprintf("%s-%d", s.Name, i), Service: s.Name, Slots: s.Slots,
-			Domain: domainName(i % domains),
+			Domain: domainName(i % failureDomains),
 		},
 	}
 	if s.NoiseShare > 0 {
@@ -86,7 +86,7 @@
 
 // load is what the upstream tells with an answer, or nil.
 func (u *upstream) load() *instances.Load {
-	if !u.service.TellsLoad {
+	if !u.service.ReportsLoad {
 		return nil
 	}
 	return &instances.Load{Running: len(u.running), Waiting: len(u.queue), Slots: u.service.Slots, Slowness: u.noise / u.speed}
--- a/bench/lab/warmup.go
+++ b/bench/lab/warmup.go
@@ -40,11 +40,11 @@
 // breaks notes a request to an upstream that warms up, and reports whether it is one too
 // many: then the upstream falls, and starts again later.
 func (u *upstream) breaks() bool {
-	if !u.warming() || u.service.Breaks == 0 {
+	if !u.warming() || u.service.MaxWarmUpRate == 0 {
 		return false
 	}
 	u.lately = append(slices.DeleteFunc(u.lately, func(at time.Duration) bool { return u.sim.elapsed-at >= time.Second }), u.sim.elapsed)
-	if len(u.lately) <= u.service.Breaks {
+	if len(u.lately) <= u.service.MaxWarmUpRate {
 		return false
 	}
 	u.sim.tally.fell++
@@ -54,14 +54,14 @@
 }
 
 // coldReturn lets the upstreams of a failure domain end, and start again together.
-func (sim *simulation) coldRestart(t *Trouble) {
+func (sim *simulation) coldRestart(t *Disturbance) {
 	for _, u := range sim.upstreams[t.Service] {
 		if u.one.Domain != domainName(t.Count) {
 			continue
 		}
 		u.lose(true)
 		sim.after(lapse, func() { sim.policy.changed(u.service) })
-		sim.after(t.For.D(), u.start)
+		sim.after(t.Duration.D(), u.start)
 	}
 }
 
@@ -72,7 +72,7 @@
 func (c *controller) rights(gateway int) map[string]time.Time {
 	var warming []warmup.Upstream
 	for _, u := range c.sim.allUpstreams {
-		if u.warming() && !u.gone && u.service.StartBound > 0 && !u.service.Keyed {
+		if u.warming() && !u.gone && u.service.WarmUpRateLimit > 0 && !u.service.Keyed {
 			warming = append(warming, warmup.Upstream{
 				ID: u.one.ID, Incarnation: u.one.Incarnation(), Service: u.service.Name, Domain: u.one.Domain,
 			})
@@ -84,7 +84,7 @@
 	var gateways []warmup.Gateway
 	for i := range c.sim.sc.Gateways {
 		if !c.sim.gatewayDown[i] {
-			gateways = append(gateways, warmup.Gateway{Node: gatewayName(i), Domain: domainName(i % domains)})
+			gateways = append(gateways, warmup.Gateway{Node: gatewayName(i), Domain: domainName(i % failureDomains)})
 		}
 	}
 	out := make(map[string]time.Time)
--- a/bench/lab/warmup_test.go
+++ b/bench/lab/warmup_test.go
@@ -28,12 +28,12 @@
 		t.Fatal(err)
 	}
 	hit, unbounded := *calm, *calm
-	calm.Troubles = nil
+	calm.Disturbances = nil
 	unbounded.Services = append([]Service(nil), calm.Services...)
 	for i := range unbounded.Services {
-		unbounded.Services[i].StartBound = 0
+		unbounded.Services[i].WarmUpRateLimit = 0
 	}
-	back := hit.Troubles[0].At.D() + hit.Troubles[0].For.D() + hit.Services[0].WarmUp.D()
+	back := hit.Disturbances[0].Start.D() + hit.Disturbances[0].Duration.D() + hit.Services[0].WarmUp.D()
 	from := int(back/time.Second) + 1
 	played := SimulateAll([]Job{{calm, Product, seed}, {&hit, Product, seed}, {&unbounded, Product, seed}})
 	without, with, flooded := played[0], played[1], played[2]
@@ -60,7 +60,7 @@
 	untold := *told
 	untold.Services = append([]Service(nil), told.Services...)
 	for i := range untold.Services {
-		untold.Services[i].TellsLoad = false
+		untold.Services[i].ReportsLoad = false
 	}
 	played := SimulateAll([]Job{{told, Product, seed}, {&untold, Product, seed}})
 	with, without := played[0], played[1]
--- a/bench/lab/world.go
+++ b/bench/lab/world.go
@@ -84,7 +84,7 @@
 // prepare works out the distributions of a route.
 func (sim *simulation) prepareRoute(r *Route) {
 	// The mean of a lognormal distribution is exp(mu + sigma^2/2).
-	mean := r.Work.D().Seconds() / (1 + r.Tail*max(r.TailFactor-1, 0))
+	mean := r.WorkTime.D().Seconds() / (1 + r.Tail*max(r.TailFactor-1, 0))
 	sim.workTimes[r.Name] = distuv.LogNormal{Mu: math.Log(mean) - r.Spread*r.Spread/2, Sigma: r.Spread, Src: sim.rng}
 	sum := 0.0
 	var cumulative []float64
@@ -109,7 +109,7 @@
 	sum, rate := 0.0, 0.0
 	for _, r := range sim.sc.Routes {
 		if r.Service == s.Name {
-			sum, rate = sum+r.Work.D().Seconds()*r.Rate, rate+r.Rate
+			sum, rate = sum+r.WorkTime.D().Seconds()*r.Rate, rate+r.Rate
 		}
 	}
 	return sum / max(rate, 1)
@@ -130,11 +130,11 @@
 
 // hotKey returns a key that a trouble has made hot, for its share of requests.
 func (sim *simulation) hotKey(r *Route) (uint16, bool) {
-	for i := range sim.sc.Troubles {
-		t := &sim.sc.Troubles[i]
+	for i := range sim.sc.Disturbances {
+		t := &sim.sc.Disturbances[i]
 		if t.Kind == HotKey && t.Route == r.Name && sim.active(t) && sim.rng.Float64() < t.Share {
 			// Far apart, and the same in every run of a seed.
-			hot := sim.firstKey + uint16((i+1)*hotDistance)
+			hot := sim.firstKey + uint16((i+1)*hotKeyDistance)
 			if t.Count > 1 {
 				hot += uint16(sim.rng.IntN(t.Count))
 			}
@@ -145,10 +145,10 @@
 }
 
 // hotDistance keeps hot keys apart from the busy ones and from each other.
-const hotDistance = 9973
+const hotKeyDistance = 9973
 
-func (sim *simulation) active(t *Trouble) bool {
-	return sim.elapsed >= t.At.D() && sim.elapsed < t.At.D()+t.For.D()
+func (sim *simulation) active(t *Disturbance) bool {
+	return sim.elapsed >= t.Start.D() && sim.elapsed < t.Start.D()+t.Duration.D()
 }
 
 func (sim *simulation) hopDelay() time.Duration { return sim.sc.Hop.D() }
@@ -180,10 +180,10 @@
 
 // rate is the present rate of a route in requests a second.
 func (sim *simulation) rate(r *Route) float64 {
-	rate := r.Rate * (1 + sim.sc.Wave*math.Sin(2*math.Pi*sim.elapsed.Seconds()/sim.sc.WavePeriod.D().Seconds()))
-	for i := range sim.sc.Troubles {
-		t := &sim.sc.Troubles[i]
-		if t.Kind == Burst && (t.Route == "" || t.Route == r.Name) && sim.active(t) {
+	rate := r.Rate * (1 + sim.sc.RateSwing*math.Sin(2*math.Pi*sim.elapsed.Seconds()/sim.sc.SwingPeriod.D().Seconds()))
+	for i := range sim.sc.Disturbances {
+		t := &sim.sc.Disturbances[i]
+		if t.Kind == TrafficBurst && (t.Route == "" || t.Route == r.Name) && sim.active(t) {
 			rate *= t.Factor
 		}
 	}
@@ -195,9 +195,9 @@
 	for i := range sim.sc.Routes {
 		sim.generateCalls(&sim.sc.Routes[i])
 	}
-	for i := range sim.sc.Troubles {
-		t := &sim.sc.Troubles[i]
-		sim.after(t.At.D(), func() { sim.startDisturbance(t) })
+	for i := range sim.sc.Disturbances {
+		t := &sim.sc.Disturbances[i]
+		sim.after(t.Start.D(), func() { sim.startDisturbance(t) })
 	}
 	sim.after(planInterval, sim.controller.plan)
 	longest := time.Duration(0)
@@ -208,27 +208,27 @@
 }
 
 // begin lets a trouble begin, and end when its time is over.
-func (sim *simulation) startDisturbance(t *Trouble) {
+func (sim *simulation) startDisturbance(t *Disturbance) {
 	switch t.Kind {
-	case Dark, Gone, Slow, Drain:
+	case Silent, Refusing, Slowdown, Draining:
 		for _, u := range sim.pickUpstreams(t) {
 			sim.disturb(t, u)
 		}
-	case ColdReturn:
+	case ColdRestart:
 		sim.coldRestart(t)
-	case Need:
+	case NamedLimits:
 		sim.startNamedLimits(t)
-	case GatewayLost:
+	case GatewayFailure:
 		for _, g := range sim.rng.Perm(sim.sc.Gateways)[:int(t.Share*float64(sim.sc.Gateways))] {
 			sim.gatewayDown[g] = true
 			sim.policy.gatewayLost(g)
-			sim.after(t.For.D(), func() { sim.gatewayDown[g] = false })
+			sim.after(t.Duration.D(), func() { sim.gatewayDown[g] = false })
 		}
 	}
 }
 
 // some draws the upstreams that a trouble hits.
-func (sim *simulation) pickUpstreams(t *Trouble) []*upstream {
+func (sim *simulation) pickUpstreams(t *Disturbance) []*upstream {
 	all := sim.upstreams[t.Service]
 	var out []*upstream
 	for _, i := range sim.rng.Perm(len(all))[:int(math.Ceil(t.Share*float64(len(all))))] {
@@ -237,20 +237,20 @@
 	return out
 }
 
-func (sim *simulation) disturb(t *Trouble, u *upstream) {
+func (sim *simulation) disturb(t *Disturbance, u *upstream) {
 	news := func() { sim.policy.changed(u.service) }
 	switch t.Kind {
-	case Slow:
+	case Slowdown:
 		u.slower = t.Factor
-		sim.after(t.For.D(), func() { u.slower = 1 })
-	case Drain:
+		sim.after(t.Duration.D(), func() { u.slower = 1 })
+	case Draining:
 		u.leaving = true
 		sim.after(sim.hopDelay(), news)
 	default:
-		u.lose(t.Kind == Gone)
+		u.lose(t.Kind == Refusing)
 		sim.after(suspectAfter, func() { u.suspectedLost = u.dark || u.gone })
 		sim.after(lapse, news)
-		sim.after(t.For.D(), func() {
+		sim.after(t.Duration.D(), func() {
 			u.back()
 			sim.after(sim.hopDelay(), news)
 		})
