--- a/bench/lab/control.go
+++ b/bench/lab/control.go
@@ -99,20 +99,20 @@
 func (c *controller) owners(s *Service) []ownership.Owner {
 	var out []ownership.Owner
 	for _, u := range c.sim.upstreams[s.Name] {
-		lost := (u.dark || u.gone) && c.sim.elapsed-u.lostAt >= lapse
+		lost := (u.silent || u.refusing) && c.sim.elapsed-u.failedAt >= lapse
 		if lost {
 			continue
 		}
 		work := c.workAt(u)
 		keeps := !u.leaving && !u.suspectedLost
-		out = append(out, ownership.Owner{ID: u.one.ID, Capacity: c.capacity(u, float64(s.Slots)/work), MayKeep: keeps, Usable: keeps && !u.dark && !u.gone})
+		out = append(out, ownership.Owner{ID: u.instance.ID, Capacity: c.capacity(u, float64(s.Slots)/work), MayKeep: keeps, Usable: keeps && !u.silent && !u.refusing})
 	}
 	return out
 }
 
 // capacity is how many requests a second the upstream can run, as far as it takes them.
 func (c *controller) capacity(u *upstream, rate float64) float64 {
-	if limit, ok := c.limits.Of(u.one.ID, 0); ok && !c.sim.sc.Disabled.NoNamedLimits {
+	if limit, ok := c.limits.Of(u.instance.ID, 0); ok && !c.sim.sc.Disabled.NoNamedLimits {
 		return min(rate, quota.TargetUtilization*limit)
 	}
 	return rate
@@ -122,9 +122,9 @@
 // the policy that knows everything.
 func (c *controller) workAt(u *upstream) float64 {
 	if c.sim.plansWithTrueSpeeds {
-		return c.sim.meanWork(u.service) / u.pace()
+		return c.sim.meanWork(u.service) / u.currentSpeed()
 	}
-	if work := c.work[u.service.Name].Mean(u.one.ID); work > 0 {
+	if work := c.work[u.service.Name].Mean(u.instance.ID); work > 0 {
 		return work.Seconds()
 	}
 	return 1.0 / firstRate
@@ -137,7 +137,7 @@
 	}
 	// In a fixed order: sums of work times depend on it.
 	for _, u := range c.sim.allUpstreams {
-		id := u.one.ID
+		id := u.instance.ID
 		if r, ok := loads[id]; ok {
 			c.total[id] = report{inflight: c.total[id].inflight + r.inflight}
 			c.work[u.service.Name].Add(id, r.runs)
@@ -168,8 +168,8 @@
 func (c *controller) works() map[string]worktime.Estimate {
 	out := make(map[string]worktime.Estimate, len(c.sim.allUpstreams))
 	for _, u := range c.sim.allUpstreams {
-		if one := c.work[u.service.Name].Estimate(u.one.ID); one.Work > 0 {
-			out[u.one.ID] = one
+		if one := c.work[u.service.Name].Estimate(u.instance.ID); one.Work > 0 {
+			out[u.instance.ID] = one
 		}
 	}
 	return out
@@ -224,7 +224,7 @@
 	c.sim.tally.plans++
 	for _, one := range next.Spans {
 		if one.Moving() && !before.Find(one.First).Moving() {
-			c.sim.tally.moved += one.Count()
+			c.sim.tally.movedKeys += one.Count()
 			c.sim.after(moveCall, func() { c.move(s, one) })
 		}
 	}
@@ -234,12 +234,12 @@
 // has, and gives them to the next owner.
 func (c *controller) move(s *Service, one spans.Span) {
 	owner := c.sim.upstreamByID[one.Owner]
-	lost := owner != nil && (owner.dark || owner.gone || owner.suspectedLost)
+	lost := owner != nil && (owner.silent || owner.refusing || owner.suspectedLost)
 	switch {
-	case owner != nil && lost && c.sim.elapsed-owner.lostAt < c.holdOf(owner):
+	case owner != nil && lost && c.sim.elapsed-owner.failedAt < c.holdOf(owner):
 		c.sim.after(moveLook, func() { c.move(s, one) })
 		return
-	case owner != nil && !lost && owner.busyWith(one.Keys):
+	case owner != nil && !lost && owner.isRunningAny(one.Keys):
 		c.sim.after(moveLook, func() { c.move(s, one) })
 		return
 	}
@@ -272,7 +272,7 @@
 }
 
 func (c *controller) holdOf(u *upstream) time.Duration {
-	if u.gone {
+	if u.refusing {
 		return c.sim.sc.RefusingOwnerTimeout.D()
 	}
 	return c.sim.sc.SilentOwnerTimeout.D()
@@ -302,10 +302,10 @@
 func (c *controller) known(s *Service) []*instances.Instance {
 	var out []*instances.Instance
 	for _, u := range c.sim.upstreams[s.Name] {
-		if (u.dark || u.gone) && c.sim.elapsed-u.lostAt >= lapse {
+		if (u.silent || u.refusing) && c.sim.elapsed-u.failedAt >= lapse {
 			continue
 		}
-		one := u.one
+		one := u.instance
 		one.Leaving = u.leaving
 		out = append(out, &one)
 	}
--- a/bench/lab/delivery.go
+++ b/bench/lab/delivery.go
@@ -55,8 +55,8 @@
 		if !f.ended {
 			f.ended = true
 			d.service.Done(d.sim.now(), f.grant, o)
-			at := f.run.at
-			d.sim.after(d.sim.hopDelay(), func() { at.abandon(f.run) })
+			at := f.run.upstream
+			d.sim.after(d.sim.hopDelay(), func() { at.cancel(f.run) })
 		}
 	}
 }
@@ -226,11 +226,11 @@
 
 // send makes one try at an upstream.
 func (d *delivery) send(g dispatch.Grant) {
-	f := &flight{grant: g, run: &run{call: d.try.call, at: d.sim.upstreamByID[g.Instance.ID]}}
+	f := &flight{grant: g, run: &run{call: d.try.call, upstream: d.sim.upstreamByID[g.Instance.ID]}}
 	f.run.reply = func(o dispatch.Outcome) { d.replied(f, o) }
 	d.flights = append(d.flights, f)
 	d.count(g)
-	d.sim.after(d.sim.hopDelay(), func() { f.run.at.arrive(f.run) })
+	d.sim.after(d.sim.hopDelay(), func() { f.run.upstream.receive(f.run) })
 	if d.hedged || !d.route.Idempotent || d.arrivals+d.running() >= d.route.Attempts {
 		return
 	}
@@ -253,7 +253,7 @@
 	}
 	d.sim.tally.sent++
 	if g.Instance.Domain != domainName(d.index%failureDomains) {
-		d.sim.tally.crossed++
+		d.sim.tally.crossDomain++
 	}
 }
 
@@ -263,8 +263,8 @@
 		return
 	}
 	f.ended = true
-	if o == dispatch.Answered || f.run.limited {
-		d.hears(f.run.at, f.grant.GrantedAt, f.run.limit, f.run.limited)
+	if o == dispatch.Answered || f.run.limitNamed {
+		d.hears(f.run.upstream, f.grant.GrantedAt, f.run.limit, f.run.limitNamed)
 	}
 	if f.run.load != nil {
 		d.service.ApplyLoad(d.sim.now(), f.grant, *f.run.load)
--- a/bench/lab/ideal.go
+++ b/bench/lab/ideal.go
@@ -56,7 +56,7 @@
 	for i := range p.sim.sc.Services {
 		s := &p.sim.sc.Services[i]
 		for _, u := range p.sim.upstreams[s.Name] {
-			if u.dark || u.gone {
+			if u.silent || u.refusing {
 				p.reclaim(u)
 			}
 			if len(p.queues[p.queueOf(u)]) > 0 {
@@ -83,7 +83,7 @@
 
 func (p *ideal) queueOf(u *upstream) string {
 	if u.service.Keyed {
-		return u.one.ID
+		return u.instance.ID
 	}
 	return u.service.Name
 }
@@ -94,7 +94,7 @@
 	if table := p.sim.controller.tables[name]; table != nil {
 		span := table.Find(one.try.call.key)
 		name = span.Owner
-		if u := p.sim.upstreamByID[span.Owner]; span.Moving() || u == nil || u.dark || u.gone {
+		if u := p.sim.upstreamByID[span.Owner]; span.Moving() || u == nil || u.silent || u.refusing {
 			name = homeless
 		}
 	}
@@ -127,7 +127,7 @@
 func (p *ideal) fastestFree(name string) *upstream {
 	var best *upstream
 	for _, u := range p.sim.upstreams[name] {
-		if p.free(u) && (best == nil || u.pace() > best.pace()) {
+		if p.free(u) && (best == nil || u.currentSpeed() > best.currentSpeed()) {
 			best = u
 		}
 	}
@@ -135,11 +135,11 @@
 }
 
 func (p *ideal) free(u *upstream) bool {
-	return !u.dark && !u.gone && !u.leaving && !(u.warming() && u.service.MaxWarmUpRate > 0) && len(p.sent[u]) < u.service.Slots
+	return !u.silent && !u.refusing && !u.leaving && !(u.isWarmingUp() && u.service.MaxWarmUpRate > 0) && len(p.sent[u]) < u.service.Slots
 }
 
 // pace is the present speed of an upstream.
-func (u *upstream) pace() float64 { return u.speed / u.slower }
+func (u *upstream) currentSpeed() float64 { return u.speed / u.slowdown }
 
 // fill gives a free upstream what it should run next.
 func (p *ideal) fill(u *upstream) {
@@ -161,7 +161,7 @@
 	for _, one := range p.queues[name] {
 		switch {
 		case one.gone || one.try.ended:
-		case u.service.Keyed && !u.holds(one.try.call.key):
+		case u.service.Keyed && !u.owns(one.try.call.key):
 			moved = append(moved, one)
 		default:
 			if best < 0 || p.before(u, one, kept[best]) {
@@ -197,12 +197,12 @@
 
 func (p *ideal) canBeOnTime(u *upstream, one *idealRun) bool {
 	c := one.try.call
-	took := time.Duration(c.route.WorkTime.D().Seconds() / u.pace() * float64(time.Second))
+	took := time.Duration(c.route.WorkTime.D().Seconds() / u.currentSpeed() * float64(time.Second))
 	return p.sim.elapsed+took+2*p.sim.hopDelay()+p.sim.sc.ClientHop.D() <= c.began+c.route.Objective.D()
 }
 
 func (p *ideal) send(u *upstream, one *idealRun) {
-	r := &run{call: one.try.call, at: u}
+	r := &run{call: one.try.call, upstream: u}
 	one.run = r
 	p.sent[u] = append(p.sent[u], one)
 	r.reply = func(o dispatch.Outcome) {
@@ -218,7 +218,7 @@
 		}
 		p.fill(u)
 	}
-	p.sim.after(p.sim.hopDelay(), func() { u.arrive(r) })
+	p.sim.after(p.sim.hopDelay(), func() { u.receive(r) })
 }
 
 // drop takes a request off those sent to an upstream.
@@ -230,9 +230,9 @@
 func (p *ideal) ended(one *idealRun) {
 	r := one.run
 	one.run = nil
-	p.drop(r.at, one)
+	p.drop(r.upstream, one)
 	p.sim.after(p.sim.hopDelay(), func() {
-		r.at.abandon(r)
-		p.fill(r.at)
+		r.upstream.cancel(r)
+		p.fill(r.upstream)
 	})
 }
--- a/bench/lab/limits.go
+++ b/bench/lab/limits.go
@@ -16,51 +16,51 @@
 	// limitWindow is the time over which arrivals are counted against the limit, limitSettles the
 	// time after it was first named from which they are; limitSlack and limitExtra are how many
 	// times the limit, and how many requests more, may come.
-	limitWindow  = 4 * time.Second
-	limitSettles = 3 * time.Second
-	limitSlack   = 1.5
-	limitExtra   = 5
+	limitWindow        = 4 * time.Second
+	limitSettleTime    = 3 * time.Second
+	limitTolerance     = 1.5
+	limitExtraRequests = 5
 	// limitedFrom is the time over which an upstream counts what it gets when it names a limit.
-	limitedFrom = time.Second
+	limitRateWindow = time.Second
 )
 
 // need is what an upstream in need names.
-type need struct {
+type namedLimit struct {
 	perSecond float64
 	since     time.Duration
 }
 
 // inNeed lets the upstream name a part of what it gets as its limit for a while.
-func (u *upstream) inNeed(part float64, length time.Duration) {
-	got := 0
+func (u *upstream) nameLimit(share float64, length time.Duration) {
+	received := 0
 	for _, at := range u.arrivals {
-		if u.sim.elapsed-at < limitedFrom {
-			got++
+		if u.sim.elapsed-at < limitRateWindow {
+			received++
 		}
 	}
-	u.need = &need{perSecond: max(1, part*float64(got)/limitedFrom.Seconds()), since: u.sim.elapsed}
-	u.sim.after(length, func() { u.need = nil })
+	u.limit = &namedLimit{perSecond: max(1, share*float64(received)/limitRateWindow.Seconds()), since: u.sim.elapsed}
+	u.sim.after(length, func() { u.limit = nil })
 }
 
 // noteArrival counts a request, and whether it is one too many for the limit. What came just
 // before the limit was named counts: it is in the queue.
-func (u *upstream) noteArrival() {
+func (u *upstream) recordArrival() {
 	u.arrivals = append(slices.DeleteFunc(u.arrivals, func(at time.Duration) bool { return u.sim.elapsed-at >= limitWindow }), u.sim.elapsed)
-	if u.need == nil || u.sim.elapsed-u.need.since < limitSettles {
+	if u.limit == nil || u.sim.elapsed-u.limit.since < limitSettleTime {
 		return
 	}
-	most := limitSlack*u.need.perSecond*limitWindow.Seconds() + limitExtra
-	if over := float64(len(u.arrivals)) / most; over > u.sim.tally.overLimit {
-		u.sim.tally.overLimit = over
+	allowed := limitTolerance*u.limit.perSecond*limitWindow.Seconds() + limitExtraRequests
+	if over := float64(len(u.arrivals)) / allowed; over > u.sim.tally.peakOverLimit {
+		u.sim.tally.peakOverLimit = over
 	}
 }
 
 // named is the limit that the upstream names now.
-func (u *upstream) named() (perSecond float64, ok bool) {
-	if u.need == nil {
+func (u *upstream) currentLimit() (perSecond float64, ok bool) {
+	if u.limit == nil {
 		return 0, false
 	}
-	return u.need.perSecond, true
+	return u.limit.perSecond, true
 }
 
 // hears lets a gateway hear from an answer to a request that was sent at a time what the
@@ -68,9 +68,9 @@
 func (g *gateway) hears(u *upstream, sent time.Time, perSecond float64, named bool) {
 	changed := false
 	if named {
-		changed = g.limits.Note(limits.Limit{Upstream: u.one.ID, PerSecond: perSecond, At: g.sim.now()})
+		changed = g.limits.Note(limits.Limit{Upstream: u.instance.ID, PerSecond: perSecond, At: g.sim.now()})
 	} else {
-		changed = g.limits.Unnamed(u.one.ID, 0, sent, g.sim.now())
+		changed = g.limits.Unnamed(u.instance.ID, 0, sent, g.sim.now())
 	}
 	if changed {
 		g.setLimits()
@@ -151,6 +151,6 @@
 	rng := rand.New(rand.NewPCG(uint64(t.Start), uint64(len(sim.allUpstreams))))
 	all := sim.upstreams[t.Service]
 	for _, i := range rng.Perm(len(all))[:int(t.Share*float64(len(all)))] {
-		all[i].inNeed(t.Factor, t.Duration.D())
+		all[i].nameLimit(t.Factor, t.Duration.D())
 	}
 }
--- a/bench/lab/limits_test.go
+++ b/bench/lab/limits_test.go
@@ -23,14 +23,14 @@
 			for seed := uint64(1); seed <= 2; seed++ {
 				played := SimulateAll([]Job{{&calm, Product, seed}, {hit, Product, seed}, {&unread, Product, seed}})
 				without, with, flooded := played[0], played[1], played[2]
-				if with.OverLimit > 1 {
-					t.Errorf("seed %d: an upstream got %.2f times what it may", seed, with.OverLimit)
+				if with.PeakOverLimit > 1 {
+					t.Errorf("seed %d: an upstream got %.2f times what it may", seed, with.PeakOverLimit)
 				}
 				if with.Worth < without.Worth-0.01 {
 					t.Errorf("seed %d: worth %.3f, %.3f without the trouble", seed, with.Worth, without.Worth)
 				}
-				if flooded.OverLimit < 2 {
-					t.Errorf("seed %d: %.2f times what it may when nobody reads the limits: the scenario does not show the fault", seed, flooded.OverLimit)
+				if flooded.PeakOverLimit < 2 {
+					t.Errorf("seed %d: %.2f times what it may when nobody reads the limits: the scenario does not show the fault", seed, flooded.PeakOverLimit)
 				}
 			}
 		})
--- a/bench/lab/load_test.go
+++ b/bench/lab/load_test.go
@@ -36,8 +36,8 @@
 // cannot queue, hardly any request meets a full one. (177 before, of some 36,000.)
 func TestFullUpstreamsAreRare(t *testing.T) {
 	r := Simulate(find(t, "hot-key"), Product, 1)
-	if r.Full > 20 {
-		t.Errorf("%d requests met an upstream without room", r.Full)
+	if r.FullUpstream > 20 {
+		t.Errorf("%d requests met an upstream without room", r.FullUpstream)
 	}
 }
 
@@ -54,8 +54,8 @@
 	if reads := r.Routes[0]; reads.Failed > 0.03 {
 		t.Errorf("%.3f of the calls failed", reads.Failed)
 	}
-	if r.Full > 4000 {
-		t.Errorf("%d requests met an owner without room", r.Full)
+	if r.FullUpstream > 4000 {
+		t.Errorf("%d requests met an owner without room", r.FullUpstream)
 	}
 }
 
--- a/bench/lab/page.go
+++ b/bench/lab/page.go
@@ -64,7 +64,7 @@
 <h1>{{len .}} runs</h1>
 {{range .}}<h2>{{.Scenario}}, {{.Policy}}, seed {{.Seed}}: worth {{printf "%.3f" .Worth}}</h2>
 <table><tr><th>route<th>asked<th>on time<th>late<th>refused<th>failed<th>p50 ms<th>p99 ms<th>worth</tr>
-{{range .Routes}}<tr><td>{{.Route}}<td>{{.Asked}}<td>{{printf "%.3f" .OnTime}}<td>{{printf "%.3f" .Late}}<td>{{printf "%.3f" .Refused}}<td>{{printf "%.3f" .Failed}}<td>{{printf "%.0f" .P50Ms}}<td>{{printf "%.0f" .P99Ms}}<td>{{printf "%.3f" .Worth}}</tr>
+{{range .Routes}}<tr><td>{{.Route}}<td>{{.Calls}}<td>{{printf "%.3f" .OnTime}}<td>{{printf "%.3f" .Late}}<td>{{printf "%.3f" .Refused}}<td>{{printf "%.3f" .Failed}}<td>{{printf "%.0f" .P50Ms}}<td>{{printf "%.0f" .P99Ms}}<td>{{printf "%.3f" .Worth}}</tr>
 {{end}}</table>
 <img src="{{.Plot}}" alt="outcomes by second">
 {{end}}`))
--- a/bench/lab/plain.go
+++ b/bench/lab/plain.go
@@ -41,7 +41,7 @@
 		return
 	}
 	mine[u]++
-	r := &run{call: t.call, at: u}
+	r := &run{call: t.call, upstream: u}
 	ended := false
 	end := func() bool {
 		if ended {
@@ -53,7 +53,7 @@
 	}
 	drop := func() {
 		if end() {
-			p.sim.after(p.sim.hopDelay(), func() { u.abandon(r) })
+			p.sim.after(p.sim.hopDelay(), func() { u.cancel(r) })
 			t.failed()
 		}
 	}
@@ -72,7 +72,7 @@
 			t.refused(plainComeBack)
 		}
 	}
-	p.sim.after(p.sim.hopDelay(), func() { u.arrive(r) })
+	p.sim.after(p.sim.hopDelay(), func() { u.receive(r) })
 }
 
 func (p *plain) pick(t *try, mine map[*upstream]int) *upstream {
@@ -82,7 +82,7 @@
 	}
 	var best *upstream
 	for _, u := range p.sim.upstreams[name] {
-		lapsed := (u.dark || u.gone) && p.sim.elapsed-u.lostAt >= lapse
+		lapsed := (u.silent || u.refusing) && p.sim.elapsed-u.failedAt >= lapse
 		if !u.leaving && !lapsed && (best == nil || mine[u] < mine[best]) {
 			best = u
 		}
--- a/bench/lab/report.go
+++ b/bench/lab/report.go
@@ -36,11 +36,11 @@
 	for _, r := range of {
 		sum.Worth += r.Worth / n
 		sum.Imbalance += r.Imbalance / n
-		sum.MostOverSlots = max(sum.MostOverSlots, r.MostOverSlots)
-		sum.Full += r.Full
+		sum.PeakPerSlot = max(sum.PeakPerSlot, r.PeakPerSlot)
+		sum.FullUpstream += r.FullUpstream
 		sum.Moved += r.Moved / n
 		sum.Plans += r.Plans
-		sum.Crossed += r.Crossed / n
+		sum.CrossDomain += r.CrossDomain / n
 		sum.WallMs += r.WallMs / n
 		for i, one := range r.Routes {
 			sum.Routes[i].add(one, n)
@@ -52,7 +52,7 @@
 // add adds one of n results to a mean.
 func (r *RouteResult) add(one RouteResult, n float64) {
 	r.Route = one.Route
-	r.Asked += one.Asked
+	r.Calls += one.Calls
 	r.OnTime += one.OnTime / n
 	r.Late += one.Late / n
 	r.Refused += one.Refused / n
@@ -76,7 +76,7 @@
 		for _, p := range []Policy{Product, Ideal, Plain} {
 			r := mean(results, sc.Name, p)
 			row("%s\t%s\tall\t%.3f\t%.3f\t\t\t\t\t\t\t\t\t\t%.2f\t%.1f\t%d\t%.2f\t%d\t%.0f\n",
-				sc.Name, p, r.Worth, r.Worth/limit.Worth, r.Imbalance, r.MostOverSlots, r.Full, r.Moved, r.Plans, r.WallMs)
+				sc.Name, p, r.Worth, r.Worth/limit.Worth, r.Imbalance, r.PeakPerSlot, r.FullUpstream, r.Moved, r.Plans, r.WallMs)
 			for i, x := range r.Routes {
 				row("\t\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.2f\t%.1f\t%.0f\t%.0f\n",
 					x.Route, x.Worth, x.Worth/limit.Routes[i].Worth, x.OnTime, x.Late, x.Refused, x.Failed, x.HeldMs, x.Refusals, x.WastedS, x.P50Ms, x.P99Ms)
@@ -104,13 +104,13 @@
 		c.WorthB += b[i].Worth / float64(len(b))
 		differences = append(differences, b[i].Worth-a[i].Worth)
 	}
-	c.Difference = spreadOf(differences)
+	c.Difference = newSpread(differences)
 	return c
 }
 
 func (c Comparison) print(out io.Writer) error {
 	_, err := fmt.Fprintf(out, "%s %.4f\n%s %.4f\ndifference %.4f, deviation of the mean %.4f, of one seed %.4f\n",
-		c.A, c.WorthA, c.B, c.WorthB, c.Difference.Mean, c.Difference.Error, c.Difference.Deviation)
+		c.A, c.WorthA, c.B, c.WorthB, c.Difference.Mean, c.Difference.StandardError, c.Difference.Deviation)
 	return err
 }
 
@@ -118,7 +118,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "scenario\tswitched off\tworth with\twithout\tis worth\t+-")
 	for _, c := range rows {
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\t%+.4f\t%.4f\n", c.B, c.A, c.WorthB, c.WorthA, c.Difference.Mean, c.Difference.Error)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\t%+.4f\t%.4f\n", c.B, c.A, c.WorthB, c.WorthA, c.Difference.Mean, c.Difference.StandardError)
 	}
 	return w.Flush()
 }
--- a/bench/lab/result.go
+++ b/bench/lab/result.go
@@ -25,7 +25,7 @@
 // RouteResult is what the clients of one route got.
 type RouteResult struct {
 	Route string `json:"route"`
-	Asked int    `json:"asked"`
+	Calls int    `json:"asked"`
 	// The shares of OnTime, Late, Refused and Failed are of Asked.
 	OnTime  float64 `json:"on_time"`
 	Late    float64 `json:"late"`
@@ -53,17 +53,17 @@
 	// Imbalance is the utilization of the busiest owner over the mean one.
 	Imbalance float64 `json:"imbalance"`
 	// MostOverSlots is the most that was at one upstream, over its slots.
-	MostOverSlots float64 `json:"most_over_slots"`
+	PeakPerSlot float64 `json:"most_over_slots"`
 	// Crossed is the part of the tries for services without keys that went to an upstream
 	// of another failure domain than the gateway's.
-	Crossed float64 `json:"crossed"`
+	CrossDomain float64 `json:"crossed"`
 	// Full counts requests that found an upstream without any room.
-	Full int `json:"full"`
+	FullUpstream int `json:"full"`
 	// Fell counts upstreams that broke while they warmed up.
-	Fell int `json:"fell"`
+	WarmUpFailures int `json:"fell"`
 	// OverLimit is the most that came at an upstream which named a limit, over what might come; up
 	// to 1 is within it.
-	OverLimit float64 `json:"over_limit"`
+	PeakOverLimit float64 `json:"over_limit"`
 	// Moved is how many times all keys have moved, Plans how many plans had moves.
 	Moved   float64  `json:"moved"`
 	Plans   int      `json:"plans"`
@@ -126,19 +126,19 @@
 }
 
 func (sim *simulation) result(p Policy, seed uint64) *Result {
-	r := &Result{Scenario: sim.sc.Name, Policy: p, Seed: seed, Full: sim.tally.full, Crossed: float64(sim.tally.crossed) / float64(max(sim.tally.sent, 1))}
-	r.Fell, r.OverLimit = sim.tally.fell, sim.tally.overLimit
-	r.Moved, r.Plans = float64(sim.tally.moved)/(spans.MaxKey+1), sim.tally.plans
-	worth, owed := 0.0, 0.0
+	r := &Result{Scenario: sim.sc.Name, Policy: p, Seed: seed, FullUpstream: sim.tally.fullUpstream, CrossDomain: float64(sim.tally.crossDomain) / float64(max(sim.tally.sent, 1))}
+	r.WarmUpFailures, r.PeakOverLimit = sim.tally.warmUpFailures, sim.tally.peakOverLimit
+	r.Moved, r.Plans = float64(sim.tally.movedKeys)/(spans.MaxKey+1), sim.tally.plans
+	worth, possible := 0.0, 0.0
 	for i := range sim.sc.Routes {
 		one := sim.tally.route(&sim.sc.Routes[i])
 		r.Routes = append(r.Routes, one.result())
-		worth, owed = worth+one.worth(), owed+one.owed()
+		worth, possible = worth+one.worth(), possible+one.maxWorth()
 	}
-	r.Worth = worth / max(owed, 1)
+	r.Worth = worth / max(possible, 1)
 	r.Imbalance = sim.imbalance()
 	for _, u := range sim.allUpstreams {
-		r.MostOverSlots = max(r.MostOverSlots, float64(u.most)/float64(u.service.Slots))
+		r.PeakPerSlot = max(r.PeakPerSlot, float64(u.peak)/float64(u.service.Slots))
 	}
 	for _, s := range sim.tally.seconds {
 		r.Seconds = append(r.Seconds, Second{s[onTime], s[late], s[refused], s[failed]})
@@ -147,14 +147,14 @@
 }
 
 func (t *routeTally) result() RouteResult {
-	n := float64(max(t.asked(), 1))
+	n := float64(max(t.calls(), 1))
 	share := func(o outcome) float64 { return float64(t.count[o]) / n }
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	quantile := func(q float64) float64 { return float64(t.latency.ValueAtQuantile(q)) / 1000 }
 	return RouteResult{
-		Route: t.route.Name, Asked: t.asked(), OnTime: share(onTime), Late: share(late), Refused: share(refused),
-		Failed: share(failed), HeldMs: ms(t.held) / float64(max(t.count[refused], 1)), Refusals: float64(t.refusals) / n,
-		WastedS: t.wasted.Seconds(), P50Ms: quantile(50), P99Ms: quantile(99), Worth: t.worth() / max(t.owed(), 1),
+		Route: t.route.Name, Calls: t.calls(), OnTime: share(onTime), Late: share(late), Refused: share(refused),
+		Failed: share(failed), HeldMs: ms(t.heldTime) / float64(max(t.count[refused], 1)), Refusals: float64(t.refusals) / n,
+		WastedS: t.wastedTime.Seconds(), P50Ms: quantile(50), P99Ms: quantile(99), Worth: t.worth() / max(t.maxWorth(), 1),
 	}
 }
 
@@ -163,8 +163,8 @@
 	most, sum, n := 0.0, 0.0, 0
 	for _, u := range sim.allUpstreams {
 		if u.service.Keyed {
-			utilization := u.busy.Seconds()
-			most, sum, n = max(most, utilization), sum+utilization, n+1
+			busy := u.busy.Seconds()
+			most, sum, n = max(most, busy), sum+busy, n+1
 		}
 	}
 	if sum == 0 {
@@ -178,10 +178,10 @@
 	Mean      float64 `json:"mean"`
 	Deviation float64 `json:"deviation"`
 	// Error is the deviation of the mean.
-	Error float64 `json:"error"`
+	StandardError float64 `json:"error"`
 }
 
-func spreadOf(values []float64) Spread {
+func newSpread(values []float64) Spread {
 	n := float64(len(values))
 	if n == 0 {
 		return Spread{}
@@ -195,6 +195,6 @@
 		s.Deviation += (v - s.Mean) * (v - s.Mean)
 	}
 	s.Deviation = math.Sqrt(s.Deviation / max(n-1, 1))
-	s.Error = s.Deviation / math.Sqrt(n)
+	s.StandardError = s.Deviation / math.Sqrt(n)
 	return s
 }
--- a/bench/lab/tally.go
+++ b/bench/lab/tally.go
@@ -24,28 +24,28 @@
 type tally struct {
 	routes map[string]*routeTally
 	// full counts requests that found an upstream without any room.
-	full int
+	fullUpstream int
 	// overLimit is the most that came at an upstream in need within a window, over what might.
-	overLimit float64
+	peakOverLimit float64
 	// fell counts upstreams that broke while they warmed up.
-	fell int
+	warmUpFailures int
 	// moved counts keys that moved, plans those with moves.
-	moved, plans int
+	movedKeys, plans int
 	// sent counts tries for services without keys, crossed those of them that left the
 	// failure domain.
-	sent, crossed int
+	sent, crossDomain int
 	// seconds are the outcomes by second of the first try.
 	seconds [][outcomes]int
 }
 
 // routeTally is the part of one route.
 type routeTally struct {
-	route    *Route
-	count    [outcomes]int
-	refusals int
-	held     time.Duration
-	wasted   time.Duration
-	latency  *hdrhistogram.Histogram
+	route      *Route
+	count      [outcomes]int
+	refusals   int
+	heldTime   time.Duration
+	wastedTime time.Duration
+	latency    *hdrhistogram.Histogram
 }
 
 func newTally(s *Scenario) *tally {
@@ -64,7 +64,7 @@
 	one := t.route(c.route)
 	one.count[o]++
 	if o == refused {
-		one.held += c.heldFor
+		one.heldTime += c.heldFor
 	}
 	if o == onTime || o == late {
 		// It cannot fail: no client waits for as long as the histogram's bound.
@@ -78,7 +78,7 @@
 }
 
 // asked is the number of calls that have ended.
-func (t *routeTally) asked() int {
+func (t *routeTally) calls() int {
 	return t.count[onTime] + t.count[late] + t.count[refused] + t.count[failed]
 }
 
@@ -87,4 +87,4 @@
 	return t.route.Worth*float64(t.count[onTime]) + t.route.LateWorth*float64(t.count[late])
 }
 
-func (t *routeTally) owed() float64 { return t.route.Worth * float64(t.asked()) }
+func (t *routeTally) maxWorth() float64 { return t.route.Worth * float64(t.calls()) }
--- a/bench/lab/upstream.go
+++ b/bench/lab/upstream.go
@@ -12,44 +12,44 @@
 
 // run is one request at an upstream.
 type run struct {
-	call *call
-	at   *upstream
+	call     *call
+	upstream *upstream
 	// reply brings the outcome back; it is called at most once.
 	reply func(dispatch.Outcome)
 	// load is what the upstream told with its answer; nil when it told nothing.
 	load *instances.Load
 	// limit is the limit that it named with its answer, if it named one.
-	limit   float64
-	limited bool
-	started time.Duration
-	running bool
-	ended   bool
+	limit      float64
+	limitNamed bool
+	started    time.Duration
+	running    bool
+	ended      bool
 }
 
 // upstream runs requests: some at once, some queued, more not.
 type upstream struct {
-	sim     *simulation
-	service *Service
-	one     instances.Instance
-	speed   float64
+	sim      *simulation
+	service  *Service
+	instance instances.Instance
+	speed    float64
 	// slower is the factor of a trouble, 1 without.
-	slower float64
+	slowdown float64
 	// warmUntil is when it has warmed up, lately when requests reached it meanwhile.
-	warmUntil time.Duration
-	lately    []time.Duration
+	warmUntil      time.Duration
+	warmUpArrivals []time.Duration
 	// noise is the factor of its machine at the moment, 1 as usual.
-	noise         float64
-	dark, gone    bool
-	leaving       bool
-	lostAt        time.Duration
-	running       []*run
-	queue         []*run
-	busy          time.Duration
-	most          int
-	suspectedLost bool
+	noise            float64
+	silent, refusing bool
+	leaving          bool
+	failedAt         time.Duration
+	running          []*run
+	queue            []*run
+	busy             time.Duration
+	peak             int
+	suspectedLost    bool
 	// arrivals are when requests reached it lately, need what it names as its limit, or nil.
 	arrivals []time.Duration
-	need     *need
+	limit    *namedLimit
 }
 
 // domains is the number of failure domains of every scenario.
@@ -62,26 +62,26 @@
 		speed = s.Speeds[(i/failureDomains+i)%len(s.Speeds)]
 	}
 	u := &upstream{
-		sim: sim, service: s, speed: speed, slower: 1, noise: 1,
-		one: instances.Instance{
+		sim: sim, service: s, speed: speed, slowdown: 1, noise: 1,
+		instance: instances.Instance{
 			ID: fmt.Sprintf("%s-%d", s.Name, i), Service: s.Name, Slots: s.Slots,
 			Domain: domainName(i % failureDomains),
 		},
 	}
 	if s.NoiseShare > 0 {
 		// Machines do not change all at the same moments.
-		sim.after(time.Duration(sim.noiseRNG.Float64()*float64(s.NoiseEvery.D())), u.drawNoise)
+		sim.after(time.Duration(sim.noiseRNG.Float64()*float64(s.NoiseEvery.D())), u.redrawNoise)
 	}
 	return u
 }
 
 // drawNoise draws how slow its machine is, again and again.
-func (u *upstream) drawNoise() {
+func (u *upstream) redrawNoise() {
 	u.noise = 1
 	if u.sim.noiseRNG.Float64() < u.service.NoiseShare {
 		u.noise = u.service.NoiseFactor
 	}
-	u.sim.after(u.service.NoiseEvery.D(), u.drawNoise)
+	u.sim.after(u.service.NoiseEvery.D(), u.redrawNoise)
 }
 
 // load is what the upstream tells with an answer, or nil.
@@ -95,30 +95,30 @@
 func domainName(i int) string { return fmt.Sprintf("domain-%d", i) }
 
 // arrive takes a request from a gateway.
-func (u *upstream) arrive(r *run) {
-	u.noteArrival()
+func (u *upstream) receive(r *run) {
+	u.recordArrival()
 	switch {
-	case r.ended || u.dark:
+	case r.ended || u.silent:
 		return
-	case u.gone:
+	case u.refusing:
 		u.answer(r, dispatch.ConnectionRefused)
-	case u.breaks():
+	case u.failIfOverloaded():
 		u.answer(r, dispatch.ConnectionBroken)
-	case u.service.Keyed && !u.holds(r.call.key):
+	case u.service.Keyed && !u.owns(r.call.key):
 		u.answer(r, dispatch.NotOwner)
 	case len(u.running) < u.service.Slots:
-		u.begin(r)
+		u.startRun(r)
 	case len(u.queue) < u.service.Queue:
 		u.queue = append(u.queue, r)
 	default:
-		u.full(r)
+		u.rejectFull(r)
 	}
-	u.most = max(u.most, len(u.running)+len(u.queue))
+	u.peak = max(u.peak, len(u.running)+len(u.queue))
 }
 
 // full does what an upstream without room does.
-func (u *upstream) full(r *run) {
-	u.sim.tally.full++
+func (u *upstream) rejectFull(r *run) {
+	u.sim.tally.fullUpstream++
 	switch u.service.WhenFull {
 	case FullRefuses:
 		u.answer(r, dispatch.Overloaded)
@@ -127,80 +127,80 @@
 	}
 }
 
-func (u *upstream) holds(key uint16) bool {
+func (u *upstream) owns(key uint16) bool {
 	s := u.sim.controller.tables[u.service.Name].Find(key)
-	return s.Owner == u.one.ID && !s.Moving()
+	return s.Owner == u.instance.ID && !s.Moving()
 }
 
 // answer ends a request and sends the outcome back.
 func (u *upstream) answer(r *run, o dispatch.Outcome) {
 	r.ended = true
-	r.limit, r.limited = u.named()
+	r.limit, r.limitNamed = u.currentLimit()
 	u.sim.after(u.sim.hopDelay(), func() { r.reply(o) })
 }
 
-func (u *upstream) begin(r *run) {
+func (u *upstream) startRun(r *run) {
 	r.running, r.started = true, u.sim.elapsed
 	u.running = append(u.running, r)
 	took := u.sim.drawWorkTime(r.call.route)
-	factor := u.noise / u.pace()
-	if u.warming() {
+	factor := u.noise / u.currentSpeed()
+	if u.isWarmingUp() {
 		factor *= u.service.WarmUpFactor
 	}
 	if u.service.Keyed && u.sim.controller.cold(u.service, r.call.key) {
 		factor *= u.service.ColdFactor
 	}
 	u.sim.after(time.Duration(float64(took)*factor), func() {
-		if r.ended || u.dark || u.gone {
+		if r.ended || u.silent || u.refusing {
 			return
 		}
 		r.load = u.load()
-		u.leave(r)
+		u.freeSlot(r)
 		u.answer(r, dispatch.Answered)
-		u.next()
+		u.startQueued()
 	})
 }
 
 // leave frees the slot of a running request.
-func (u *upstream) leave(r *run) {
+func (u *upstream) freeSlot(r *run) {
 	u.running = slices.DeleteFunc(u.running, func(other *run) bool { return other == r })
 	u.busy += u.sim.elapsed - r.started
 }
 
 // next lets queued requests run. Those for keys that have moved are refused.
-func (u *upstream) next() {
+func (u *upstream) startQueued() {
 	for len(u.queue) > 0 && len(u.running) < u.service.Slots {
 		r := u.queue[0]
 		u.queue = u.queue[1:]
 		switch {
 		case r.ended:
-		case u.service.Keyed && !u.holds(r.call.key):
+		case u.service.Keyed && !u.owns(r.call.key):
 			u.answer(r, dispatch.NotOwner)
 		default:
-			u.begin(r)
+			u.startRun(r)
 		}
 	}
 }
 
 // abandon drops a request whose connection was closed.
-func (u *upstream) abandon(r *run) {
+func (u *upstream) cancel(r *run) {
 	if r.ended {
 		return
 	}
 	r.ended = true
 	if r.running {
-		u.leave(r)
-		u.sim.tally.route(r.call.route).wasted += u.sim.elapsed - r.started
-		u.next()
+		u.freeSlot(r)
+		u.sim.tally.route(r.call.route).wastedTime += u.sim.elapsed - r.started
+		u.startQueued()
 	}
 }
 
 // lose lets the upstream fall silent or refuse connections.
-func (u *upstream) lose(gone bool) {
-	u.dark, u.gone, u.lostAt = !gone, gone, u.sim.elapsed
+func (u *upstream) fail(gone bool) {
+	u.silent, u.refusing, u.failedAt = !gone, gone, u.sim.elapsed
 	lost := append(u.queue, u.running...)
 	for len(u.running) > 0 {
-		u.leave(u.running[0])
+		u.freeSlot(u.running[0])
 	}
 	u.queue = nil
 	for _, r := range lost {
@@ -211,10 +211,10 @@
 }
 
 // back lets it serve again, without keys.
-func (u *upstream) back() { u.dark, u.gone, u.suspectedLost = false, false, false }
+func (u *upstream) recover() { u.silent, u.refusing, u.suspectedLost = false, false, false }
 
 // busyWith reports whether a request for one of the keys runs.
-func (u *upstream) busyWith(k spans.Keys) bool {
+func (u *upstream) isRunningAny(k spans.Keys) bool {
 	for _, r := range u.running {
 		if k.Has(r.call.key) {
 			return true
--- a/bench/lab/warmup.go
+++ b/bench/lab/warmup.go
@@ -12,56 +12,56 @@
 // requests a second.
 
 // fallenFor is how long an upstream that broke is away before it starts again.
-const fallenFor = 2 * time.Second
+const warmUpFailureDowntime = 2 * time.Second
 
-func (u *upstream) warming() bool { return u.sim.elapsed < u.warmUntil }
+func (u *upstream) isWarmingUp() bool { return u.sim.elapsed < u.warmUntil }
 
 // start lets the upstream serve again, as another start of it that warms up.
-func (u *upstream) start() {
-	u.back()
-	u.one.BornMs++
+func (u *upstream) restart() {
+	u.recover()
+	u.instance.BornMs++
 	u.warmUntil = u.sim.elapsed + u.service.WarmUp.D()
-	u.lately = nil
-	u.enter(u.service.WarmUp.D())
+	u.warmUpArrivals = nil
+	u.publishEntry(u.service.WarmUp.D())
 	u.sim.after(u.service.WarmUp.D(), func() {
-		if !u.warming() && !u.gone {
-			u.enter(0)
+		if !u.isWarmingUp() && !u.refusing {
+			u.publishEntry(0)
 		}
 	})
 }
 
 // enter writes the upstream's entry, which says how much longer it warms up.
-func (u *upstream) enter(left time.Duration) {
-	u.one.Revision++
-	u.one.WarmUp = left
+func (u *upstream) publishEntry(left time.Duration) {
+	u.instance.Revision++
+	u.instance.WarmUp = left
 	u.sim.after(u.sim.hopDelay(), func() { u.sim.policy.changed(u.service) })
 }
 
 // breaks notes a request to an upstream that warms up, and reports whether it is one too
 // many: then the upstream falls, and starts again later.
-func (u *upstream) breaks() bool {
-	if !u.warming() || u.service.MaxWarmUpRate == 0 {
+func (u *upstream) failIfOverloaded() bool {
+	if !u.isWarmingUp() || u.service.MaxWarmUpRate == 0 {
 		return false
 	}
-	u.lately = append(slices.DeleteFunc(u.lately, func(at time.Duration) bool { return u.sim.elapsed-at >= time.Second }), u.sim.elapsed)
-	if len(u.lately) <= u.service.MaxWarmUpRate {
+	u.warmUpArrivals = append(slices.DeleteFunc(u.warmUpArrivals, func(at time.Duration) bool { return u.sim.elapsed-at >= time.Second }), u.sim.elapsed)
+	if len(u.warmUpArrivals) <= u.service.MaxWarmUpRate {
 		return false
 	}
-	u.sim.tally.fell++
-	u.lose(true)
-	u.sim.after(fallenFor, u.start)
+	u.sim.tally.warmUpFailures++
+	u.fail(true)
+	u.sim.after(warmUpFailureDowntime, u.restart)
 	return true
 }
 
 // coldReturn lets the upstreams of a failure domain end, and start again together.
 func (sim *simulation) coldRestart(t *Disturbance) {
 	for _, u := range sim.upstreams[t.Service] {
-		if u.one.Domain != domainName(t.Count) {
+		if u.instance.Domain != domainName(t.Count) {
 			continue
 		}
-		u.lose(true)
+		u.fail(true)
 		sim.after(lapse, func() { sim.policy.changed(u.service) })
-		sim.after(t.Duration.D(), u.start)
+		sim.after(t.Duration.D(), u.restart)
 	}
 }
 
@@ -72,9 +72,9 @@
 func (c *controller) rights(gateway int) map[string]time.Time {
 	var warming []warmup.Upstream
 	for _, u := range c.sim.allUpstreams {
-		if u.warming() && !u.gone && u.service.WarmUpRateLimit > 0 && !u.service.Keyed {
+		if u.isWarmingUp() && !u.refusing && u.service.WarmUpRateLimit > 0 && !u.service.Keyed {
 			warming = append(warming, warmup.Upstream{
-				ID: u.one.ID, Incarnation: u.one.Incarnation(), Service: u.service.Name, Domain: u.one.Domain,
+				ID: u.instance.ID, Incarnation: u.instance.Incarnation(), Service: u.service.Name, Domain: u.instance.Domain,
 			})
 		}
 	}
--- a/bench/lab/warmup_test.go
+++ b/bench/lab/warmup_test.go
@@ -37,14 +37,14 @@
 	from := int(back/time.Second) + 1
 	played := SimulateAll([]Job{{calm, Product, seed}, {&hit, Product, seed}, {&unbounded, Product, seed}})
 	without, with, flooded := played[0], played[1], played[2]
-	if with.Fell > 0 {
-		t.Errorf("%d upstreams broke while they warmed up", with.Fell)
+	if with.WarmUpFailures > 0 {
+		t.Errorf("%d upstreams broke while they warmed up", with.WarmUpFailures)
 	}
 	if got, want := onTimeFrom(with, from), onTimeFrom(without, from); got < want-0.02 {
 		t.Errorf("%.3f on time after the return, %.3f without", got, want)
 	}
-	if flooded.Fell < 20 {
-		t.Errorf("%d fell without a bound: the scenario does not show the fault", flooded.Fell)
+	if flooded.WarmUpFailures < 20 {
+		t.Errorf("%d fell without a bound: the scenario does not show the fault", flooded.WarmUpFailures)
 	}
 }
 
--- a/bench/lab/world.go
+++ b/bench/lab/world.go
@@ -67,7 +67,7 @@
 		for j := range s.Upstreams {
 			u := newUpstream(sim, s, j)
 			sim.upstreams[s.Name] = append(sim.upstreams[s.Name], u)
-			sim.upstreamByID[u.one.ID] = u
+			sim.upstreamByID[u.instance.ID] = u
 			sim.allUpstreams = append(sim.allUpstreams, u)
 		}
 	}
@@ -241,17 +241,17 @@
 	news := func() { sim.policy.changed(u.service) }
 	switch t.Kind {
 	case Slowdown:
-		u.slower = t.Factor
-		sim.after(t.Duration.D(), func() { u.slower = 1 })
+		u.slowdown = t.Factor
+		sim.after(t.Duration.D(), func() { u.slowdown = 1 })
 	case Draining:
 		u.leaving = true
 		sim.after(sim.hopDelay(), news)
 	default:
-		u.lose(t.Kind == Refusing)
-		sim.after(suspectAfter, func() { u.suspectedLost = u.dark || u.gone })
+		u.fail(t.Kind == Refusing)
+		sim.after(suspectAfter, func() { u.suspectedLost = u.silent || u.refusing })
 		sim.after(lapse, news)
 		sim.after(t.Duration.D(), func() {
-			u.back()
+			u.recover()
 			sim.after(sim.hopDelay(), news)
 		})
 	}
