--- a/bench/lab/control.go
+++ b/bench/lab/control.go
@@ -18,67 +18,67 @@
 	// balanceInterval is the time between plans that balance, as in the gateways.
 	balanceInterval = time.Second
 	// restTime is how long a moved span stays, as in the gateways.
-	restTime = 2 * time.Second
+	moveCooldown = 2 * time.Second
 	// suspectAfter is how long after its loss an owner's keys are marked as moving.
-	suspectAfter = time.Second
+	suspectDelay = time.Second
 	// lapse is how long after its loss an upstream's entry goes from the store.
-	lapse = 2600 * time.Millisecond
+	entryExpiry = 2600 * time.Millisecond
 	// moveCall is the time for the calls of one move, saving its plan among them.
-	moveCall = 6 * time.Millisecond
+	moveCallTime = 6 * time.Millisecond
 	// moveLook is the time between looks whether the work on moving keys has ended.
-	moveLook = 2 * time.Millisecond
+	movePollInterval = 2 * time.Millisecond
 	// firstRate is the assumed rate of a slot before any work time was reported.
-	firstRate = 15
+	initialSlotRate = 15
 )
 
 // control is what the leader of the gateways does: it adds up reports and decides
 // who owns which keys.
 type controller struct {
-	sim    *simulation
-	tables map[string]*spans.Table
-	heat   map[string]*ownership.RateEstimator
+	sim      *simulation
+	tables   map[string]*spans.Table
+	keyRates map[string]*ownership.RateEstimator
 	// total adds up the reports of all gateways, by upstream, work what they have seen of
 	// runs, by service.
-	total map[string]report
-	work  map[string]*worktime.Estimator
-	last  []map[string]report
+	totals      map[string]upstreamReport
+	workTimes   map[string]*worktime.Estimator
+	lastReports []map[string]upstreamReport
 	// demand is what each gateway is asked for, by service.
 	demand []map[string]float64
 	// admit is the part of the requests that can be run, of hot keys, by service.
-	admit   map[string]map[uint16]float64
-	settled map[string]map[uint16]time.Duration
+	hotKeyAdmission map[string]map[uint16]float64
+	lastMoved       map[string]map[uint16]time.Duration
 	// balanced is when a plan last balanced, by service.
-	balanced map[string]time.Duration
+	lastBalanced map[string]time.Duration
 	// gaps are the keys without an owner as the gateways know them.
-	gaps    map[string]*spans.Gaps
-	coldTo  map[string]map[uint16]time.Duration
-	waiters []func()
+	gaps         map[string]*spans.Gaps
+	coldUntil    map[string]map[uint16]time.Duration
+	ownerWaiters []func()
 	// book names who may send to upstreams that warm up.
-	book *warmup.Assignments
+	assignments *warmup.Assignments
 	// limits are those that upstreams name, wanted what each gateway is asked for that these
 	// would get.
-	limits *limits.Book
-	wanted []map[string]float64
+	limits        *limits.Book
+	limitedDemand []map[string]float64
 }
 
 // report is what gateways say of one upstream.
-type report struct {
+type upstreamReport struct {
 	inflight float64
 	runs     worktime.Sum
 }
 
 func newController(sim *simulation) *controller {
 	c := &controller{
-		sim: sim, tables: make(map[string]*spans.Table), heat: make(map[string]*ownership.RateEstimator),
-		total: make(map[string]report), work: make(map[string]*worktime.Estimator), last: make([]map[string]report, sim.sc.Gateways),
-		demand: make([]map[string]float64, sim.sc.Gateways), admit: make(map[string]map[uint16]float64), balanced: make(map[string]time.Duration),
-		gaps: make(map[string]*spans.Gaps), settled: make(map[string]map[uint16]time.Duration), coldTo: make(map[string]map[uint16]time.Duration),
+		sim: sim, tables: make(map[string]*spans.Table), keyRates: make(map[string]*ownership.RateEstimator),
+		totals: make(map[string]upstreamReport), workTimes: make(map[string]*worktime.Estimator), lastReports: make([]map[string]upstreamReport, sim.sc.Gateways),
+		demand: make([]map[string]float64, sim.sc.Gateways), hotKeyAdmission: make(map[string]map[uint16]float64), lastBalanced: make(map[string]time.Duration),
+		gaps: make(map[string]*spans.Gaps), lastMoved: make(map[string]map[uint16]time.Duration), coldUntil: make(map[string]map[uint16]time.Duration),
 	}
-	c.limits, c.wanted = limits.NewBook(), make([]map[string]float64, sim.sc.Gateways)
-	c.book = warmup.NewAssignments(sim.now().Add(-warmup.RightDuration))
+	c.limits, c.limitedDemand = limits.NewBook(), make([]map[string]float64, sim.sc.Gateways)
+	c.assignments = warmup.NewAssignments(sim.now().Add(-warmup.RightDuration))
 	for i := range sim.sc.Services {
 		s := &sim.sc.Services[i]
-		c.work[s.Name] = worktime.NewEstimator()
+		c.workTimes[s.Name] = worktime.NewEstimator()
 		if !s.Keyed {
 			continue
 		}
@@ -89,8 +89,8 @@
 		}
 		c.tables[s.Name] = t
 		c.gaps[s.Name] = &spans.Gaps{}
-		c.heat[s.Name] = ownership.NewRateEstimator(sim.now())
-		c.settled[s.Name], c.coldTo[s.Name] = make(map[uint16]time.Duration), make(map[uint16]time.Duration)
+		c.keyRates[s.Name] = ownership.NewRateEstimator(sim.now())
+		c.lastMoved[s.Name], c.coldUntil[s.Name] = make(map[uint16]time.Duration), make(map[uint16]time.Duration)
 	}
 	return c
 }
@@ -99,11 +99,11 @@
 func (c *controller) owners(s *Service) []ownership.Owner {
 	var out []ownership.Owner
 	for _, u := range c.sim.upstreams[s.Name] {
-		lost := (u.silent || u.refusing) && c.sim.elapsed-u.failedAt >= lapse
+		lost := (u.silent || u.refusing) && c.sim.elapsed-u.failedAt >= entryExpiry
 		if lost {
 			continue
 		}
-		work := c.workAt(u)
+		work := c.workTime(u)
 		keeps := !u.leaving && !u.suspectedLost
 		out = append(out, ownership.Owner{ID: u.instance.ID, Capacity: c.capacity(u, float64(s.Slots)/work), MayKeep: keeps, Usable: keeps && !u.silent && !u.refusing})
 	}
@@ -120,32 +120,32 @@
 
 // workAt is the time of a run at an upstream in seconds: as reported, or as it is for
 // the policy that knows everything.
-func (c *controller) workAt(u *upstream) float64 {
+func (c *controller) workTime(u *upstream) float64 {
 	if c.sim.plansWithTrueSpeeds {
 		return c.sim.meanWork(u.service) / u.currentSpeed()
 	}
-	if work := c.work[u.service.Name].Mean(u.instance.ID); work > 0 {
+	if work := c.workTimes[u.service.Name].Mean(u.instance.ID); work > 0 {
 		return work.Seconds()
 	}
-	return 1.0 / firstRate
+	return 1.0 / initialSlotRate
 }
 
 // reported takes one gateway's report in place of its last one.
-func (c *controller) reported(g int, loads map[string]report, demand map[string]float64, keys map[string][]uint16) {
-	for id, r := range c.last[g] {
-		c.total[id] = report{inflight: c.total[id].inflight - r.inflight}
+func (c *controller) applyReport(g int, loads map[string]upstreamReport, demand map[string]float64, keys map[string][]uint16) {
+	for id, r := range c.lastReports[g] {
+		c.totals[id] = upstreamReport{inflight: c.totals[id].inflight - r.inflight}
 	}
 	// In a fixed order: sums of work times depend on it.
 	for _, u := range c.sim.allUpstreams {
 		id := u.instance.ID
 		if r, ok := loads[id]; ok {
-			c.total[id] = report{inflight: c.total[id].inflight + r.inflight}
-			c.work[u.service.Name].Add(id, r.runs)
+			c.totals[id] = upstreamReport{inflight: c.totals[id].inflight + r.inflight}
+			c.workTimes[u.service.Name].Add(id, r.runs)
 		}
 	}
-	c.last[g], c.demand[g] = loads, demand
+	c.lastReports[g], c.demand[g] = loads, demand
 	for name, list := range keys {
-		if h := c.heat[name]; h != nil {
+		if h := c.keyRates[name]; h != nil {
 			for _, key := range list {
 				h.Add(key)
 			}
@@ -154,21 +154,21 @@
 }
 
 // elsewhere returns the reports of all gateways but one, added up.
-func (c *controller) elsewhere(g int) map[string]report {
-	out := make(map[string]report, len(c.total))
-	own := c.last[g]
-	for id, t := range c.total {
+func (c *controller) otherReports(g int) map[string]upstreamReport {
+	out := make(map[string]upstreamReport, len(c.totals))
+	own := c.lastReports[g]
+	for id, t := range c.totals {
 		r := own[id]
-		out[id] = report{inflight: max(t.inflight-r.inflight, 0)}
+		out[id] = upstreamReport{inflight: max(t.inflight-r.inflight, 0)}
 	}
 	return out
 }
 
 // works returns the mean time of a run at each upstream, as all gateways have seen it.
-func (c *controller) works() map[string]worktime.Estimate {
+func (c *controller) workEstimates() map[string]worktime.Estimate {
 	out := make(map[string]worktime.Estimate, len(c.sim.allUpstreams))
 	for _, u := range c.sim.allUpstreams {
-		if one := c.work[u.service.Name].Estimate(u.instance.ID); one.Work > 0 {
+		if one := c.workTimes[u.service.Name].Estimate(u.instance.ID); one.Work > 0 {
 			out[u.instance.ID] = one
 		}
 	}
@@ -176,7 +176,7 @@
 }
 
 // askedElsewhere returns what all gateways but one are asked for, by service.
-func (c *controller) askedElsewhere(g int) map[string]float64 {
+func (c *controller) otherDemand(g int) map[string]float64 {
 	out := make(map[string]float64)
 	for other, demand := range c.demand {
 		if other == g {
@@ -201,20 +201,20 @@
 
 func (c *controller) planService(s *Service) {
 	resting := make(map[uint16]bool)
-	for first, at := range c.settled[s.Name] {
-		if c.sim.elapsed-at < restTime {
+	for first, at := range c.lastMoved[s.Name] {
+		if c.sim.elapsed-at < moveCooldown {
 			resting[first] = true
 		}
 	}
-	before, owners, load := c.tables[s.Name], c.owners(s), c.heat[s.Name].Rates(c.sim.now())
+	before, owners, load := c.tables[s.Name], c.owners(s), c.keyRates[s.Name].Rates(c.sim.now())
 	admit := make(map[uint16]float64)
 	for _, l := range ownership.Limits(before, owners, load) {
 		admit[l.Key] = l.AdmittedShare
 	}
-	c.admit[s.Name] = admit
-	balance := c.sim.elapsed-c.balanced[s.Name] >= balanceInterval
+	c.hotKeyAdmission[s.Name] = admit
+	balance := c.sim.elapsed-c.lastBalanced[s.Name] >= balanceInterval
 	if balance {
-		c.balanced[s.Name] = c.sim.elapsed
+		c.lastBalanced[s.Name] = c.sim.elapsed
 	}
 	next := ownership.MakePlan(ownership.PlanInput{BalanceDue: balance, Table: before, Owners: owners, Load: load, RecentlyMoved: resting})
 	if next == nil {
@@ -225,22 +225,22 @@
 	for _, one := range next.Spans {
 		if one.Moving() && !before.Find(one.First).Moving() {
 			c.sim.tally.movedKeys += one.Count()
-			c.sim.after(moveCall, func() { c.move(s, one) })
+			c.sim.after(moveCallTime, func() { c.finishMove(s, one) })
 		}
 	}
 }
 
 // move takes keys back when the work on them has ended, or when a lost owner's hold
 // has, and gives them to the next owner.
-func (c *controller) move(s *Service, one spans.Span) {
+func (c *controller) finishMove(s *Service, one spans.Span) {
 	owner := c.sim.upstreamByID[one.Owner]
 	lost := owner != nil && (owner.silent || owner.refusing || owner.suspectedLost)
 	switch {
-	case owner != nil && lost && c.sim.elapsed-owner.failedAt < c.holdOf(owner):
-		c.sim.after(moveLook, func() { c.move(s, one) })
+	case owner != nil && lost && c.sim.elapsed-owner.failedAt < c.ownerTimeout(owner):
+		c.sim.after(movePollInterval, func() { c.finishMove(s, one) })
 		return
 	case owner != nil && !lost && owner.isRunningAny(one.Keys):
-		c.sim.after(moveLook, func() { c.move(s, one) })
+		c.sim.after(movePollInterval, func() { c.finishMove(s, one) })
 		return
 	}
 	next := c.tables[s.Name].Clone()
@@ -250,18 +250,18 @@
 			t.Owner, t.Fence, t.Next, t.NextFence, t.Cold = one.Next, one.NextFence, "", 0, lost
 		}
 	}
-	c.settled[s.Name][one.First] = c.sim.elapsed
+	c.lastMoved[s.Name][one.First] = c.sim.elapsed
 	if lost {
-		c.sim.after(s.ColdFor.D(), func() { c.warm(s, one.NextFence) })
+		c.sim.after(s.ColdFor.D(), func() { c.clearCold(s, one.NextFence) })
 		for key := int(one.First); key <= int(one.Last); key++ {
-			c.coldTo[s.Name][uint16(key)] = c.sim.elapsed + s.ColdFor.D()
+			c.coldUntil[s.Name][uint16(key)] = c.sim.elapsed + s.ColdFor.D()
 		}
 	}
 	c.publish(s, next)
 }
 
 // warm takes the mark off keys that came with the fence.
-func (c *controller) warm(s *Service, fence uint64) {
+func (c *controller) clearCold(s *Service, fence uint64) {
 	next := c.tables[s.Name].Clone()
 	for i := range next.Spans {
 		if next.Spans[i].Fence == fence {
@@ -271,7 +271,7 @@
 	c.publish(s, next)
 }
 
-func (c *controller) holdOf(u *upstream) time.Duration {
+func (c *controller) ownerTimeout(u *upstream) time.Duration {
 	if u.refusing {
 		return c.sim.sc.RefusingOwnerTimeout.D()
 	}
@@ -288,21 +288,23 @@
 		}
 		c.sim.ownerView[s.Name] = t
 		c.gaps[s.Name].Note(c.sim.now(), t)
-		waiting := c.waiters
-		c.waiters = nil
+		waiting := c.ownerWaiters
+		c.ownerWaiters = nil
 		for _, wake := range waiting {
 			wake()
 		}
 	})
 }
 
-func (c *controller) cold(s *Service, key uint16) bool { return c.sim.elapsed < c.coldTo[s.Name][key] }
+func (c *controller) isCold(s *Service, key uint16) bool {
+	return c.sim.elapsed < c.coldUntil[s.Name][key]
+}
 
 // known lists the upstreams of a service as the store shows them.
-func (c *controller) known(s *Service) []*instances.Instance {
+func (c *controller) listedUpstreams(s *Service) []*instances.Instance {
 	var out []*instances.Instance
 	for _, u := range c.sim.upstreams[s.Name] {
-		if (u.silent || u.refusing) && c.sim.elapsed-u.failedAt >= lapse {
+		if (u.silent || u.refusing) && c.sim.elapsed-u.failedAt >= entryExpiry {
 			continue
 		}
 		one := u.instance
--- a/bench/lab/delivery.go
+++ b/bench/lab/delivery.go
@@ -42,7 +42,7 @@
 // end takes the delivery off the gateway.
 func (d *delivery) end() {
 	d.ended = true
-	d.open = slices.DeleteFunc(d.open, func(other *delivery) bool { return other == d })
+	d.deliveries = slices.DeleteFunc(d.deliveries, func(other *delivery) bool { return other == d })
 }
 
 // abandon drops what is under way.
@@ -185,7 +185,7 @@
 	}
 	wait := patience.MaxMoveWait(d.route.Objective.D(), d.try.began+d.deadline-d.sim.elapsed)
 	if d.refusedFence > 0 && !s.Moving() {
-		wait = refusedWait
+		wait = newOwnerWait
 	}
 	woken := false
 	wake := func() {
@@ -199,7 +199,7 @@
 			})
 		}
 	}
-	d.sim.controller.waiters = append(d.sim.controller.waiters, wake)
+	d.sim.controller.ownerWaiters = append(d.sim.controller.ownerWaiters, wake)
 	d.sim.after(wait-(d.sim.elapsed-d.try.began), func() {
 		if !woken && !d.ended {
 			woken = true
@@ -264,7 +264,7 @@
 	}
 	f.ended = true
 	if o == dispatch.Answered || f.run.limitNamed {
-		d.hears(f.run.upstream, f.grant.GrantedAt, f.run.limit, f.run.limitNamed)
+		d.recordLimit(f.run.upstream, f.grant.GrantedAt, f.run.limit, f.run.limitNamed)
 	}
 	if f.run.load != nil {
 		d.service.ApplyLoad(d.sim.now(), f.grant, *f.run.load)
@@ -295,7 +295,7 @@
 	}
 	if o == dispatch.ConnectionRefused || o == dispatch.Unreachable {
 		d.unsent++
-		return d.unsent <= mostUnsent
+		return d.unsent <= maxUnreached
 	}
 	d.arrivals++
 	notRun := o == dispatch.Overloaded || o == dispatch.NotOwner
--- a/bench/lab/gateway.go
+++ b/bench/lab/gateway.go
@@ -17,11 +17,11 @@
 	budgetShare = 0.9
 	// refusedWait is how long news of a key's owner is waited for after the one known
 	// has refused, as in the gateways.
-	refusedWait = 80 * time.Millisecond
+	newOwnerWait = 80 * time.Millisecond
 	// drainTime is the time within which leaving upstreams get no more requests.
 	drainTime = 2 * time.Second
 	// mostUnsent bounds the upstreams tried that could not be reached, as in the gateways.
-	mostUnsent = 4
+	maxUnreached = 4
 )
 
 // product is the policy of the product: its decision packages in each gateway.
@@ -38,12 +38,12 @@
 	budget   map[string]*retry.WindowBudget
 	keys     map[string][]uint16
 	// names are the services in a fixed order.
-	names []string
-	open  []*delivery
+	serviceNames []string
+	deliveries   []*delivery
 	// limits are those that upstreams name, wantedElsewhere what the other gateways are asked for
 	// that these would get.
-	limits          *limits.Book
-	wantedElsewhere map[string]float64
+	limits             *limits.Book
+	otherLimitedDemand map[string]float64
 }
 
 func newProduct(sim *simulation, seed uint64) *product {
@@ -59,9 +59,9 @@
 			d := dispatch.NewService(domainName(i%failureDomains), drainTime, rng)
 			d.Disabled = sim.sc.Disabled
 			d.SetWarmUp(sim.now(), dispatch.WarmUp{MaxPerSecond: s.WarmUpRateLimit, Keyed: s.Keyed})
-			d.SetUpstreams(sim.now(), sim.controller.known(s))
+			d.SetUpstreams(sim.now(), sim.controller.listedUpstreams(s))
 			g.dispatch[s.Name] = d
-			g.names = append(g.names, s.Name)
+			g.serviceNames = append(g.serviceNames, s.Name)
 			g.budget[s.Name] = retry.NewWindowBudget(sim.now(), sim.sc.RetryWindow.D(), budgetShare*sim.sc.RetryShare, budgetShare*sim.sc.RetryAllowance)
 		}
 		p.gateways = append(p.gateways, g)
@@ -71,18 +71,18 @@
 	return p
 }
 
-func (p *product) changed(s *Service) {
+func (p *product) upstreamsChanged(s *Service) {
 	for _, g := range p.gateways {
-		g.dispatch[s.Name].SetUpstreams(p.sim.now(), p.sim.controller.known(s))
+		g.dispatch[s.Name].SetUpstreams(p.sim.now(), p.sim.controller.listedUpstreams(s))
 	}
 }
 
 // gatewayLost ends all requests at a gateway: its connections break.
-func (p *product) gatewayLost(g int) {
+func (p *product) gatewayFailed(g int) {
 	lost := p.gateways[g]
-	p.sim.controller.reported(g, nil, nil, nil)
-	open := lost.open
-	lost.open = nil
+	p.sim.controller.applyReport(g, nil, nil, nil)
+	open := lost.deliveries
+	lost.deliveries = nil
 	for _, d := range open {
 		d.abandon(dispatch.Canceled)
 		d.try.failed()
@@ -99,7 +99,7 @@
 	d.keyed = p.sim.controller.tables[d.route.Service] != nil
 	d.deadline = p.sim.elapsed + min(d.route.Timeout.D(), t.left)
 	t.withdraw = d.withdrawn
-	g.open = append(g.open, d)
+	g.deliveries = append(g.deliveries, d)
 	g.budget[d.route.Service].RecordRequest(p.sim.now())
 	if d.keyed {
 		g.keys[d.route.Service] = append(g.keys[d.route.Service], t.call.key)
@@ -109,7 +109,7 @@
 }
 
 func (g *gateway) tick() {
-	for _, name := range g.names {
+	for _, name := range g.serviceNames {
 		g.dispatch[name].Tick(g.sim.now())
 	}
 	g.sim.after(tickInterval, g.tick)
@@ -122,37 +122,37 @@
 	if g.sim.gatewayDown[g.index] {
 		return
 	}
-	loads, demand := make(map[string]report), make(map[string]float64)
-	for _, name := range g.names {
+	loads, demand := make(map[string]upstreamReport), make(map[string]float64)
+	for _, name := range g.serviceNames {
 		demand[name] = g.dispatch[name].Demand(g.sim.now())
 		for _, l := range g.dispatch[name].Loads(g.sim.now()) {
-			loads[l.Instance] = report{inflight: l.Inflight, runs: l.Runs}
+			loads[l.Instance] = upstreamReport{inflight: l.Inflight, runs: l.Runs}
 		}
 	}
-	wanted := make(map[string]float64)
-	for _, name := range g.names {
-		maps.Copy(wanted, g.dispatch[name].LimitedDemand(g.sim.now()))
+	limitedDemand := make(map[string]float64)
+	for _, name := range g.serviceNames {
+		maps.Copy(limitedDemand, g.dispatch[name].LimitedDemand(g.sim.now()))
 	}
 	keys := g.keys
 	g.keys = make(map[string][]uint16)
 	g.sim.after(g.sim.hopDelay(), func() {
-		g.sim.controller.reported(g.index, loads, demand, keys)
-		g.sim.controller.wanted[g.index] = wanted
-		wantedElsewhere := g.sim.controller.wantedBut(g.index)
-		others := g.sim.controller.elsewhere(g.index)
+		g.sim.controller.applyReport(g.index, loads, demand, keys)
+		g.sim.controller.limitedDemand[g.index] = limitedDemand
+		otherLimitedDemand := g.sim.controller.otherLimitedDemand(g.index)
+		others := g.sim.controller.otherReports(g.index)
 		inflight := make(map[string]float64, len(others))
 		for id, r := range others {
 			inflight[id] = r.inflight
 		}
-		admit := maps.Clone(g.sim.controller.admit)
-		rights := g.sim.controller.rights(g.index)
-		asked, works := g.sim.controller.askedElsewhere(g.index), g.sim.controller.works()
+		admit := maps.Clone(g.sim.controller.hotKeyAdmission)
+		rights := g.sim.controller.warmUpRights(g.index)
+		otherDemand, workEstimates := g.sim.controller.otherDemand(g.index), g.sim.controller.workEstimates()
 		g.sim.after(g.sim.hopDelay(), func() {
-			g.wantedElsewhere = wantedElsewhere
-			limits := g.limitNews()
-			for _, name := range g.names {
+			g.otherLimitedDemand = otherLimitedDemand
+			limits := g.activeLimits()
+			for _, name := range g.serviceNames {
 				g.dispatch[name].ApplyReport(g.sim.now(), dispatch.ClusterReport{
-					InFlight: inflight, WorkTimes: works, Demand: asked[name], Gateways: g.sim.sc.Gateways, HotKeyAdmission: admit[name], Rights: rights,
+					InFlight: inflight, WorkTimes: workEstimates, Demand: otherDemand[name], Gateways: g.sim.sc.Gateways, HotKeyAdmission: admit[name], Rights: rights,
 					Limits: limits,
 				})
 			}
--- a/bench/lab/ideal.go
+++ b/bench/lab/ideal.go
@@ -42,9 +42,9 @@
 // reason than an answer, such as a key that has moved.
 const idealLook = 2 * time.Millisecond
 
-func (p *ideal) changed(*Service)            {}
-func (p *ideal) gatewayLost(int)             {}
-func (p *ideal) limited([]limits.Limit, int) {}
+func (p *ideal) upstreamsChanged(*Service)         {}
+func (p *ideal) gatewayFailed(int)                 {}
+func (p *ideal) limitsChanged([]limits.Limit, int) {}
 
 func (p *ideal) look() {
 	p.sim.after(idealLook, p.look)
@@ -112,7 +112,7 @@
 	p.enqueue(one)
 	name := t.call.route.Service
 	if table := p.sim.controller.tables[name]; table != nil {
-		p.sim.controller.heat[name].Add(t.call.key)
+		p.sim.controller.keyRates[name].Add(t.call.key)
 		if u := p.sim.upstreamByID[table.Find(t.call.key).Owner]; u != nil {
 			p.fill(u)
 		}
--- a/bench/lab/limits.go
+++ b/bench/lab/limits.go
@@ -65,7 +65,7 @@
 
 // hears lets a gateway hear from an answer to a request that was sent at a time what the
 // upstream's limit is.
-func (g *gateway) hears(u *upstream, sent time.Time, perSecond float64, named bool) {
+func (g *gateway) recordLimit(u *upstream, sent time.Time, perSecond float64, named bool) {
 	changed := false
 	if named {
 		changed = g.limits.Note(limits.Limit{Upstream: u.instance.ID, PerSecond: perSecond, At: g.sim.now()})
@@ -73,26 +73,26 @@
 		changed = g.limits.Unnamed(u.instance.ID, 0, sent, g.sim.now())
 	}
 	if changed {
-		g.setLimits()
-		g.sim.controller.hears(g.index, g.limits.List())
+		g.applyLimits()
+		g.sim.controller.updateLimits(g.index, g.limits.List())
 	}
 }
 
 // hears takes what one gateway knows of limits over, and tells all others if it is news.
-func (c *controller) hears(from int, list []limits.Limit) {
+func (c *controller) updateLimits(from int, list []limits.Limit) {
 	c.sim.after(c.sim.hopDelay(), func() {
 		changed := false
 		for _, l := range list {
 			changed = c.limits.Note(l) || changed
 		}
 		if changed {
-			c.sim.after(c.sim.hopDelay(), func() { c.sim.policy.limited(c.limits.List(), from) })
+			c.sim.after(c.sim.hopDelay(), func() { c.sim.policy.limitsChanged(c.limits.List(), from) })
 		}
 	})
 }
 
 // limited brings news of limits to all gateways but the one that they are from.
-func (p *product) limited(list []limits.Limit, from int) {
+func (p *product) limitsChanged(list []limits.Limit, from int) {
 	for i, g := range p.gateways {
 		if i == from {
 			continue
@@ -100,26 +100,26 @@
 		for _, l := range list {
 			g.limits.Note(l)
 		}
-		g.setLimits()
+		g.applyLimits()
 	}
 }
 
 // setLimits lets what the gateway knows of limits take effect.
-func (g *gateway) setLimits() {
-	for _, name := range g.names {
-		g.dispatch[name].SetLimits(g.sim.now(), g.limitNews())
+func (g *gateway) applyLimits() {
+	for _, name := range g.serviceNames {
+		g.dispatch[name].SetLimits(g.sim.now(), g.activeLimits())
 	}
 }
 
 // limitNews returns the limits in force, and what the other gateways are asked for as it was told
 // last.
-func (g *gateway) limitNews() map[string]dispatch.Limit {
+func (g *gateway) activeLimits() map[string]dispatch.Limit {
 	out := make(map[string]dispatch.Limit)
 	for _, l := range g.limits.List() {
 		if l.Ended {
 			continue
 		}
-		wanted, known := g.wantedElsewhere[l.Upstream]
+		wanted, known := g.otherLimitedDemand[l.Upstream]
 		if !known {
 			wanted = -1
 		}
@@ -130,12 +130,12 @@
 
 // wantedBut returns what all gateways but one are asked for that upstreams with a limit would
 // get.
-func (c *controller) wantedBut(g int) map[string]float64 {
+func (c *controller) otherLimitedDemand(g int) map[string]float64 {
 	out := make(map[string]float64)
 	for _, l := range c.limits.List() {
 		out[l.Upstream] = 0
 	}
-	for other, wanted := range c.wanted {
+	for other, wanted := range c.limitedDemand {
 		if other == g {
 			continue
 		}
--- a/bench/lab/plain.go
+++ b/bench/lab/plain.go
@@ -25,9 +25,9 @@
 // plainComeBack is what the plainest policy tells refused callers.
 const plainComeBack = 60 * time.Millisecond
 
-func (p *plain) changed(*Service)            {}
-func (p *plain) gatewayLost(int)             {}
-func (p *plain) limited([]limits.Limit, int) {}
+func (p *plain) upstreamsChanged(*Service)         {}
+func (p *plain) gatewayFailed(int)                 {}
+func (p *plain) limitsChanged([]limits.Limit, int) {}
 
 func (p *plain) submit(t *try) {
 	mine := p.inflight[t.gateway]
@@ -82,7 +82,7 @@
 	}
 	var best *upstream
 	for _, u := range p.sim.upstreams[name] {
-		lapsed := (u.silent || u.refusing) && p.sim.elapsed-u.failedAt >= lapse
+		lapsed := (u.silent || u.refusing) && p.sim.elapsed-u.failedAt >= entryExpiry
 		if !u.leaving && !lapsed && (best == nil || mine[u] < mine[best]) {
 			best = u
 		}
--- a/bench/lab/upstream.go
+++ b/bench/lab/upstream.go
@@ -85,7 +85,7 @@
 }
 
 // load is what the upstream tells with an answer, or nil.
-func (u *upstream) load() *instances.Load {
+func (u *upstream) reportedLoad() *instances.Load {
 	if !u.service.ReportsLoad {
 		return nil
 	}
@@ -147,14 +147,14 @@
 	if u.isWarmingUp() {
 		factor *= u.service.WarmUpFactor
 	}
-	if u.service.Keyed && u.sim.controller.cold(u.service, r.call.key) {
+	if u.service.Keyed && u.sim.controller.isCold(u.service, r.call.key) {
 		factor *= u.service.ColdFactor
 	}
 	u.sim.after(time.Duration(float64(took)*factor), func() {
 		if r.ended || u.silent || u.refusing {
 			return
 		}
-		r.load = u.load()
+		r.load = u.reportedLoad()
 		u.freeSlot(r)
 		u.answer(r, dispatch.Answered)
 		u.startQueued()
--- a/bench/lab/warmup.go
+++ b/bench/lab/warmup.go
@@ -34,7 +34,7 @@
 func (u *upstream) publishEntry(left time.Duration) {
 	u.instance.Revision++
 	u.instance.WarmUp = left
-	u.sim.after(u.sim.hopDelay(), func() { u.sim.policy.changed(u.service) })
+	u.sim.after(u.sim.hopDelay(), func() { u.sim.policy.upstreamsChanged(u.service) })
 }
 
 // breaks notes a request to an upstream that warms up, and reports whether it is one too
@@ -60,7 +60,7 @@
 			continue
 		}
 		u.fail(true)
-		sim.after(lapse, func() { sim.policy.changed(u.service) })
+		sim.after(entryExpiry, func() { sim.policy.upstreamsChanged(u.service) })
 		sim.after(t.Duration.D(), u.restart)
 	}
 }
@@ -69,7 +69,7 @@
 
 // rights names the gateways that may send to upstreams that warm up, and returns until when
 // the one of the number may.
-func (c *controller) rights(gateway int) map[string]time.Time {
+func (c *controller) warmUpRights(gateway int) map[string]time.Time {
 	var warming []warmup.Upstream
 	for _, u := range c.sim.allUpstreams {
 		if u.isWarmingUp() && !u.refusing && u.service.WarmUpRateLimit > 0 && !u.service.Keyed {
@@ -88,7 +88,7 @@
 		}
 	}
 	out := make(map[string]time.Time)
-	for _, r := range c.book.Assign(c.sim.now(), warming, gateways) {
+	for _, r := range c.assignments.Assign(c.sim.now(), warming, gateways) {
 		if r.Gateway == gatewayName(gateway) {
 			out[r.Upstream] = c.sim.now().Add(warmup.RightDuration)
 		}
--- a/bench/lab/world.go
+++ b/bench/lab/world.go
@@ -16,11 +16,11 @@
 type policy interface {
 	submit(t *try)
 	// changed says that upstreams of the service have come, gone or changed.
-	changed(s *Service)
+	upstreamsChanged(s *Service)
 	// gatewayLost says that a gateway has ended.
-	gatewayLost(g int)
+	gatewayFailed(g int)
 	// limited brings what upstreams named as their limits, as one gateway has heard it.
-	limited(list []limits.Limit, from int)
+	limitsChanged(list []limits.Limit, from int)
 }
 
 // world is one run of a scenario.
@@ -221,7 +221,7 @@
 	case GatewayFailure:
 		for _, g := range sim.rng.Perm(sim.sc.Gateways)[:int(t.Share*float64(sim.sc.Gateways))] {
 			sim.gatewayDown[g] = true
-			sim.policy.gatewayLost(g)
+			sim.policy.gatewayFailed(g)
 			sim.after(t.Duration.D(), func() { sim.gatewayDown[g] = false })
 		}
 	}
@@ -238,7 +238,7 @@
 }
 
 func (sim *simulation) disturb(t *Disturbance, u *upstream) {
-	news := func() { sim.policy.changed(u.service) }
+	news := func() { sim.policy.upstreamsChanged(u.service) }
 	switch t.Kind {
 	case Slowdown:
 		u.slowdown = t.Factor
@@ -248,8 +248,8 @@
 		sim.after(sim.hopDelay(), news)
 	default:
 		u.fail(t.Kind == Refusing)
-		sim.after(suspectAfter, func() { u.suspectedLost = u.silent || u.refusing })
-		sim.after(lapse, news)
+		sim.after(suspectDelay, func() { u.suspectedLost = u.silent || u.refusing })
+		sim.after(entryExpiry, news)
 		sim.after(t.Duration.D(), func() {
 			u.recover()
 			sim.after(sim.hopDelay(), news)
