--- a/bench/lab/client.go
+++ b/bench/lab/client.go
@@ -6,11 +6,11 @@
 
 // call is one thing that a client wants, with its tries.
 type call struct {
-	sim   *simulation
-	route *Route
-	key   uint16
-	began time.Duration
-	tries int
+	sim       *simulation
+	route     *Route
+	key       uint16
+	startedAt time.Duration
+	tries     int
 	// heldFor is how long gateways held tries that they refused.
 	heldFor time.Duration
 	ended   bool
@@ -19,21 +19,21 @@
 
 // try is one request of a client at a gateway.
 type try struct {
-	call    *call
-	gateway int
-	began   time.Duration
+	call      *call
+	gateway   int
+	startedAt time.Duration
 	// left is what the client will wait at most, from began.
-	left time.Duration
+	maxWait time.Duration
 	// withdraw is called when the client has left.
-	withdraw func()
-	ended    bool
+	onWithdraw func()
+	ended      bool
 }
 
 // left is the time until the client leaves.
-func (c *call) left() time.Duration { return c.began + c.route.Patience.D() - c.sim.elapsed }
+func (c *call) remaining() time.Duration { return c.startedAt + c.route.Patience.D() - c.sim.elapsed }
 
 // ask makes one try at a random gateway that runs.
-func (c *call) ask() {
+func (c *call) sendTry() {
 	if c.ended {
 		return
 	}
@@ -41,69 +41,69 @@
 	t := &try{call: c, gateway: c.sim.pickGateway()}
 	c.current = t
 	c.sim.after(c.sim.sc.ClientHop.D(), func() {
-		t.began, t.left = c.sim.elapsed, c.left()
-		if !t.ended && t.left > 0 {
+		t.startedAt, t.maxWait = c.sim.elapsed, c.remaining()
+		if !t.ended && t.maxWait > 0 {
 			c.sim.policy.submit(t)
 		}
 	})
 }
 
 // leaves ends the call when its client has waited for long enough.
-func (c *call) leaves() {
+func (c *call) giveUp() {
 	if c.ended {
 		return
 	}
-	c.end(failed)
-	if t := c.current; t != nil && t.withdraw != nil {
+	c.finish(failed)
+	if t := c.current; t != nil && t.onWithdraw != nil {
 		c.sim.after(c.sim.sc.ClientHop.D(), func() {
 			if !t.ended {
 				t.ended = true
-				t.withdraw()
+				t.onWithdraw()
 			}
 		})
 	}
 }
 
 // served answers the try with success.
-func (t *try) served() {
-	t.finish(func(c *call) {
-		if c.sim.elapsed-c.began <= c.route.Objective.D() {
-			c.end(onTime)
+func (t *try) succeed() {
+	t.deliver(func(c *call) {
+		if c.sim.elapsed-c.startedAt <= c.route.Objective.D() {
+			c.finish(onTime)
 			return
 		}
-		c.end(late)
+		c.finish(late)
 	})
 }
 
 // refused answers that the request did not run, and when to come back.
-func (t *try) refused(again time.Duration) {
-	t.call.heldFor += t.call.sim.elapsed - t.began
+func (t *try) refuse(retryAfter time.Duration) {
+	t.call.heldFor += t.call.sim.elapsed - t.startedAt
 	t.call.sim.tally.route(t.call.route).refusals++
-	t.finish(func(c *call) {
+	t.deliver(func(c *call) {
 		if c.tries > c.route.Retries {
-			c.end(refused)
+			c.finish(refused)
 			return
 		}
-		c.sim.after(min(again, c.left()/3), c.ask)
+		c.sim.after(min(retryAfter, c.remaining()/3), c.sendTry)
 	})
 }
 
 // failed answers that the request may have run.
-func (t *try) failed() {
-	t.finish(func(c *call) {
+func (t *try) fail() {
+	t.deliver(func(c *call) {
 		if !c.route.Idempotent || c.tries > c.route.Retries {
-			c.end(failed)
+			c.finish(failed)
 			return
 		}
-		c.sim.after(clientPause, c.ask)
+		c.sim.after(clientRetryDelay, c.sendTry)
 	})
 }
 
 // clientPause is how long clients wait before they try again after a failure.
-const clientPause = 30 * time.Millisecond
+const clientRetryDelay = 30 * time.Millisecond
 
 // finish brings an answer to the client.
-func (t *try) finish(then func(*call)) {
+func (t *try) deliver(then func(*call)) {
 	if t.ended {
 		return
 	}
@@ -115,7 +115,7 @@
 	})
 }
 
-func (c *call) end(o outcome) {
+func (c *call) finish(o outcome) {
 	c.ended = true
 	c.sim.tally.end(c, o)
 }
--- a/bench/lab/delivery.go
+++ b/bench/lab/delivery.go
@@ -21,19 +21,19 @@
 	deadline time.Duration
 	exclude  []string
 	// waiting is the request that waits for room.
-	waiting  *dispatch.Request
-	flights  []*flight
-	arrivals int
-	unsent   int
-	hedged   bool
-	mayRun   bool
-	ended    bool
+	queued     *dispatch.Request
+	attempts   []*attempt
+	reached    int
+	unreached  int
+	hedged     bool
+	mayHaveRun bool
+	ended      bool
 	// refusedFence is that of the owner that said it does not hold the key.
 	refusedFence uint64
 }
 
 // flight is one try at one upstream.
-type flight struct {
+type attempt struct {
 	grant dispatch.Grant
 	run   *run
 	ended bool
@@ -46,12 +46,12 @@
 }
 
 // abandon drops what is under way.
-func (d *delivery) abandon(o dispatch.Outcome) {
+func (d *delivery) cancel(o dispatch.Outcome) {
 	d.end()
-	if d.waiting != nil {
-		d.service.Withdraw(d.waiting)
+	if d.queued != nil {
+		d.service.Withdraw(d.queued)
 	}
-	for _, f := range d.flights {
+	for _, f := range d.attempts {
 		if !f.ended {
 			f.ended = true
 			d.service.Done(d.sim.now(), f.grant, o)
@@ -61,27 +61,27 @@
 	}
 }
 
-func (d *delivery) timedOut() {
+func (d *delivery) onTimeout() {
 	if d.ended {
 		return
 	}
-	d.abandon(dispatch.TimedOut)
-	if d.mayRun || d.running() > 0 || len(d.flights) > 0 {
-		d.try.failed()
+	d.cancel(dispatch.TimedOut)
+	if d.mayHaveRun || d.running() > 0 || len(d.attempts) > 0 {
+		d.try.fail()
 		return
 	}
-	d.try.refused(patience.RetryAfterNoCapacity())
+	d.try.refuse(patience.RetryAfterNoCapacity())
 }
 
-func (d *delivery) withdrawn() {
+func (d *delivery) onWithdraw() {
 	if !d.ended && d.route.Idempotent {
-		d.abandon(dispatch.Canceled)
+		d.cancel(dispatch.Canceled)
 	}
 }
 
 func (d *delivery) running() int {
 	n := 0
-	for _, f := range d.flights {
+	for _, f := range d.attempts {
 		if !f.ended {
 			n++
 		}
@@ -90,7 +90,7 @@
 }
 
 // acquire finds an upstream with room, at once or after a wait.
-func (d *delivery) acquire(atOnce bool) {
+func (d *delivery) acquire(hedge bool) {
 	if d.ended {
 		return
 	}
@@ -98,69 +98,69 @@
 	if d.keyed {
 		s := d.sim.ownerView[d.route.Service].Find(d.try.call.key)
 		if s.Moving() || s.Owner == "" || s.Fence == d.refusedFence {
-			if !atOnce {
-				d.awaitMove(s)
+			if !hedge {
+				d.waitForOwner(s)
 			}
 			return
 		}
 		owner = s.Owner
 	}
 	until := d.sim.now()
-	if !atOnce {
+	if !hedge {
 		until = until.Add(patience.MaxQueueWait(d.route.Objective.D(), d.deadline-d.sim.elapsed))
 	}
-	w := &dispatch.Request{
+	req := &dispatch.Request{
 		Owner: owner, Exclude: d.exclude, Priority: d.route.Priority, Objective: d.route.Objective.D(),
 		Deadline: start.Add(d.deadline), QueueUntil: until,
 	}
 	if d.keyed {
-		w.Key = d.try.call.key
-		w.Retry = !atOnce && len(d.flights) > 0
-		w.Cold = d.sim.ownerView[d.route.Service].Find(d.try.call.key).Cold
+		req.Key = d.try.call.key
+		req.Retry = !hedge && len(d.attempts) > 0
+		req.Cold = d.sim.ownerView[d.route.Service].Find(d.try.call.key).Cold
 	}
-	if !atOnce && len(d.flights) == 0 {
-		w.LateAt = start.Add(d.try.began + d.route.Objective.D())
+	if !hedge && len(d.attempts) == 0 {
+		req.LateAt = start.Add(d.try.startedAt + d.route.Objective.D())
 	}
-	w.OnDecision = func(g dispatch.Grant, r dispatch.Refusal) { d.decided(w, g, r) }
-	g, r, decided := d.service.Offer(d.sim.now(), w)
+	req.OnDecision = func(g dispatch.Grant, r dispatch.Refusal) { d.onDecision(req, g, r) }
+	g, r, decided := d.service.Offer(d.sim.now(), req)
 	switch {
 	case !decided:
-		d.waiting = w
-	case r == 0 && atOnce && !d.budget[d.route.Service].Spend(d.sim.now(), d.sim.sc.Gateways):
+		d.queued = req
+	case r == 0 && hedge && !d.budget[d.route.Service].Spend(d.sim.now(), d.sim.sc.Gateways):
 		d.service.Done(d.sim.now(), g, dispatch.Canceled)
 	case r == 0:
 		d.send(g)
-	case !atOnce && (r == dispatch.OwnerUnresponsive || r == dispatch.NoUpstream) && d.keyed:
-		d.refuseFor(d.comeBackToKey())
-	case !atOnce && r == dispatch.Limited:
-		d.refuseFor(patience.RetryAfterLimited())
-	case !atOnce && r == dispatch.HotKey:
-		d.refuseFor(patience.RetryAfterHotKey())
-	case !atOnce && r == dispatch.ColdKey:
-		d.refuseFor(patience.RetryAfterColdKey())
-	case !atOnce:
-		d.refuse()
+	case !hedge && (r == dispatch.OwnerUnresponsive || r == dispatch.NoUpstream) && d.keyed:
+		d.refuseWithRetryAfter(d.noOwnerRetryAfter())
+	case !hedge && r == dispatch.Limited:
+		d.refuseWithRetryAfter(patience.RetryAfterLimited())
+	case !hedge && r == dispatch.HotKey:
+		d.refuseWithRetryAfter(patience.RetryAfterHotKey())
+	case !hedge && r == dispatch.ColdKey:
+		d.refuseWithRetryAfter(patience.RetryAfterColdKey())
+	case !hedge:
+		d.refuseNoCapacity()
 	}
 }
 
 // comeBackToKey is when a caller may come back whose key has no owner.
-func (d *delivery) comeBackToKey() time.Duration {
+func (d *delivery) noOwnerRetryAfter() time.Duration {
 	without := d.sim.controller.gaps[d.route.Service].Without(d.sim.now(), d.try.call.key)
 	return patience.RetryAfterNoOwner(without)
 }
 
 // decided takes the verdict about a request that waited. Others may be decided in the
 // same moment, so what follows runs after it.
-func (d *delivery) decided(w *dispatch.Request, g dispatch.Grant, r dispatch.Refusal) {
-	d.waiting = nil
+func (d *delivery) onDecision(req *dispatch.Request, g dispatch.Grant, r dispatch.Refusal) {
+	d.queued = nil
 	d.sim.after(0, func() {
 		switch {
 		case r == 0 && d.ended:
 			d.service.Done(d.sim.now(), g, dispatch.Canceled)
 		case d.ended:
 		case r != 0:
-			d.refuse()
-		case w.Owner != "" && d.ownerNow() != w.Owner:
+			d.refuseNoCapacity()
+		case req.Owner != "" && d.currentOwner() != req.Owner:
 			d.service.Done(d.sim.now(), g, dispatch.Canceled)
 			d.acquire(false)
 		default:
@@ -169,7 +169,7 @@
 	})
 }
 
-func (d *delivery) ownerNow() string {
+func (d *delivery) currentOwner() string {
 	s := d.sim.ownerView[d.route.Service].Find(d.try.call.key)
 	if s.Moving() {
 		return ""
@@ -178,12 +178,12 @@
 }
 
 // awaitMove waits for the owner of a key that moves.
-func (d *delivery) awaitMove(s spans.Span) {
+func (d *delivery) waitForOwner(s spans.Span) {
 	if lost := d.sim.controller.gaps[d.route.Service].Without(d.sim.now(), d.try.call.key); lost > d.route.Objective.D() {
-		d.refuseFor(d.comeBackToKey())
+		d.refuseWithRetryAfter(d.noOwnerRetryAfter())
 		return
 	}
-	wait := patience.MaxMoveWait(d.route.Objective.D(), d.try.began+d.deadline-d.sim.elapsed)
+	wait := patience.MaxMoveWait(d.route.Objective.D(), d.try.startedAt+d.deadline-d.sim.elapsed)
 	if d.refusedFence > 0 && !s.Moving() {
 		wait = newOwnerWait
 	}
@@ -192,7 +192,7 @@
 		if !woken {
 			woken = true
 			d.sim.after(0, func() {
-				if d.refusedFence == s.Fence && s.Fence > 0 && d.sim.elapsed >= d.try.began+wait {
+				if d.refusedFence == s.Fence && s.Fence > 0 && d.sim.elapsed >= d.try.startedAt+wait {
 					d.refusedFence = 0
 				}
 				d.acquire(false)
@@ -200,38 +200,38 @@
 		}
 	}
 	d.sim.controller.ownerWaiters = append(d.sim.controller.ownerWaiters, wake)
-	d.sim.after(wait-(d.sim.elapsed-d.try.began), func() {
+	d.sim.after(wait-(d.sim.elapsed-d.try.startedAt), func() {
 		if !woken && !d.ended {
 			woken = true
-			d.refuseFor(d.comeBackToKey())
+			d.refuseWithRetryAfter(d.noOwnerRetryAfter())
 		}
 	})
 }
 
 // refuse gives up on a request for want of room.
-func (d *delivery) refuse() { d.refuseFor(patience.RetryAfterNoCapacity()) }
+func (d *delivery) refuseNoCapacity() { d.refuseWithRetryAfter(patience.RetryAfterNoCapacity()) }
 
 // refuseFor gives up on a request that waits for nothing any more.
-func (d *delivery) refuseFor(again time.Duration) {
+func (d *delivery) refuseWithRetryAfter(retryAfter time.Duration) {
 	if d.ended || d.running() > 0 {
 		return
 	}
 	d.end()
-	if d.mayRun {
-		d.try.failed()
+	if d.mayHaveRun {
+		d.try.fail()
 		return
 	}
-	d.try.refused(again)
+	d.try.refuse(retryAfter)
 }
 
 // send makes one try at an upstream.
 func (d *delivery) send(g dispatch.Grant) {
-	f := &flight{grant: g, run: &run{call: d.try.call, upstream: d.sim.upstreamByID[g.Instance.ID]}}
-	f.run.reply = func(o dispatch.Outcome) { d.replied(f, o) }
-	d.flights = append(d.flights, f)
-	d.count(g)
+	f := &attempt{grant: g, run: &run{call: d.try.call, upstream: d.sim.upstreamByID[g.Instance.ID]}}
+	f.run.reply = func(o dispatch.Outcome) { d.onReply(f, o) }
+	d.attempts = append(d.attempts, f)
+	d.countCrossDomain(g)
 	d.sim.after(d.sim.hopDelay(), func() { f.run.upstream.receive(f.run) })
-	if d.hedged || !d.route.Idempotent || d.arrivals+d.running() >= d.route.Attempts {
+	if d.hedged || !d.route.Idempotent || d.reached+d.running() >= d.route.Attempts {
 		return
 	}
 	d.sim.after(patience.HedgeDelay(g.ExpectedLatency), func() {
@@ -247,7 +247,7 @@
 }
 
 // count counts tries that may choose their failure domain, and those that leave it.
-func (d *delivery) count(g dispatch.Grant) {
+func (d *delivery) countCrossDomain(g dispatch.Grant) {
 	if d.keyed {
 		return
 	}
@@ -258,7 +258,7 @@
 }
 
 // replied takes the outcome of a try.
-func (d *delivery) replied(f *flight, o dispatch.Outcome) {
+func (d *delivery) onReply(f *attempt, o dispatch.Outcome) {
 	if f.ended {
 		return
 	}
@@ -274,36 +274,36 @@
 		return
 	}
 	if o == dispatch.Answered {
-		d.abandon(dispatch.Canceled)
-		d.try.served()
+		d.cancel(dispatch.Canceled)
+		d.try.succeed()
 		return
 	}
-	again := d.mayRepeat(f, o)
+	again := d.shouldRetry(f, o)
 	switch {
 	case d.running() > 0:
 	case again:
 		d.acquire(false)
 	default:
-		d.refuse()
+		d.refuseNoCapacity()
 	}
 }
 
 // mayRepeat decides whether the request is sent once more.
-func (d *delivery) mayRepeat(f *flight, o dispatch.Outcome) bool {
+func (d *delivery) shouldRetry(f *attempt, o dispatch.Outcome) bool {
 	if !d.keyed {
 		d.exclude = append(d.exclude, f.grant.Instance.ID)
 	}
 	if o == dispatch.ConnectionRefused || o == dispatch.Unreachable {
-		d.unsent++
-		return d.unsent <= maxUnreached
+		d.unreached++
+		return d.unreached <= maxUnreached
 	}
-	d.arrivals++
+	d.reached++
 	notRun := o == dispatch.Overloaded || o == dispatch.NotOwner
-	d.mayRun = d.mayRun || !notRun
+	d.mayHaveRun = d.mayHaveRun || !notRun
 	if o == dispatch.NotOwner {
 		d.refusedFence = d.sim.ownerView[d.route.Service].Find(d.try.call.key).Fence
 	}
-	if d.mayRun && !d.route.Idempotent || d.arrivals >= d.route.Attempts {
+	if d.mayHaveRun && !d.route.Idempotent || d.reached >= d.route.Attempts {
 		return false
 	}
 	return d.budget[d.route.Service].Spend(d.sim.now(), d.sim.sc.Gateways)
--- a/bench/lab/gateway.go
+++ b/bench/lab/gateway.go
@@ -84,27 +84,27 @@
 	open := lost.deliveries
 	lost.deliveries = nil
 	for _, d := range open {
-		d.abandon(dispatch.Canceled)
-		d.try.failed()
+		d.cancel(dispatch.Canceled)
+		d.try.fail()
 	}
 }
 
 func (p *product) submit(t *try) {
 	g := p.gateways[t.gateway]
 	if p.sim.gatewayDown[t.gateway] {
-		t.failed()
+		t.fail()
 		return
 	}
 	d := &delivery{gateway: g, try: t, route: t.call.route, service: g.dispatch[t.call.route.Service]}
 	d.keyed = p.sim.controller.tables[d.route.Service] != nil
-	d.deadline = p.sim.elapsed + min(d.route.Timeout.D(), t.left)
-	t.withdraw = d.withdrawn
+	d.deadline = p.sim.elapsed + min(d.route.Timeout.D(), t.maxWait)
+	t.onWithdraw = d.onWithdraw
 	g.deliveries = append(g.deliveries, d)
 	g.budget[d.route.Service].RecordRequest(p.sim.now())
 	if d.keyed {
 		g.keys[d.route.Service] = append(g.keys[d.route.Service], t.call.key)
 	}
-	p.sim.after(d.deadline-p.sim.elapsed, d.timedOut)
+	p.sim.after(d.deadline-p.sim.elapsed, d.onTimeout)
 	d.acquire(false)
 }
 
--- a/bench/lab/ideal.go
+++ b/bench/lab/ideal.go
@@ -17,39 +17,39 @@
 	sim *simulation
 	// queues hold what waits: by owner for keyed services, else by service. Requests
 	// for keys without an owner wait under homeless.
-	queues map[string][]*idealRun
+	queues map[string][]*idealRequest
 	// sent are the requests at each upstream or under way to it.
-	sent map[*upstream][]*idealRun
+	sent map[*upstream][]*idealRequest
 }
 
 // homeless is the queue of requests whose keys have no owner.
-const homeless = ""
+const noOwnerQueue = ""
 
 // idealRun is a try that waits or runs.
-type idealRun struct {
-	try  *try
-	run  *run
-	gone bool
+type idealRequest struct {
+	try       *try
+	run       *run
+	withdrawn bool
 }
 
 func newIdeal(sim *simulation) *ideal {
-	p := &ideal{sim: sim, queues: make(map[string][]*idealRun), sent: make(map[*upstream][]*idealRun)}
-	sim.after(idealLook, p.look)
+	p := &ideal{sim: sim, queues: make(map[string][]*idealRequest), sent: make(map[*upstream][]*idealRequest)}
+	sim.after(idealPollInterval, p.poll)
 	return p
 }
 
 // idealLook is the time between looks for upstreams that have become free for another
 // reason than an answer, such as a key that has moved.
-const idealLook = 2 * time.Millisecond
+const idealPollInterval = 2 * time.Millisecond
 
 func (p *ideal) upstreamsChanged(*Service)         {}
 func (p *ideal) gatewayFailed(int)                 {}
 func (p *ideal) limitsChanged([]limits.Limit, int) {}
 
-func (p *ideal) look() {
-	p.sim.after(idealLook, p.look)
-	orphans := p.queues[homeless]
-	p.queues[homeless] = nil
+func (p *ideal) poll() {
+	p.sim.after(idealPollInterval, p.poll)
+	orphans := p.queues[noOwnerQueue]
+	p.queues[noOwnerQueue] = nil
 	for _, one := range orphans {
 		p.enqueue(one)
 	}
@@ -76,7 +76,7 @@
 		if one.try.call.route.Idempotent {
 			p.enqueue(one)
 		} else {
-			one.try.failed()
+			one.try.fail()
 		}
 	}
 }
@@ -89,24 +89,24 @@
 }
 
 // enqueue lets a request wait where it belongs.
-func (p *ideal) enqueue(one *idealRun) {
+func (p *ideal) enqueue(one *idealRequest) {
 	name := one.try.call.route.Service
 	if table := p.sim.controller.tables[name]; table != nil {
 		span := table.Find(one.try.call.key)
 		name = span.Owner
 		if u := p.sim.upstreamByID[span.Owner]; span.Moving() || u == nil || u.silent || u.refusing {
-			name = homeless
+			name = noOwnerQueue
 		}
 	}
 	p.queues[name] = append(p.queues[name], one)
 }
 
 func (p *ideal) submit(t *try) {
-	one := &idealRun{try: t}
-	t.withdraw = func() {
-		one.gone = true
+	one := &idealRequest{try: t}
+	t.onWithdraw = func() {
+		one.withdrawn = true
 		if one.run != nil {
-			p.ended(one)
+			p.cancel(one)
 		}
 	}
 	p.enqueue(one)
@@ -127,14 +127,14 @@
 func (p *ideal) fastestFree(name string) *upstream {
 	var best *upstream
 	for _, u := range p.sim.upstreams[name] {
-		if p.free(u) && (best == nil || u.currentSpeed() > best.currentSpeed()) {
+		if p.hasFreeSlot(u) && (best == nil || u.currentSpeed() > best.currentSpeed()) {
 			best = u
 		}
 	}
 	return best
 }
 
-func (p *ideal) free(u *upstream) bool {
+func (p *ideal) hasFreeSlot(u *upstream) bool {
 	return !u.silent && !u.refusing && !u.leaving && !(u.isWarmingUp() && u.service.MaxWarmUpRate > 0) && len(p.sent[u]) < u.service.Slots
 }
 
@@ -143,7 +143,7 @@
 
 // fill gives a free upstream what it should run next.
 func (p *ideal) fill(u *upstream) {
-	for p.free(u) {
+	for p.hasFreeSlot(u) {
 		one := p.next(u)
 		if one == nil {
 			return
@@ -153,24 +153,24 @@
 }
 
 // next takes the request from the queue that the upstream should run next.
-func (p *ideal) next(u *upstream) *idealRun {
+func (p *ideal) next(u *upstream) *idealRequest {
 	name := p.queueOf(u)
 	kept := p.queues[name][:0]
 	best := -1
-	var moved []*idealRun
+	var moved []*idealRequest
 	for _, one := range p.queues[name] {
 		switch {
-		case one.gone || one.try.ended:
+		case one.withdrawn || one.try.ended:
 		case u.service.Keyed && !u.owns(one.try.call.key):
 			moved = append(moved, one)
 		default:
-			if best < 0 || p.before(u, one, kept[best]) {
+			if best < 0 || p.runsBefore(u, one, kept[best]) {
 				best = len(kept)
 			}
 			kept = append(kept, one)
 		}
 	}
-	var chosen *idealRun
+	var chosen *idealRequest
 	if best >= 0 {
 		chosen = kept[best]
 		kept = append(kept[:best], kept[best+1:]...)
@@ -183,7 +183,7 @@
 }
 
 // before reports whether a should run before b.
-func (p *ideal) before(u *upstream, a, b *idealRun) bool {
+func (p *ideal) runsBefore(u *upstream, a, b *idealRequest) bool {
 	aOn, bOn := p.canBeOnTime(u, a), p.canBeOnTime(u, b)
 	if aOn != bOn {
 		return aOn
@@ -191,17 +191,17 @@
 	if pa, pb := a.try.call.route.Priority, b.try.call.route.Priority; pa != pb {
 		return pa < pb
 	}
-	older := a.try.call.began < b.try.call.began
+	older := a.try.call.startedAt < b.try.call.startedAt
 	return older == aOn
 }
 
-func (p *ideal) canBeOnTime(u *upstream, one *idealRun) bool {
+func (p *ideal) canBeOnTime(u *upstream, one *idealRequest) bool {
 	c := one.try.call
 	took := time.Duration(c.route.WorkTime.D().Seconds() / u.currentSpeed() * float64(time.Second))
-	return p.sim.elapsed+took+2*p.sim.hopDelay()+p.sim.sc.ClientHop.D() <= c.began+c.route.Objective.D()
+	return p.sim.elapsed+took+2*p.sim.hopDelay()+p.sim.sc.ClientHop.D() <= c.startedAt+c.route.Objective.D()
 }
 
-func (p *ideal) send(u *upstream, one *idealRun) {
+func (p *ideal) send(u *upstream, one *idealRequest) {
 	r := &run{call: one.try.call, upstream: u}
 	one.run = r
 	p.sent[u] = append(p.sent[u], one)
@@ -210,10 +210,10 @@
 			return
 		}
 		one.run = nil
-		p.drop(u, one)
+		p.removeSent(u, one)
 		if o == dispatch.Answered {
-			one.try.served()
-		} else if !one.gone {
+			one.try.succeed()
+		} else if !one.withdrawn {
 			p.enqueue(one)
 		}
 		p.fill(u)
@@ -222,15 +222,15 @@
 }
 
 // drop takes a request off those sent to an upstream.
-func (p *ideal) drop(u *upstream, one *idealRun) {
-	p.sent[u] = slices.DeleteFunc(p.sent[u], func(other *idealRun) bool { return other == one })
+func (p *ideal) removeSent(u *upstream, one *idealRequest) {
+	p.sent[u] = slices.DeleteFunc(p.sent[u], func(other *idealRequest) bool { return other == one })
 }
 
 // ended drops a request whose client has left.
-func (p *ideal) ended(one *idealRun) {
+func (p *ideal) cancel(one *idealRequest) {
 	r := one.run
 	one.run = nil
-	p.drop(r.upstream, one)
+	p.removeSent(r.upstream, one)
 	p.sim.after(p.sim.hopDelay(), func() {
 		r.upstream.cancel(r)
 		p.fill(r.upstream)
--- a/bench/lab/plain.go
+++ b/bench/lab/plain.go
@@ -23,7 +23,7 @@
 }
 
 // plainComeBack is what the plainest policy tells refused callers.
-const plainComeBack = 60 * time.Millisecond
+const plainRetryAfter = 60 * time.Millisecond
 
 func (p *plain) upstreamsChanged(*Service)         {}
 func (p *plain) gatewayFailed(int)                 {}
@@ -33,11 +33,11 @@
 	mine := p.inflight[t.gateway]
 	u := p.pick(t, mine)
 	if p.sim.gatewayDown[t.gateway] {
-		t.failed()
+		t.fail()
 		return
 	}
 	if u == nil || mine[u] >= u.service.Slots {
-		t.refused(plainComeBack)
+		t.refuse(plainRetryAfter)
 		return
 	}
 	mine[u]++
@@ -54,22 +54,22 @@
 	drop := func() {
 		if end() {
 			p.sim.after(p.sim.hopDelay(), func() { u.cancel(r) })
-			t.failed()
+			t.fail()
 		}
 	}
-	t.withdraw = drop
-	p.sim.after(min(t.call.route.Timeout.D(), t.left), drop)
+	t.onWithdraw = drop
+	p.sim.after(min(t.call.route.Timeout.D(), t.maxWait), drop)
 	r.reply = func(o dispatch.Outcome) {
 		if !end() {
 			return
 		}
 		switch o {
 		case dispatch.Answered:
-			t.served()
+			t.succeed()
 		case dispatch.ConnectionBroken:
-			t.failed()
+			t.fail()
 		default:
-			t.refused(plainComeBack)
+			t.refuse(plainRetryAfter)
 		}
 	}
 	p.sim.after(p.sim.hopDelay(), func() { u.receive(r) })
--- a/bench/lab/tally.go
+++ b/bench/lab/tally.go
@@ -68,9 +68,9 @@
 	}
 	if o == onTime || o == late {
 		// It cannot fail: no client waits for as long as the histogram's bound.
-		_ = one.latency.RecordValue((c.sim.elapsed - c.began).Microseconds())
+		_ = one.latency.RecordValue((c.sim.elapsed - c.startedAt).Microseconds())
 	}
-	second := int(c.began / time.Second)
+	second := int(c.startedAt / time.Second)
 	for len(t.seconds) <= second {
 		t.seconds = append(t.seconds, [outcomes]int{})
 	}
--- a/bench/lab/world.go
+++ b/bench/lab/world.go
@@ -171,9 +171,9 @@
 		if sim.elapsed >= sim.sc.Length.D() {
 			return
 		}
-		c := &call{sim: sim, route: r, key: sim.drawKey(r), began: sim.elapsed}
-		c.ask()
-		sim.after(r.Patience.D(), c.leaves)
+		c := &call{sim: sim, route: r, key: sim.drawKey(r), startedAt: sim.elapsed}
+		c.sendTry()
+		sim.after(r.Patience.D(), c.giveUp)
 		sim.generateCalls(r)
 	})
 }
