--- a/bench/lab/command_test.go
+++ b/bench/lab/command_test.go
@@ -9,13 +9,13 @@
 )
 
 // small is a scenario that plays in a few milliseconds.
-const small = `{"name": "small", "length": "2s", "gateways": 2,
+const smallScenario = `{"name": "small", "length": "2s", "gateways": 2,
 	"services": [{"name": "s", "upstreams": 2, "slots": 2, "queue": 4, "when_full": "refuses"}],
 	"routes": [{"name": "r", "service": "s", "rate": 20, "work": "20ms", "objective": "200ms", "timeout": "1s",
 		"patience": "2s", "attempts": 2, "worth": 1, "late_worth": 0.5}]}`
 
 // play runs the command line and returns what it printed.
-func play(t *testing.T, args ...string) string {
+func runLab(t *testing.T, args ...string) string {
 	t.Helper()
 	var out bytes.Buffer
 	cmd := Command(&out)
@@ -30,13 +30,13 @@
 func TestCommand(t *testing.T) {
 	dir := t.TempDir()
 	file, page := filepath.Join(dir, "small.jsonc"), filepath.Join(dir, "page.html")
-	if err := os.WriteFile(file, []byte(small), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(smallScenario), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got := play(t, "list"); !strings.Contains(got, "overload") {
+	if got := runLab(t, "list"); !strings.Contains(got, "overload") {
 		t.Errorf("list: %s", got)
 	}
-	got := play(t, "run", file, "--seeds", "2", "--page", page)
+	got := runLab(t, "run", file, "--seeds", "2", "--page", page)
 	for _, want := range []string{"small", string(Product), string(Ideal), string(Plain), "of limit"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("run prints no %q: %s", want, got)
@@ -46,13 +46,13 @@
 	if err != nil || strings.Count(string(data), "data:image/svg") != 3 {
 		t.Errorf("page of %d bytes: %v", len(data), err)
 	}
-	if got := play(t, "run", file, "--seeds", "1", "--json"); !strings.HasPrefix(got, "[") || !strings.Contains(got, `"on_time"`) {
+	if got := runLab(t, "run", file, "--seeds", "1", "--json"); !strings.HasPrefix(got, "[") || !strings.Contains(got, `"on_time"`) {
 		t.Errorf("json: %.80s", got)
 	}
-	if got := play(t, "compare", file, file, "--seeds", "2"); !strings.Contains(got, "difference 0.0000") {
+	if got := runLab(t, "compare", file, file, "--seeds", "2"); !strings.Contains(got, "difference 0.0000") {
 		t.Errorf("a scenario differs from itself: %s", got)
 	}
-	if got := play(t, "ablate", file, "--seeds", "1"); strings.Count(got, "\n") != len(mechanisms)+1 {
+	if got := runLab(t, "ablate", file, "--seeds", "1"); strings.Count(got, "\n") != len(mechanisms)+1 {
 		t.Errorf("ablate: %s", got)
 	}
 }
--- a/bench/lab/lab_test.go
+++ b/bench/lab/lab_test.go
@@ -33,7 +33,7 @@
 }
 
 // TestSameSeedSameResult: a run depends on its scenario, its policy and its seed only.
-func TestSameSeedSameResult(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	sc := find(t, "rough")
 	sc.Length = jsonc.Duration(10 * time.Second)
 	for _, p := range []Policy{Product, Ideal, Plain} {
@@ -45,7 +45,7 @@
 }
 
 // TestBadScenarios: what cannot be played is refused with its path before anything runs.
-func TestBadScenarios(t *testing.T) {
+func TestInvalidScenariosAreRejected(t *testing.T) {
 	whole := `{"name": "a", "gateways": 1,
 		"services": [{"name": "s", "upstreams": 1, "slots": 1, "when_full": "refuses"}],
 		"routes": [{"name": "r", "service": "s", "rate": 1, "work": "1ms", "objective": "1s", "timeout": "1s", "patience": "1s", "attempts": 1}]}`
@@ -71,10 +71,10 @@
 
 // TestIdealIsNotBeaten: the dispatcher that knows everything is a limit that the
 // product stays below, and the plainest policy below both.
-func TestIdealIsNotBeaten(t *testing.T) {
+func TestIdealIsUpperBound(t *testing.T) {
 	sc := find(t, "overload")
-	best, ours, least := Simulate(sc, Ideal, 1), Simulate(sc, Product, 1), Simulate(sc, Plain, 1)
-	if best.Worth < ours.Worth || ours.Worth < least.Worth {
-		t.Errorf("ideal %.3f, product %.3f, plainest %.3f", best.Worth, ours.Worth, least.Worth)
+	ideal, product, plain := Simulate(sc, Ideal, 1), Simulate(sc, Product, 1), Simulate(sc, Plain, 1)
+	if ideal.Worth < product.Worth || product.Worth < plain.Worth {
+		t.Errorf("ideal %.3f, product %.3f, plainest %.3f", ideal.Worth, product.Worth, plain.Worth)
 	}
 }
--- a/bench/lab/limits_test.go
+++ b/bench/lab/limits_test.go
@@ -11,18 +11,18 @@
 // take. At a dozen gateways and at 74 none of them gets more than it may, and clients are served as
 // if nothing had happened. When the limits are read by nobody they get up to three times what they
 // may.
-func TestUpstreamsInNeedAreSpared(t *testing.T) {
+func TestNamedLimitsAreRespected(t *testing.T) {
 	for _, gateways := range []int{12, 74} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			t.Parallel()
-			hit := find(t, "in-need")
-			hit.Gateways = gateways
-			calm, unread := *hit, *hit
-			calm.Disturbances = nil
-			unread.Disabled = dispatch.Mechanisms{NoNamedLimits: true}
+			limited := find(t, "in-need")
+			limited.Gateways = gateways
+			unlimited, ignored := *limited, *limited
+			unlimited.Disturbances = nil
+			ignored.Disabled = dispatch.Mechanisms{NoNamedLimits: true}
 			for seed := uint64(1); seed <= 2; seed++ {
-				played := SimulateAll([]Job{{&calm, Product, seed}, {hit, Product, seed}, {&unread, Product, seed}})
-				without, with, flooded := played[0], played[1], played[2]
+				results := SimulateAll([]Job{{&unlimited, Product, seed}, {limited, Product, seed}, {&ignored, Product, seed}})
+				without, with, flooded := results[0], results[1], results[2]
 				if with.PeakOverLimit > 1 {
 					t.Errorf("seed %d: an upstream got %.2f times what it may", seed, with.PeakOverLimit)
 				}
--- a/bench/lab/load_test.go
+++ b/bench/lab/load_test.go
@@ -14,18 +14,18 @@
 // Before owners' room was shared by demand and waits were bounded by what is likely on
 // time: calm 0.992, hot-key 0.985, busy 0.926, overload 0.838, losses 0.965, rough 0.965
 // (means of four seeds).
-func TestNearTheLimit(t *testing.T) {
-	for name, least := range map[string]float64{"hot-key": 0.97, "overload": 0.95, "losses": 0.94} {
+func TestWorthIsCloseToIdeal(t *testing.T) {
+	for name, minRatio := range map[string]float64{"hot-key": 0.97, "overload": 0.95, "losses": 0.94} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			sc := find(t, name)
-			ours, limit := Simulate(sc, Product, 1), Simulate(sc, Ideal, 1)
-			if ratio := ours.Worth / limit.Worth; ratio < least {
-				t.Errorf("worth %.3f, %.3f of the limit, want %.2f", ours.Worth, ratio, least)
+			product, ideal := Simulate(sc, Product, 1), Simulate(sc, Ideal, 1)
+			if ratio := product.Worth / ideal.Worth; ratio < minRatio {
+				t.Errorf("worth %.3f, %.3f of the limit, want %.2f", product.Worth, ratio, minRatio)
 			}
-			for i, r := range ours.Routes {
-				if r.Worth < 0.8*limit.Routes[i].Worth {
-					t.Errorf("%s brings %.3f where %.3f is possible", r.Route, r.Worth, limit.Routes[i].Worth)
+			for i, r := range product.Routes {
+				if r.Worth < 0.8*ideal.Routes[i].Worth {
+					t.Errorf("%s brings %.3f where %.3f is possible", r.Route, r.Worth, ideal.Routes[i].Worth)
 				}
 			}
 		})
@@ -46,7 +46,7 @@
 // key kept no others uneven, before work times were those that all gateways see, and before
 // hot keys were limited: worth 0.511, 0.10 of the calls failed and 15,700 requests met a full
 // owner (means of two seeds).
-func TestSize(t *testing.T) {
+func TestHundredsOfGatewaysWithKeys(t *testing.T) {
 	r := Simulate(find(t, "size"), Product, 1)
 	if r.Worth < 0.59 {
 		t.Errorf("worth %.3f", r.Worth)
@@ -61,7 +61,7 @@
 
 // TestSizeAny plays hundreds of gateways before upstreams that any request may go to. Worth was
 // 0.854 when each gateway sent to the best of sixteen that it drew anew for each request.
-func TestSizeAny(t *testing.T) {
+func TestHundredsOfGatewaysWithoutKeys(t *testing.T) {
 	if r := Simulate(find(t, "size-any"), Product, 1); r.Worth < 0.93 {
 		t.Errorf("worth %.3f", r.Worth)
 	}
@@ -70,7 +70,7 @@
 // TestEachMechanismIsWorthSomething: with one of the mechanisms switched off, the clients
 // get less under the load that it answers, as a mean of the seeds: what one seed shows depends
 // on the order of its draws (cold keys: +0.0076 +- 0.0030 over eight, and -0.003 with one).
-func TestEachMechanismIsWorthSomething(t *testing.T) {
+func TestEachMechanismIncreasesWorth(t *testing.T) {
 	for name, c := range map[string]struct {
 		scenario  string
 		switchOff func(*dispatch.Mechanisms)
