--- a/bench/check/check.go
+++ b/bench/check/check.go
@@ -24,7 +24,7 @@
 	// WrongAnswer: a caller got the answer to another request.
 	WrongAnswer Rule = "answer of another request"
 	// EpochFell: a key ran under an older epoch after a newer one.
-	EpochFell Rule = "older epoch after a newer one"
+	EpochDecreased Rule = "older epoch after a newer one"
 	// TwoOwners: two upstreams ran a key under one epoch.
 	TwoOwners Rule = "two owners in one epoch"
 )
@@ -67,12 +67,12 @@
 		if o.OK() {
 			r.checkAnswer(o, ran)
 		}
-		told := o.Ran == string(answer.NotRun)
+		toldNotRun := o.Ran == string(answer.NotRun)
 		before, seen := notRun[o.RequestID]
-		notRun[o.RequestID] = told && (before || !seen)
+		notRun[o.RequestID] = toldNotRun && (before || !seen)
 	}
-	for id, told := range notRun {
-		if told && ran[id] > 0 {
+	for id, toldNotRun := range notRun {
+		if toldNotRun && ran[id] > 0 {
 			r.add(NotRunRan, "request %s", id)
 		}
 	}
@@ -103,7 +103,7 @@
 	for i := 1; i < len(list); i++ {
 		a, b := list[i-1], list[i]
 		if b.Epoch < a.Epoch {
-			r.add(EpochFell, "key %s: %s at epoch %d after %s at %d", key, b.Upstream, b.Epoch, a.Upstream, a.Epoch)
+			r.add(EpochDecreased, "key %s: %s at epoch %d after %s at %d", key, b.Upstream, b.Epoch, a.Upstream, a.Epoch)
 		}
 		if b.Epoch == a.Epoch && b.Upstream != a.Upstream {
 			r.add(TwoOwners, "key %s: %s and %s at epoch %d", key, a.Upstream, b.Upstream, b.Epoch)
--- a/bench/check/check_test.go
+++ b/bench/check/check_test.go
@@ -44,7 +44,7 @@
 		{
 			"older epoch", nil,
 			[]upstream.Run{run, later(func(r *upstream.Run) { r.Epoch = 2 })},
-			[]Rule{EpochFell},
+			[]Rule{EpochDecreased},
 		},
 		{
 			"two owners", nil,
