--- a/bench/deploy/deploy.go
+++ b/bench/deploy/deploy.go
@@ -48,7 +48,7 @@
 	merrimackWeights = service.Weights{Imbalance: 3, Churn: 1, Unavailable: 1}
 )
 
-func svc(name string, instances, slots int, w service.Weights) ServiceShape {
+func newServiceShape(name string, instances, slots int, w service.Weights) ServiceShape {
 	return ServiceShape{
 		Name: name, Instances: instances, Slots: slots, Weights: w, Rebalance: true,
 		ReadTime: 20 * time.Millisecond, WriteTime: 50 * time.Millisecond,
@@ -57,7 +57,7 @@
 
 // quick shortens run times, so that a small deployment shows a lot in a short
 // time.
-func quick(s ServiceShape) ServiceShape {
+func withShortRuns(s ServiceShape) ServiceShape {
 	s.ReadTime, s.WriteTime = 4*time.Millisecond, 12*time.Millisecond
 	return s
 }
@@ -67,26 +67,26 @@
 	return []Shape{
 		{
 			Name: "demo", Domains: 2, EntriesPerDomain: 2, Connections: 130,
-			Services: []ServiceShape{quick(svc("status", 6, 4, merrimackWeights))},
+			Services: []ServiceShape{withShortRuns(newServiceShape("status", 6, 4, merrimackWeights))},
 		},
 		{
 			Name: "addis", Domains: 3, EntriesPerDomain: 3, Connections: 130,
 			Distance: 500 * time.Microsecond,
 			Services: []ServiceShape{
-				svc("activation-status", 10, 4, addisWeights),
-				svc("activation", 7, 4, addisWeights),
-				svc("billing", 6, 4, addisWeights),
-				svc("registration", 10, 4, addisWeights),
+				newServiceShape("activation-status", 10, 4, addisWeights),
+				newServiceShape("activation", 7, 4, addisWeights),
+				newServiceShape("billing", 6, 4, addisWeights),
+				newServiceShape("registration", 10, 4, addisWeights),
 			},
 		},
 		{
 			Name: "merrimack", Domains: 4, EntriesPerDomain: 2, Connections: 110,
 			Distance: time.Millisecond,
 			Services: []ServiceShape{
-				svc("inventory", 9, 6, merrimackWeights),
-				svc("booking", 8, 6, merrimackWeights),
-				svc("billing", 8, 6, merrimackWeights),
-				svc("routes", 8, 6, merrimackWeights),
+				newServiceShape("inventory", 9, 6, merrimackWeights),
+				newServiceShape("booking", 8, 6, merrimackWeights),
+				newServiceShape("billing", 8, 6, merrimackWeights),
+				newServiceShape("routes", 8, 6, merrimackWeights),
 			},
 		},
 	}
@@ -140,7 +140,7 @@
 }
 
 // Map lists the addresses of a written deployment.
-type Map struct {
+type AddressMap struct {
 	Shape     string         `json:"shape"`
 	Platform  jsonc.Addr     `json:"platform"`
 	Entries   []EntryAddrs   `json:"entries"`
@@ -149,28 +149,28 @@
 
 // ports hands out free ports chosen by the kernel. They stay bound until all
 // are chosen, so that none is given twice.
-type ports struct{ held []net.Listener }
+type portAllocator struct{ listeners []net.Listener }
 
-func (p *ports) next() (jsonc.Addr, error) {
+func (p *portAllocator) next() (jsonc.Addr, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return jsonc.Addr{}, fmt.Errorf("choose a port: %w", err)
 	}
-	p.held = append(p.held, l)
+	p.listeners = append(p.listeners, l)
 	return jsonc.Addr{AddrPort: netip.MustParseAddrPort(l.Addr().String())}, nil
 }
 
-func (p *ports) release() {
-	for _, l := range p.held {
+func (p *portAllocator) release() {
+	for _, l := range p.listeners {
 		_ = l.Close()
 	}
 }
 
 // Choose assigns addresses to all processes of a shape.
-func Choose(s Shape, dir string) (Map, error) {
-	var p ports
+func AssignAddresses(s Shape, dir string) (AddressMap, error) {
+	var p portAllocator
 	defer p.release()
-	m := Map{Shape: s.Name}
+	m := AddressMap{Shape: s.Name}
 	var err error
 	if m.Platform, err = p.next(); err != nil {
 		return m, err
@@ -206,36 +206,36 @@
 
 // Write chooses addresses and writes the settings of every process, the map,
 // and the list of processes to start.
-func Write(s Shape, dir string) (Map, error) {
+func Write(s Shape, dir string) (AddressMap, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return Map{}, fmt.Errorf("deploy: %w", err)
+		return AddressMap{}, fmt.Errorf("deploy: %w", err)
 	}
-	m, err := Choose(s, dir)
+	m, err := AssignAddresses(s, dir)
 	if err != nil {
 		return m, err
 	}
 	w := writer{dir: dir}
-	w.file("platform", map[string]any{"listen": m.Platform}, "standin-platform", m.Platform.String()+"/ready")
+	w.writeProcess("platform", map[string]any{"listen": m.Platform}, "standin-platform", m.Platform.String()+"/ready")
 	for _, e := range m.Entries {
-		w.file(e.Name, map[string]any{
+		w.writeProcess(e.Name, map[string]any{
 			"id": e.Name, "domain": e.Domain, "callers": e.Callers, "peers": e.Peers,
-			"admin": e.Admin, "platform": m.Platform, "seeds": seeds(m, e),
+			"admin": e.Admin, "platform": m.Platform, "seeds": peerSeeds(m, e),
 		}, "rockcroft-entry", e.Admin.String()+"/health")
 	}
 	for _, u := range m.Upstreams {
 		shape := s.service(u.Service)
-		w.file(u.Name, map[string]any{
+		w.writeProcess(u.Name, map[string]any{
 			"id": u.Name, "listen": u.Addr, "slots": shape.Slots, "connections": s.Connections,
 			"read_time": jsonc.Duration(shape.ReadTime), "write_time": jsonc.Duration(shape.WriteTime),
 			"distance_delay": jsonc.Duration(s.Distance), "oracle_file": u.Oracle,
 			"checks_fences": !s.Unfenced,
 		}, "standin-upstream", u.Addr.String()+"/ready")
 	}
-	w.plain("deployment.json", m)
+	w.writeJSON("deployment.json", m)
 	for _, svc := range s.Services {
-		w.plain("create-"+svc.Name+".json", createSpec(s, svc, m))
+		w.writeJSON("create-"+svc.Name+".json", createSpec(s, svc, m))
 	}
-	w.list()
+	w.writeProcessList()
 	return m, w.err
 }
 
@@ -244,7 +244,7 @@
 	return s.Services[i]
 }
 
-func seeds(m Map, self EntryAddrs) []jsonc.Addr {
+func peerSeeds(m AddressMap, self EntryAddrs) []jsonc.Addr {
 	var out []jsonc.Addr
 	for _, e := range m.Entries {
 		if e.Name != self.Name {
@@ -255,7 +255,7 @@
 }
 
 // createSpec is the intent that brings a service with all its upstreams.
-func createSpec(s Shape, svc ServiceShape, m Map) intent.Spec {
+func createSpec(s Shape, svc ServiceShape, m AddressMap) intent.Spec {
 	conf := service.Default()
 	conf.Name = svc.Name
 	conf.ChecksFences = !s.Unfenced
@@ -281,7 +281,7 @@
 	err       error
 }
 
-func (w *writer) plain(name string, v any) {
+func (w *writer) writeJSON(name string, v any) {
 	if w.err != nil {
 		return
 	}
@@ -292,13 +292,13 @@
 	w.err = err
 }
 
-func (w *writer) file(name string, v any, program, ready string) {
-	w.plain(name+".json", v)
+func (w *writer) writeProcess(name string, v any, program, ready string) {
+	w.writeJSON(name+".json", v)
 	w.processes = append(w.processes, Process{Name: name, Program: program, Ready: ready})
 }
 
 // list writes one line a process: name, program, ready address.
-func (w *writer) list() {
+func (w *writer) writeProcessList() {
 	if w.err != nil {
 		return
 	}
@@ -310,8 +310,8 @@
 }
 
 // Load reads the map of a written deployment.
-func Load(dir string) (Map, error) {
-	var m Map
+func Load(dir string) (AddressMap, error) {
+	var m AddressMap
 	data, err := os.ReadFile(filepath.Join(dir, "deployment.json"))
 	if err != nil {
 		return m, fmt.Errorf("deployment: %w", err)
--- a/bench/rockload/cluster.go
+++ b/bench/rockload/cluster.go
@@ -28,7 +28,7 @@
 // cluster is a running deployment.
 type cluster struct {
 	dir  string
-	m    deploy.Map
+	m    deploy.AddressMap
 	http *http.Client
 }
 
