--- a/bench/check/check.go
+++ b/bench/check/check.go
@@ -1,4 +1,4 @@
-// Package check compares what callers were told with what upstreams ran.
+// Package check compares the outcomes that callers saw with the requests that upstreams ran.
 package check
 
 import (
@@ -10,39 +10,39 @@
 	"github.com/rockcroft/rockcroft/standin/upstream"
 )
 
-// Rule names a promise that a history can break.
+// Rule names a guarantee that a history can violate.
 type Rule string
 
-// The rules.
+// Rules.
 const (
 	// RanTwice: a non-idempotent request ran more than once.
 	RanTwice Rule = "ran twice"
-	// NotRunRan: a request that callers were told was not run did run.
+	// NotRunRan: a request ran although its caller was told that it was not run.
 	NotRunRan Rule = "told not run, but ran"
-	// AnsweredNotRun: a request was answered, but nobody ran it.
+	// AnsweredNotRun: a request was answered, but no upstream ran it.
 	AnsweredNotRun Rule = "answered, but not run"
-	// WrongAnswer: a caller got the answer to another request.
+	// WrongAnswer: a caller received the answer to another request.
 	WrongAnswer Rule = "answer of another request"
-	// EpochFell: a key ran under an older epoch after a newer one.
+	// EpochDecreased: requests for a key ran under an older epoch after a newer one.
 	EpochDecreased Rule = "older epoch after a newer one"
-	// TwoOwners: two upstreams ran a key under one epoch.
+	// TwoOwners: two upstreams ran requests for a key under the same epoch.
 	TwoOwners Rule = "two owners in one epoch"
 )
 
-// Violation is one broken promise.
+// Violation is one violated rule.
 type Violation struct {
 	Rule   Rule
 	Detail string
 }
 
-// Report counts what was compared.
+// Report is the result of a check, with the number of outcomes and runs compared.
 type Report struct {
 	Outcomes   int
 	Runs       int
 	Violations []Violation
 }
 
-// History checks outcomes against the oracle logs of all upstreams.
+// History checks outcomes against the runs logged by all upstreams.
 func History(outcomes []load.Outcome, runs []upstream.Run) Report {
 	r := Report{Outcomes: len(outcomes), Runs: len(runs)}
 	r.checkRequests(outcomes, runs)
@@ -87,7 +87,7 @@
 	}
 }
 
-// checkKeys follows each key through the runs in order of time.
+// checkKeys checks the runs of each key in chronological order.
 func (r *Report) checkKeys(runs []upstream.Run) {
 	byKey := make(map[string][]upstream.Run)
 	for _, run := range runs {
--- a/bench/check/check_test.go
+++ b/bench/check/check_test.go
@@ -10,8 +10,8 @@
 	"github.com/rockcroft/rockcroft/standin/upstream"
 )
 
-// TestEachRuleIsNoticed states histories that break one rule each.
-func TestEachRuleIsNoticed(t *testing.T) {
+// TestEachViolationIsDetected checks histories that violate one rule each, and valid ones.
+func TestEachViolationIsDetected(t *testing.T) {
 	ok := load.Outcome{Key: "k", RequestID: "r", Status: 200, Ran: "ran", AnswerKey: "k", AnswerID: "r"}
 	told := func(ran string) load.Outcome {
 		return load.Outcome{Key: "k", RequestID: "r", Status: 503, Kind: "x", Ran: ran}
@@ -36,7 +36,7 @@
 		{"told unknown", []load.Outcome{told("unknown")}, []upstream.Run{run}, nil},
 		{"answered without a run", []load.Outcome{ok}, nil, []Rule{AnsweredNotRun}},
 		{
-			"another's answer",
+			"answer to another request",
 			[]load.Outcome{{Key: "k", RequestID: "r", Status: 200, AnswerKey: "k", AnswerID: "q"}},
 			[]upstream.Run{run},
 			[]Rule{WrongAnswer},
--- a/bench/check/linear.go
+++ b/bench/check/linear.go
@@ -11,22 +11,21 @@
 // Verdict is the result of a linearizability check.
 type Verdict string
 
-// The verdicts.
+// Verdicts.
 const (
 	Linearizable Verdict = "linearizable"
 	Violated     Verdict = "not linearizable"
-	// Undecided: the check took too long.
+	// Undecided: the check did not finish within its time limit.
 	Undecided Verdict = "not decided"
 )
 
-// ownership is the state of one key in the sequential model: who owns it under
-// which epoch.
+// ownership is the state of one key in the sequential model: its owner and the epoch.
 type ownership struct {
 	epoch uint64
 	owner string
 }
 
-// model says that the owner of a key may only change to a higher epoch.
+// model requires that the owner of a key changes only with a higher epoch.
 var model = porcupine.Model{
 	Init: func() any { return ownership{} },
 	Step: func(state, _, output any) (bool, any) {
@@ -36,9 +35,9 @@
 	Equal: func(a, b any) bool { return a.(ownership) == b.(ownership) },
 }
 
-// Owners checks what callers saw, without the upstreams' logs: for each key
-// there must be an order of the answered requests, each at a moment between its
-// send and its answer, in which the owner changes only to higher epochs.
+// Owners checks what callers saw, without the logs of the upstreams: the answered requests for each
+// key must be linearizable, that is, each takes effect at some time between its sending and its
+// answer, and in that order the owner changes only with a higher epoch.
 func Owners(outcomes []load.Outcome, limit time.Duration) Verdict {
 	byKey := make(map[string][]porcupine.Operation)
 	for i, o := range outcomes {
