--- a/bench/deploy/deploy.go
+++ b/bench/deploy/deploy.go
@@ -1,6 +1,5 @@
-// Package deploy writes the settings of a deployment on the loopback interface:
-// entries, stand-in upstreams and the stand-in platform. Scripts start the
-// processes that it lists.
+// Package deploy writes the settings of a deployment on the loopback interface: entries, stand-in
+// upstreams and the stand-in platform. It also writes a list of the processes, which scripts start.
 package deploy
 
 import (
@@ -36,13 +35,13 @@
 	Domains          int
 	EntriesPerDomain int
 	Connections      int
-	// Distance is the delay between domains and upstreams.
+	// Distance is the network delay that the upstreams simulate.
 	Distance time.Duration
 	Services []ServiceShape
 	Unfenced bool
 }
 
-// Weights of the two users.
+// Weights of the addis and merrimack deployments; demo uses the latter.
 var (
 	addisWeights     = service.Weights{Imbalance: 1, Churn: 1, Unavailable: 2}
 	merrimackWeights = service.Weights{Imbalance: 3, Churn: 1, Unavailable: 1}
@@ -55,14 +54,14 @@
 	}
 }
 
-// quick shortens run times, so that a small deployment shows a lot in a short
+// withShortRuns shortens the run times, so that a small deployment handles many requests in a short
 // time.
 func withShortRuns(s ServiceShape) ServiceShape {
 	s.ReadTime, s.WriteTime = 4*time.Millisecond, 12*time.Millisecond
 	return s
 }
 
-// Shapes are the known deployments.
+// Shapes returns the predefined deployments.
 func Shapes() []Shape {
 	return []Shape{
 		{
@@ -101,7 +100,7 @@
 		}
 		names = append(names, s.Name)
 	}
-	return Shape{}, fmt.Errorf("no deployment %q; there are %s", name, strings.Join(names, ", "))
+	return Shape{}, fmt.Errorf("deployment %q does not exist; known deployments: %s", name, strings.Join(names, ", "))
 }
 
 // Processes returns the number of processes of the deployment.
@@ -117,7 +116,7 @@
 type Process struct {
 	Name    string
 	Program string
-	// Ready is the address and path that answers 200 when it is ready.
+	// Ready is the address and path that answer with status 200 when the process is ready.
 	Ready string
 }
 
@@ -139,7 +138,7 @@
 	Oracle  string     `json:"oracle"`
 }
 
-// Map lists the addresses of a written deployment.
+// AddressMap lists the addresses of a deployment.
 type AddressMap struct {
 	Shape     string         `json:"shape"`
 	Platform  jsonc.Addr     `json:"platform"`
@@ -147,14 +146,14 @@
 	Upstreams []UpstreamAddr `json:"upstreams"`
 }
 
-// ports hands out free ports chosen by the kernel. They stay bound until all
-// are chosen, so that none is given twice.
+// portAllocator allocates free ports chosen by the kernel. They stay bound until all are allocated,
+// so that no port is allocated twice.
 type portAllocator struct{ listeners []net.Listener }
 
 func (p *portAllocator) next() (jsonc.Addr, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return jsonc.Addr{}, fmt.Errorf("choose a port: %w", err)
+		return jsonc.Addr{}, fmt.Errorf("allocate a port: %w", err)
 	}
 	p.listeners = append(p.listeners, l)
 	return jsonc.Addr{AddrPort: netip.MustParseAddrPort(l.Addr().String())}, nil
@@ -166,7 +165,7 @@
 	}
 }
 
-// Choose assigns addresses to all processes of a shape.
+// AssignAddresses assigns addresses to all processes of a shape.
 func AssignAddresses(s Shape, dir string) (AddressMap, error) {
 	var p portAllocator
 	defer p.release()
@@ -204,11 +203,11 @@
 
 func domainName(d int) string { return "domain-" + string(rune('a'+d)) }
 
-// Write chooses addresses and writes the settings of every process, the map,
-// and the list of processes to start.
+// Write assigns addresses and writes the settings of every process, the address map and the list of
+// processes to start.
 func Write(s Shape, dir string) (AddressMap, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return AddressMap{}, fmt.Errorf("deploy: %w", err)
+		return AddressMap{}, fmt.Errorf("create deployment directory: %w", err)
 	}
 	m, err := AssignAddresses(s, dir)
 	if err != nil {
@@ -254,7 +253,7 @@
 	return out
 }
 
-// createSpec is the intent that brings a service with all its upstreams.
+// createSpec returns the intent that creates a service with all its upstreams.
 func createSpec(s Shape, svc ServiceShape, m AddressMap) intent.Spec {
 	conf := service.Default()
 	conf.Name = svc.Name
@@ -274,7 +273,7 @@
 	return spec
 }
 
-// writer writes files and keeps the first error.
+// writer writes files; after the first error it does nothing more.
 type writer struct {
 	dir       string
 	processes []Process
@@ -297,7 +296,7 @@
 	w.processes = append(w.processes, Process{Name: name, Program: program, Ready: ready})
 }
 
-// list writes one line a process: name, program, ready address.
+// writeProcessList writes one line per process: name, program, readiness address.
 func (w *writer) writeProcessList() {
 	if w.err != nil {
 		return
@@ -309,15 +308,15 @@
 	w.err = os.WriteFile(filepath.Join(w.dir, "processes"), []byte(b.String()), 0o644)
 }
 
-// Load reads the map of a written deployment.
+// Load reads the address map of a deployment from its directory.
 func Load(dir string) (AddressMap, error) {
 	var m AddressMap
 	data, err := os.ReadFile(filepath.Join(dir, "deployment.json"))
 	if err != nil {
-		return m, fmt.Errorf("deployment: %w", err)
+		return m, fmt.Errorf("read deployment: %w", err)
 	}
 	if err := json.Unmarshal(data, &m); err != nil {
-		return m, fmt.Errorf("deployment: %w", err)
+		return m, fmt.Errorf("parse deployment: %w", err)
 	}
 	return m, nil
 }
