--- a/bench/lab/client.go
+++ b/bench/lab/client.go
@@ -4,35 +4,35 @@
 	"time"
 )
 
-// call is one thing that a client wants, with its tries.
+// call is a request of a client, including its retries.
 type call struct {
 	sim       *simulation
 	route     *Route
 	key       uint16
 	startedAt time.Duration
 	tries     int
-	// heldFor is how long gateways held tries that they refused.
+	// heldFor is the total time for which gateways held tries that they refused.
 	heldFor time.Duration
 	ended   bool
 	current *try
 }
 
-// try is one request of a client at a gateway.
+// try is one attempt of a call, sent to one gateway.
 type try struct {
 	call      *call
 	gateway   int
 	startedAt time.Duration
-	// left is what the client will wait at most, from began.
+	// maxWait is how long after startedAt the client stops waiting.
 	maxWait time.Duration
-	// withdraw is called when the client has left.
+	// onWithdraw is called when the client has stopped waiting; nil if the try was never accepted.
 	onWithdraw func()
 	ended      bool
 }
 
-// left is the time until the client leaves.
+// remaining returns the time until the client stops waiting.
 func (c *call) remaining() time.Duration { return c.startedAt + c.route.Patience.D() - c.sim.elapsed }
 
-// ask makes one try at a random gateway that runs.
+// sendTry sends a try to a random gateway that is up.
 func (c *call) sendTry() {
 	if c.ended {
 		return
@@ -48,7 +48,7 @@
 	})
 }
 
-// leaves ends the call when its client has waited for long enough.
+// giveUp ends the call when the client's patience is exhausted.
 func (c *call) giveUp() {
 	if c.ended {
 		return
@@ -64,7 +64,7 @@
 	}
 }
 
-// served answers the try with success.
+// succeed answers the try with success.
 func (t *try) succeed() {
 	t.deliver(func(c *call) {
 		if c.sim.elapsed-c.startedAt <= c.route.Objective.D() {
@@ -75,7 +75,8 @@
 	})
 }
 
-// refused answers that the request did not run, and when to come back.
+// refuse answers that the request did not run, and how long the client should wait before it
+// retries.
 func (t *try) refuse(retryAfter time.Duration) {
 	t.call.heldFor += t.call.sim.elapsed - t.startedAt
 	t.call.sim.tally.route(t.call.route).refusals++
@@ -88,7 +89,7 @@
 	})
 }
 
-// failed answers that the request may have run.
+// fail answers that the request may have run.
 func (t *try) fail() {
 	t.deliver(func(c *call) {
 		if !c.route.Idempotent || c.tries > c.route.Retries {
@@ -99,10 +100,10 @@
 	})
 }
 
-// clientPause is how long clients wait before they try again after a failure.
+// clientRetryDelay is how long clients wait before they retry after a failure.
 const clientRetryDelay = 30 * time.Millisecond
 
-// finish brings an answer to the client.
+// deliver transmits an answer to the client and handles it there.
 func (t *try) deliver(then func(*call)) {
 	if t.ended {
 		return
--- a/bench/lab/command.go
+++ b/bench/lab/command.go
@@ -8,11 +8,11 @@
 	"github.com/spf13/cobra"
 )
 
-// defaultSeeds is the number of seeds of a run: the spread of four tells a difference of
-// 0.01 in worth from noise.
+// defaultSeeds is the number of seeds of a run. With four seeds a difference of 0.01 in worth can
+// be told from noise.
 const defaultSeeds = 4
 
-// options are those that all subcommands share.
+// options are the flags shared by all subcommands.
 type options struct {
 	seeds int
 	page  string
@@ -117,7 +117,7 @@
 	}
 }
 
-// findAll returns the scenarios of the names, or all that come with the lab.
+// findAll returns the named scenarios, or all built-in ones if no name is given.
 func findAll(names []string) ([]*Scenario, error) {
 	if len(names) == 0 {
 		names = Names()
--- a/bench/lab/command_test.go
+++ b/bench/lab/command_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// small is a scenario that plays in a few milliseconds.
+// smallScenario is simulated in a few milliseconds.
 const smallScenario = `{"name": "small", "length": "2s", "gateways": 2,
 	"services": [{"name": "s", "upstreams": 2, "slots": 2, "queue": 4, "when_full": "refuses"}],
 	"routes": [{"name": "r", "service": "s", "rate": 20, "work": "20ms", "objective": "200ms", "timeout": "1s",
 		"patience": "2s", "attempts": 2, "worth": 1, "late_worth": 0.5}]}`
 
-// play runs the command line and returns what it printed.
+// runLab executes the lab command with the given arguments and returns its output.
 func runLab(t *testing.T, args ...string) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -26,7 +26,7 @@
 	return out.String()
 }
 
-// TestCommand: each subcommand prints what it is asked for, and the page has its plots.
+// TestCommand checks the output of each subcommand and the plots of the page.
 func TestCommand(t *testing.T) {
 	dir := t.TempDir()
 	file, page := filepath.Join(dir, "small.jsonc"), filepath.Join(dir, "page.html")
--- a/bench/lab/control.go
+++ b/bench/lab/control.go
@@ -13,55 +13,57 @@
 )
 
 const (
-	// planInterval is the time between plans of owners, as in the gateways.
+	// planInterval is the time between ownership plans, the same as in the gateways.
 	planInterval = 250 * time.Millisecond
-	// balanceInterval is the time between plans that balance, as in the gateways.
+	// balanceInterval is the time between plans that also balance load, the same as in the
+	// gateways.
 	balanceInterval = time.Second
-	// restTime is how long a moved span stays, as in the gateways.
+	// moveCooldown is how long a span that has moved is not moved again, the same as in the
+	// gateways.
 	moveCooldown = 2 * time.Second
-	// suspectAfter is how long after its loss an owner's keys are marked as moving.
+	// suspectDelay is the time from an owner's failure until its keys are marked as moving.
 	suspectDelay = time.Second
-	// lapse is how long after its loss an upstream's entry goes from the store.
+	// entryExpiry is the time from an upstream's failure until its entry expires in the store.
 	entryExpiry = 2600 * time.Millisecond
-	// moveCall is the time for the calls of one move, saving its plan among them.
+	// moveCallTime is the duration of the calls for one move, including storing its plan.
 	moveCallTime = 6 * time.Millisecond
-	// moveLook is the time between looks whether the work on moving keys has ended.
+	// movePollInterval is the time between checks whether the requests on moving keys have ended.
 	movePollInterval = 2 * time.Millisecond
-	// firstRate is the assumed rate of a slot before any work time was reported.
+	// initialSlotRate is the assumed rate of a slot, in requests per second, until a work time is
+	// reported.
 	initialSlotRate = 15
 )
 
-// control is what the leader of the gateways does: it adds up reports and decides
-// who owns which keys.
+// controller models the leader of the gateways: it aggregates reports and assigns keys to owners.
 type controller struct {
 	sim      *simulation
 	tables   map[string]*spans.Table
 	keyRates map[string]*ownership.RateEstimator
-	// total adds up the reports of all gateways, by upstream, work what they have seen of
-	// runs, by service.
+	// totals is the sum of the reports of all gateways, by upstream; workTimes are the work times
+	// that they observed, by service.
 	totals      map[string]upstreamReport
 	workTimes   map[string]*worktime.Estimator
 	lastReports []map[string]upstreamReport
-	// demand is what each gateway is asked for, by service.
+	// demand is the request rate of each gateway, by service.
 	demand []map[string]float64
-	// admit is the part of the requests that can be run, of hot keys, by service.
+	// hotKeyAdmission is the share of the requests for each hot key that can be run, by service.
 	hotKeyAdmission map[string]map[uint16]float64
 	lastMoved       map[string]map[uint16]time.Duration
-	// balanced is when a plan last balanced, by service.
+	// lastBalanced is the time of the last plan that balanced load, by service.
 	lastBalanced map[string]time.Duration
-	// gaps are the keys without an owner as the gateways know them.
+	// gaps records the keys without an owner as the gateways know them.
 	gaps         map[string]*spans.Gaps
 	coldUntil    map[string]map[uint16]time.Duration
 	ownerWaiters []func()
-	// book names who may send to upstreams that warm up.
+	// assignments record which gateways may send to upstreams that are warming up.
 	assignments *warmup.Assignments
-	// limits are those that upstreams name, wanted what each gateway is asked for that these
-	// would get.
+	// limits are the rate limits that upstreams name; limitedDemand is, for each gateway, the
+	// request rate that it would send to each of these upstreams.
 	limits        *limits.Book
 	limitedDemand []map[string]float64
 }
 
-// report is what gateways say of one upstream.
+// upstreamReport is a gateway's report about one upstream.
 type upstreamReport struct {
 	inflight float64
 	runs     worktime.Sum
@@ -95,7 +97,7 @@
 	return c
 }
 
-// owners describes the upstreams of a keyed service for a plan.
+// owners describes the upstreams of a keyed service for the planner.
 func (c *controller) owners(s *Service) []ownership.Owner {
 	var out []ownership.Owner
 	for _, u := range c.sim.upstreams[s.Name] {
@@ -110,7 +112,8 @@
 	return out
 }
 
-// capacity is how many requests a second the upstream can run, as far as it takes them.
+// capacity returns the rate that the upstream can run, in requests per second, bounded by the limit
+// that it names.
 func (c *controller) capacity(u *upstream, rate float64) float64 {
 	if limit, ok := c.limits.Of(u.instance.ID, 0); ok && !c.sim.sc.Disabled.NoNamedLimits {
 		return min(rate, quota.TargetUtilization*limit)
@@ -118,8 +121,8 @@
 	return rate
 }
 
-// workAt is the time of a run at an upstream in seconds: as reported, or as it is for
-// the policy that knows everything.
+// workTime returns the mean time of a run at an upstream in seconds: the reported one, or the true
+// one if the policy plans with true speeds.
 func (c *controller) workTime(u *upstream) float64 {
 	if c.sim.plansWithTrueSpeeds {
 		return c.sim.meanWork(u.service) / u.currentSpeed()
@@ -130,12 +133,12 @@
 	return 1.0 / initialSlotRate
 }
 
-// reported takes one gateway's report in place of its last one.
+// applyReport replaces the last report of a gateway.
 func (c *controller) applyReport(g int, loads map[string]upstreamReport, demand map[string]float64, keys map[string][]uint16) {
 	for id, r := range c.lastReports[g] {
 		c.totals[id] = upstreamReport{inflight: c.totals[id].inflight - r.inflight}
 	}
-	// In a fixed order: sums of work times depend on it.
+	// The order is fixed, because sums of work times depend on it.
 	for _, u := range c.sim.allUpstreams {
 		id := u.instance.ID
 		if r, ok := loads[id]; ok {
@@ -153,7 +156,7 @@
 	}
 }
 
-// elsewhere returns the reports of all gateways but one, added up.
+// otherReports returns the sum of the reports of all gateways except one.
 func (c *controller) otherReports(g int) map[string]upstreamReport {
 	out := make(map[string]upstreamReport, len(c.totals))
 	own := c.lastReports[g]
@@ -164,7 +167,7 @@
 	return out
 }
 
-// works returns the mean time of a run at each upstream, as all gateways have seen it.
+// workEstimates returns the mean time of a run at each upstream, as observed by all gateways.
 func (c *controller) workEstimates() map[string]worktime.Estimate {
 	out := make(map[string]worktime.Estimate, len(c.sim.allUpstreams))
 	for _, u := range c.sim.allUpstreams {
@@ -175,7 +178,7 @@
 	return out
 }
 
-// askedElsewhere returns what all gateways but one are asked for, by service.
+// otherDemand returns the total request rate of all gateways except one, by service.
 func (c *controller) otherDemand(g int) map[string]float64 {
 	out := make(map[string]float64)
 	for other, demand := range c.demand {
@@ -189,7 +192,7 @@
 	return out
 }
 
-// plan makes and begins the moves that are due, again and again.
+// plan periodically plans the ownership of keys and starts the moves that are due.
 func (c *controller) plan() {
 	for i := range c.sim.sc.Services {
 		if s := &c.sim.sc.Services[i]; s.Keyed {
@@ -230,8 +233,8 @@
 	}
 }
 
-// move takes keys back when the work on them has ended, or when a lost owner's hold
-// has, and gives them to the next owner.
+// finishMove hands keys to the next owner as soon as the previous owner runs no more requests for
+// them or, if that owner has failed, as soon as its ownership has timed out.
 func (c *controller) finishMove(s *Service, one spans.Span) {
 	owner := c.sim.upstreamByID[one.Owner]
 	lost := owner != nil && (owner.silent || owner.refusing || owner.suspectedLost)
@@ -260,7 +263,7 @@
 	c.publish(s, next)
 }
 
-// warm takes the mark off keys that came with the fence.
+// clearCold clears the cold mark of the spans with the given fence.
 func (c *controller) clearCold(s *Service, fence uint64) {
 	next := c.tables[s.Name].Clone()
 	for i := range next.Spans {
@@ -278,7 +281,7 @@
 	return c.sim.sc.SilentOwnerTimeout.D()
 }
 
-// publish makes a table the one in force; gateways hear of it after a hop.
+// publish puts a table into force. Gateways learn of it after one hop.
 func (c *controller) publish(s *Service, t *spans.Table) {
 	t.Version = c.tables[s.Name].Version + 1
 	c.tables[s.Name] = t
@@ -300,7 +303,7 @@
 	return c.sim.elapsed < c.coldUntil[s.Name][key]
 }
 
-// known lists the upstreams of a service as the store shows them.
+// listedUpstreams returns the upstreams of a service that have an entry in the store.
 func (c *controller) listedUpstreams(s *Service) []*instances.Instance {
 	var out []*instances.Instance
 	for _, u := range c.sim.upstreams[s.Name] {
--- a/bench/lab/delivery.go
+++ b/bench/lab/delivery.go
@@ -9,9 +9,9 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// delivery is the work of a gateway on one try of a client: tries at upstreams one
-// after the other, and at most two beside each other. It mirrors what the gateways do
-// around the decisions.
+// delivery is the work of a gateway on one try of a client: attempts at upstreams one after the
+// other, and at most one hedged attempt at the same time. It mirrors the code of the gateways that
+// surrounds the decision packages.
 type delivery struct {
 	*gateway
 	try      *try
@@ -20,7 +20,7 @@
 	keyed    bool
 	deadline time.Duration
 	exclude  []string
-	// waiting is the request that waits for room.
+	// queued is the request that waits for capacity.
 	queued     *dispatch.Request
 	attempts   []*attempt
 	reached    int
@@ -28,24 +28,24 @@
 	hedged     bool
 	mayHaveRun bool
 	ended      bool
-	// refusedFence is that of the owner that said it does not hold the key.
+	// refusedFence is the fence of the owner that answered that it does not own the key.
 	refusedFence uint64
 }
 
-// flight is one try at one upstream.
+// attempt is one attempt at one upstream.
 type attempt struct {
 	grant dispatch.Grant
 	run   *run
 	ended bool
 }
 
-// end takes the delivery off the gateway.
+// end removes the delivery from the gateway.
 func (d *delivery) end() {
 	d.ended = true
 	d.deliveries = slices.DeleteFunc(d.deliveries, func(other *delivery) bool { return other == d })
 }
 
-// abandon drops what is under way.
+// cancel withdraws the queued request and cancels the attempts in flight.
 func (d *delivery) cancel(o dispatch.Outcome) {
 	d.end()
 	if d.queued != nil {
@@ -89,7 +89,8 @@
 	return n
 }
 
-// acquire finds an upstream with room, at once or after a wait.
+// acquire asks for an upstream with capacity. A hedged attempt is sent only if one is available
+// immediately.
 func (d *delivery) acquire(hedge bool) {
 	if d.ended {
 		return
@@ -143,14 +144,14 @@
 	}
 }
 
-// comeBackToKey is when a caller may come back whose key has no owner.
+// noOwnerRetryAfter returns when a caller should retry whose key has no owner.
 func (d *delivery) noOwnerRetryAfter() time.Duration {
 	without := d.sim.controller.gaps[d.route.Service].Without(d.sim.now(), d.try.call.key)
 	return patience.RetryAfterNoOwner(without)
 }
 
-// decided takes the verdict about a request that waited. Others may be decided in the
-// same moment, so what follows runs after it.
+// onDecision handles the decision about a queued request. Several requests may be decided in the
+// same call, so the rest runs as an event of its own.
 func (d *delivery) onDecision(req *dispatch.Request, g dispatch.Grant, r dispatch.Refusal) {
 	d.queued = nil
 	d.sim.after(0, func() {
@@ -177,7 +178,7 @@
 	return s.Owner
 }
 
-// awaitMove waits for the owner of a key that moves.
+// waitForOwner waits until a moving key has an owner.
 func (d *delivery) waitForOwner(s spans.Span) {
 	if lost := d.sim.controller.gaps[d.route.Service].Without(d.sim.now(), d.try.call.key); lost > d.route.Objective.D() {
 		d.refuseWithRetryAfter(d.noOwnerRetryAfter())
@@ -208,10 +209,11 @@
 	})
 }
 
-// refuse gives up on a request for want of room.
+// refuseNoCapacity refuses the try because no upstream has capacity.
 func (d *delivery) refuseNoCapacity() { d.refuseWithRetryAfter(patience.RetryAfterNoCapacity()) }
 
-// refuseFor gives up on a request that waits for nothing any more.
+// refuseWithRetryAfter refuses the try unless an attempt is still in flight. If an earlier attempt
+// may have run, the try fails instead.
 func (d *delivery) refuseWithRetryAfter(retryAfter time.Duration) {
 	if d.ended || d.running() > 0 {
 		return
@@ -224,7 +226,7 @@
 	d.try.refuse(retryAfter)
 }
 
-// send makes one try at an upstream.
+// send starts an attempt at an upstream.
 func (d *delivery) send(g dispatch.Grant) {
 	f := &attempt{grant: g, run: &run{call: d.try.call, upstream: d.sim.upstreamByID[g.Instance.ID]}}
 	f.run.reply = func(o dispatch.Outcome) { d.onReply(f, o) }
@@ -246,7 +248,8 @@
 	})
 }
 
-// count counts tries that may choose their failure domain, and those that leave it.
+// countCrossDomain counts attempts for services without keys, and those of them that are sent to
+// another failure domain.
 func (d *delivery) countCrossDomain(g dispatch.Grant) {
 	if d.keyed {
 		return
@@ -257,7 +260,7 @@
 	}
 }
 
-// replied takes the outcome of a try.
+// onReply handles the outcome of an attempt.
 func (d *delivery) onReply(f *attempt, o dispatch.Outcome) {
 	if f.ended {
 		return
@@ -288,7 +291,7 @@
 	}
 }
 
-// mayRepeat decides whether the request is sent once more.
+// shouldRetry decides whether the request is sent again, and charges the retry budget.
 func (d *delivery) shouldRetry(f *attempt, o dispatch.Outcome) bool {
 	if !d.keyed {
 		d.exclude = append(d.exclude, f.grant.Instance.ID)
--- a/bench/lab/engine.go
+++ b/bench/lab/engine.go
@@ -5,10 +5,12 @@
 	"time"
 )
 
-// start is the moment at which every run begins; decisions take times, not spans.
+// start is the wall-clock time at which every simulation begins; the decision packages take a
+// time.Time.
 var start = time.Unix(0, 0)
 
-// event is something that is due.
+// event is an action scheduled for a point in virtual time. Events that are due at the same time
+// run in the order of seq.
 type event struct {
 	due    time.Duration
 	seq    uint64
@@ -34,23 +36,23 @@
 	return last
 }
 
-// engine is the virtual clock with what is due.
+// engine is the virtual clock with its event queue.
 type engine struct {
 	queue   eventQueue
 	elapsed time.Duration
 	seq     uint64
 }
 
-// now is the virtual time as decisions take it.
+// now returns the virtual time as a time.Time, as the decision packages expect it.
 func (e *engine) now() time.Time { return start.Add(e.elapsed) }
 
-// after calls do when the time has passed.
+// after schedules do to run when d has elapsed.
 func (e *engine) after(d time.Duration, do func()) {
 	e.seq++
 	heap.Push(&e.queue, event{due: e.elapsed + max(d, 0), seq: e.seq, action: do})
 }
 
-// run plays until the time.
+// runUntil processes all events that are due by the given time.
 func (e *engine) runUntil(until time.Duration) {
 	for len(e.queue) > 0 && e.queue[0].due <= until {
 		next := heap.Pop(&e.queue).(event)
--- a/bench/lab/gateway.go
+++ b/bench/lab/gateway.go
@@ -11,37 +11,38 @@
 )
 
 const (
-	// tickInterval is the time between looks at requests that wait, as in the gateways.
+	// tickInterval is the time between checks of queued requests, the same as in the gateways.
 	tickInterval = 20 * time.Millisecond
-	// budgetShare is the part of the retry budget that is used, as in the gateways.
+	// budgetShare is the share of the retry budget that is used, the same as in the gateways.
 	budgetShare = 0.9
-	// refusedWait is how long news of a key's owner is waited for after the one known
-	// has refused, as in the gateways.
+	// newOwnerWait is how long a gateway waits to learn of a new owner after the known one answered
+	// that it does not own the key, the same as in the gateways.
 	newOwnerWait = 80 * time.Millisecond
-	// drainTime is the time within which leaving upstreams get no more requests.
+	// drainTime is the time after which leaving upstreams get no more requests.
 	drainTime = 2 * time.Second
-	// mostUnsent bounds the upstreams tried that could not be reached, as in the gateways.
+	// maxUnreached bounds the number of unreachable upstreams tried for one request, the same as in
+	// the gateways.
 	maxUnreached = 4
 )
 
-// product is the policy of the product: its decision packages in each gateway.
+// product is the policy under test: the decision packages of the product in each gateway.
 type product struct {
 	sim      *simulation
 	gateways []*gateway
 }
 
-// gateway is one gateway: what it decides with, and the requests it works on.
+// gateway is one gateway: its decision state and the requests that it processes.
 type gateway struct {
 	sim      *simulation
 	index    int
 	dispatch map[string]*dispatch.Service
 	budget   map[string]*retry.WindowBudget
 	keys     map[string][]uint16
-	// names are the services in a fixed order.
+	// serviceNames are the services in a fixed order.
 	serviceNames []string
 	deliveries   []*delivery
-	// limits are those that upstreams name, wantedElsewhere what the other gateways are asked for
-	// that these would get.
+	// limits are the rate limits that upstreams name; otherLimitedDemand is the request rate that
+	// the other gateways would send to each of these upstreams.
 	limits             *limits.Book
 	otherLimitedDemand map[string]float64
 }
@@ -77,7 +78,7 @@
 	}
 }
 
-// gatewayLost ends all requests at a gateway: its connections break.
+// gatewayFailed ends all requests at a gateway, whose connections break.
 func (p *product) gatewayFailed(g int) {
 	lost := p.gateways[g]
 	p.sim.controller.applyReport(g, nil, nil, nil)
@@ -115,8 +116,8 @@
 	g.sim.after(tickInterval, g.tick)
 }
 
-// report tells the control what this gateway has in flight, and takes what the others
-// have a hop later.
+// report sends the load of this gateway to the controller and applies the aggregate of the other
+// gateways, which arrives one hop later.
 func (g *gateway) report() {
 	g.sim.after(g.sim.sc.ReportInterval.D(), g.report)
 	if g.sim.gatewayDown[g.index] {
--- a/bench/lab/ideal.go
+++ b/bench/lab/ideal.go
@@ -8,24 +8,24 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// ideal is a dispatcher that knows everything at once: one queue for all gateways,
-// the exact state of each upstream, no news under way. Ownership of keys is kept. A
-// free slot takes the request that can still be answered on time, the most important
-// and then the oldest first; with none, the youngest of those that are late. Nothing
-// is refused before its client has left.
+// ideal is a dispatcher with perfect information: it has one queue for all gateways and knows the
+// exact state of each upstream without delay. The ownership of keys is respected. A free slot takes
+// a request that can still be answered on time, by priority and then the oldest first. If there is
+// none, it takes a late request, by priority and then the youngest first. No request is refused
+// before its client stops waiting.
 type ideal struct {
 	sim *simulation
-	// queues hold what waits: by owner for keyed services, else by service. Requests
-	// for keys without an owner wait under homeless.
+	// queues hold the waiting requests, by owner for keyed services and by service for others.
+	// Requests for keys without an owner wait under noOwnerQueue.
 	queues map[string][]*idealRequest
-	// sent are the requests at each upstream or under way to it.
+	// sent are the requests that run at each upstream or are on their way to it.
 	sent map[*upstream][]*idealRequest
 }
 
-// homeless is the queue of requests whose keys have no owner.
+// noOwnerQueue is the queue of requests whose keys have no owner.
 const noOwnerQueue = ""
 
-// idealRun is a try that waits or runs.
+// idealRequest is a try that waits or runs.
 type idealRequest struct {
 	try       *try
 	run       *run
@@ -38,8 +38,8 @@
 	return p
 }
 
-// idealLook is the time between looks for upstreams that have become free for another
-// reason than an answer, such as a key that has moved.
+// idealPollInterval is the time between checks for upstreams that became free without sending an
+// answer, for example because a key moved.
 const idealPollInterval = 2 * time.Millisecond
 
 func (p *ideal) upstreamsChanged(*Service)         {}
@@ -66,8 +66,8 @@
 	}
 }
 
-// reclaim takes back what was sent to an upstream that is lost: idempotent requests run
-// elsewhere, of the others nobody knows whether they ran.
+// reclaim takes back the requests sent to a failed upstream. Idempotent ones run elsewhere; the
+// others fail, because it is unknown whether they ran.
 func (p *ideal) reclaim(u *upstream) {
 	lost := p.sent[u]
 	p.sent[u] = nil
@@ -88,7 +88,7 @@
 	return u.service.Name
 }
 
-// enqueue lets a request wait where it belongs.
+// enqueue appends a request to the queue of its owner or service.
 func (p *ideal) enqueue(one *idealRequest) {
 	name := one.try.call.route.Service
 	if table := p.sim.controller.tables[name]; table != nil {
@@ -138,10 +138,10 @@
 	return !u.silent && !u.refusing && !u.leaving && !(u.isWarmingUp() && u.service.MaxWarmUpRate > 0) && len(p.sent[u]) < u.service.Slots
 }
 
-// pace is the present speed of an upstream.
+// currentSpeed returns the speed of an upstream including a slowdown.
 func (u *upstream) currentSpeed() float64 { return u.speed / u.slowdown }
 
-// fill gives a free upstream what it should run next.
+// fill assigns queued requests to the free slots of an upstream.
 func (p *ideal) fill(u *upstream) {
 	for p.hasFreeSlot(u) {
 		one := p.next(u)
@@ -152,7 +152,7 @@
 	}
 }
 
-// next takes the request from the queue that the upstream should run next.
+// next removes the request that the upstream should run next from its queue.
 func (p *ideal) next(u *upstream) *idealRequest {
 	name := p.queueOf(u)
 	kept := p.queues[name][:0]
@@ -182,7 +182,7 @@
 	return chosen
 }
 
-// before reports whether a should run before b.
+// runsBefore reports whether a should run before b.
 func (p *ideal) runsBefore(u *upstream, a, b *idealRequest) bool {
 	aOn, bOn := p.canBeOnTime(u, a), p.canBeOnTime(u, b)
 	if aOn != bOn {
@@ -221,12 +221,12 @@
 	p.sim.after(p.sim.hopDelay(), func() { u.receive(r) })
 }
 
-// drop takes a request off those sent to an upstream.
+// removeSent removes a request from those sent to an upstream.
 func (p *ideal) removeSent(u *upstream, one *idealRequest) {
 	p.sent[u] = slices.DeleteFunc(p.sent[u], func(other *idealRequest) bool { return other == one })
 }
 
-// ended drops a request whose client has left.
+// cancel cancels a running request whose client has stopped waiting.
 func (p *ideal) cancel(one *idealRequest) {
 	r := one.run
 	one.run = nil
--- a/bench/lab/lab_test.go
+++ b/bench/lab/lab_test.go
@@ -11,7 +11,7 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// find returns a scenario that comes with the lab.
+// find returns the named scenario or fails the test.
 func find(t *testing.T, name string) *Scenario {
 	t.Helper()
 	sc, err := Find(name)
@@ -23,16 +23,17 @@
 
 func TestScenariosAreValid(t *testing.T) {
 	if len(Names()) == 0 {
-		t.Fatal("no scenario")
+		t.Fatal("no built-in scenarios")
 	}
 	for _, name := range Names() {
 		if sc := find(t, name); sc.Name != name {
-			t.Errorf("scenario %s calls itself %s", name, sc.Name)
+			t.Errorf("scenario %s has the name %s", name, sc.Name)
 		}
 	}
 }
 
-// TestSameSeedSameResult: a run depends on its scenario, its policy and its seed only.
+// TestSameSeedGivesSameResult checks that a result depends only on the scenario, the policy and the
+// seed.
 func TestSameSeedGivesSameResult(t *testing.T) {
 	sc := find(t, "rough")
 	sc.Length = jsonc.Duration(10 * time.Second)
@@ -44,7 +45,8 @@
 	}
 }
 
-// TestBadScenarios: what cannot be played is refused with its path before anything runs.
+// TestInvalidScenariosAreRejected checks that invalid settings are rejected before anything runs,
+// with an error that names their path.
 func TestInvalidScenariosAreRejected(t *testing.T) {
 	whole := `{"name": "a", "gateways": 1,
 		"services": [{"name": "s", "upstreams": 1, "slots": 1, "when_full": "refuses"}],
@@ -54,8 +56,8 @@
 		"negative rate":   {`"rate": 1`, `"rate": -1`, "routes[0].rate"},
 		"too many events": {`"rate": 1`, `"rate": 1e9`, "routes"},
 		"unknown service": {`"service": "s"`, `"service": "t"`, "routes[0].service"},
-		"unknown trouble": {`"gateways": 1`, `"gateways": 1, "troubles": [{"kind": "flood"}]`, "troubles[0].kind"},
-		"what is full":    {`"refuses"`, `"sleeps"`, "services[0].when_full"},
+		"unknown kind":    {`"gateways": 1`, `"gateways": 1, "troubles": [{"kind": "flood"}]`, "troubles[0].kind"},
+		"unknown action":  {`"refuses"`, `"sleeps"`, "services[0].when_full"},
 	} {
 		sc := DefaultScenario()
 		if err := jsonc.Decode([]byte(whole), &sc); err != nil {
@@ -69,12 +71,12 @@
 	}
 }
 
-// TestIdealIsNotBeaten: the dispatcher that knows everything is a limit that the
-// product stays below, and the plainest policy below both.
+// TestIdealIsUpperBound checks that the ideal dispatcher is at least as good as the product, and
+// the product at least as good as the plain policy.
 func TestIdealIsUpperBound(t *testing.T) {
 	sc := find(t, "overload")
 	ideal, product, plain := Simulate(sc, Ideal, 1), Simulate(sc, Product, 1), Simulate(sc, Plain, 1)
 	if ideal.Worth < product.Worth || product.Worth < plain.Worth {
-		t.Errorf("ideal %.3f, product %.3f, plainest %.3f", ideal.Worth, product.Worth, plain.Worth)
+		t.Errorf("ideal %.3f, product %.3f, plain %.3f", ideal.Worth, product.Worth, plain.Worth)
 	}
 }
--- a/bench/lab/limits.go
+++ b/bench/lab/limits.go
@@ -9,28 +9,29 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// This file models upstreams in need, which name with their answers how many requests a second
-// they take from all gateways together.
+// This file models upstreams that name a rate limit with their answers: the requests per second
+// that they accept from all gateways together.
 
 const (
-	// limitWindow is the time over which arrivals are counted against the limit, limitSettles the
-	// time after it was first named from which they are; limitSlack and limitExtra are how many
-	// times the limit, and how many requests more, may come.
+	// limitWindow is the time over which arrivals are compared with the limit. The comparison
+	// starts limitSettleTime after the limit was first named. Up to limitTolerance times the limit
+	// plus limitExtraRequests may arrive.
 	limitWindow        = 4 * time.Second
 	limitSettleTime    = 3 * time.Second
 	limitTolerance     = 1.5
 	limitExtraRequests = 5
-	// limitedFrom is the time over which an upstream counts what it gets when it names a limit.
+	// limitRateWindow is the time over which an upstream measures its request rate when it names a
+	// limit.
 	limitRateWindow = time.Second
 )
 
-// need is what an upstream in need names.
+// namedLimit is the rate limit that an upstream names.
 type namedLimit struct {
 	perSecond float64
 	since     time.Duration
 }
 
-// inNeed lets the upstream name a part of what it gets as its limit for a while.
+// nameLimit makes the upstream name a share of its current request rate as its limit for a while.
 func (u *upstream) nameLimit(share float64, length time.Duration) {
 	received := 0
 	for _, at := range u.arrivals {
@@ -42,8 +43,8 @@
 	u.sim.after(length, func() { u.limit = nil })
 }
 
-// noteArrival counts a request, and whether it is one too many for the limit. What came just
-// before the limit was named counts: it is in the queue.
+// recordArrival records a request and updates the peak load relative to the limit. Requests that
+// arrived shortly before the limit was named count, because they are still queued.
 func (u *upstream) recordArrival() {
 	u.arrivals = append(slices.DeleteFunc(u.arrivals, func(at time.Duration) bool { return u.sim.elapsed-at >= limitWindow }), u.sim.elapsed)
 	if u.limit == nil || u.sim.elapsed-u.limit.since < limitSettleTime {
@@ -55,7 +56,7 @@
 	}
 }
 
-// named is the limit that the upstream names now.
+// currentLimit returns the limit that the upstream names now, if any.
 func (u *upstream) currentLimit() (perSecond float64, ok bool) {
 	if u.limit == nil {
 		return 0, false
@@ -63,8 +64,8 @@
 	return u.limit.perSecond, true
 }
 
-// hears lets a gateway hear from an answer to a request that was sent at a time what the
-// upstream's limit is.
+// recordLimit records the limit that an upstream named, or did not name, in its answer to a request
+// sent at the given time.
 func (g *gateway) recordLimit(u *upstream, sent time.Time, perSecond float64, named bool) {
 	changed := false
 	if named {
@@ -78,7 +79,8 @@
 	}
 }
 
-// hears takes what one gateway knows of limits over, and tells all others if it is news.
+// updateLimits merges the limits known to one gateway and forwards them to all others if anything
+// changed.
 func (c *controller) updateLimits(from int, list []limits.Limit) {
 	c.sim.after(c.sim.hopDelay(), func() {
 		changed := false
@@ -91,7 +93,7 @@
 	})
 }
 
-// limited brings news of limits to all gateways but the one that they are from.
+// limitsChanged passes changed limits to all gateways except the one that reported them.
 func (p *product) limitsChanged(list []limits.Limit, from int) {
 	for i, g := range p.gateways {
 		if i == from {
@@ -104,15 +106,15 @@
 	}
 }
 
-// setLimits lets what the gateway knows of limits take effect.
+// applyLimits applies the known limits to the dispatchers of the gateway.
 func (g *gateway) applyLimits() {
 	for _, name := range g.serviceNames {
 		g.dispatch[name].SetLimits(g.sim.now(), g.activeLimits())
 	}
 }
 
-// limitNews returns the limits in force, and what the other gateways are asked for as it was told
-// last.
+// activeLimits returns the limits in force, each with the last known demand of the other gateways;
+// -1 if that is unknown.
 func (g *gateway) activeLimits() map[string]dispatch.Limit {
 	out := make(map[string]dispatch.Limit)
 	for _, l := range g.limits.List() {
@@ -128,8 +130,8 @@
 	return out
 }
 
-// wantedBut returns what all gateways but one are asked for that upstreams with a limit would
-// get.
+// otherLimitedDemand returns the request rate that all gateways except one would send to each
+// upstream with a limit.
 func (c *controller) otherLimitedDemand(g int) map[string]float64 {
 	out := make(map[string]float64)
 	for _, l := range c.limits.List() {
@@ -146,7 +148,7 @@
 	return out
 }
 
-// limitedShare names Share of the upstreams of the trouble's service as in need.
+// startNamedLimits makes the given share of the upstreams of a service name a limit.
 func (sim *simulation) startNamedLimits(t *Disturbance) {
 	rng := rand.New(rand.NewPCG(uint64(t.Start), uint64(len(sim.allUpstreams))))
 	all := sim.upstreams[t.Service]
--- a/bench/lab/limits_test.go
+++ b/bench/lab/limits_test.go
@@ -7,10 +7,10 @@
 	"github.com/rockcroft/rockcroft/coordination/dispatch"
 )
 
-// TestUpstreamsInNeedAreSpared: a fifth of the upstreams name a third of what they get as what they
-// take. At a dozen gateways and at 74 none of them gets more than it may, and clients are served as
-// if nothing had happened. When the limits are read by nobody they get up to three times what they
-// may.
+// TestNamedLimitsAreRespected lets a fifth of the upstreams name a third of their request rate as
+// their limit. With 12 and with 74 gateways, no upstream may get more than its limit allows, and
+// clients must be served as well as without limits. If the gateways ignore the limits, upstreams
+// get up to three times as much as allowed.
 func TestNamedLimitsAreRespected(t *testing.T) {
 	for _, gateways := range []int{12, 74} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
@@ -24,13 +24,13 @@
 				results := SimulateAll([]Job{{&unlimited, Product, seed}, {limited, Product, seed}, {&ignored, Product, seed}})
 				without, with, flooded := results[0], results[1], results[2]
 				if with.PeakOverLimit > 1 {
-					t.Errorf("seed %d: an upstream got %.2f times what it may", seed, with.PeakOverLimit)
+					t.Errorf("seed %d: an upstream got %.2f times what its limit allows", seed, with.PeakOverLimit)
 				}
 				if with.Worth < without.Worth-0.01 {
-					t.Errorf("seed %d: worth %.3f, %.3f without the trouble", seed, with.Worth, without.Worth)
+					t.Errorf("seed %d: worth %.3f, %.3f without limits", seed, with.Worth, without.Worth)
 				}
 				if flooded.PeakOverLimit < 2 {
-					t.Errorf("seed %d: %.2f times what it may when nobody reads the limits: the scenario does not show the fault", seed, flooded.PeakOverLimit)
+					t.Errorf("seed %d: an upstream got only %.2f times what its limit allows although the limits are ignored: the scenario does not show the fault", seed, flooded.PeakOverLimit)
 				}
 			}
 		})
--- a/bench/lab/page.go
+++ b/bench/lab/page.go
@@ -14,13 +14,13 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The size of a plot.
+// Size of a plot.
 const (
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 5 * vg.Centimeter
 )
 
-// plotted are the outcomes of a plot with their colours.
+// plotted are the outcomes shown in a plot, with their colours.
 var plotted = []struct {
 	name  string
 	of    func(Second) int
@@ -32,7 +32,7 @@
 	{"failed", func(s Second) int { return s.Failed }, color.RGBA{R: 0xc0, G: 0x20, B: 0x20, A: 0xff}},
 }
 
-// Plot draws how the calls ended, by the second of their first try.
+// Plot draws the outcomes of calls by the second of their first try, as a data URL.
 func (r *Result) Plot() (template.URL, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "s", "calls a second"
@@ -69,7 +69,7 @@
 <img src="{{.Plot}}" alt="outcomes by second">
 {{end}}`))
 
-// WritePage writes the results of the first seed as a page with plots.
+// WritePage writes the results of the first seed as an HTML page with plots.
 func WritePage(name string, results []*Result) error {
 	var first []*Result
 	for _, r := range results {
--- a/bench/lab/plain.go
+++ b/bench/lab/plain.go
@@ -7,8 +7,8 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// plain is the plainest policy: each gateway sends to the owner, or to the upstream
-// with the least in flight from here, and refuses when that has all slots taken.
+// plain is the baseline policy: each gateway sends to the owner, or to the upstream with the fewest
+// of its own requests in flight, and refuses requests when these fill all slots.
 type plain struct {
 	sim      *simulation
 	inflight []map[*upstream]int
@@ -22,7 +22,7 @@
 	return p
 }
 
-// plainComeBack is what the plainest policy tells refused callers.
+// plainRetryAfter is the retry delay that the baseline policy tells refused callers.
 const plainRetryAfter = 60 * time.Millisecond
 
 func (p *plain) upstreamsChanged(*Service)         {}
--- a/bench/lab/report.go
+++ b/bench/lab/report.go
@@ -8,7 +8,7 @@
 	"github.com/rockcroft/rockcroft/coordination/dispatch"
 )
 
-// mechanisms are the parts of the decisions that can be switched off.
+// mechanisms are the parts of the decisions that can be disabled.
 var mechanisms = []struct {
 	name      string
 	switchOff func(*dispatch.Mechanisms)
@@ -20,7 +20,8 @@
 	{"hot keys limited", func(m *dispatch.Mechanisms) { m.NoLimits = true }},
 }
 
-// mean adds up the results of the seeds of one scenario and policy.
+// mean returns the mean over the seeds of one scenario and policy. Some counts are summed instead:
+// calls, full upstreams and plans.
 func mean(results []*Result, scenario string, p Policy) *Result {
 	var of []*Result
 	for _, r := range results {
@@ -49,7 +50,7 @@
 	return sum
 }
 
-// add adds one of n results to a mean.
+// add adds one of n results to a mean; Calls is summed.
 func (r *RouteResult) add(one RouteResult, n float64) {
 	r.Route = one.Route
 	r.Calls += one.Calls
@@ -68,7 +69,7 @@
 // printRun prints the means over the seeds as a table.
 func printRun(out io.Writer, scenarios []*Scenario, results []*Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	// A writer of tables keeps its first error for Flush.
+	// The tabwriter keeps its first error and returns it from Flush.
 	row := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 	row("scenario\tpolicy\troute\tworth\tof limit\ton time\tlate\trefused\tfailed\theld ms\trefusals\twasted s\tp50 ms\tp99 ms\timbalance\tmost/slots\tfull\tmoved\tplans\tms\n")
 	for _, sc := range scenarios {
@@ -86,13 +87,13 @@
 	return w.Flush()
 }
 
-// Comparison is what two sets of runs over the same seeds showed.
+// Comparison compares two sets of runs over the same seeds.
 type Comparison struct {
 	A      string  `json:"a"`
 	B      string  `json:"b"`
 	WorthA float64 `json:"worth_a"`
 	WorthB float64 `json:"worth_b"`
-	// Difference is B less A, seed by seed.
+	// Difference is the worth of B minus that of A, paired by seed.
 	Difference Spread `json:"difference"`
 }
 
--- a/bench/lab/result.go
+++ b/bench/lab/result.go
@@ -9,16 +9,17 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// Policy names who decides in a run.
+// Policy names the decision logic of a run.
 type Policy string
 
-// The policies.
+// Policies.
 const (
-	// Product runs the product's own decisions.
+	// Product uses the decision packages of the product.
 	Product Policy = "product"
-	// Ideal knows everything at once.
+	// Ideal has perfect information; it is the upper bound.
 	Ideal Policy = "ideal"
-	// Plain takes the least in flight and refuses at the slots.
+	// Plain picks the upstream with the fewest requests in flight and refuses when its slots are
+	// full; it is the baseline.
 	Plain Policy = "plain"
 )
 
@@ -26,52 +27,54 @@
 type RouteResult struct {
 	Route string `json:"route"`
 	Calls int    `json:"asked"`
-	// The shares of OnTime, Late, Refused and Failed are of Asked.
+	// OnTime, Late, Refused and Failed are shares of Calls.
 	OnTime  float64 `json:"on_time"`
 	Late    float64 `json:"late"`
 	Refused float64 `json:"refused"`
 	Failed  float64 `json:"failed"`
-	// HeldMs is how long the refused were held by gateways, as a mean.
+	// HeldMs is the mean time for which gateways held the tries of refused calls.
 	HeldMs float64 `json:"held_ms"`
-	// Refusals are those of all tries, for each call.
+	// Refusals is the number of refused tries per call.
 	Refusals float64 `json:"refusals_per_call"`
-	// WastedS is the upstream time spent on answers that nobody awaited.
+	// WastedS is the time that upstreams spent on runs that were cancelled.
 	WastedS float64 `json:"wasted_s"`
 	P50Ms   float64 `json:"p50_ms"`
 	P99Ms   float64 `json:"p99_ms"`
-	// Worth is the part of what the calls could have brought.
+	// Worth is the worth achieved, as a share of the worth if all calls were answered on time.
 	Worth float64 `json:"worth"`
 }
 
-// Result is what one run showed.
+// Result is the result of one run.
 type Result struct {
 	Scenario string        `json:"scenario"`
 	Policy   Policy        `json:"policy"`
 	Seed     uint64        `json:"seed"`
 	Routes   []RouteResult `json:"routes"`
 	Worth    float64       `json:"worth"`
-	// Imbalance is the utilization of the busiest owner over the mean one.
+	// Imbalance is the busy time of the busiest owner divided by the mean busy time.
 	Imbalance float64 `json:"imbalance"`
-	// MostOverSlots is the most that was at one upstream, over its slots.
+	// PeakPerSlot is the highest number of requests at one upstream at the same time, divided by
+	// its slots.
 	PeakPerSlot float64 `json:"most_over_slots"`
-	// Crossed is the part of the tries for services without keys that went to an upstream
-	// of another failure domain than the gateway's.
+	// CrossDomain is the share of the attempts for services without keys that went to an upstream
+	// in another failure domain than the gateway's.
 	CrossDomain float64 `json:"crossed"`
-	// Full counts requests that found an upstream without any room.
+	// FullUpstream counts requests that reached an upstream without a free slot or queue place.
 	FullUpstream int `json:"full"`
-	// Fell counts upstreams that broke while they warmed up.
+	// WarmUpFailures counts upstreams that failed from overload while they were warming up.
 	WarmUpFailures int `json:"fell"`
-	// OverLimit is the most that came at an upstream which named a limit, over what might come; up
-	// to 1 is within it.
+	// PeakOverLimit is the highest ratio of the requests that reached an upstream to those that its
+	// named limit allows; up to 1 is within the limit.
 	PeakOverLimit float64 `json:"over_limit"`
-	// Moved is how many times all keys have moved, Plans how many plans had moves.
+	// Moved is the number of keys moved divided by the number of all keys; Plans is the number of
+	// plans with moves.
 	Moved   float64  `json:"moved"`
 	Plans   int      `json:"plans"`
 	WallMs  float64  `json:"wall_ms"`
 	Seconds []Second `json:"seconds"`
 }
 
-// Second is how the calls ended that began in one second.
+// Second counts the outcomes of the calls that started in one second.
 type Second struct {
 	OnTime  int `json:"on_time"`
 	Late    int `json:"late"`
@@ -79,7 +82,7 @@
 	Failed  int `json:"failed"`
 }
 
-// Play runs the scenario once.
+// Simulate runs the scenario once.
 func Simulate(sc *Scenario, p Policy, seed uint64) *Result {
 	began := time.Now()
 	sim := newSimulation(sc, seed)
@@ -98,14 +101,14 @@
 	return r
 }
 
-// Job is one run to be played.
+// Job describes one run.
 type Job struct {
 	Scenario *Scenario
 	Policy   Policy
 	Seed     uint64
 }
 
-// PlayAll plays jobs on half of the processors and returns the results in their order.
+// SimulateAll runs jobs on half of the processors and returns the results in the order of the jobs.
 func SimulateAll(jobs []Job) []*Result {
 	results := make([]*Result, len(jobs))
 	next := make(chan int)
@@ -158,7 +161,7 @@
 	}
 }
 
-// imbalance compares the busiest owner with the mean one, each over its capacity.
+// imbalance returns the busy time of the busiest owner divided by the mean busy time of all owners.
 func (sim *simulation) imbalance() float64 {
 	most, sum, n := 0.0, 0.0, 0
 	for _, u := range sim.allUpstreams {
@@ -173,11 +176,11 @@
 	return most * float64(n) / sum
 }
 
-// Spread is a mean with the deviation of single values and of the mean.
+// Spread is a mean with the standard deviation of single values and the standard error.
 type Spread struct {
 	Mean      float64 `json:"mean"`
 	Deviation float64 `json:"deviation"`
-	// Error is the deviation of the mean.
+	// StandardError is the standard deviation of the mean.
 	StandardError float64 `json:"error"`
 }
 
--- a/bench/lab/scenario.go
+++ b/bench/lab/scenario.go
@@ -1,7 +1,7 @@
-// Package lab plays the decisions about requests in virtual time: clients, gateways
-// and upstreams as events in one process, without a network. The decisions are the
-// product's own packages, unchanged: dispatch, patience, retry and ownership. Only
-// what surrounds them is modelled.
+// Package lab simulates the handling of requests in virtual time: clients, gateways and upstreams
+// are events in one process, without a network. The decisions are made by the product's own
+// packages, unchanged: dispatch, patience, retry and ownership. Only their surroundings are
+// modelled.
 package lab
 
 import (
@@ -16,44 +16,43 @@
 
 // What an upstream does with a request that it cannot queue.
 const (
-	// FullRefuses answers that it did not run.
+	// FullRefuses answers that the request did not run.
 	FullRefuses = "refuses"
-	// FullResets breaks the connection.
+	// FullResets resets the connection.
 	FullResets = "resets"
 	// FullHangs never answers.
 	FullHangs = "hangs"
 )
 
-// Service is a group of upstreams.
+// Service is a group of upstreams with the same settings; their speeds may differ.
 type Service struct {
 	Name      string `json:"name"`
 	Upstreams int    `json:"upstreams"`
-	// Slots run at once in an upstream, Queue wait there.
+	// Slots is how many requests an upstream runs at once, Queue how many more it queues.
 	Slots int `json:"slots"`
 	Queue int `json:"queue"`
 	// WhenFull is "refuses", "resets" or "hangs".
 	WhenFull string `json:"when_full"`
-	// Speeds are given to the upstreams in turn; 2 runs twice as fast.
+	// Speeds are assigned to the upstreams in turn; 2 runs twice as fast.
 	Speeds []float64 `json:"speeds"`
 	// Keyed services run a request at the owner of its key.
 	Keyed bool `json:"keyed"`
-	// ColdFactor is how much slower keys are for ColdFor after they came without a
-	// handover.
+	// ColdFactor is the slowdown of keys for ColdFor after they got a new owner without a handover.
 	ColdFactor float64        `json:"cold_factor"`
 	ColdFor    jsonc.Duration `json:"cold_for"`
-	// WarmUp is how long an upstream that has started runs WarmUpFactor times as long, and
-	// breaks when more than Breaks requests reach it within a second. StartBound is the
-	// bound that operators name for that; zero for none.
+	// WarmUp is how long an upstream is warming up after a start. Meanwhile its runs take
+	// WarmUpFactor times as long, and it fails if it gets more than MaxWarmUpRate requests within a
+	// second. WarmUpRateLimit is the limit for this rate that operators configure, 0 for none.
 	WarmUp          jsonc.Duration `json:"warm_up"`
 	WarmUpFactor    float64        `json:"warm_up_factor"`
 	MaxWarmUpRate   int            `json:"breaks"`
 	WarmUpRateLimit float64        `json:"start_bound"`
-	// NoiseShare of the upstreams take NoiseFactor times as long at any moment; it is drawn
-	// anew for each every NoiseEvery.
+	// NoiseShare of the upstreams take NoiseFactor times as long at any time. This is drawn anew
+	// for each upstream every NoiseEvery.
 	NoiseShare  float64        `json:"noise_share"`
 	NoiseFactor float64        `json:"noise_factor"`
 	NoiseEvery  jsonc.Duration `json:"noise_every"`
-	// TellsLoad says that its upstreams tell their load with each answer.
+	// ReportsLoad says that upstreams report their load with each answer.
 	ReportsLoad bool `json:"tells_load"`
 }
 
@@ -61,56 +60,58 @@
 type Route struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
-	// Rate is in requests a second, over all gateways.
+	// Rate is the request rate over all gateways, in requests per second.
 	Rate float64 `json:"rate"`
-	// Work is the mean time of a run at speed 1; its logarithm has the deviation
-	// Spread. A share Tail takes TailFactor times as long.
+	// WorkTime is the mean time of a run at speed 1. It has a log-normal distribution; Spread is
+	// the standard deviation of its logarithm. A share Tail takes TailFactor times as long.
 	WorkTime   jsonc.Duration `json:"work"`
 	Spread     float64        `json:"spread"`
 	Tail       float64        `json:"tail"`
 	TailFactor float64        `json:"tail_factor"`
-	// Objective is the time within which an answer has its full worth, from the
-	// client's first try; Timeout bounds one try, Patience is when the client leaves.
+	// Objective is the time from the client's first try within which an answer has its full worth.
+	// Timeout bounds one try; Patience is when the client stops waiting.
 	Objective jsonc.Duration `json:"objective"`
 	Timeout   jsonc.Duration `json:"timeout"`
 	Patience  jsonc.Duration `json:"patience"`
-	// Retries is how often a client comes back.
-	Retries    int     `json:"retries"`
-	Idempotent bool    `json:"idempotent"`
-	Attempts   int     `json:"attempts"`
-	Priority   int     `json:"priority"`
-	Worth      float64 `json:"worth"`
-	LateWorth  float64 `json:"late_worth"`
-	// Keys is the number of things asked for; the popularity of the k-th is
-	// proportional to 1/k^Skew. Busy keys are neighbours.
+	// Retries is how often a client tries again.
+	Retries    int  `json:"retries"`
+	Idempotent bool `json:"idempotent"`
+	Attempts   int  `json:"attempts"`
+	Priority   int  `json:"priority"`
+	// Worth is the value of an answer within the objective, LateWorth that of a later one.
+	Worth     float64 `json:"worth"`
+	LateWorth float64 `json:"late_worth"`
+	// Keys is the number of distinct keys; the popularity of the k-th is proportional to 1/k^Skew.
+	// Popular keys are adjacent.
 	Keys int     `json:"keys"`
 	Skew float64 `json:"skew"`
 }
 
-// Kinds of troubles.
+// Kinds of disturbances.
 const (
-	// Burst multiplies the traffic by Factor.
+	// TrafficBurst multiplies the traffic by Factor.
 	TrafficBurst = "burst"
-	// HotKey gives Share of a route's requests one key, or Count neighbouring ones.
+	// HotKey directs Share of a route's requests to one key, or to Count adjacent ones.
 	HotKey = "hot_key"
-	// Dark lets Share of a service's upstreams fall silent, Gone refuse connections.
+	// Silent makes Share of a service's upstreams stop answering; Refusing makes them refuse
+	// connections.
 	Silent   = "dark"
 	Refusing = "gone"
-	// Slow makes Share of a service's upstreams slower by Factor.
+	// Slowdown makes Share of a service's upstreams slower by Factor.
 	Slowdown = "slow"
-	// Drain takes Share of a service's upstreams away after notice.
+	// Draining makes Share of a service's upstreams leave with advance notice.
 	Draining = "drain"
-	// ColdReturn lets a service's upstreams in the failure domain of the number Count end,
-	// and start again together.
+	// ColdRestart stops a service's upstreams in the failure domain with the index Count and starts
+	// them again at the same time.
 	ColdRestart = "cold_return"
-	// Need lets Share of a service's upstreams name Factor times what they get as the requests a
-	// second that they take.
+	// NamedLimits makes Share of a service's upstreams name a rate limit of Factor times their
+	// current request rate.
 	NamedLimits = "need"
-	// GatewayLost lets Share of the gateways end.
+	// GatewayFailure stops Share of the gateways.
 	GatewayFailure = "gateway_lost"
 )
 
-// Trouble is something that happens for a while.
+// Disturbance is a failure or a change of the load for a limited time.
 type Disturbance struct {
 	Kind     string         `json:"kind"`
 	Start    jsonc.Duration `json:"at"`
@@ -122,35 +123,36 @@
 	Route    string         `json:"route"`
 }
 
-// Scenario is what is played.
+// Scenario describes a simulation.
 type Scenario struct {
 	Name     string         `json:"name"`
 	Length   jsonc.Duration `json:"length"`
 	Gateways int            `json:"gateways"`
-	// Report is the time between reports of gateways, Hop the time one way between
-	// any two processes, ClientHop between a client and a gateway.
+	// ReportInterval is the time between reports of gateways. Hop is the one-way delay between any
+	// two processes, ClientHop that between a client and a gateway.
 	ReportInterval jsonc.Duration `json:"report"`
 	Hop            jsonc.Duration `json:"hop"`
 	ClientHop      jsonc.Duration `json:"client_hop"`
-	// Wave is the part by which traffic swings within WavePeriod.
+	// RateSwing is the relative amplitude of a sine wave of the traffic with the period
+	// SwingPeriod.
 	RateSwing   float64        `json:"wave"`
 	SwingPeriod jsonc.Duration `json:"wave_period"`
-	// OwnerLost is how long the keys of a silent owner stay without one, OwnerGone of
-	// one that refuses connections.
+	// SilentOwnerTimeout is how long the keys of a silent owner stay without an owner,
+	// RefusingOwnerTimeout how long those of an owner that refuses connections do.
 	SilentOwnerTimeout   jsonc.Duration `json:"owner_lost"`
 	RefusingOwnerTimeout jsonc.Duration `json:"owner_gone"`
-	// RetryShare and RetryAllowance bound second tries, in RetryWindow.
+	// RetryShare and RetryAllowance bound the retries of gateways within RetryWindow.
 	RetryShare     float64        `json:"retry_share"`
 	RetryAllowance float64        `json:"retry_allowance"`
 	RetryWindow    jsonc.Duration `json:"retry_window"`
 	Services       []Service      `json:"services"`
 	Routes         []Route        `json:"routes"`
 	Disturbances   []Disturbance  `json:"troubles"`
-	// Off are mechanisms of the decisions that are switched off.
+	// Disabled are the mechanisms of the decisions that are disabled.
 	Disabled dispatch.Mechanisms `json:"off"`
 }
 
-// Default times of a scenario; a file names what differs.
+// Defaults of a scenario; a scenario file sets only what differs.
 const (
 	defaultLength               = 40 * time.Second
 	defaultReportInterval       = 250 * time.Millisecond
@@ -162,7 +164,7 @@
 	defaultRetryWindow          = 10 * time.Second
 )
 
-// DefaultScenario returns the defaults.
+// DefaultScenario returns a scenario with the default settings.
 func DefaultScenario() Scenario {
 	return Scenario{
 		Length: jsonc.Duration(defaultLength), ReportInterval: jsonc.Duration(defaultReportInterval),
@@ -173,8 +175,8 @@
 	}
 }
 
-// mostRequests bounds the requests of one run: an event takes about a microsecond
-// and some hundred bytes.
+// maxRequests bounds the requests of one run; an event takes about a microsecond and some hundred
+// bytes.
 const maxRequests = 5_000_000
 
 // Check implements jsonc.Checker.
--- a/bench/lab/scenarios.go
+++ b/bench/lab/scenarios.go
@@ -9,12 +9,12 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// scenarioFiles are the scenarios that come with the lab.
+// scenarioFiles are the built-in scenarios.
 //
 //go:embed scenarios/*.jsonc
 var scenarioFiles embed.FS
 
-// Names lists the scenarios that come with the lab.
+// Names lists the built-in scenarios.
 func Names() []string {
 	entries, err := scenarioFiles.ReadDir("scenarios")
 	if err != nil {
@@ -28,7 +28,7 @@
 	return out
 }
 
-// Find returns a scenario by its name, or reads it from a file.
+// Find returns a built-in scenario by its name, or reads a scenario from a file.
 func Find(name string) (*Scenario, error) {
 	sc := DefaultScenario()
 	data, err := scenarioFiles.ReadFile("scenarios/" + name + ".jsonc")
--- a/bench/lab/tally.go
+++ b/bench/lab/tally.go
@@ -17,28 +17,29 @@
 	outcomes
 )
 
-// longestLatency bounds the histograms of latency, in microseconds.
+// maxLatencyMicros bounds the latency histograms, in microseconds.
 const maxLatencyMicros = 60_000_000
 
-// tally counts what clients got.
+// tally collects the measurements of a run.
 type tally struct {
 	routes map[string]*routeTally
-	// full counts requests that found an upstream without any room.
+	// fullUpstream counts requests that reached an upstream without a free slot or queue place.
 	fullUpstream int
-	// overLimit is the most that came at an upstream in need within a window, over what might.
+	// peakOverLimit is the highest ratio, within a window, of the requests that reached an upstream
+	// to those that its named limit allows.
 	peakOverLimit float64
-	// fell counts upstreams that broke while they warmed up.
+	// warmUpFailures counts upstreams that failed from overload while they were warming up.
 	warmUpFailures int
-	// moved counts keys that moved, plans those with moves.
+	// movedKeys counts keys that moved, plans the plans with moves.
 	movedKeys, plans int
-	// sent counts tries for services without keys, crossed those of them that left the
-	// failure domain.
+	// sent counts attempts for services without keys, crossDomain those of them that went to
+	// another failure domain.
 	sent, crossDomain int
-	// seconds are the outcomes by second of the first try.
+	// seconds are the outcomes by the second of the first try.
 	seconds [][outcomes]int
 }
 
-// routeTally is the part of one route.
+// routeTally collects the measurements of one route.
 type routeTally struct {
 	route      *Route
 	count      [outcomes]int
@@ -59,7 +60,7 @@
 
 func (t *tally) route(r *Route) *routeTally { return t.routes[r.Name] }
 
-// end counts the end of a call.
+// end records the end of a call.
 func (t *tally) end(c *call, o outcome) {
 	one := t.route(c.route)
 	one.count[o]++
@@ -67,7 +68,7 @@
 		one.heldTime += c.heldFor
 	}
 	if o == onTime || o == late {
-		// It cannot fail: no client waits for as long as the histogram's bound.
+		// This cannot fail: no client waits as long as the upper bound of the histogram.
 		_ = one.latency.RecordValue((c.sim.elapsed - c.startedAt).Microseconds())
 	}
 	second := int(c.startedAt / time.Second)
@@ -77,12 +78,12 @@
 	t.seconds[second][o]++
 }
 
-// asked is the number of calls that have ended.
+// calls returns the number of calls that have ended.
 func (t *routeTally) calls() int {
 	return t.count[onTime] + t.count[late] + t.count[refused] + t.count[failed]
 }
 
-// worth is what the calls brought, owed what they could have.
+// worth returns the worth that the calls achieved, maxWorth the worth if all were answered on time.
 func (t *routeTally) worth() float64 {
 	return t.route.Worth*float64(t.count[onTime]) + t.route.LateWorth*float64(t.count[late])
 }
--- a/bench/lab/upstream.go
+++ b/bench/lab/upstream.go
@@ -14,11 +14,11 @@
 type run struct {
 	call     *call
 	upstream *upstream
-	// reply brings the outcome back; it is called at most once.
+	// reply delivers the outcome; it is called at most once.
 	reply func(dispatch.Outcome)
-	// load is what the upstream told with its answer; nil when it told nothing.
+	// load is the load that the upstream reported with its answer, or nil.
 	load *instances.Load
-	// limit is the limit that it named with its answer, if it named one.
+	// limit is the rate limit that the upstream named with its answer, if limitNamed.
 	limit      float64
 	limitNamed bool
 	started    time.Duration
@@ -26,18 +26,18 @@
 	ended      bool
 }
 
-// upstream runs requests: some at once, some queued, more not.
+// upstream runs a limited number of requests at once, queues some and rejects the rest.
 type upstream struct {
 	sim      *simulation
 	service  *Service
 	instance instances.Instance
 	speed    float64
-	// slower is the factor of a trouble, 1 without.
+	// slowdown is the factor of a disturbance, 1 without one.
 	slowdown float64
-	// warmUntil is when it has warmed up, lately when requests reached it meanwhile.
+	// warmUntil is the end of the warm-up; warmUpArrivals are the recent arrivals during it.
 	warmUntil      time.Duration
 	warmUpArrivals []time.Duration
-	// noise is the factor of its machine at the moment, 1 as usual.
+	// noise is the current slowdown of its machine, normally 1.
 	noise            float64
 	silent, refusing bool
 	leaving          bool
@@ -47,12 +47,12 @@
 	busy             time.Duration
 	peak             int
 	suspectedLost    bool
-	// arrivals are when requests reached it lately, need what it names as its limit, or nil.
+	// arrivals are the times of recent arrivals; limit is the rate limit that it names, or nil.
 	arrivals []time.Duration
 	limit    *namedLimit
 }
 
-// domains is the number of failure domains of every scenario.
+// failureDomains is the number of failure domains of every scenario.
 const failureDomains = 4
 
 func newUpstream(sim *simulation, s *Service, i int) *upstream {
@@ -69,13 +69,13 @@
 		},
 	}
 	if s.NoiseShare > 0 {
-		// Machines do not change all at the same moments.
+		// The machines change at different times.
 		sim.after(time.Duration(sim.noiseRNG.Float64()*float64(s.NoiseEvery.D())), u.redrawNoise)
 	}
 	return u
 }
 
-// drawNoise draws how slow its machine is, again and again.
+// redrawNoise periodically draws the noise of the machine.
 func (u *upstream) redrawNoise() {
 	u.noise = 1
 	if u.sim.noiseRNG.Float64() < u.service.NoiseShare {
@@ -84,7 +84,7 @@
 	u.sim.after(u.service.NoiseEvery.D(), u.redrawNoise)
 }
 
-// load is what the upstream tells with an answer, or nil.
+// reportedLoad returns the load reported with an answer, or nil if the service reports none.
 func (u *upstream) reportedLoad() *instances.Load {
 	if !u.service.ReportsLoad {
 		return nil
@@ -94,7 +94,7 @@
 
 func domainName(i int) string { return fmt.Sprintf("domain-%d", i) }
 
-// arrive takes a request from a gateway.
+// receive handles a request from a gateway.
 func (u *upstream) receive(r *run) {
 	u.recordArrival()
 	switch {
@@ -116,7 +116,7 @@
 	u.peak = max(u.peak, len(u.running)+len(u.queue))
 }
 
-// full does what an upstream without room does.
+// rejectFull handles a request for which there is no slot or queue place, as WhenFull says.
 func (u *upstream) rejectFull(r *run) {
 	u.sim.tally.fullUpstream++
 	switch u.service.WhenFull {
@@ -132,7 +132,7 @@
 	return s.Owner == u.instance.ID && !s.Moving()
 }
 
-// answer ends a request and sends the outcome back.
+// answer ends a request and sends the outcome to the gateway.
 func (u *upstream) answer(r *run, o dispatch.Outcome) {
 	r.ended = true
 	r.limit, r.limitNamed = u.currentLimit()
@@ -161,13 +161,13 @@
 	})
 }
 
-// leave frees the slot of a running request.
+// freeSlot frees the slot of a running request.
 func (u *upstream) freeSlot(r *run) {
 	u.running = slices.DeleteFunc(u.running, func(other *run) bool { return other == r })
 	u.busy += u.sim.elapsed - r.started
 }
 
-// next lets queued requests run. Those for keys that have moved are refused.
+// startQueued starts queued requests in the free slots. Those for keys that have moved are refused.
 func (u *upstream) startQueued() {
 	for len(u.queue) > 0 && len(u.running) < u.service.Slots {
 		r := u.queue[0]
@@ -182,7 +182,7 @@
 	}
 }
 
-// abandon drops a request whose connection was closed.
+// cancel drops a request whose connection was closed.
 func (u *upstream) cancel(r *run) {
 	if r.ended {
 		return
@@ -195,7 +195,7 @@
 	}
 }
 
-// lose lets the upstream fall silent or refuse connections.
+// fail makes the upstream stop answering or refuse connections, and drops its requests.
 func (u *upstream) fail(gone bool) {
 	u.silent, u.refusing, u.failedAt = !gone, gone, u.sim.elapsed
 	lost := append(u.queue, u.running...)
@@ -210,10 +210,10 @@
 	}
 }
 
-// back lets it serve again, without keys.
+// recover makes the upstream serve again. It owns no keys until it is assigned some.
 func (u *upstream) recover() { u.silent, u.refusing, u.suspectedLost = false, false, false }
 
-// busyWith reports whether a request for one of the keys runs.
+// isRunningAny reports whether a request for one of the keys is running.
 func (u *upstream) isRunningAny(k spans.Keys) bool {
 	for _, r := range u.running {
 		if k.Has(r.call.key) {
--- a/bench/lab/warmup.go
+++ b/bench/lab/warmup.go
@@ -8,15 +8,16 @@
 	"github.com/rockcroft/rockcroft/coordination/warmup"
 )
 
-// This file models upstreams that warm up: they are slow, and break under more than a few
-// requests a second.
+// This file models the warm-up of upstreams, during which they are slow and fail under more than a
+// few requests per second.
 
-// fallenFor is how long an upstream that broke is away before it starts again.
+// warmUpFailureDowntime is how long an upstream that failed during warm-up stays down before it
+// restarts.
 const warmUpFailureDowntime = 2 * time.Second
 
 func (u *upstream) isWarmingUp() bool { return u.sim.elapsed < u.warmUntil }
 
-// start lets the upstream serve again, as another start of it that warms up.
+// restart makes the upstream serve again as a new incarnation that is warming up.
 func (u *upstream) restart() {
 	u.recover()
 	u.instance.BornMs++
@@ -30,15 +31,15 @@
 	})
 }
 
-// enter writes the upstream's entry, which says how much longer it warms up.
+// publishEntry updates the upstream's entry with the remaining warm-up time.
 func (u *upstream) publishEntry(left time.Duration) {
 	u.instance.Revision++
 	u.instance.WarmUp = left
 	u.sim.after(u.sim.hopDelay(), func() { u.sim.policy.upstreamsChanged(u.service) })
 }
 
-// breaks notes a request to an upstream that warms up, and reports whether it is one too
-// many: then the upstream falls, and starts again later.
+// failIfOverloaded records a request to an upstream that is warming up. If the rate is too high, it
+// makes the upstream fail, schedules its restart and returns true.
 func (u *upstream) failIfOverloaded() bool {
 	if !u.isWarmingUp() || u.service.MaxWarmUpRate == 0 {
 		return false
@@ -53,7 +54,7 @@
 	return true
 }
 
-// coldReturn lets the upstreams of a failure domain end, and start again together.
+// coldRestart stops the upstreams of a failure domain and restarts them at the same time.
 func (sim *simulation) coldRestart(t *Disturbance) {
 	for _, u := range sim.upstreams[t.Service] {
 		if u.instance.Domain != domainName(t.Count) {
@@ -67,8 +68,8 @@
 
 func gatewayName(i int) string { return fmt.Sprintf("g%d", i) }
 
-// rights names the gateways that may send to upstreams that warm up, and returns until when
-// the one of the number may.
+// warmUpRights assigns gateways to the upstreams that are warming up. It returns, for each upstream
+// that the given gateway may send to, the time until which it may.
 func (c *controller) warmUpRights(gateway int) map[string]time.Time {
 	var warming []warmup.Upstream
 	for _, u := range c.sim.allUpstreams {
--- a/bench/lab/warmup_test.go
+++ b/bench/lab/warmup_test.go
@@ -7,8 +7,8 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// onTimeFrom is the share of the calls that were answered on time, of those that began in the
-// second or later, without the last few.
+// onTimeShareFrom returns the share of the calls answered on time among those that started in the
+// given second or later, without the last second.
 func onTimeShareFrom(r *Result, second int) float64 {
 	on, all := 0, 0
 	for _, s := range r.Seconds[second : len(r.Seconds)-1] {
@@ -18,9 +18,9 @@
 	return float64(on) / float64(all)
 }
 
-// TestColdReturnLeavesNothingBehind: three seconds after a failure domain is back all is as if
-// it had never been away. Without a bound its upstreams break, start again and break under the
-// ordinary load for as long as that lasts.
+// TestColdRestartHasNoLastingEffect checks that three seconds after a failure domain is back, calls
+// are served as if it had never been away. Without a rate limit its upstreams fail, restart and
+// fail again under normal load, for as long as that load lasts.
 func TestColdRestartHasNoLastingEffect(t *testing.T) {
 	const seed = 1
 	calm, err := Find("cold-return")
@@ -38,18 +38,18 @@
 	results := SimulateAll([]Job{{calm, Product, seed}, {&restarted, Product, seed}, {&unbounded, Product, seed}})
 	without, with, flooded := results[0], results[1], results[2]
 	if with.WarmUpFailures > 0 {
-		t.Errorf("%d upstreams broke while they warmed up", with.WarmUpFailures)
+		t.Errorf("%d upstreams failed while warming up", with.WarmUpFailures)
 	}
 	if got, want := onTimeShareFrom(with, from), onTimeShareFrom(without, from); got < want-0.02 {
-		t.Errorf("%.3f on time after the return, %.3f without", got, want)
+		t.Errorf("%.3f on time after the restart, %.3f without one", got, want)
 	}
 	if flooded.WarmUpFailures < 20 {
-		t.Errorf("%d fell without a bound: the scenario does not show the fault", flooded.WarmUpFailures)
+		t.Errorf("only %d upstreams failed without a rate limit: the scenario does not show the fault", flooded.WarmUpFailures)
 	}
 }
 
-// TestToldLoadsServeBetter: of upstreams that share their machines more is answered on time
-// when they tell their load than when they do not.
+// TestReportedLoadsIncreaseWorth checks that with upstreams on shared machines, worth is higher if
+// they report their load than if they do not.
 func TestReportedLoadsIncreaseWorth(t *testing.T) {
 	const seed = 1
 	reporting, err := Find("shared-machines")
@@ -57,14 +57,14 @@
 		t.Fatal(err)
 	}
 	reporting.Length = jsonc.Duration(5 * time.Second)
-	silent := *reporting
-	silent.Services = append([]Service(nil), reporting.Services...)
-	for i := range silent.Services {
-		silent.Services[i].ReportsLoad = false
+	unreported := *reporting
+	unreported.Services = append([]Service(nil), reporting.Services...)
+	for i := range unreported.Services {
+		unreported.Services[i].ReportsLoad = false
 	}
-	results := SimulateAll([]Job{{reporting, Product, seed}, {&silent, Product, seed}})
+	results := SimulateAll([]Job{{reporting, Product, seed}, {&unreported, Product, seed}})
 	with, without := results[0], results[1]
 	if with.Worth < without.Worth+0.01 {
-		t.Errorf("worth %.3f with told loads, %.3f without", with.Worth, without.Worth)
+		t.Errorf("worth %.3f with reported loads, %.3f without", with.Worth, without.Worth)
 	}
 }
--- a/bench/lab/world.go
+++ b/bench/lab/world.go
@@ -12,43 +12,45 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// policy decides where tries go.
+// policy decides where tries are sent.
 type policy interface {
 	submit(t *try)
-	// changed says that upstreams of the service have come, gone or changed.
+	// upstreamsChanged is called when upstreams of the service were added, removed or changed.
 	upstreamsChanged(s *Service)
-	// gatewayLost says that a gateway has ended.
+	// gatewayFailed is called when a gateway has stopped.
 	gatewayFailed(g int)
-	// limited brings what upstreams named as their limits, as one gateway has heard it.
+	// limitsChanged passes the limits named by upstreams, as reported by the gateway from.
 	limitsChanged(list []limits.Limit, from int)
 }
 
-// world is one run of a scenario.
+// simulation is the state of one run of a scenario.
 type simulation struct {
 	engine
 	sc  *Scenario
 	rng *rand.Rand
-	// noise draws the noise of upstreams.
+	// noiseRNG draws the noise of upstreams.
 	noiseRNG     *rand.Rand
 	upstreams    map[string][]*upstream
 	upstreamByID map[string]*upstream
-	// all are the upstreams in a fixed order.
+	// allUpstreams are the upstreams in a fixed order.
 	allUpstreams []*upstream
 	controller   *controller
-	// view are the owners of keys as all gateways know them.
+	// ownerView is the ownership of keys as all gateways know it.
 	ownerView map[string]*spans.Table
 	policy    policy
-	// knowsAll says that the policy plans owners by the true speeds.
+	// plansWithTrueSpeeds says that ownership is planned with the true speeds of upstreams instead
+	// of reported ones.
 	plansWithTrueSpeeds bool
 	tally               *tally
 	gatewayDown         []bool
-	// popularity is the cumulative popularity of keys, by route, offset the first key.
+	// popularity is the cumulative popularity of keys, by route; firstKey is the most popular key.
 	popularity map[string][]float64
 	firstKey   uint16
 	workTimes  map[string]distuv.LogNormal
 }
 
-// seeds of the parts of a run, so that changing one part leaves the others alone.
+// Random streams of a run. They are separate, so that a change in one part does not affect the
+// others.
 const (
 	trafficStream = 1
 	policyStream  = 2
@@ -81,9 +83,9 @@
 	return sim
 }
 
-// prepare works out the distributions of a route.
+// prepareRoute computes the distributions of a route.
 func (sim *simulation) prepareRoute(r *Route) {
-	// The mean of a lognormal distribution is exp(mu + sigma^2/2).
+	// The mean of a log-normal distribution is exp(mu + sigma^2/2).
 	mean := r.WorkTime.D().Seconds() / (1 + r.Tail*max(r.TailFactor-1, 0))
 	sim.workTimes[r.Name] = distuv.LogNormal{Mu: math.Log(mean) - r.Spread*r.Spread/2, Sigma: r.Spread, Src: sim.rng}
 	sum := 0.0
@@ -95,7 +97,7 @@
 	sim.popularity[r.Name] = cumulative
 }
 
-// draw returns the time of one run at speed 1.
+// drawWorkTime returns the duration of one run at speed 1.
 func (sim *simulation) drawWorkTime(r *Route) time.Duration {
 	took := sim.workTimes[r.Name].Rand()
 	if r.Tail > 0 && sim.rng.Float64() < r.Tail {
@@ -104,7 +106,7 @@
 	return time.Duration(took * float64(time.Second))
 }
 
-// meanWork is the mean time of a run for a service at speed 1, in seconds.
+// meanWork returns the mean duration of a service's runs at speed 1, in seconds.
 func (sim *simulation) meanWork(s *Service) float64 {
 	sum, rate := 0.0, 0.0
 	for _, r := range sim.sc.Routes {
@@ -115,7 +117,7 @@
 	return sum / max(rate, 1)
 }
 
-// key draws what a request is about.
+// drawKey draws the key of a request.
 func (sim *simulation) drawKey(r *Route) uint16 {
 	if hot, ok := sim.hotKey(r); ok {
 		return hot
@@ -128,12 +130,12 @@
 	return sim.firstKey + uint16(k)
 }
 
-// hotKey returns a key that a trouble has made hot, for its share of requests.
+// hotKey returns the hot key of an active disturbance, for its share of the requests.
 func (sim *simulation) hotKey(r *Route) (uint16, bool) {
 	for i := range sim.sc.Disturbances {
 		t := &sim.sc.Disturbances[i]
 		if t.Kind == HotKey && t.Route == r.Name && sim.active(t) && sim.rng.Float64() < t.Share {
-			// Far apart, and the same in every run of a seed.
+			// Hot keys are far apart, and the same in every run of a seed.
 			hot := sim.firstKey + uint16((i+1)*hotKeyDistance)
 			if t.Count > 1 {
 				hot += uint16(sim.rng.IntN(t.Count))
@@ -144,7 +146,7 @@
 	return 0, false
 }
 
-// hotDistance keeps hot keys apart from the busy ones and from each other.
+// hotKeyDistance separates hot keys from the popular ones and from each other.
 const hotKeyDistance = 9973
 
 func (sim *simulation) active(t *Disturbance) bool {
@@ -161,7 +163,7 @@
 	}
 }
 
-// arrivals makes the calls of a route, one after the other.
+// generateCalls starts the calls of a route, one after the other.
 func (sim *simulation) generateCalls(r *Route) {
 	if r.Rate <= 0 {
 		return
@@ -178,7 +180,7 @@
 	})
 }
 
-// rate is the present rate of a route in requests a second.
+// rate returns the current rate of a route in requests per second.
 func (sim *simulation) rate(r *Route) float64 {
 	rate := r.Rate * (1 + sim.sc.RateSwing*math.Sin(2*math.Pi*sim.elapsed.Seconds()/sim.sc.SwingPeriod.D().Seconds()))
 	for i := range sim.sc.Disturbances {
@@ -190,7 +192,7 @@
 	return rate
 }
 
-// play runs the scenario to its end and until the last client has left.
+// runScenario runs the scenario to its end, and until the last client has stopped waiting.
 func (sim *simulation) runScenario() {
 	for i := range sim.sc.Routes {
 		sim.generateCalls(&sim.sc.Routes[i])
@@ -207,7 +209,7 @@
 	sim.runUntil(sim.sc.Length.D() + longest + time.Second)
 }
 
-// begin lets a trouble begin, and end when its time is over.
+// startDisturbance starts a disturbance and schedules its end.
 func (sim *simulation) startDisturbance(t *Disturbance) {
 	switch t.Kind {
 	case Silent, Refusing, Slowdown, Draining:
@@ -227,7 +229,7 @@
 	}
 }
 
-// some draws the upstreams that a trouble hits.
+// pickUpstreams draws the upstreams that a disturbance affects.
 func (sim *simulation) pickUpstreams(t *Disturbance) []*upstream {
 	all := sim.upstreams[t.Service]
 	var out []*upstream
