--- a/bench/lab/client.go
+++ b/bench/lab/client.go
@@ -4,118 +4,119 @@
 	"time"
 )
 
-// call is one thing that a client wants, with its tries.
+// call is a request of a client, including its retries.
 type call struct {
-	w     *world
-	route *Route
-	key   uint16
-	began time.Duration
-	tries int
-	// heldFor is how long gateways held tries that they refused.
+	sim       *simulation
+	route     *Route
+	key       uint16
+	startedAt time.Duration
+	tries     int
+	// heldFor is the total time for which gateways held tries that they refused.
 	heldFor time.Duration
 	ended   bool
 	current *try
 }
 
-// try is one request of a client at a gateway.
+// try is one attempt of a call, sent to one gateway.
 type try struct {
-	call    *call
-	gateway int
-	began   time.Duration
-	// left is what the client will wait at most, from began.
-	left time.Duration
-	// withdraw is called when the client has left.
-	withdraw func()
-	ended    bool
+	call      *call
+	gateway   int
+	startedAt time.Duration
+	// maxWait is how long after startedAt the client stops waiting.
+	maxWait time.Duration
+	// onWithdraw is called when the client has stopped waiting; nil if the try was never accepted.
+	onWithdraw func()
+	ended      bool
 }
 
-// left is the time until the client leaves.
-func (c *call) left() time.Duration { return c.began + c.route.Patience.D() - c.w.at }
+// remaining returns the time until the client stops waiting.
+func (c *call) remaining() time.Duration { return c.startedAt + c.route.Patience.D() - c.sim.elapsed }
 
-// ask makes one try at a random gateway that runs.
-func (c *call) ask() {
+// sendTry sends a try to a random gateway that is up.
+func (c *call) sendTry() {
 	if c.ended {
 		return
 	}
 	c.tries++
-	t := &try{call: c, gateway: c.w.pickGateway()}
+	t := &try{call: c, gateway: c.sim.pickGateway()}
 	c.current = t
-	c.w.after(c.w.sc.ClientHop.D(), func() {
-		t.began, t.left = c.w.at, c.left()
-		if !t.ended && t.left > 0 {
-			c.w.policy.submit(t)
+	c.sim.after(c.sim.sc.ClientHop.D(), func() {
+		t.startedAt, t.maxWait = c.sim.elapsed, c.remaining()
+		if !t.ended && t.maxWait > 0 {
+			c.sim.policy.submit(t)
 		}
 	})
 }
 
-// leaves ends the call when its client has waited for long enough.
-func (c *call) leaves() {
+// giveUp ends the call when the client's patience is exhausted.
+func (c *call) giveUp() {
 	if c.ended {
 		return
 	}
-	c.end(failed)
-	if t := c.current; t != nil && t.withdraw != nil {
-		c.w.after(c.w.sc.ClientHop.D(), func() {
+	c.finish(failed)
+	if t := c.current; t != nil && t.onWithdraw != nil {
+		c.sim.after(c.sim.sc.ClientHop.D(), func() {
 			if !t.ended {
 				t.ended = true
-				t.withdraw()
+				t.onWithdraw()
 			}
 		})
 	}
 }
 
-// served answers the try with success.
-func (t *try) served() {
-	t.finish(func(c *call) {
-		if c.w.at-c.began <= c.route.Objective.D() {
-			c.end(onTime)
+// succeed answers the try with success.
+func (t *try) succeed() {
+	t.deliver(func(c *call) {
+		if c.sim.elapsed-c.startedAt <= c.route.Objective.D() {
+			c.finish(onTime)
 			return
 		}
-		c.end(late)
+		c.finish(late)
 	})
 }
 
-// refused answers that the request did not run, and when to come back.
-func (t *try) refused(again time.Duration) {
-	t.call.heldFor += t.call.w.at - t.began
-	t.call.w.tally.route(t.call.route).refusals++
-	t.finish(func(c *call) {
+// refuse answers that the request did not run, and how long the client should wait before it
+// retries.
+func (t *try) refuse(retryAfter time.Duration) {
+	t.call.heldFor += t.call.sim.elapsed - t.startedAt
+	t.call.sim.tally.route(t.call.route).refusals++
+	t.deliver(func(c *call) {
 		if c.tries > c.route.Retries {
-			c.end(refused)
+			c.finish(refused)
 			return
 		}
-		c.w.after(min(again, c.left()/3), c.ask)
+		c.sim.after(min(retryAfter, c.remaining()/3), c.sendTry)
 	})
 }
 
-// failed answers that the request may have run.
-func (t *try) failed() {
-	t.finish(func(c *call) {
+// fail answers that the request may have run.
+func (t *try) fail() {
+	t.deliver(func(c *call) {
 		if !c.route.Idempotent || c.tries > c.route.Retries {
-			c.end(failed)
+			c.finish(failed)
 			return
 		}
-		c.w.after(clientPause, c.ask)
+		c.sim.after(clientRetryDelay, c.sendTry)
 	})
 }
 
-// clientPause is how long clients wait before they try again after a failure.
-const clientPause = 30 * time.Millisecond
+// clientRetryDelay is how long clients wait before they retry after a failure.
+const clientRetryDelay = 30 * time.Millisecond
 
-// finish brings an answer to the client.
-func (t *try) finish(then func(*call)) {
+// deliver transmits an answer to the client and handles it there.
+func (t *try) deliver(then func(*call)) {
 	if t.ended {
 		return
 	}
 	t.ended = true
-	t.call.w.after(t.call.w.sc.ClientHop.D(), func() {
+	t.call.sim.after(t.call.sim.sc.ClientHop.D(), func() {
 		if !t.call.ended {
 			then(t.call)
 		}
 	})
 }
 
-func (c *call) end(o outcome) {
+func (c *call) finish(o outcome) {
 	c.ended = true
-	c.w.tally.end(c, o)
+	c.sim.tally.end(c, o)
 }
--- a/bench/lab/control.go
+++ b/bench/lab/control.go
@@ -13,72 +13,74 @@
 )
 
 const (
-	// planInterval is the time between plans of owners, as in the gateways.
+	// planInterval is the time between ownership plans, the same as in the gateways.
 	planInterval = 250 * time.Millisecond
-	// balanceInterval is the time between plans that balance, as in the gateways.
+	// balanceInterval is the time between plans that also balance load, the same as in the
+	// gateways.
 	balanceInterval = time.Second
-	// restTime is how long a moved span stays, as in the gateways.
-	restTime = 2 * time.Second
-	// suspectAfter is how long after its loss an owner's keys are marked as moving.
-	suspectAfter = time.Second
-	// lapse is how long after its loss an upstream's entry goes from the store.
-	lapse = 2600 * time.Millisecond
-	// moveCall is the time for the calls of one move, saving its plan among them.
-	moveCall = 6 * time.Millisecond
-	// moveLook is the time between looks whether the work on moving keys has ended.
-	moveLook = 2 * time.Millisecond
-	// firstRate is the assumed rate of a slot before any work time was reported.
-	firstRate = 15
+	// moveCooldown is how long a span that has moved is not moved again, the same as in the
+	// gateways.
+	moveCooldown = 2 * time.Second
+	// suspectDelay is the time from an owner's failure until its keys are marked as moving.
+	suspectDelay = time.Second
+	// entryExpiry is the time from an upstream's failure until its entry expires in the store.
+	entryExpiry = 2600 * time.Millisecond
+	// moveCallTime is the duration of the calls for one move, including storing its plan.
+	moveCallTime = 6 * time.Millisecond
+	// movePollInterval is the time between checks whether the requests on moving keys have ended.
+	movePollInterval = 2 * time.Millisecond
+	// initialSlotRate is the assumed rate of a slot, in requests per second, until a work time is
+	// reported.
+	initialSlotRate = 15
 )
 
-// control is what the leader of the gateways does: it adds up reports and decides
-// who owns which keys.
-type control struct {
-	w      *world
-	tables map[string]*spans.Table
-	heat   map[string]*ownership.RateEstimator
-	// total adds up the reports of all gateways, by upstream, work what they have seen of
-	// runs, by service.
-	total map[string]report
-	work  map[string]*worktime.Estimator
-	last  []map[string]report
-	// demand is what each gateway is asked for, by service.
+// controller models the leader of the gateways: it aggregates reports and assigns keys to owners.
+type controller struct {
+	sim      *simulation
+	tables   map[string]*spans.Table
+	keyRates map[string]*ownership.RateEstimator
+	// totals is the sum of the reports of all gateways, by upstream; workTimes are the work times
+	// that they observed, by service.
+	totals      map[string]upstreamReport
+	workTimes   map[string]*worktime.Estimator
+	lastReports []map[string]upstreamReport
+	// demand is the request rate of each gateway, by service.
 	demand []map[string]float64
-	// admit is the part of the requests that can be run, of hot keys, by service.
-	admit   map[string]map[uint16]float64
-	settled map[string]map[uint16]time.Duration
-	// balanced is when a plan last balanced, by service.
-	balanced map[string]time.Duration
-	// gaps are the keys without an owner as the gateways know them.
-	gaps    map[string]*spans.UnownedTracker
-	coldTo  map[string]map[uint16]time.Duration
-	waiters []func()
-	// book names who may send to upstreams that warm up.
-	book *warmup.Assignments
-	// limits are those that upstreams name, wanted what each gateway is asked for that these
-	// would get.
-	limits *limits.Registry
-	wanted []map[string]float64
+	// hotKeyAdmission is the share of the requests for each hot key that can be run, by service.
+	hotKeyAdmission map[string]map[uint16]float64
+	lastMoved       map[string]map[uint16]time.Duration
+	// lastBalanced is the time of the last plan that balanced load, by service.
+	lastBalanced map[string]time.Duration
+	// gaps records the keys without an owner as the gateways know them.
+	gaps         map[string]*spans.UnownedTracker
+	coldUntil    map[string]map[uint16]time.Duration
+	ownerWaiters []func()
+	// assignments record which gateways may send to upstreams that are warming up.
+	assignments *warmup.Assignments
+	// limits are the rate limits that upstreams name; limitedDemand is, for each gateway, the
+	// request rate that it would send to each of these upstreams.
+	limits        *limits.Registry
+	limitedDemand []map[string]float64
 }
 
-// report is what gateways say of one upstream.
-type report struct {
+// upstreamReport is a gateway's report about one upstream.
+type upstreamReport struct {
 	inflight float64
 	runs     worktime.Sum
 }
 
-func newControl(w *world) *control {
-	c := &control{
-		w: w, tables: make(map[string]*spans.Table), heat: make(map[string]*ownership.RateEstimator),
-		total: make(map[string]report), work: make(map[string]*worktime.Estimator), last: make([]map[string]report, w.sc.Gateways),
-		demand: make([]map[string]float64, w.sc.Gateways), admit: make(map[string]map[uint16]float64), balanced: make(map[string]time.Duration),
-		gaps: make(map[string]*spans.UnownedTracker), settled: make(map[string]map[uint16]time.Duration), coldTo: make(map[string]map[uint16]time.Duration),
+func newController(sim *simulation) *controller {
+	c := &controller{
+		sim: sim, tables: make(map[string]*spans.Table), keyRates: make(map[string]*ownership.RateEstimator),
+		totals: make(map[string]upstreamReport), workTimes: make(map[string]*worktime.Estimator), lastReports: make([]map[string]upstreamReport, sim.sc.Gateways),
+		demand: make([]map[string]float64, sim.sc.Gateways), hotKeyAdmission: make(map[string]map[uint16]float64), lastBalanced: make(map[string]time.Duration),
+		gaps: make(map[string]*spans.UnownedTracker), lastMoved: make(map[string]map[uint16]time.Duration), coldUntil: make(map[string]map[uint16]time.Duration),
 	}
-	c.limits, c.wanted = limits.NewRegistry(), make([]map[string]float64, w.sc.Gateways)
-	c.book = warmup.NewAssignments(w.now().Add(-warmup.RightDuration))
-	for i := range w.sc.Services {
-		s := &w.sc.Services[i]
-		c.work[s.Name] = worktime.NewEstimator()
+	c.limits, c.limitedDemand = limits.NewRegistry(), make([]map[string]float64, sim.sc.Gateways)
+	c.assignments = warmup.NewAssignments(sim.now().Add(-warmup.RightDuration))
+	for i := range sim.sc.Services {
+		s := &sim.sc.Services[i]
+		c.workTimes[s.Name] = worktime.NewEstimator()
 		if !s.Keyed {
 			continue
 		}
@@ -89,63 +91,64 @@
 		}
 		c.tables[s.Name] = t
 		c.gaps[s.Name] = &spans.UnownedTracker{}
-		c.heat[s.Name] = ownership.NewRateEstimator(w.now())
-		c.settled[s.Name], c.coldTo[s.Name] = make(map[uint16]time.Duration), make(map[uint16]time.Duration)
+		c.keyRates[s.Name] = ownership.NewRateEstimator(sim.now())
+		c.lastMoved[s.Name], c.coldUntil[s.Name] = make(map[uint16]time.Duration), make(map[uint16]time.Duration)
 	}
 	return c
 }
 
-// owners describes the upstreams of a keyed service for a plan.
-func (c *control) owners(s *Service) []ownership.Owner {
+// owners describes the upstreams of a keyed service for the planner.
+func (c *controller) owners(s *Service) []ownership.Owner {
 	var out []ownership.Owner
-	for _, u := range c.w.upstreams[s.Name] {
-		lost := (u.dark || u.gone) && c.w.at-u.lostAt >= lapse
+	for _, u := range c.sim.upstreams[s.Name] {
+		lost := (u.silent || u.refusing) && c.sim.elapsed-u.failedAt >= entryExpiry
 		if lost {
 			continue
 		}
-		work := c.workAt(u)
+		work := c.workTime(u)
 		keeps := !u.leaving && !u.suspectedLost
-		out = append(out, ownership.Owner{ID: u.one.ID, Capacity: c.capacity(u, float64(s.Slots)/work), MayKeep: keeps, Usable: keeps && !u.dark && !u.gone})
+		out = append(out, ownership.Owner{ID: u.instance.ID, Capacity: c.capacity(u, float64(s.Slots)/work), MayKeep: keeps, Usable: keeps && !u.silent && !u.refusing})
 	}
 	return out
 }
 
-// capacity is how many requests a second the upstream can run, as far as it takes them.
-func (c *control) capacity(u *upstream, rate float64) float64 {
-	if limit, ok := c.limits.Get(u.one.ID, 0); ok && !c.w.sc.Off.NoNamedLimits {
+// capacity returns the rate that the upstream can run, in requests per second, bounded by the limit
+// that it names.
+func (c *controller) capacity(u *upstream, rate float64) float64 {
+	if limit, ok := c.limits.Get(u.instance.ID, 0); ok && !c.sim.sc.Disabled.NoNamedLimits {
 		return min(rate, quota.TargetUtilization*limit)
 	}
 	return rate
 }
 
-// workAt is the time of a run at an upstream in seconds: as reported, or as it is for
-// the policy that knows everything.
-func (c *control) workAt(u *upstream) float64 {
-	if c.w.knowsAll {
-		return c.w.meanWork(u.service) / u.pace()
+// workTime returns the mean time of a run at an upstream in seconds: the reported one, or the true
+// one if the policy plans with true speeds.
+func (c *controller) workTime(u *upstream) float64 {
+	if c.sim.plansWithTrueSpeeds {
+		return c.sim.meanWork(u.service) / u.currentSpeed()
 	}
-	if work := c.work[u.service.Name].Mean(u.one.ID); work > 0 {
+	if work := c.workTimes[u.service.Name].Mean(u.instance.ID); work > 0 {
 		return work.Seconds()
 	}
-	return 1.0 / firstRate
+	return 1.0 / initialSlotRate
 }
 
-// reported takes one gateway's report in place of its last one.
-func (c *control) reported(g int, loads map[string]report, demand map[string]float64, keys map[string][]uint16) {
-	for id, r := range c.last[g] {
-		c.total[id] = report{inflight: c.total[id].inflight - r.inflight}
+// applyReport replaces the last report of a gateway.
+func (c *controller) applyReport(g int, loads map[string]upstreamReport, demand map[string]float64, keys map[string][]uint16) {
+	for id, r := range c.lastReports[g] {
+		c.totals[id] = upstreamReport{inflight: c.totals[id].inflight - r.inflight}
 	}
-	// In a fixed order: sums of work times depend on it.
-	for _, u := range c.w.all {
-		id := u.one.ID
+	// The order is fixed, because sums of work times depend on it.
+	for _, u := range c.sim.allUpstreams {
+		id := u.instance.ID
 		if r, ok := loads[id]; ok {
-			c.total[id] = report{inflight: c.total[id].inflight + r.inflight}
-			c.work[u.service.Name].Add(id, r.runs)
+			c.totals[id] = upstreamReport{inflight: c.totals[id].inflight + r.inflight}
+			c.workTimes[u.service.Name].Add(id, r.runs)
 		}
 	}
-	c.last[g], c.demand[g] = loads, demand
+	c.lastReports[g], c.demand[g] = loads, demand
 	for name, list := range keys {
-		if h := c.heat[name]; h != nil {
+		if h := c.keyRates[name]; h != nil {
 			for _, key := range list {
 				h.Add(key)
 			}
@@ -153,30 +156,30 @@
 	}
 }
 
-// elsewhere returns the reports of all gateways but one, added up.
-func (c *control) elsewhere(g int) map[string]report {
-	out := make(map[string]report, len(c.total))
-	own := c.last[g]
-	for id, t := range c.total {
+// otherReports returns the sum of the reports of all gateways except one.
+func (c *controller) otherReports(g int) map[string]upstreamReport {
+	out := make(map[string]upstreamReport, len(c.totals))
+	own := c.lastReports[g]
+	for id, t := range c.totals {
 		r := own[id]
-		out[id] = report{inflight: max(t.inflight-r.inflight, 0)}
+		out[id] = upstreamReport{inflight: max(t.inflight-r.inflight, 0)}
 	}
 	return out
 }
 
-// works returns the mean time of a run at each upstream, as all gateways have seen it.
-func (c *control) works() map[string]worktime.Estimate {
-	out := make(map[string]worktime.Estimate, len(c.w.all))
-	for _, u := range c.w.all {
-		if one := c.work[u.service.Name].Estimate(u.one.ID); one.Work > 0 {
-			out[u.one.ID] = one
+// workEstimates returns the mean time of a run at each upstream, as observed by all gateways.
+func (c *controller) workEstimates() map[string]worktime.Estimate {
+	out := make(map[string]worktime.Estimate, len(c.sim.allUpstreams))
+	for _, u := range c.sim.allUpstreams {
+		if one := c.workTimes[u.service.Name].Estimate(u.instance.ID); one.Work > 0 {
+			out[u.instance.ID] = one
 		}
 	}
 	return out
 }
 
-// askedElsewhere returns what all gateways but one are asked for, by service.
-func (c *control) askedElsewhere(g int) map[string]float64 {
+// otherDemand returns the total request rate of all gateways except one, by service.
+func (c *controller) otherDemand(g int) map[string]float64 {
 	out := make(map[string]float64)
 	for other, demand := range c.demand {
 		if other == g {
@@ -189,58 +192,58 @@
 	return out
 }
 
-// plan makes and begins the moves that are due, again and again.
-func (c *control) plan() {
-	for i := range c.w.sc.Services {
-		if s := &c.w.sc.Services[i]; s.Keyed {
+// plan periodically plans the ownership of keys and starts the moves that are due.
+func (c *controller) plan() {
+	for i := range c.sim.sc.Services {
+		if s := &c.sim.sc.Services[i]; s.Keyed {
 			c.planService(s)
 		}
 	}
-	c.w.after(planInterval, c.plan)
+	c.sim.after(planInterval, c.plan)
 }
 
-func (c *control) planService(s *Service) {
+func (c *controller) planService(s *Service) {
 	resting := make(map[uint16]bool)
-	for first, at := range c.settled[s.Name] {
-		if c.w.at-at < restTime {
+	for first, at := range c.lastMoved[s.Name] {
+		if c.sim.elapsed-at < moveCooldown {
 			resting[first] = true
 		}
 	}
-	before, owners, load := c.tables[s.Name], c.owners(s), c.heat[s.Name].Rates(c.w.now())
+	before, owners, load := c.tables[s.Name], c.owners(s), c.keyRates[s.Name].Rates(c.sim.now())
 	admit := make(map[uint16]float64)
 	for _, l := range ownership.Limits(before, owners, load) {
 		admit[l.Key] = l.AdmittedShare
 	}
-	c.admit[s.Name] = admit
-	balance := c.w.at-c.balanced[s.Name] >= balanceInterval
+	c.hotKeyAdmission[s.Name] = admit
+	balance := c.sim.elapsed-c.lastBalanced[s.Name] >= balanceInterval
 	if balance {
-		c.balanced[s.Name] = c.w.at
+		c.lastBalanced[s.Name] = c.sim.elapsed
 	}
 	next := ownership.MakePlan(ownership.PlanInput{BalanceDue: balance, Table: before, Owners: owners, Load: load, RecentlyMoved: resting})
 	if next == nil {
 		return
 	}
 	c.publish(s, next)
-	c.w.tally.plans++
+	c.sim.tally.plans++
 	for _, one := range next.Spans {
 		if one.Moving() && !before.Find(one.First).Moving() {
-			c.w.tally.moved += one.Count()
-			c.w.after(moveCall, func() { c.move(s, one) })
+			c.sim.tally.movedKeys += one.Count()
+			c.sim.after(moveCallTime, func() { c.finishMove(s, one) })
 		}
 	}
 }
 
-// move takes keys back when the work on them has ended, or when a lost owner's hold
-// has, and gives them to the next owner.
-func (c *control) move(s *Service, one spans.Span) {
-	owner := c.w.byID[one.Owner]
-	lost := owner != nil && (owner.dark || owner.gone || owner.suspectedLost)
+// finishMove hands keys to the next owner as soon as the previous owner runs no more requests for
+// them or, if that owner has failed, as soon as its ownership has timed out.
+func (c *controller) finishMove(s *Service, one spans.Span) {
+	owner := c.sim.upstreamByID[one.Owner]
+	lost := owner != nil && (owner.silent || owner.refusing || owner.suspectedLost)
 	switch {
-	case owner != nil && lost && c.w.at-owner.lostAt < c.holdOf(owner):
-		c.w.after(moveLook, func() { c.move(s, one) })
+	case owner != nil && lost && c.sim.elapsed-owner.failedAt < c.ownerTimeout(owner):
+		c.sim.after(movePollInterval, func() { c.finishMove(s, one) })
 		return
-	case owner != nil && !lost && owner.busyWith(one.KeyRange):
-		c.w.after(moveLook, func() { c.move(s, one) })
+	case owner != nil && !lost && owner.isRunningAny(one.KeyRange):
+		c.sim.after(movePollInterval, func() { c.finishMove(s, one) })
 		return
 	}
 	next := c.tables[s.Name].Clone()
@@ -250,18 +253,18 @@
 			t.Owner, t.Fence, t.Next, t.NextFence, t.Cold = one.Next, one.NextFence, "", 0, lost
 		}
 	}
-	c.settled[s.Name][one.First] = c.w.at
+	c.lastMoved[s.Name][one.First] = c.sim.elapsed
 	if lost {
-		c.w.after(s.ColdFor.D(), func() { c.warm(s, one.NextFence) })
+		c.sim.after(s.ColdFor.D(), func() { c.clearCold(s, one.NextFence) })
 		for key := int(one.First); key <= int(one.Last); key++ {
-			c.coldTo[s.Name][uint16(key)] = c.w.at + s.ColdFor.D()
+			c.coldUntil[s.Name][uint16(key)] = c.sim.elapsed + s.ColdFor.D()
 		}
 	}
 	c.publish(s, next)
 }
 
-// warm takes the mark off keys that came with the fence.
-func (c *control) warm(s *Service, fence uint64) {
+// clearCold clears the cold mark of the spans with the given fence.
+func (c *controller) clearCold(s *Service, fence uint64) {
 	next := c.tables[s.Name].Clone()
 	for i := range next.Spans {
 		if next.Spans[i].Fence == fence {
@@ -271,41 +274,43 @@
 	c.publish(s, next)
 }
 
-func (c *control) holdOf(u *upstream) time.Duration {
-	if u.gone {
-		return c.w.sc.OwnerGone.D()
+func (c *controller) ownerTimeout(u *upstream) time.Duration {
+	if u.refusing {
+		return c.sim.sc.RefusingOwnerTimeout.D()
 	}
-	return c.w.sc.OwnerLost.D()
+	return c.sim.sc.SilentOwnerTimeout.D()
 }
 
-// publish makes a table the one in force; gateways hear of it after a hop.
-func (c *control) publish(s *Service, t *spans.Table) {
+// publish puts a table into force. Gateways learn of it after one hop.
+func (c *controller) publish(s *Service, t *spans.Table) {
 	t.Version = c.tables[s.Name].Version + 1
 	c.tables[s.Name] = t
-	c.w.after(c.w.hop(), func() {
-		if known := c.w.view[s.Name]; known != nil && known.Version >= t.Version {
+	c.sim.after(c.sim.hopDelay(), func() {
+		if known := c.sim.ownerView[s.Name]; known != nil && known.Version >= t.Version {
 			return
 		}
-		c.w.view[s.Name] = t
-		c.gaps[s.Name].Update(c.w.now(), t)
-		waiting := c.waiters
-		c.waiters = nil
+		c.sim.ownerView[s.Name] = t
+		c.gaps[s.Name].Update(c.sim.now(), t)
+		waiting := c.ownerWaiters
+		c.ownerWaiters = nil
 		for _, wake := range waiting {
 			wake()
 		}
 	})
 }
 
-func (c *control) cold(s *Service, key uint16) bool { return c.w.at < c.coldTo[s.Name][key] }
+func (c *controller) isCold(s *Service, key uint16) bool {
+	return c.sim.elapsed < c.coldUntil[s.Name][key]
+}
 
-// known lists the upstreams of a service as the store shows them.
-func (c *control) known(s *Service) []*instances.Instance {
+// listedUpstreams returns the upstreams of a service that have an entry in the store.
+func (c *controller) listedUpstreams(s *Service) []*instances.Instance {
 	var out []*instances.Instance
-	for _, u := range c.w.upstreams[s.Name] {
-		if (u.dark || u.gone) && c.w.at-u.lostAt >= lapse {
+	for _, u := range c.sim.upstreams[s.Name] {
+		if (u.silent || u.refusing) && c.sim.elapsed-u.failedAt >= entryExpiry {
 			continue
 		}
-		one := u.one
+		one := u.instance
 		one.Leaving = u.leaving
 		out = append(out, &one)
 	}
--- a/bench/lab/delivery.go
+++ b/bench/lab/delivery.go
@@ -9,9 +9,9 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// delivery is the work of a gateway on one try of a client: tries at upstreams one
-// after the other, and at most two beside each other. It mirrors what the gateways do
-// around the decisions.
+// delivery is the work of a gateway on one try of a client: attempts at upstreams one after the
+// other, and at most one hedged attempt at the same time. It mirrors the code of the gateways that
+// surrounds the decision packages.
 type delivery struct {
 	*gateway
 	try      *try
@@ -20,68 +20,68 @@
 	keyed    bool
 	deadline time.Duration
 	exclude  []string
-	// waiting is the request that waits for room.
-	waiting  *dispatch.Request
-	flights  []*flight
-	arrivals int
-	unsent   int
-	hedged   bool
-	mayRun   bool
-	ended    bool
-	// refusedFence is that of the owner that said it does not hold the key.
+	// queued is the request that waits for capacity.
+	queued     *dispatch.Request
+	attempts   []*attempt
+	reached    int
+	unreached  int
+	hedged     bool
+	mayHaveRun bool
+	ended      bool
+	// refusedFence is the fence of the owner that answered that it does not own the key.
 	refusedFence uint64
 }
 
-// flight is one try at one upstream.
-type flight struct {
+// attempt is one attempt at one upstream.
+type attempt struct {
 	grant dispatch.Grant
 	run   *run
 	ended bool
 }
 
-// end takes the delivery off the gateway.
+// end removes the delivery from the gateway.
 func (d *delivery) end() {
 	d.ended = true
-	d.open = slices.DeleteFunc(d.open, func(other *delivery) bool { return other == d })
+	d.deliveries = slices.DeleteFunc(d.deliveries, func(other *delivery) bool { return other == d })
 }
 
-// abandon drops what is under way.
-func (d *delivery) abandon(o dispatch.Outcome) {
+// cancel withdraws the queued request and cancels the attempts in flight.
+func (d *delivery) cancel(o dispatch.Outcome) {
 	d.end()
-	if d.waiting != nil {
-		d.service.Withdraw(d.waiting)
+	if d.queued != nil {
+		d.service.Withdraw(d.queued)
 	}
-	for _, f := range d.flights {
+	for _, f := range d.attempts {
 		if !f.ended {
 			f.ended = true
-			d.service.Done(d.w.now(), f.grant, o)
-			at := f.run.at
-			d.w.after(d.w.hop(), func() { at.abandon(f.run) })
+			d.service.Done(d.sim.now(), f.grant, o)
+			at := f.run.upstream
+			d.sim.after(d.sim.hopDelay(), func() { at.cancel(f.run) })
 		}
 	}
 }
 
-func (d *delivery) timedOut() {
+func (d *delivery) onTimeout() {
 	if d.ended {
 		return
 	}
-	d.abandon(dispatch.TimedOut)
-	if d.mayRun || d.running() > 0 || len(d.flights) > 0 {
-		d.try.failed()
+	d.cancel(dispatch.TimedOut)
+	if d.mayHaveRun || d.running() > 0 || len(d.attempts) > 0 {
+		d.try.fail()
 		return
 	}
-	d.try.refused(patience.RetryAfterNoCapacity())
+	d.try.refuse(patience.RetryAfterNoCapacity())
 }
 
-func (d *delivery) withdrawn() {
+func (d *delivery) onWithdraw() {
 	if !d.ended && d.route.Idempotent {
-		d.abandon(dispatch.Canceled)
+		d.cancel(dispatch.Canceled)
 	}
 }
 
 func (d *delivery) running() int {
 	n := 0
-	for _, f := range d.flights {
+	for _, f := range d.attempts {
 		if !f.ended {
 			n++
 		}
@@ -89,79 +89,80 @@
 	return n
 }
 
-// acquire finds an upstream with room, at once or after a wait.
-func (d *delivery) acquire(atOnce bool) {
+// acquire asks for an upstream with capacity. A hedged attempt is sent only if one is available
+// immediately.
+func (d *delivery) acquire(hedge bool) {
 	if d.ended {
 		return
 	}
 	owner := ""
 	if d.keyed {
-		s := d.w.view[d.route.Service].Find(d.try.call.key)
+		s := d.sim.ownerView[d.route.Service].Find(d.try.call.key)
 		if s.Moving() || s.Owner == "" || s.Fence == d.refusedFence {
-			if !atOnce {
-				d.awaitMove(s)
+			if !hedge {
+				d.waitForOwner(s)
 			}
 			return
 		}
 		owner = s.Owner
 	}
-	until := d.w.now()
-	if !atOnce {
-		until = until.Add(patience.MaxQueueWait(d.route.Objective.D(), d.deadline-d.w.at))
+	until := d.sim.now()
+	if !hedge {
+		until = until.Add(patience.MaxQueueWait(d.route.Objective.D(), d.deadline-d.sim.elapsed))
 	}
-	w := &dispatch.Request{
+	req := &dispatch.Request{
 		Owner: owner, Exclude: d.exclude, Priority: d.route.Priority, Objective: d.route.Objective.D(),
 		Deadline: start.Add(d.deadline), QueueUntil: until,
 	}
 	if d.keyed {
-		w.Key = d.try.call.key
-		w.Retry = !atOnce && len(d.flights) > 0
-		w.Cold = d.w.view[d.route.Service].Find(d.try.call.key).Cold
+		req.Key = d.try.call.key
+		req.Retry = !hedge && len(d.attempts) > 0
+		req.Cold = d.sim.ownerView[d.route.Service].Find(d.try.call.key).Cold
 	}
-	if !atOnce && len(d.flights) == 0 {
-		w.LateAt = start.Add(d.try.began + d.route.Objective.D())
+	if !hedge && len(d.attempts) == 0 {
+		req.LateAt = start.Add(d.try.startedAt + d.route.Objective.D())
 	}
-	w.OnDecision = func(g dispatch.Grant, r dispatch.Refusal) { d.decided(w, g, r) }
-	g, r, decided := d.service.Offer(d.w.now(), w)
+	req.OnDecision = func(g dispatch.Grant, r dispatch.Refusal) { d.onDecision(req, g, r) }
+	g, r, decided := d.service.Offer(d.sim.now(), req)
 	switch {
 	case !decided:
-		d.waiting = w
-	case r == 0 && atOnce && !d.budget[d.route.Service].Spend(d.w.now(), d.w.sc.Gateways):
-		d.service.Done(d.w.now(), g, dispatch.Canceled)
+		d.queued = req
+	case r == 0 && hedge && !d.budget[d.route.Service].Spend(d.sim.now(), d.sim.sc.Gateways):
+		d.service.Done(d.sim.now(), g, dispatch.Canceled)
 	case r == 0:
 		d.send(g)
-	case !atOnce && (r == dispatch.OwnerUnresponsive || r == dispatch.NoUpstream) && d.keyed:
-		d.refuseFor(d.comeBackToKey())
-	case !atOnce && r == dispatch.Limited:
-		d.refuseFor(patience.RetryAfterLimited())
-	case !atOnce && r == dispatch.HotKey:
-		d.refuseFor(patience.RetryAfterHotKey())
-	case !atOnce && r == dispatch.ColdKey:
-		d.refuseFor(patience.RetryAfterColdKey())
-	case !atOnce:
-		d.refuse()
+	case !hedge && (r == dispatch.OwnerUnresponsive || r == dispatch.NoUpstream) && d.keyed:
+		d.refuseWithRetryAfter(d.noOwnerRetryAfter())
+	case !hedge && r == dispatch.Limited:
+		d.refuseWithRetryAfter(patience.RetryAfterLimited())
+	case !hedge && r == dispatch.HotKey:
+		d.refuseWithRetryAfter(patience.RetryAfterHotKey())
+	case !hedge && r == dispatch.ColdKey:
+		d.refuseWithRetryAfter(patience.RetryAfterColdKey())
+	case !hedge:
+		d.refuseNoCapacity()
 	}
 }
 
-// comeBackToKey is when a caller may come back whose key has no owner.
-func (d *delivery) comeBackToKey() time.Duration {
-	without := d.w.control.gaps[d.route.Service].UnownedFor(d.w.now(), d.try.call.key)
+// noOwnerRetryAfter returns when a caller should retry whose key has no owner.
+func (d *delivery) noOwnerRetryAfter() time.Duration {
+	without := d.sim.controller.gaps[d.route.Service].UnownedFor(d.sim.now(), d.try.call.key)
 	return patience.RetryAfterNoOwner(without)
 }
 
-// decided takes the verdict about a request that waited. Others may be decided in the
-// same moment, so what follows runs after it.
-func (d *delivery) decided(w *dispatch.Request, g dispatch.Grant, r dispatch.Refusal) {
-	d.waiting = nil
-	d.w.after(0, func() {
+// onDecision handles the decision about a queued request. Several requests may be decided in the
+// same call, so the rest runs as an event of its own.
+func (d *delivery) onDecision(req *dispatch.Request, g dispatch.Grant, r dispatch.Refusal) {
+	d.queued = nil
+	d.sim.after(0, func() {
 		switch {
 		case r == 0 && d.ended:
-			d.service.Done(d.w.now(), g, dispatch.Canceled)
+			d.service.Done(d.sim.now(), g, dispatch.Canceled)
 		case d.ended:
 		case r != 0:
-			d.refuse()
-		case w.Owner != "" && d.ownerNow() != w.Owner:
-			d.service.Done(d.w.now(), g, dispatch.Canceled)
+			d.refuseNoCapacity()
+		case req.Owner != "" && d.currentOwner() != req.Owner:
+			d.service.Done(d.sim.now(), g, dispatch.Canceled)
 			d.acquire(false)
 		default:
 			d.send(g)
@@ -169,72 +170,73 @@
 	})
 }
 
-func (d *delivery) ownerNow() string {
-	s := d.w.view[d.route.Service].Find(d.try.call.key)
+func (d *delivery) currentOwner() string {
+	s := d.sim.ownerView[d.route.Service].Find(d.try.call.key)
 	if s.Moving() {
 		return ""
 	}
 	return s.Owner
 }
 
-// awaitMove waits for the owner of a key that moves.
-func (d *delivery) awaitMove(s spans.Span) {
-	if lost := d.w.control.gaps[d.route.Service].UnownedFor(d.w.now(), d.try.call.key); lost > d.route.Objective.D() {
-		d.refuseFor(d.comeBackToKey())
+// waitForOwner waits until a moving key has an owner.
+func (d *delivery) waitForOwner(s spans.Span) {
+	if lost := d.sim.controller.gaps[d.route.Service].UnownedFor(d.sim.now(), d.try.call.key); lost > d.route.Objective.D() {
+		d.refuseWithRetryAfter(d.noOwnerRetryAfter())
 		return
 	}
-	wait := patience.MaxMoveWait(d.route.Objective.D(), d.try.began+d.deadline-d.w.at)
+	wait := patience.MaxMoveWait(d.route.Objective.D(), d.try.startedAt+d.deadline-d.sim.elapsed)
 	if d.refusedFence > 0 && !s.Moving() {
-		wait = refusedWait
+		wait = newOwnerWait
 	}
 	woken := false
 	wake := func() {
 		if !woken {
 			woken = true
-			d.w.after(0, func() {
-				if d.refusedFence == s.Fence && s.Fence > 0 && d.w.at >= d.try.began+wait {
+			d.sim.after(0, func() {
+				if d.refusedFence == s.Fence && s.Fence > 0 && d.sim.elapsed >= d.try.startedAt+wait {
 					d.refusedFence = 0
 				}
 				d.acquire(false)
 			})
 		}
 	}
-	d.w.control.waiters = append(d.w.control.waiters, wake)
-	d.w.after(wait-(d.w.at-d.try.began), func() {
+	d.sim.controller.ownerWaiters = append(d.sim.controller.ownerWaiters, wake)
+	d.sim.after(wait-(d.sim.elapsed-d.try.startedAt), func() {
 		if !woken && !d.ended {
 			woken = true
-			d.refuseFor(d.comeBackToKey())
+			d.refuseWithRetryAfter(d.noOwnerRetryAfter())
 		}
 	})
 }
 
-// refuse gives up on a request for want of room.
-func (d *delivery) refuse() { d.refuseFor(patience.RetryAfterNoCapacity()) }
+// refuseNoCapacity refuses the try because no upstream has capacity.
+func (d *delivery) refuseNoCapacity() { d.refuseWithRetryAfter(patience.RetryAfterNoCapacity()) }
 
-// refuseFor gives up on a request that waits for nothing any more.
-func (d *delivery) refuseFor(again time.Duration) {
+// refuseWithRetryAfter refuses the try unless an attempt is still in flight. If an earlier attempt
+// may have run, the try fails instead.
+func (d *delivery) refuseWithRetryAfter(retryAfter time.Duration) {
 	if d.ended || d.running() > 0 {
 		return
 	}
 	d.end()
-	if d.mayRun {
-		d.try.failed()
+	if d.mayHaveRun {
+		d.try.fail()
 		return
 	}
-	d.try.refused(again)
+	d.try.refuse(retryAfter)
 }
 
-// send makes one try at an upstream.
+// send starts an attempt at an upstream.
 func (d *delivery) send(g dispatch.Grant) {
-	f := &flight{grant: g, run: &run{call: d.try.call, at: d.w.byID[g.Instance.ID]}}
-	f.run.reply = func(o dispatch.Outcome) { d.replied(f, o) }
-	d.flights = append(d.flights, f)
-	d.count(g)
-	d.w.after(d.w.hop(), func() { f.run.at.arrive(f.run) })
-	if d.hedged || !d.route.Idempotent || d.arrivals+d.running() >= d.route.Attempts {
+	f := &attempt{grant: g, run: &run{call: d.try.call, upstream: d.sim.upstreamByID[g.Instance.ID]}}
+	f.run.reply = func(o dispatch.Outcome) { d.onReply(f, o) }
+	d.attempts = append(d.attempts, f)
+	d.countCrossDomain(g)
+	d.sim.after(d.sim.hopDelay(), func() { f.run.upstream.receive(f.run) })
+	if d.hedged || !d.route.Idempotent || d.reached+d.running() >= d.route.Attempts {
 		return
 	}
-	d.w.after(patience.HedgeDelay(g.ExpectedLatency), func() {
+	d.sim.after(patience.HedgeDelay(g.ExpectedLatency), func() {
 		if d.ended || f.ended || d.hedged || d.running() != 1 {
 			return
 		}
@@ -246,65 +248,66 @@
 	})
 }
 
-// count counts tries that may choose their failure domain, and those that leave it.
-func (d *delivery) count(g dispatch.Grant) {
+// countCrossDomain counts attempts for services without keys, and those of them that are sent to
+// another failure domain.
+func (d *delivery) countCrossDomain(g dispatch.Grant) {
 	if d.keyed {
 		return
 	}
-	d.w.tally.sent++
-	if g.Instance.Domain != domainName(d.index%domains) {
-		d.w.tally.crossed++
+	d.sim.tally.sent++
+	if g.Instance.Domain != domainName(d.index%failureDomains) {
+		d.sim.tally.crossDomain++
 	}
 }
 
-// replied takes the outcome of a try.
-func (d *delivery) replied(f *flight, o dispatch.Outcome) {
+// onReply handles the outcome of an attempt.
+func (d *delivery) onReply(f *attempt, o dispatch.Outcome) {
 	if f.ended {
 		return
 	}
 	f.ended = true
-	if o == dispatch.Answered || f.run.limited {
-		d.hears(f.run.at, f.grant.GrantedAt, f.run.limit, f.run.limited)
+	if o == dispatch.Answered || f.run.limitNamed {
+		d.recordLimit(f.run.upstream, f.grant.GrantedAt, f.run.limit, f.run.limitNamed)
 	}
 	if f.run.load != nil {
-		d.service.ApplyLoad(d.w.now(), f.grant, *f.run.load)
+		d.service.ApplyLoad(d.sim.now(), f.grant, *f.run.load)
 	}
-	d.service.Done(d.w.now(), f.grant, o)
+	d.service.Done(d.sim.now(), f.grant, o)
 	if d.ended {
 		return
 	}
 	if o == dispatch.Answered {
-		d.abandon(dispatch.Canceled)
-		d.try.served()
+		d.cancel(dispatch.Canceled)
+		d.try.succeed()
 		return
 	}
-	again := d.mayRepeat(f, o)
+	again := d.shouldRetry(f, o)
 	switch {
 	case d.running() > 0:
 	case again:
 		d.acquire(false)
 	default:
-		d.refuse()
+		d.refuseNoCapacity()
 	}
 }
 
-// mayRepeat decides whether the request is sent once more.
-func (d *delivery) mayRepeat(f *flight, o dispatch.Outcome) bool {
+// shouldRetry decides whether the request is sent again, and charges the retry budget.
+func (d *delivery) shouldRetry(f *attempt, o dispatch.Outcome) bool {
 	if !d.keyed {
 		d.exclude = append(d.exclude, f.grant.Instance.ID)
 	}
 	if o == dispatch.ConnectionRefused || o == dispatch.Unreachable {
-		d.unsent++
-		return d.unsent <= mostUnsent
+		d.unreached++
+		return d.unreached <= maxUnreached
 	}
-	d.arrivals++
+	d.reached++
 	notRun := o == dispatch.Overloaded || o == dispatch.NotOwner
-	d.mayRun = d.mayRun || !notRun
+	d.mayHaveRun = d.mayHaveRun || !notRun
 	if o == dispatch.NotOwner {
-		d.refusedFence = d.w.view[d.route.Service].Find(d.try.call.key).Fence
+		d.refusedFence = d.sim.ownerView[d.route.Service].Find(d.try.call.key).Fence
 	}
-	if d.mayRun && !d.route.Idempotent || d.arrivals >= d.route.Attempts {
+	if d.mayHaveRun && !d.route.Idempotent || d.reached >= d.route.Attempts {
 		return false
 	}
-	return d.budget[d.route.Service].Spend(d.w.now(), d.w.sc.Gateways)
+	return d.budget[d.route.Service].Spend(d.sim.now(), d.sim.sc.Gateways)
 }
--- a/bench/lab/engine.go
+++ b/bench/lab/engine.go
@@ -5,22 +5,24 @@
 	"time"
 )
 
-// start is the moment at which every run begins; decisions take times, not spans.
+// start is the wall-clock time at which every simulation begins; the decision packages take a
+// time.Time.
 var start = time.Unix(0, 0)
 
-// event is something that is due.
+// event is an action scheduled for a point in virtual time. Events that are due at the same time
+// run in the order of seq.
 type event struct {
-	at  time.Duration
-	seq uint64
-	do  func()
+	due    time.Duration
+	seq    uint64
+	action func()
 }
 
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
-	if q[i].at != q[j].at {
-		return q[i].at < q[j].at
+	if q[i].due != q[j].due {
+		return q[i].due < q[j].due
 	}
 	return q[i].seq < q[j].seq
 }
@@ -34,28 +36,28 @@
 	return last
 }
 
-// engine is the virtual clock with what is due.
+// engine is the virtual clock with its event queue.
 type engine struct {
-	queue eventQueue
-	at    time.Duration
-	seq   uint64
+	queue   eventQueue
+	elapsed time.Duration
+	seq     uint64
 }
 
-// now is the virtual time as decisions take it.
-func (e *engine) now() time.Time { return start.Add(e.at) }
+// now returns the virtual time as a time.Time, as the decision packages expect it.
+func (e *engine) now() time.Time { return start.Add(e.elapsed) }
 
-// after calls do when the time has passed.
+// after schedules do to run when d has elapsed.
 func (e *engine) after(d time.Duration, do func()) {
 	e.seq++
-	heap.Push(&e.queue, event{at: e.at + max(d, 0), seq: e.seq, do: do})
+	heap.Push(&e.queue, event{due: e.elapsed + max(d, 0), seq: e.seq, action: do})
 }
 
-// run plays until the time.
-func (e *engine) run(until time.Duration) {
-	for len(e.queue) > 0 && e.queue[0].at <= until {
+// runUntil processes all events that are due by the given time.
+func (e *engine) runUntil(until time.Duration) {
+	for len(e.queue) > 0 && e.queue[0].due <= until {
 		next := heap.Pop(&e.queue).(event)
-		e.at = next.at
-		next.do()
+		e.elapsed = next.due
+		next.action()
 	}
-	e.at = until
+	e.elapsed = until
 }
--- a/bench/lab/gateway.go
+++ b/bench/lab/gateway.go
@@ -11,148 +11,149 @@
 )
 
 const (
-	// tickInterval is the time between looks at requests that wait, as in the gateways.
+	// tickInterval is the time between checks of queued requests, the same as in the gateways.
 	tickInterval = 20 * time.Millisecond
-	// budgetShare is the part of the retry budget that is used, as in the gateways.
+	// budgetShare is the share of the retry budget that is used, the same as in the gateways.
 	budgetShare = 0.9
-	// refusedWait is how long news of a key's owner is waited for after the one known
-	// has refused, as in the gateways.
-	refusedWait = 80 * time.Millisecond
-	// drainTime is the time within which leaving upstreams get no more requests.
+	// newOwnerWait is how long a gateway waits to learn of a new owner after the known one answered
+	// that it does not own the key, the same as in the gateways.
+	newOwnerWait = 80 * time.Millisecond
+	// drainTime is the time after which leaving upstreams get no more requests.
 	drainTime = 2 * time.Second
-	// mostUnsent bounds the upstreams tried that could not be reached, as in the gateways.
-	mostUnsent = 4
+	// maxUnreached bounds the number of unreachable upstreams tried for one request, the same as in
+	// the gateways.
+	maxUnreached = 4
 )
 
-// product is the policy of the product: its decision packages in each gateway.
+// product is the policy under test: the decision packages of the product in each gateway.
 type product struct {
-	w        *world
+	sim      *simulation
 	gateways []*gateway
 }
 
-// gateway is one gateway: what it decides with, and the requests it works on.
+// gateway is one gateway: its decision state and the requests that it processes.
 type gateway struct {
-	w        *world
+	sim      *simulation
 	index    int
 	dispatch map[string]*dispatch.Service
 	budget   map[string]*retry.WindowBudget
 	keys     map[string][]uint16
-	// names are the services in a fixed order.
-	names []string
-	open  []*delivery
-	// limits are those that upstreams name, wantedElsewhere what the other gateways are asked for
-	// that these would get.
-	limits          *limits.Registry
-	wantedElsewhere map[string]float64
+	// serviceNames are the services in a fixed order.
+	serviceNames []string
+	deliveries   []*delivery
+	// limits are the rate limits that upstreams name; otherLimitedDemand is the request rate that
+	// the other gateways would send to each of these upstreams.
+	limits             *limits.Registry
+	otherLimitedDemand map[string]float64
 }
 
-func newProduct(w *world, seed uint64) *product {
-	p := &product{w: w}
-	for i := range w.sc.Gateways {
+func newProduct(sim *simulation, seed uint64) *product {
+	p := &product{sim: sim}
+	for i := range sim.sc.Gateways {
 		g := &gateway{
-			w: w, index: i, dispatch: make(map[string]*dispatch.Service), budget: make(map[string]*retry.WindowBudget),
+			sim: sim, index: i, dispatch: make(map[string]*dispatch.Service), budget: make(map[string]*retry.WindowBudget),
 			keys: make(map[string][]uint16), limits: limits.NewRegistry(),
 		}
-		for j := range w.sc.Services {
-			s := &w.sc.Services[j]
-			rng := rand.New(rand.NewPCG(seed+policySeed, uint64(i*len(w.sc.Services)+j)))
-			d := dispatch.NewService(domainName(i%domains), drainTime, rng)
-			d.Disabled = w.sc.Off
-			d.SetWarmUp(w.now(), dispatch.WarmUp{MaxPerSecond: s.StartBound, Keyed: s.Keyed})
-			d.SetUpstreams(w.now(), w.control.known(s))
+		for j := range sim.sc.Services {
+			s := &sim.sc.Services[j]
+			rng := rand.New(rand.NewPCG(seed+policyStream, uint64(i*len(sim.sc.Services)+j)))
+			d := dispatch.NewService(domainName(i%failureDomains), drainTime, rng)
+			d.Disabled = sim.sc.Disabled
+			d.SetWarmUp(sim.now(), dispatch.WarmUp{MaxPerSecond: s.WarmUpRateLimit, Keyed: s.Keyed})
+			d.SetUpstreams(sim.now(), sim.controller.listedUpstreams(s))
 			g.dispatch[s.Name] = d
-			g.names = append(g.names, s.Name)
-			g.budget[s.Name] = retry.NewWindowBudget(w.now(), w.sc.RetryWindow.D(), budgetShare*w.sc.RetryShare, budgetShare*w.sc.RetryAllowance)
+			g.serviceNames = append(g.serviceNames, s.Name)
+			g.budget[s.Name] = retry.NewWindowBudget(sim.now(), sim.sc.RetryWindow.D(), budgetShare*sim.sc.RetryShare, budgetShare*sim.sc.RetryAllowance)
 		}
 		p.gateways = append(p.gateways, g)
-		w.after(time.Duration(i)*w.sc.Report.D()/time.Duration(w.sc.Gateways), g.report)
-		w.after(tickInterval, g.tick)
+		sim.after(time.Duration(i)*sim.sc.ReportInterval.D()/time.Duration(sim.sc.Gateways), g.report)
+		sim.after(tickInterval, g.tick)
 	}
 	return p
 }
 
-func (p *product) changed(s *Service) {
+func (p *product) upstreamsChanged(s *Service) {
 	for _, g := range p.gateways {
-		g.dispatch[s.Name].SetUpstreams(p.w.now(), p.w.control.known(s))
+		g.dispatch[s.Name].SetUpstreams(p.sim.now(), p.sim.controller.listedUpstreams(s))
 	}
 }
 
-// gatewayLost ends all requests at a gateway: its connections break.
-func (p *product) gatewayLost(g int) {
+// gatewayFailed ends all requests at a gateway, whose connections break.
+func (p *product) gatewayFailed(g int) {
 	lost := p.gateways[g]
-	p.w.control.reported(g, nil, nil, nil)
-	open := lost.open
-	lost.open = nil
+	p.sim.controller.applyReport(g, nil, nil, nil)
+	open := lost.deliveries
+	lost.deliveries = nil
 	for _, d := range open {
-		d.abandon(dispatch.Canceled)
-		d.try.failed()
+		d.cancel(dispatch.Canceled)
+		d.try.fail()
 	}
 }
 
 func (p *product) submit(t *try) {
 	g := p.gateways[t.gateway]
-	if p.w.down[t.gateway] {
-		t.failed()
+	if p.sim.gatewayDown[t.gateway] {
+		t.fail()
 		return
 	}
 	d := &delivery{gateway: g, try: t, route: t.call.route, service: g.dispatch[t.call.route.Service]}
-	d.keyed = p.w.control.tables[d.route.Service] != nil
-	d.deadline = p.w.at + min(d.route.Timeout.D(), t.left)
-	t.withdraw = d.withdrawn
-	g.open = append(g.open, d)
-	g.budget[d.route.Service].RecordRequest(p.w.now())
+	d.keyed = p.sim.controller.tables[d.route.Service] != nil
+	d.deadline = p.sim.elapsed + min(d.route.Timeout.D(), t.maxWait)
+	t.onWithdraw = d.onWithdraw
+	g.deliveries = append(g.deliveries, d)
+	g.budget[d.route.Service].RecordRequest(p.sim.now())
 	if d.keyed {
 		g.keys[d.route.Service] = append(g.keys[d.route.Service], t.call.key)
 	}
-	p.w.after(d.deadline-p.w.at, d.timedOut)
+	p.sim.after(d.deadline-p.sim.elapsed, d.onTimeout)
 	d.acquire(false)
 }
 
 func (g *gateway) tick() {
-	for _, name := range g.names {
-		g.dispatch[name].Tick(g.w.now())
+	for _, name := range g.serviceNames {
+		g.dispatch[name].Tick(g.sim.now())
 	}
-	g.w.after(tickInterval, g.tick)
+	g.sim.after(tickInterval, g.tick)
 }
 
-// report tells the control what this gateway has in flight, and takes what the others
-// have a hop later.
+// report sends the load of this gateway to the controller and applies the aggregate of the other
+// gateways, which arrives one hop later.
 func (g *gateway) report() {
-	g.w.after(g.w.sc.Report.D(), g.report)
-	if g.w.down[g.index] {
+	g.sim.after(g.sim.sc.ReportInterval.D(), g.report)
+	if g.sim.gatewayDown[g.index] {
 		return
 	}
-	loads, demand := make(map[string]report), make(map[string]float64)
-	for _, name := range g.names {
-		demand[name] = g.dispatch[name].Demand(g.w.now())
-		for _, l := range g.dispatch[name].Loads(g.w.now()) {
-			loads[l.Instance] = report{inflight: l.Inflight, runs: l.Runs}
+	loads, demand := make(map[string]upstreamReport), make(map[string]float64)
+	for _, name := range g.serviceNames {
+		demand[name] = g.dispatch[name].Demand(g.sim.now())
+		for _, l := range g.dispatch[name].Loads(g.sim.now()) {
+			loads[l.Instance] = upstreamReport{inflight: l.Inflight, runs: l.Runs}
 		}
 	}
-	wanted := make(map[string]float64)
-	for _, name := range g.names {
-		maps.Copy(wanted, g.dispatch[name].LimitedDemand(g.w.now()))
+	limitedDemand := make(map[string]float64)
+	for _, name := range g.serviceNames {
+		maps.Copy(limitedDemand, g.dispatch[name].LimitedDemand(g.sim.now()))
 	}
 	keys := g.keys
 	g.keys = make(map[string][]uint16)
-	g.w.after(g.w.hop(), func() {
-		g.w.control.reported(g.index, loads, demand, keys)
-		g.w.control.wanted[g.index] = wanted
-		wantedElsewhere := g.w.control.wantedBut(g.index)
-		others := g.w.control.elsewhere(g.index)
+	g.sim.after(g.sim.hopDelay(), func() {
+		g.sim.controller.applyReport(g.index, loads, demand, keys)
+		g.sim.controller.limitedDemand[g.index] = limitedDemand
+		otherLimitedDemand := g.sim.controller.otherLimitedDemand(g.index)
+		others := g.sim.controller.otherReports(g.index)
 		inflight := make(map[string]float64, len(others))
 		for id, r := range others {
 			inflight[id] = r.inflight
 		}
-		admit := maps.Clone(g.w.control.admit)
-		rights := g.w.control.rights(g.index)
-		asked, works := g.w.control.askedElsewhere(g.index), g.w.control.works()
-		g.w.after(g.w.hop(), func() {
-			g.wantedElsewhere = wantedElsewhere
-			limits := g.limitNews()
-			for _, name := range g.names {
-				g.dispatch[name].ApplyReport(g.w.now(), dispatch.ClusterReport{
-					InFlight: inflight, WorkTimes: works, Demand: asked[name], Gateways: g.w.sc.Gateways, HotKeyAdmission: admit[name], Rights: rights,
+		admit := maps.Clone(g.sim.controller.hotKeyAdmission)
+		rights := g.sim.controller.warmUpRights(g.index)
+		otherDemand, workEstimates := g.sim.controller.otherDemand(g.index), g.sim.controller.workEstimates()
+		g.sim.after(g.sim.hopDelay(), func() {
+			g.otherLimitedDemand = otherLimitedDemand
+			limits := g.activeLimits()
+			for _, name := range g.serviceNames {
+				g.dispatch[name].ApplyReport(g.sim.now(), dispatch.ClusterReport{
+					InFlight: inflight, WorkTimes: workEstimates, Demand: otherDemand[name], Gateways: g.sim.sc.Gateways, HotKeyAdmission: admit[name], Rights: rights,
 					Limits: limits,
 				})
 			}
--- a/bench/lab/ideal.go
+++ b/bench/lab/ideal.go
@@ -8,55 +8,55 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// ideal is a dispatcher that knows everything at once: one queue for all gateways,
-// the exact state of each upstream, no news under way. Ownership of keys is kept. A
-// free slot takes the request that can still be answered on time, the most important
-// and then the oldest first; with none, the youngest of those that are late. Nothing
-// is refused before its client has left.
+// ideal is a dispatcher with perfect information: it has one queue for all gateways and knows the
+// exact state of each upstream without delay. The ownership of keys is respected. A free slot takes
+// a request that can still be answered on time, by priority and then the oldest first. If there is
+// none, it takes a late request, by priority and then the youngest first. No request is refused
+// before its client stops waiting.
 type ideal struct {
-	w *world
-	// queues hold what waits: by owner for keyed services, else by service. Requests
-	// for keys without an owner wait under homeless.
-	queues map[string][]*idealRun
-	// sent are the requests at each upstream or under way to it.
-	sent map[*upstream][]*idealRun
+	sim *simulation
+	// queues hold the waiting requests, by owner for keyed services and by service for others.
+	// Requests for keys without an owner wait under noOwnerQueue.
+	queues map[string][]*idealRequest
+	// sent are the requests that run at each upstream or are on their way to it.
+	sent map[*upstream][]*idealRequest
 }
 
-// homeless is the queue of requests whose keys have no owner.
-const homeless = ""
+// noOwnerQueue is the queue of requests whose keys have no owner.
+const noOwnerQueue = ""
 
-// idealRun is a try that waits or runs.
-type idealRun struct {
-	try  *try
-	run  *run
-	gone bool
+// idealRequest is a try that waits or runs.
+type idealRequest struct {
+	try       *try
+	run       *run
+	withdrawn bool
 }
 
-func newIdeal(w *world) *ideal {
-	p := &ideal{w: w, queues: make(map[string][]*idealRun), sent: make(map[*upstream][]*idealRun)}
-	w.after(idealLook, p.look)
+func newIdeal(sim *simulation) *ideal {
+	p := &ideal{sim: sim, queues: make(map[string][]*idealRequest), sent: make(map[*upstream][]*idealRequest)}
+	sim.after(idealPollInterval, p.poll)
 	return p
 }
 
-// idealLook is the time between looks for upstreams that have become free for another
-// reason than an answer, such as a key that has moved.
-const idealLook = 2 * time.Millisecond
+// idealPollInterval is the time between checks for upstreams that became free without sending an
+// answer, for example because a key moved.
+const idealPollInterval = 2 * time.Millisecond
 
-func (p *ideal) changed(*Service)            {}
-func (p *ideal) gatewayLost(int)             {}
-func (p *ideal) limited([]limits.Limit, int) {}
+func (p *ideal) upstreamsChanged(*Service)         {}
+func (p *ideal) gatewayFailed(int)                 {}
+func (p *ideal) limitsChanged([]limits.Limit, int) {}
 
-func (p *ideal) look() {
-	p.w.after(idealLook, p.look)
-	orphans := p.queues[homeless]
-	p.queues[homeless] = nil
+func (p *ideal) poll() {
+	p.sim.after(idealPollInterval, p.poll)
+	orphans := p.queues[noOwnerQueue]
+	p.queues[noOwnerQueue] = nil
 	for _, one := range orphans {
 		p.enqueue(one)
 	}
-	for i := range p.w.sc.Services {
-		s := &p.w.sc.Services[i]
-		for _, u := range p.w.upstreams[s.Name] {
-			if u.dark || u.gone {
+	for i := range p.sim.sc.Services {
+		s := &p.sim.sc.Services[i]
+		for _, u := range p.sim.upstreams[s.Name] {
+			if u.silent || u.refusing {
 				p.reclaim(u)
 			}
 			if len(p.queues[p.queueOf(u)]) > 0 {
@@ -66,8 +66,8 @@
 	}
 }
 
-// reclaim takes back what was sent to an upstream that is lost: idempotent requests run
-// elsewhere, of the others nobody knows whether they ran.
+// reclaim takes back the requests sent to a failed upstream. Idempotent ones run elsewhere; the
+// others fail, because it is unknown whether they ran.
 func (p *ideal) reclaim(u *upstream) {
 	lost := p.sent[u]
 	p.sent[u] = nil
@@ -76,44 +76,44 @@
 		if one.try.call.route.Idempotent {
 			p.enqueue(one)
 		} else {
-			one.try.failed()
+			one.try.fail()
 		}
 	}
 }
 
 func (p *ideal) queueOf(u *upstream) string {
 	if u.service.Keyed {
-		return u.one.ID
+		return u.instance.ID
 	}
 	return u.service.Name
 }
 
-// enqueue lets a request wait where it belongs.
-func (p *ideal) enqueue(one *idealRun) {
+// enqueue appends a request to the queue of its owner or service.
+func (p *ideal) enqueue(one *idealRequest) {
 	name := one.try.call.route.Service
-	if table := p.w.control.tables[name]; table != nil {
+	if table := p.sim.controller.tables[name]; table != nil {
 		span := table.Find(one.try.call.key)
 		name = span.Owner
-		if u := p.w.byID[span.Owner]; span.Moving() || u == nil || u.dark || u.gone {
-			name = homeless
+		if u := p.sim.upstreamByID[span.Owner]; span.Moving() || u == nil || u.silent || u.refusing {
+			name = noOwnerQueue
 		}
 	}
 	p.queues[name] = append(p.queues[name], one)
 }
 
 func (p *ideal) submit(t *try) {
-	one := &idealRun{try: t}
-	t.withdraw = func() {
-		one.gone = true
+	one := &idealRequest{try: t}
+	t.onWithdraw = func() {
+		one.withdrawn = true
 		if one.run != nil {
-			p.ended(one)
+			p.cancel(one)
 		}
 	}
 	p.enqueue(one)
 	name := t.call.route.Service
-	if table := p.w.control.tables[name]; table != nil {
-		p.w.control.heat[name].Add(t.call.key)
-		if u := p.w.byID[table.Find(t.call.key).Owner]; u != nil {
+	if table := p.sim.controller.tables[name]; table != nil {
+		p.sim.controller.keyRates[name].Add(t.call.key)
+		if u := p.sim.upstreamByID[table.Find(t.call.key).Owner]; u != nil {
 			p.fill(u)
 		}
 		return
@@ -126,24 +126,24 @@
 // fastestFree returns the fastest upstream of a service with a free slot.
 func (p *ideal) fastestFree(name string) *upstream {
 	var best *upstream
-	for _, u := range p.w.upstreams[name] {
-		if p.free(u) && (best == nil || u.pace() > best.pace()) {
+	for _, u := range p.sim.upstreams[name] {
+		if p.hasFreeSlot(u) && (best == nil || u.currentSpeed() > best.currentSpeed()) {
 			best = u
 		}
 	}
 	return best
 }
 
-func (p *ideal) free(u *upstream) bool {
-	return !u.dark && !u.gone && !u.leaving && !(u.warming() && u.service.Breaks > 0) && len(p.sent[u]) < u.service.Slots
+func (p *ideal) hasFreeSlot(u *upstream) bool {
+	return !u.silent && !u.refusing && !u.leaving && !(u.isWarmingUp() && u.service.MaxWarmUpRate > 0) && len(p.sent[u]) < u.service.Slots
 }
 
-// pace is the present speed of an upstream.
-func (u *upstream) pace() float64 { return u.speed / u.slower }
+// currentSpeed returns the speed of an upstream including a slowdown.
+func (u *upstream) currentSpeed() float64 { return u.speed / u.slowdown }
 
-// fill gives a free upstream what it should run next.
+// fill assigns queued requests to the free slots of an upstream.
 func (p *ideal) fill(u *upstream) {
-	for p.free(u) {
+	for p.hasFreeSlot(u) {
 		one := p.next(u)
 		if one == nil {
 			return
@@ -152,25 +152,25 @@
 	}
 }
 
-// next takes the request from the queue that the upstream should run next.
-func (p *ideal) next(u *upstream) *idealRun {
+// next removes the request that the upstream should run next from its queue.
+func (p *ideal) next(u *upstream) *idealRequest {
 	name := p.queueOf(u)
 	kept := p.queues[name][:0]
 	best := -1
-	var moved []*idealRun
+	var moved []*idealRequest
 	for _, one := range p.queues[name] {
 		switch {
-		case one.gone || one.try.ended:
-		case u.service.Keyed && !u.holds(one.try.call.key):
+		case one.withdrawn || one.try.ended:
+		case u.service.Keyed && !u.owns(one.try.call.key):
 			moved = append(moved, one)
 		default:
-			if best < 0 || p.before(u, one, kept[best]) {
+			if best < 0 || p.runsBefore(u, one, kept[best]) {
 				best = len(kept)
 			}
 			kept = append(kept, one)
 		}
 	}
-	var chosen *idealRun
+	var chosen *idealRequest
 	if best >= 0 {
 		chosen = kept[best]
 		kept = append(kept[:best], kept[best+1:]...)
@@ -182,8 +182,8 @@
 	return chosen
 }
 
-// before reports whether a should run before b.
-func (p *ideal) before(u *upstream, a, b *idealRun) bool {
+// runsBefore reports whether a should run before b.
+func (p *ideal) runsBefore(u *upstream, a, b *idealRequest) bool {
 	aOn, bOn := p.canBeOnTime(u, a), p.canBeOnTime(u, b)
 	if aOn != bOn {
 		return aOn
@@ -191,18 +191,18 @@
 	if pa, pb := a.try.call.route.Priority, b.try.call.route.Priority; pa != pb {
 		return pa < pb
 	}
-	older := a.try.call.began < b.try.call.began
+	older := a.try.call.startedAt < b.try.call.startedAt
 	return older == aOn
 }
 
-func (p *ideal) canBeOnTime(u *upstream, one *idealRun) bool {
+func (p *ideal) canBeOnTime(u *upstream, one *idealRequest) bool {
 	c := one.try.call
-	took := time.Duration(c.route.Work.D().Seconds() / u.pace() * float64(time.Second))
-	return p.w.at+took+2*p.w.hop()+p.w.sc.ClientHop.D() <= c.began+c.route.Objective.D()
+	took := time.Duration(c.route.WorkTime.D().Seconds() / u.currentSpeed() * float64(time.Second))
+	return p.sim.elapsed+took+2*p.sim.hopDelay()+p.sim.sc.ClientHop.D() <= c.startedAt+c.route.Objective.D()
 }
 
-func (p *ideal) send(u *upstream, one *idealRun) {
-	r := &run{call: one.try.call, at: u}
+func (p *ideal) send(u *upstream, one *idealRequest) {
+	r := &run{call: one.try.call, upstream: u}
 	one.run = r
 	p.sent[u] = append(p.sent[u], one)
 	r.reply = func(o dispatch.Outcome) {
@@ -210,29 +210,29 @@
 			return
 		}
 		one.run = nil
-		p.drop(u, one)
+		p.removeSent(u, one)
 		if o == dispatch.Answered {
-			one.try.served()
-		} else if !one.gone {
+			one.try.succeed()
+		} else if !one.withdrawn {
 			p.enqueue(one)
 		}
 		p.fill(u)
 	}
-	p.w.after(p.w.hop(), func() { u.arrive(r) })
+	p.sim.after(p.sim.hopDelay(), func() { u.receive(r) })
 }
 
-// drop takes a request off those sent to an upstream.
-func (p *ideal) drop(u *upstream, one *idealRun) {
-	p.sent[u] = slices.DeleteFunc(p.sent[u], func(other *idealRun) bool { return other == one })
+// removeSent removes a request from those sent to an upstream.
+func (p *ideal) removeSent(u *upstream, one *idealRequest) {
+	p.sent[u] = slices.DeleteFunc(p.sent[u], func(other *idealRequest) bool { return other == one })
 }
 
-// ended drops a request whose client has left.
-func (p *ideal) ended(one *idealRun) {
+// cancel cancels a running request whose client has stopped waiting.
+func (p *ideal) cancel(one *idealRequest) {
 	r := one.run
 	one.run = nil
-	p.drop(r.at, one)
-	p.w.after(p.w.hop(), func() {
-		r.at.abandon(r)
-		p.fill(r.at)
+	p.removeSent(r.upstream, one)
+	p.sim.after(p.sim.hopDelay(), func() {
+		r.upstream.cancel(r)
+		p.fill(r.upstream)
 	})
 }
--- a/bench/lab/lab_test.go
+++ b/bench/lab/lab_test.go
@@ -11,7 +11,7 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// find returns a scenario that comes with the lab.
+// find returns the named scenario or fails the test.
 func find(t *testing.T, name string) *Scenario {
 	t.Helper()
 	sc, err := Find(name)
@@ -23,29 +23,31 @@
 
 func TestScenariosAreValid(t *testing.T) {
 	if len(Names()) == 0 {
-		t.Fatal("no scenario")
+		t.Fatal("no built-in scenarios")
 	}
 	for _, name := range Names() {
 		if sc := find(t, name); sc.Name != name {
-			t.Errorf("scenario %s calls itself %s", name, sc.Name)
+			t.Errorf("scenario %s has the name %s", name, sc.Name)
 		}
 	}
 }
 
-// TestSameSeedSameResult: a run depends on its scenario, its policy and its seed only.
-func TestSameSeedSameResult(t *testing.T) {
+// TestSameSeedGivesSameResult checks that a result depends only on the scenario, the policy and the
+// seed.
+func TestSameSeedGivesSameResult(t *testing.T) {
 	sc := find(t, "rough")
 	sc.Length = jsonc.Duration(10 * time.Second)
 	for _, p := range []Policy{Product, Ideal, Plain} {
-		first, again := Play(sc, p, 7), Play(sc, p, 7)
+		first, again := Simulate(sc, p, 7), Simulate(sc, p, 7)
 		if diff := cmp.Diff(first, again, cmpopts.IgnoreFields(Result{}, "WallMs")); diff != "" {
 			t.Errorf("%s: %s", p, diff)
 		}
 	}
 }
 
-// TestBadScenarios: what cannot be played is refused with its path before anything runs.
-func TestBadScenarios(t *testing.T) {
+// TestInvalidScenariosAreRejected checks that invalid settings are rejected before anything runs,
+// with an error that names their path.
+func TestInvalidScenariosAreRejected(t *testing.T) {
 	whole := `{"name": "a", "gateways": 1,
 		"services": [{"name": "s", "upstreams": 1, "slots": 1, "when_full": "refuses"}],
 		"routes": [{"name": "r", "service": "s", "rate": 1, "work": "1ms", "objective": "1s", "timeout": "1s", "patience": "1s", "attempts": 1}]}`
@@ -54,8 +56,8 @@
 		"negative rate":   {`"rate": 1`, `"rate": -1`, "routes[0].rate"},
 		"too many events": {`"rate": 1`, `"rate": 1e9`, "routes"},
 		"unknown service": {`"service": "s"`, `"service": "t"`, "routes[0].service"},
-		"unknown trouble": {`"gateways": 1`, `"gateways": 1, "troubles": [{"kind": "flood"}]`, "troubles[0].kind"},
-		"what is full":    {`"refuses"`, `"sleeps"`, "services[0].when_full"},
+		"unknown kind":    {`"gateways": 1`, `"gateways": 1, "troubles": [{"kind": "flood"}]`, "troubles[0].kind"},
+		"unknown action":  {`"refuses"`, `"sleeps"`, "services[0].when_full"},
 	} {
 		sc := DefaultScenario()
 		if err := jsonc.Decode([]byte(whole), &sc); err != nil {
@@ -69,12 +71,12 @@
 	}
 }
 
-// TestIdealIsNotBeaten: the dispatcher that knows everything is a limit that the
-// product stays below, and the plainest policy below both.
-func TestIdealIsNotBeaten(t *testing.T) {
+// TestIdealIsUpperBound checks that the ideal dispatcher is at least as good as the product, and
+// the product at least as good as the plain policy.
+func TestIdealIsUpperBound(t *testing.T) {
 	sc := find(t, "overload")
-	best, ours, least := Play(sc, Ideal, 1), Play(sc, Product, 1), Play(sc, Plain, 1)
-	if best.Worth < ours.Worth || ours.Worth < least.Worth {
-		t.Errorf("ideal %.3f, product %.3f, plainest %.3f", best.Worth, ours.Worth, least.Worth)
+	ideal, product, plain := Simulate(sc, Ideal, 1), Simulate(sc, Product, 1), Simulate(sc, Plain, 1)
+	if ideal.Worth < product.Worth || product.Worth < plain.Worth {
+		t.Errorf("ideal %.3f, product %.3f, plain %.3f", ideal.Worth, product.Worth, plain.Worth)
 	}
 }
--- a/bench/lab/limits.go
+++ b/bench/lab/limits.go
@@ -9,90 +9,92 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// This file models upstreams in need, which name with their answers how many requests a second
-// they take from all gateways together.
+// This file models upstreams that name a rate limit with their answers: the requests per second
+// that they accept from all gateways together.
 
 const (
-	// limitWindow is the time over which arrivals are counted against the limit, limitSettles the
-	// time after it was first named from which they are; limitSlack and limitExtra are how many
-	// times the limit, and how many requests more, may come.
-	limitWindow  = 4 * time.Second
-	limitSettles = 3 * time.Second
-	limitSlack   = 1.5
-	limitExtra   = 5
-	// limitedFrom is the time over which an upstream counts what it gets when it names a limit.
-	limitedFrom = time.Second
+	// limitWindow is the time over which arrivals are compared with the limit. The comparison
+	// starts limitSettleTime after the limit was first named. Up to limitTolerance times the limit
+	// plus limitExtraRequests may arrive.
+	limitWindow        = 4 * time.Second
+	limitSettleTime    = 3 * time.Second
+	limitTolerance     = 1.5
+	limitExtraRequests = 5
+	// limitRateWindow is the time over which an upstream measures its request rate when it names a
+	// limit.
+	limitRateWindow = time.Second
 )
 
-// need is what an upstream in need names.
-type need struct {
+// namedLimit is the rate limit that an upstream names.
+type namedLimit struct {
 	perSecond float64
 	since     time.Duration
 }
 
-// inNeed lets the upstream name a part of what it gets as its limit for a while.
-func (u *upstream) inNeed(part float64, length time.Duration) {
-	got := 0
+// nameLimit makes the upstream name a share of its current request rate as its limit for a while.
+func (u *upstream) nameLimit(share float64, length time.Duration) {
+	received := 0
 	for _, at := range u.arrivals {
-		if u.w.at-at < limitedFrom {
-			got++
+		if u.sim.elapsed-at < limitRateWindow {
+			received++
 		}
 	}
-	u.need = &need{perSecond: max(1, part*float64(got)/limitedFrom.Seconds()), since: u.w.at}
-	u.w.after(length, func() { u.need = nil })
+	u.limit = &namedLimit{perSecond: max(1, share*float64(received)/limitRateWindow.Seconds()), since: u.sim.elapsed}
+	u.sim.after(length, func() { u.limit = nil })
 }
 
-// noteArrival counts a request, and whether it is one too many for the limit. What came just
-// before the limit was named counts: it is in the queue.
-func (u *upstream) noteArrival() {
-	u.arrivals = append(slices.DeleteFunc(u.arrivals, func(at time.Duration) bool { return u.w.at-at >= limitWindow }), u.w.at)
-	if u.need == nil || u.w.at-u.need.since < limitSettles {
+// recordArrival records a request and updates the peak load relative to the limit. Requests that
+// arrived shortly before the limit was named count, because they are still queued.
+func (u *upstream) recordArrival() {
+	u.arrivals = append(slices.DeleteFunc(u.arrivals, func(at time.Duration) bool { return u.sim.elapsed-at >= limitWindow }), u.sim.elapsed)
+	if u.limit == nil || u.sim.elapsed-u.limit.since < limitSettleTime {
 		return
 	}
-	most := limitSlack*u.need.perSecond*limitWindow.Seconds() + limitExtra
-	if over := float64(len(u.arrivals)) / most; over > u.w.tally.overLimit {
-		u.w.tally.overLimit = over
+	allowed := limitTolerance*u.limit.perSecond*limitWindow.Seconds() + limitExtraRequests
+	if over := float64(len(u.arrivals)) / allowed; over > u.sim.tally.peakOverLimit {
+		u.sim.tally.peakOverLimit = over
 	}
 }
 
-// named is the limit that the upstream names now.
-func (u *upstream) named() (perSecond float64, ok bool) {
-	if u.need == nil {
+// currentLimit returns the limit that the upstream names now, if any.
+func (u *upstream) currentLimit() (perSecond float64, ok bool) {
+	if u.limit == nil {
 		return 0, false
 	}
-	return u.need.perSecond, true
+	return u.limit.perSecond, true
 }
 
-// hears lets a gateway hear from an answer to a request that was sent at a time what the
-// upstream's limit is.
-func (g *gateway) hears(u *upstream, sent time.Time, perSecond float64, named bool) {
+// recordLimit records the limit that an upstream named, or did not name, in its answer to a request
+// sent at the given time.
+func (g *gateway) recordLimit(u *upstream, sent time.Time, perSecond float64, named bool) {
 	changed := false
 	if named {
-		changed = g.limits.Update(limits.Limit{Upstream: u.one.ID, PerSecond: perSecond, ReceivedAt: g.w.now()})
+		changed = g.limits.Update(limits.Limit{Upstream: u.instance.ID, PerSecond: perSecond, ReceivedAt: g.sim.now()})
 	} else {
-		changed = g.limits.RecordAbsent(u.one.ID, 0, sent, g.w.now())
+		changed = g.limits.RecordAbsent(u.instance.ID, 0, sent, g.sim.now())
 	}
 	if changed {
-		g.setLimits()
-		g.w.control.hears(g.index, g.limits.List())
+		g.applyLimits()
+		g.sim.controller.updateLimits(g.index, g.limits.List())
 	}
 }
 
-// hears takes what one gateway knows of limits over, and tells all others if it is news.
-func (c *control) hears(from int, list []limits.Limit) {
-	c.w.after(c.w.hop(), func() {
+// updateLimits merges the limits known to one gateway and forwards them to all others if anything
+// changed.
+func (c *controller) updateLimits(from int, list []limits.Limit) {
+	c.sim.after(c.sim.hopDelay(), func() {
 		changed := false
 		for _, l := range list {
 			changed = c.limits.Update(l) || changed
 		}
 		if changed {
-			c.w.after(c.w.hop(), func() { c.w.policy.limited(c.limits.List(), from) })
+			c.sim.after(c.sim.hopDelay(), func() { c.sim.policy.limitsChanged(c.limits.List(), from) })
 		}
 	})
 }
 
-// limited brings news of limits to all gateways but the one that they are from.
-func (p *product) limited(list []limits.Limit, from int) {
+// limitsChanged passes changed limits to all gateways except the one that reported them.
+func (p *product) limitsChanged(list []limits.Limit, from int) {
 	for i, g := range p.gateways {
 		if i == from {
 			continue
@@ -100,26 +102,26 @@
 		for _, l := range list {
 			g.limits.Update(l)
 		}
-		g.setLimits()
+		g.applyLimits()
 	}
 }
 
-// setLimits lets what the gateway knows of limits take effect.
-func (g *gateway) setLimits() {
-	for _, name := range g.names {
-		g.dispatch[name].SetLimits(g.w.now(), g.limitNews())
+// applyLimits applies the known limits to the dispatchers of the gateway.
+func (g *gateway) applyLimits() {
+	for _, name := range g.serviceNames {
+		g.dispatch[name].SetLimits(g.sim.now(), g.activeLimits())
 	}
 }
 
-// limitNews returns the limits in force, and what the other gateways are asked for as it was told
-// last.
-func (g *gateway) limitNews() map[string]dispatch.Limit {
+// activeLimits returns the limits in force, each with the last known demand of the other gateways;
+// -1 if that is unknown.
+func (g *gateway) activeLimits() map[string]dispatch.Limit {
 	out := make(map[string]dispatch.Limit)
 	for _, l := range g.limits.List() {
 		if l.Ended {
 			continue
 		}
-		wanted, known := g.wantedElsewhere[l.Upstream]
+		wanted, known := g.otherLimitedDemand[l.Upstream]
 		if !known {
 			wanted = -1
 		}
@@ -128,14 +130,14 @@
 	return out
 }
 
-// wantedBut returns what all gateways but one are asked for that upstreams with a limit would
-// get.
-func (c *control) wantedBut(g int) map[string]float64 {
+// otherLimitedDemand returns the request rate that all gateways except one would send to each
+// upstream with a limit.
+func (c *controller) otherLimitedDemand(g int) map[string]float64 {
 	out := make(map[string]float64)
 	for _, l := range c.limits.List() {
 		out[l.Upstream] = 0
 	}
-	for other, wanted := range c.wanted {
+	for other, wanted := range c.limitedDemand {
 		if other == g {
 			continue
 		}
@@ -146,11 +148,11 @@
 	return out
 }
 
-// limitedShare names Share of the upstreams of the trouble's service as in need.
-func (w *world) limitedShare(t *Trouble) {
-	rng := rand.New(rand.NewPCG(uint64(t.At), uint64(len(w.all))))
-	all := w.upstreams[t.Service]
+// startNamedLimits makes the given share of the upstreams of a service name a limit.
+func (sim *simulation) startNamedLimits(t *Disturbance) {
+	rng := rand.New(rand.NewPCG(uint64(t.Start), uint64(len(sim.allUpstreams))))
+	all := sim.upstreams[t.Service]
 	for _, i := range rng.Perm(len(all))[:int(t.Share*float64(len(all)))] {
-		all[i].inNeed(t.Factor, t.For.D())
+		all[i].nameLimit(t.Factor, t.Duration.D())
 	}
 }
--- a/bench/lab/page.go
+++ b/bench/lab/page.go
@@ -14,13 +14,13 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The size of a plot.
+// Size of a plot.
 const (
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 5 * vg.Centimeter
 )
 
-// plotted are the outcomes of a plot with their colours.
+// plotted are the outcomes shown in a plot, with their colours.
 var plotted = []struct {
 	name  string
 	of    func(Second) int
@@ -32,7 +32,7 @@
 	{"failed", func(s Second) int { return s.Failed }, color.RGBA{R: 0xc0, G: 0x20, B: 0x20, A: 0xff}},
 }
 
-// Plot draws how the calls ended, by the second of their first try.
+// Plot draws the outcomes of calls by the second of their first try, as a data URL.
 func (r *Result) Plot() (template.URL, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "s", "calls a second"
@@ -64,12 +64,12 @@
 <h1>{{len .}} runs</h1>
 {{range .}}<h2>{{.Scenario}}, {{.Policy}}, seed {{.Seed}}: worth {{printf "%.3f" .Worth}}</h2>
 <table><tr><th>route<th>asked<th>on time<th>late<th>refused<th>failed<th>p50 ms<th>p99 ms<th>worth</tr>
-{{range .Routes}}<tr><td>{{.Route}}<td>{{.Asked}}<td>{{printf "%.3f" .OnTime}}<td>{{printf "%.3f" .Late}}<td>{{printf "%.3f" .Refused}}<td>{{printf "%.3f" .Failed}}<td>{{printf "%.0f" .P50Ms}}<td>{{printf "%.0f" .P99Ms}}<td>{{printf "%.3f" .Worth}}</tr>
+{{range .Routes}}<tr><td>{{.Route}}<td>{{.Calls}}<td>{{printf "%.3f" .OnTime}}<td>{{printf "%.3f" .Late}}<td>{{printf "%.3f" .Refused}}<td>{{printf "%.3f" .Failed}}<td>{{printf "%.0f" .P50Ms}}<td>{{printf "%.0f" .P99Ms}}<td>{{printf "%.3f" .Worth}}</tr>
 {{end}}</table>
 <img src="{{.Plot}}" alt="outcomes by second">
 {{end}}`))
 
-// WritePage writes the results of the first seed as a page with plots.
+// WritePage writes the results of the first seed as an HTML page with plots.
 func WritePage(name string, results []*Result) error {
 	var first []*Result
 	for _, r := range results {
--- a/bench/lab/plain.go
+++ b/bench/lab/plain.go
@@ -7,41 +7,41 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// plain is the plainest policy: each gateway sends to the owner, or to the upstream
-// with the least in flight from here, and refuses when that has all slots taken.
+// plain is the baseline policy: each gateway sends to the owner, or to the upstream with the fewest
+// of its own requests in flight, and refuses requests when these fill all slots.
 type plain struct {
-	w        *world
+	sim      *simulation
 	inflight []map[*upstream]int
 }
 
-func newPlain(w *world) *plain {
-	p := &plain{w: w}
-	for range w.sc.Gateways {
+func newPlain(sim *simulation) *plain {
+	p := &plain{sim: sim}
+	for range sim.sc.Gateways {
 		p.inflight = append(p.inflight, make(map[*upstream]int))
 	}
 	return p
 }
 
-// plainComeBack is what the plainest policy tells refused callers.
-const plainComeBack = 60 * time.Millisecond
+// plainRetryAfter is the retry delay that the baseline policy tells refused callers.
+const plainRetryAfter = 60 * time.Millisecond
 
-func (p *plain) changed(*Service)            {}
-func (p *plain) gatewayLost(int)             {}
-func (p *plain) limited([]limits.Limit, int) {}
+func (p *plain) upstreamsChanged(*Service)         {}
+func (p *plain) gatewayFailed(int)                 {}
+func (p *plain) limitsChanged([]limits.Limit, int) {}
 
 func (p *plain) submit(t *try) {
 	mine := p.inflight[t.gateway]
 	u := p.pick(t, mine)
-	if p.w.down[t.gateway] {
-		t.failed()
+	if p.sim.gatewayDown[t.gateway] {
+		t.fail()
 		return
 	}
 	if u == nil || mine[u] >= u.service.Slots {
-		t.refused(plainComeBack)
+		t.refuse(plainRetryAfter)
 		return
 	}
 	mine[u]++
-	r := &run{call: t.call, at: u}
+	r := &run{call: t.call, upstream: u}
 	ended := false
 	end := func() bool {
 		if ended {
@@ -53,36 +53,36 @@
 	}
 	drop := func() {
 		if end() {
-			p.w.after(p.w.hop(), func() { u.abandon(r) })
-			t.failed()
+			p.sim.after(p.sim.hopDelay(), func() { u.cancel(r) })
+			t.fail()
 		}
 	}
-	t.withdraw = drop
-	p.w.after(min(t.call.route.Timeout.D(), t.left), drop)
+	t.onWithdraw = drop
+	p.sim.after(min(t.call.route.Timeout.D(), t.maxWait), drop)
 	r.reply = func(o dispatch.Outcome) {
 		if !end() {
 			return
 		}
 		switch o {
 		case dispatch.Answered:
-			t.served()
+			t.succeed()
 		case dispatch.ConnectionBroken:
-			t.failed()
+			t.fail()
 		default:
-			t.refused(plainComeBack)
+			t.refuse(plainRetryAfter)
 		}
 	}
-	p.w.after(p.w.hop(), func() { u.arrive(r) })
+	p.sim.after(p.sim.hopDelay(), func() { u.receive(r) })
 }
 
 func (p *plain) pick(t *try, mine map[*upstream]int) *upstream {
 	name := t.call.route.Service
-	if view := p.w.view[name]; view != nil {
-		return p.w.byID[view.Find(t.call.key).Owner]
+	if view := p.sim.ownerView[name]; view != nil {
+		return p.sim.upstreamByID[view.Find(t.call.key).Owner]
 	}
 	var best *upstream
-	for _, u := range p.w.upstreams[name] {
-		lapsed := (u.dark || u.gone) && p.w.at-u.lostAt >= lapse
+	for _, u := range p.sim.upstreams[name] {
+		lapsed := (u.silent || u.refusing) && p.sim.elapsed-u.failedAt >= entryExpiry
 		if !u.leaving && !lapsed && (best == nil || mine[u] < mine[best]) {
 			best = u
 		}
--- a/bench/lab/report.go
+++ b/bench/lab/report.go
@@ -8,7 +8,7 @@
 	"github.com/rockcroft/rockcroft/coordination/dispatch"
 )
 
-// mechanisms are the parts of the decisions that can be switched off.
+// mechanisms are the parts of the decisions that can be disabled.
 var mechanisms = []struct {
 	name      string
 	switchOff func(*dispatch.Mechanisms)
@@ -20,7 +20,8 @@
 	{"hot keys limited", func(m *dispatch.Mechanisms) { m.NoLimits = true }},
 }
 
-// mean adds up the results of the seeds of one scenario and policy.
+// mean returns the mean over the seeds of one scenario and policy. Some counts are summed instead:
+// calls, full upstreams and plans.
 func mean(results []*Result, scenario string, p Policy) *Result {
 	var of []*Result
 	for _, r := range results {
@@ -36,11 +37,11 @@
 	for _, r := range of {
 		sum.Worth += r.Worth / n
 		sum.Imbalance += r.Imbalance / n
-		sum.MostOverSlots = max(sum.MostOverSlots, r.MostOverSlots)
-		sum.Full += r.Full
+		sum.PeakPerSlot = max(sum.PeakPerSlot, r.PeakPerSlot)
+		sum.FullUpstream += r.FullUpstream
 		sum.Moved += r.Moved / n
 		sum.Plans += r.Plans
-		sum.Crossed += r.Crossed / n
+		sum.CrossDomain += r.CrossDomain / n
 		sum.WallMs += r.WallMs / n
 		for i, one := range r.Routes {
 			sum.Routes[i].add(one, n)
@@ -49,10 +50,10 @@
 	return sum
 }
 
-// add adds one of n results to a mean.
+// add adds one of n results to a mean; Calls is summed.
 func (r *RouteResult) add(one RouteResult, n float64) {
 	r.Route = one.Route
-	r.Asked += one.Asked
+	r.Calls += one.Calls
 	r.OnTime += one.OnTime / n
 	r.Late += one.Late / n
 	r.Refused += one.Refused / n
@@ -68,7 +69,7 @@
 // printRun prints the means over the seeds as a table.
 func printRun(out io.Writer, scenarios []*Scenario, results []*Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	// A writer of tables keeps its first error for Flush.
+	// The tabwriter keeps its first error and returns it from Flush.
 	row := func(format string, args ...any) { _, _ = fmt.Fprintf(w, format, args...) }
 	row("scenario\tpolicy\troute\tworth\tof limit\ton time\tlate\trefused\tfailed\theld ms\trefusals\twasted s\tp50 ms\tp99 ms\timbalance\tmost/slots\tfull\tmoved\tplans\tms\n")
 	for _, sc := range scenarios {
@@ -76,7 +77,7 @@
 		for _, p := range []Policy{Product, Ideal, Plain} {
 			r := mean(results, sc.Name, p)
 			row("%s\t%s\tall\t%.3f\t%.3f\t\t\t\t\t\t\t\t\t\t%.2f\t%.1f\t%d\t%.2f\t%d\t%.0f\n",
-				sc.Name, p, r.Worth, r.Worth/limit.Worth, r.Imbalance, r.MostOverSlots, r.Full, r.Moved, r.Plans, r.WallMs)
+				sc.Name, p, r.Worth, r.Worth/limit.Worth, r.Imbalance, r.PeakPerSlot, r.FullUpstream, r.Moved, r.Plans, r.WallMs)
 			for i, x := range r.Routes {
 				row("\t\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.2f\t%.1f\t%.0f\t%.0f\n",
 					x.Route, x.Worth, x.Worth/limit.Routes[i].Worth, x.OnTime, x.Late, x.Refused, x.Failed, x.HeldMs, x.Refusals, x.WastedS, x.P50Ms, x.P99Ms)
@@ -86,13 +87,13 @@
 	return w.Flush()
 }
 
-// Comparison is what two sets of runs over the same seeds showed.
+// Comparison compares two sets of runs over the same seeds.
 type Comparison struct {
 	A      string  `json:"a"`
 	B      string  `json:"b"`
 	WorthA float64 `json:"worth_a"`
 	WorthB float64 `json:"worth_b"`
-	// Difference is B less A, seed by seed.
+	// Difference is the worth of B minus that of A, paired by seed.
 	Difference Spread `json:"difference"`
 }
 
@@ -104,13 +105,13 @@
 		c.WorthB += b[i].Worth / float64(len(b))
 		differences = append(differences, b[i].Worth-a[i].Worth)
 	}
-	c.Difference = spreadOf(differences)
+	c.Difference = newSpread(differences)
 	return c
 }
 
 func (c Comparison) print(out io.Writer) error {
 	_, err := fmt.Fprintf(out, "%s %.4f\n%s %.4f\ndifference %.4f, deviation of the mean %.4f, of one seed %.4f\n",
-		c.A, c.WorthA, c.B, c.WorthB, c.Difference.Mean, c.Difference.Error, c.Difference.Deviation)
+		c.A, c.WorthA, c.B, c.WorthB, c.Difference.Mean, c.Difference.StandardError, c.Difference.Deviation)
 	return err
 }
 
@@ -118,7 +119,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "scenario\tswitched off\tworth with\twithout\tis worth\t+-")
 	for _, c := range rows {
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\t%+.4f\t%.4f\n", c.B, c.A, c.WorthB, c.WorthA, c.Difference.Mean, c.Difference.Error)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\t%+.4f\t%.4f\n", c.B, c.A, c.WorthB, c.WorthA, c.Difference.Mean, c.Difference.StandardError)
 	}
 	return w.Flush()
 }
--- a/bench/lab/result.go
+++ b/bench/lab/result.go
@@ -9,69 +9,72 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// Policy names who decides in a run.
+// Policy names the decision logic of a run.
 type Policy string
 
-// The policies.
+// Policies.
 const (
-	// Product runs the product's own decisions.
+	// Product uses the decision packages of the product.
 	Product Policy = "product"
-	// Ideal knows everything at once.
+	// Ideal has perfect information; it is the upper bound.
 	Ideal Policy = "ideal"
-	// Plain takes the least in flight and refuses at the slots.
+	// Plain picks the upstream with the fewest requests in flight and refuses when its slots are
+	// full; it is the baseline.
 	Plain Policy = "plain"
 )
 
 // RouteResult is what the clients of one route got.
 type RouteResult struct {
 	Route string `json:"route"`
-	Asked int    `json:"asked"`
-	// The shares of OnTime, Late, Refused and Failed are of Asked.
+	Calls int    `json:"asked"`
+	// OnTime, Late, Refused and Failed are shares of Calls.
 	OnTime  float64 `json:"on_time"`
 	Late    float64 `json:"late"`
 	Refused float64 `json:"refused"`
 	Failed  float64 `json:"failed"`
-	// HeldMs is how long the refused were held by gateways, as a mean.
+	// HeldMs is the mean time for which gateways held the tries of refused calls.
 	HeldMs float64 `json:"held_ms"`
-	// Refusals are those of all tries, for each call.
+	// Refusals is the number of refused tries per call.
 	Refusals float64 `json:"refusals_per_call"`
-	// WastedS is the upstream time spent on answers that nobody awaited.
+	// WastedS is the time that upstreams spent on runs that were cancelled.
 	WastedS float64 `json:"wasted_s"`
 	P50Ms   float64 `json:"p50_ms"`
 	P99Ms   float64 `json:"p99_ms"`
-	// Worth is the part of what the calls could have brought.
+	// Worth is the worth achieved, as a share of the worth if all calls were answered on time.
 	Worth float64 `json:"worth"`
 }
 
-// Result is what one run showed.
+// Result is the result of one run.
 type Result struct {
 	Scenario string        `json:"scenario"`
 	Policy   Policy        `json:"policy"`
 	Seed     uint64        `json:"seed"`
 	Routes   []RouteResult `json:"routes"`
 	Worth    float64       `json:"worth"`
-	// Imbalance is the utilization of the busiest owner over the mean one.
+	// Imbalance is the busy time of the busiest owner divided by the mean busy time.
 	Imbalance float64 `json:"imbalance"`
-	// MostOverSlots is the most that was at one upstream, over its slots.
-	MostOverSlots float64 `json:"most_over_slots"`
-	// Crossed is the part of the tries for services without keys that went to an upstream
-	// of another failure domain than the gateway's.
-	Crossed float64 `json:"crossed"`
-	// Full counts requests that found an upstream without any room.
-	Full int `json:"full"`
-	// Fell counts upstreams that broke while they warmed up.
-	Fell int `json:"fell"`
-	// OverLimit is the most that came at an upstream which named a limit, over what might come; up
-	// to 1 is within it.
-	OverLimit float64 `json:"over_limit"`
-	// Moved is how many times all keys have moved, Plans how many plans had moves.
+	// PeakPerSlot is the highest number of requests at one upstream at the same time, divided by
+	// its slots.
+	PeakPerSlot float64 `json:"most_over_slots"`
+	// CrossDomain is the share of the attempts for services without keys that went to an upstream
+	// in another failure domain than the gateway's.
+	CrossDomain float64 `json:"crossed"`
+	// FullUpstream counts requests that reached an upstream without a free slot or queue place.
+	FullUpstream int `json:"full"`
+	// WarmUpFailures counts upstreams that failed from overload while they were warming up.
+	WarmUpFailures int `json:"fell"`
+	// PeakOverLimit is the highest ratio of the requests that reached an upstream to those that its
+	// named limit allows; up to 1 is within the limit.
+	PeakOverLimit float64 `json:"over_limit"`
+	// Moved is the number of keys moved divided by the number of all keys; Plans is the number of
+	// plans with moves.
 	Moved   float64  `json:"moved"`
 	Plans   int      `json:"plans"`
 	WallMs  float64  `json:"wall_ms"`
 	Seconds []Second `json:"seconds"`
 }
 
-// Second is how the calls ended that began in one second.
+// Second counts the outcomes of the calls that started in one second.
 type Second struct {
 	OnTime  int `json:"on_time"`
 	Late    int `json:"late"`
@@ -79,41 +82,41 @@
 	Failed  int `json:"failed"`
 }
 
-// Play runs the scenario once.
-func Play(sc *Scenario, p Policy, seed uint64) *Result {
+// Simulate runs the scenario once.
+func Simulate(sc *Scenario, p Policy, seed uint64) *Result {
 	began := time.Now()
-	w := newWorld(sc, seed)
+	sim := newSimulation(sc, seed)
 	switch p {
 	case Ideal:
-		w.policy = newIdeal(w)
-		w.knowsAll = true
+		sim.policy = newIdeal(sim)
+		sim.plansWithTrueSpeeds = true
 	case Plain:
-		w.policy = newPlain(w)
+		sim.policy = newPlain(sim)
 	default:
-		w.policy = newProduct(w, seed)
+		sim.policy = newProduct(sim, seed)
 	}
-	w.play()
-	r := w.result(p, seed)
+	sim.runScenario()
+	r := sim.result(p, seed)
 	r.WallMs = float64(time.Since(began).Microseconds()) / 1000
 	return r
 }
 
-// Job is one run to be played.
+// Job describes one run.
 type Job struct {
 	Scenario *Scenario
 	Policy   Policy
 	Seed     uint64
 }
 
-// PlayAll plays jobs on half of the processors and returns the results in their order.
-func PlayAll(jobs []Job) []*Result {
+// SimulateAll runs jobs on half of the processors and returns the results in the order of the jobs.
+func SimulateAll(jobs []Job) []*Result {
 	results := make([]*Result, len(jobs))
 	next := make(chan int)
 	var all sync.WaitGroup
 	for range max(runtime.GOMAXPROCS(0)/2, 1) {
 		all.Go(func() {
 			for i := range next {
-				results[i] = Play(jobs[i].Scenario, jobs[i].Policy, jobs[i].Seed)
+				results[i] = Simulate(jobs[i].Scenario, jobs[i].Policy, jobs[i].Seed)
 			}
 		})
 	}
@@ -125,46 +128,46 @@
 	return results
 }
 
-func (w *world) result(p Policy, seed uint64) *Result {
-	r := &Result{Scenario: w.sc.Name, Policy: p, Seed: seed, Full: w.tally.full, Crossed: float64(w.tally.crossed) / float64(max(w.tally.sent, 1))}
-	r.Fell, r.OverLimit = w.tally.fell, w.tally.overLimit
-	r.Moved, r.Plans = float64(w.tally.moved)/(spans.MaxKey+1), w.tally.plans
-	worth, owed := 0.0, 0.0
-	for i := range w.sc.Routes {
-		one := w.tally.route(&w.sc.Routes[i])
+func (sim *simulation) result(p Policy, seed uint64) *Result {
+	r := &Result{Scenario: sim.sc.Name, Policy: p, Seed: seed, FullUpstream: sim.tally.fullUpstream, CrossDomain: float64(sim.tally.crossDomain) / float64(max(sim.tally.sent, 1))}
+	r.WarmUpFailures, r.PeakOverLimit = sim.tally.warmUpFailures, sim.tally.peakOverLimit
+	r.Moved, r.Plans = float64(sim.tally.movedKeys)/(spans.MaxKey+1), sim.tally.plans
+	worth, possible := 0.0, 0.0
+	for i := range sim.sc.Routes {
+		one := sim.tally.route(&sim.sc.Routes[i])
 		r.Routes = append(r.Routes, one.result())
-		worth, owed = worth+one.worth(), owed+one.owed()
+		worth, possible = worth+one.worth(), possible+one.maxWorth()
 	}
-	r.Worth = worth / max(owed, 1)
-	r.Imbalance = w.imbalance()
-	for _, u := range w.all {
-		r.MostOverSlots = max(r.MostOverSlots, float64(u.most)/float64(u.service.Slots))
+	r.Worth = worth / max(possible, 1)
+	r.Imbalance = sim.imbalance()
+	for _, u := range sim.allUpstreams {
+		r.PeakPerSlot = max(r.PeakPerSlot, float64(u.peak)/float64(u.service.Slots))
 	}
-	for _, s := range w.tally.seconds {
+	for _, s := range sim.tally.seconds {
 		r.Seconds = append(r.Seconds, Second{s[onTime], s[late], s[refused], s[failed]})
 	}
 	return r
 }
 
 func (t *routeTally) result() RouteResult {
-	n := float64(max(t.asked(), 1))
+	n := float64(max(t.calls(), 1))
 	share := func(o outcome) float64 { return float64(t.count[o]) / n }
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	quantile := func(q float64) float64 { return float64(t.latency.ValueAtQuantile(q)) / 1000 }
 	return RouteResult{
-		Route: t.route.Name, Asked: t.asked(), OnTime: share(onTime), Late: share(late), Refused: share(refused),
-		Failed: share(failed), HeldMs: ms(t.held) / float64(max(t.count[refused], 1)), Refusals: float64(t.refusals) / n,
-		WastedS: t.wasted.Seconds(), P50Ms: quantile(50), P99Ms: quantile(99), Worth: t.worth() / max(t.owed(), 1),
+		Route: t.route.Name, Calls: t.calls(), OnTime: share(onTime), Late: share(late), Refused: share(refused),
+		Failed: share(failed), HeldMs: ms(t.heldTime) / float64(max(t.count[refused], 1)), Refusals: float64(t.refusals) / n,
+		WastedS: t.wastedTime.Seconds(), P50Ms: quantile(50), P99Ms: quantile(99), Worth: t.worth() / max(t.maxWorth(), 1),
 	}
 }
 
-// imbalance compares the busiest owner with the mean one, each over its capacity.
-func (w *world) imbalance() float64 {
+// imbalance returns the busy time of the busiest owner divided by the mean busy time of all owners.
+func (sim *simulation) imbalance() float64 {
 	most, sum, n := 0.0, 0.0, 0
-	for _, u := range w.all {
+	for _, u := range sim.allUpstreams {
 		if u.service.Keyed {
-			utilization := u.busy.Seconds()
-			most, sum, n = max(most, utilization), sum+utilization, n+1
+			busy := u.busy.Seconds()
+			most, sum, n = max(most, busy), sum+busy, n+1
 		}
 	}
 	if sum == 0 {
@@ -173,15 +176,15 @@
 	return most * float64(n) / sum
 }
 
-// Spread is a mean with the deviation of single values and of the mean.
+// Spread is a mean with the standard deviation of single values and the standard error.
 type Spread struct {
 	Mean      float64 `json:"mean"`
 	Deviation float64 `json:"deviation"`
-	// Error is the deviation of the mean.
-	Error float64 `json:"error"`
+	// StandardError is the standard deviation of the mean.
+	StandardError float64 `json:"error"`
 }
 
-func spreadOf(values []float64) Spread {
+func newSpread(values []float64) Spread {
 	n := float64(len(values))
 	if n == 0 {
 		return Spread{}
@@ -195,6 +198,6 @@
 		s.Deviation += (v - s.Mean) * (v - s.Mean)
 	}
 	s.Deviation = math.Sqrt(s.Deviation / max(n-1, 1))
-	s.Error = s.Deviation / math.Sqrt(n)
+	s.StandardError = s.Deviation / math.Sqrt(n)
 	return s
 }
--- a/bench/lab/scenario.go
+++ b/bench/lab/scenario.go
@@ -1,7 +1,7 @@
-// Package lab plays the decisions about requests in virtual time: clients, gateways
-// and upstreams as events in one process, without a network. The decisions are the
-// product's own packages, unchanged: dispatch, patience, retry and ownership. Only
-// what surrounds them is modelled.
+// Package lab simulates the handling of requests in virtual time: clients, gateways and upstreams
+// are events in one process, without a network. The decisions are made by the product's own
+// packages, unchanged: dispatch, patience, retry and ownership. Only their surroundings are
+// modelled.
 package lab
 
 import (
@@ -16,166 +16,168 @@
 
 // What an upstream does with a request that it cannot queue.
 const (
-	// FullRefuses answers that it did not run.
+	// FullRefuses answers that the request did not run.
 	FullRefuses = "refuses"
-	// FullResets breaks the connection.
+	// FullResets resets the connection.
 	FullResets = "resets"
 	// FullHangs never answers.
 	FullHangs = "hangs"
 )
 
-// Service is a group of upstreams.
+// Service is a group of upstreams with the same settings; their speeds may differ.
 type Service struct {
 	Name      string `json:"name"`
 	Upstreams int    `json:"upstreams"`
-	// Slots run at once in an upstream, Queue wait there.
+	// Slots is how many requests an upstream runs at once, Queue how many more it queues.
 	Slots int `json:"slots"`
 	Queue int `json:"queue"`
 	// WhenFull is "refuses", "resets" or "hangs".
 	WhenFull string `json:"when_full"`
-	// Speeds are given to the upstreams in turn; 2 runs twice as fast.
+	// Speeds are assigned to the upstreams in turn; 2 runs twice as fast.
 	Speeds []float64 `json:"speeds"`
 	// Keyed services run a request at the owner of its key.
 	Keyed bool `json:"keyed"`
-	// ColdFactor is how much slower keys are for ColdFor after they came without a
-	// handover.
+	// ColdFactor is the slowdown of keys for ColdFor after they got a new owner without a handover.
 	ColdFactor float64        `json:"cold_factor"`
 	ColdFor    jsonc.Duration `json:"cold_for"`
-	// WarmUp is how long an upstream that has started runs WarmUpFactor times as long, and
-	// breaks when more than Breaks requests reach it within a second. StartBound is the
-	// bound that operators name for that; zero for none.
-	WarmUp       jsonc.Duration `json:"warm_up"`
-	WarmUpFactor float64        `json:"warm_up_factor"`
-	Breaks       int            `json:"breaks"`
-	StartBound   float64        `json:"start_bound"`
-	// NoiseShare of the upstreams take NoiseFactor times as long at any moment; it is drawn
-	// anew for each every NoiseEvery.
+	// WarmUp is how long an upstream is warming up after a start. Meanwhile its runs take
+	// WarmUpFactor times as long, and it fails if it gets more than MaxWarmUpRate requests within a
+	// second. WarmUpRateLimit is the limit for this rate that operators configure, 0 for none.
+	WarmUp          jsonc.Duration `json:"warm_up"`
+	WarmUpFactor    float64        `json:"warm_up_factor"`
+	MaxWarmUpRate   int            `json:"breaks"`
+	WarmUpRateLimit float64        `json:"start_bound"`
+	// NoiseShare of the upstreams take NoiseFactor times as long at any time. This is drawn anew
+	// for each upstream every NoiseEvery.
 	NoiseShare  float64        `json:"noise_share"`
 	NoiseFactor float64        `json:"noise_factor"`
 	NoiseEvery  jsonc.Duration `json:"noise_every"`
-	// TellsLoad says that its upstreams tell their load with each answer.
-	TellsLoad bool `json:"tells_load"`
+	// ReportsLoad says that upstreams report their load with each answer.
+	ReportsLoad bool `json:"tells_load"`
 }
 
 // Route is one kind of request.
 type Route struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
-	// Rate is in requests a second, over all gateways.
+	// Rate is the request rate over all gateways, in requests per second.
 	Rate float64 `json:"rate"`
-	// Work is the mean time of a run at speed 1; its logarithm has the deviation
-	// Spread. A share Tail takes TailFactor times as long.
-	Work       jsonc.Duration `json:"work"`
+	// WorkTime is the mean time of a run at speed 1. It has a log-normal distribution; Spread is
+	// the standard deviation of its logarithm. A share Tail takes TailFactor times as long.
+	WorkTime   jsonc.Duration `json:"work"`
 	Spread     float64        `json:"spread"`
 	Tail       float64        `json:"tail"`
 	TailFactor float64        `json:"tail_factor"`
-	// Objective is the time within which an answer has its full worth, from the
-	// client's first try; Timeout bounds one try, Patience is when the client leaves.
+	// Objective is the time from the client's first try within which an answer has its full worth.
+	// Timeout bounds one try; Patience is when the client stops waiting.
 	Objective jsonc.Duration `json:"objective"`
 	Timeout   jsonc.Duration `json:"timeout"`
 	Patience  jsonc.Duration `json:"patience"`
-	// Retries is how often a client comes back.
-	Retries    int     `json:"retries"`
-	Idempotent bool    `json:"idempotent"`
-	Attempts   int     `json:"attempts"`
-	Priority   int     `json:"priority"`
-	Worth      float64 `json:"worth"`
-	LateWorth  float64 `json:"late_worth"`
-	// Keys is the number of things asked for; the popularity of the k-th is
-	// proportional to 1/k^Skew. Busy keys are neighbours.
+	// Retries is how often a client tries again.
+	Retries    int  `json:"retries"`
+	Idempotent bool `json:"idempotent"`
+	Attempts   int  `json:"attempts"`
+	Priority   int  `json:"priority"`
+	// Worth is the value of an answer within the objective, LateWorth that of a later one.
+	Worth     float64 `json:"worth"`
+	LateWorth float64 `json:"late_worth"`
+	// Keys is the number of distinct keys; the popularity of the k-th is proportional to 1/k^Skew.
+	// Popular keys are adjacent.
 	Keys int     `json:"keys"`
 	Skew float64 `json:"skew"`
 }
 
-// Kinds of troubles.
+// Kinds of disturbances.
 const (
-	// Burst multiplies the traffic by Factor.
-	Burst = "burst"
-	// HotKey gives Share of a route's requests one key, or Count neighbouring ones.
+	// TrafficBurst multiplies the traffic by Factor.
+	TrafficBurst = "burst"
+	// HotKey directs Share of a route's requests to one key, or to Count adjacent ones.
 	HotKey = "hot_key"
-	// Dark lets Share of a service's upstreams fall silent, Gone refuse connections.
-	Dark = "dark"
-	Gone = "gone"
-	// Slow makes Share of a service's upstreams slower by Factor.
-	Slow = "slow"
-	// Drain takes Share of a service's upstreams away after notice.
-	Drain = "drain"
-	// ColdReturn lets a service's upstreams in the failure domain of the number Count end,
-	// and start again together.
-	ColdReturn = "cold_return"
-	// Need lets Share of a service's upstreams name Factor times what they get as the requests a
-	// second that they take.
-	Need = "need"
-	// GatewayLost lets Share of the gateways end.
-	GatewayLost = "gateway_lost"
+	// Silent makes Share of a service's upstreams stop answering; Refusing makes them refuse
+	// connections.
+	Silent   = "dark"
+	Refusing = "gone"
+	// Slowdown makes Share of a service's upstreams slower by Factor.
+	Slowdown = "slow"
+	// Draining makes Share of a service's upstreams leave with advance notice.
+	Draining = "drain"
+	// ColdRestart stops a service's upstreams in the failure domain with the index Count and starts
+	// them again at the same time.
+	ColdRestart = "cold_return"
+	// NamedLimits makes Share of a service's upstreams name a rate limit of Factor times their
+	// current request rate.
+	NamedLimits = "need"
+	// GatewayFailure stops Share of the gateways.
+	GatewayFailure = "gateway_lost"
 )
 
-// Trouble is something that happens for a while.
-type Trouble struct {
-	Kind    string         `json:"kind"`
-	At      jsonc.Duration `json:"at"`
-	For     jsonc.Duration `json:"for"`
-	Share   float64        `json:"share"`
-	Factor  float64        `json:"factor"`
-	Count   int            `json:"count"`
-	Service string         `json:"service"`
-	Route   string         `json:"route"`
+// Disturbance is a failure or a change of the load for a limited time.
+type Disturbance struct {
+	Kind     string         `json:"kind"`
+	Start    jsonc.Duration `json:"at"`
+	Duration jsonc.Duration `json:"for"`
+	Share    float64        `json:"share"`
+	Factor   float64        `json:"factor"`
+	Count    int            `json:"count"`
+	Service  string         `json:"service"`
+	Route    string         `json:"route"`
 }
 
-// Scenario is what is played.
+// Scenario describes a simulation.
 type Scenario struct {
 	Name     string         `json:"name"`
 	Length   jsonc.Duration `json:"length"`
 	Gateways int            `json:"gateways"`
-	// Report is the time between reports of gateways, Hop the time one way between
-	// any two processes, ClientHop between a client and a gateway.
-	Report    jsonc.Duration `json:"report"`
-	Hop       jsonc.Duration `json:"hop"`
-	ClientHop jsonc.Duration `json:"client_hop"`
-	// Wave is the part by which traffic swings within WavePeriod.
-	Wave       float64        `json:"wave"`
-	WavePeriod jsonc.Duration `json:"wave_period"`
-	// OwnerLost is how long the keys of a silent owner stay without one, OwnerGone of
-	// one that refuses connections.
-	OwnerLost jsonc.Duration `json:"owner_lost"`
-	OwnerGone jsonc.Duration `json:"owner_gone"`
-	// RetryShare and RetryAllowance bound second tries, in RetryWindow.
+	// ReportInterval is the time between reports of gateways. Hop is the one-way delay between any
+	// two processes, ClientHop that between a client and a gateway.
+	ReportInterval jsonc.Duration `json:"report"`
+	Hop            jsonc.Duration `json:"hop"`
+	ClientHop      jsonc.Duration `json:"client_hop"`
+	// RateSwing is the relative amplitude of a sine wave of the traffic with the period
+	// SwingPeriod.
+	RateSwing   float64        `json:"wave"`
+	SwingPeriod jsonc.Duration `json:"wave_period"`
+	// SilentOwnerTimeout is how long the keys of a silent owner stay without an owner,
+	// RefusingOwnerTimeout how long those of an owner that refuses connections do.
+	SilentOwnerTimeout   jsonc.Duration `json:"owner_lost"`
+	RefusingOwnerTimeout jsonc.Duration `json:"owner_gone"`
+	// RetryShare and RetryAllowance bound the retries of gateways within RetryWindow.
 	RetryShare     float64        `json:"retry_share"`
 	RetryAllowance float64        `json:"retry_allowance"`
 	RetryWindow    jsonc.Duration `json:"retry_window"`
 	Services       []Service      `json:"services"`
 	Routes         []Route        `json:"routes"`
-	Troubles       []Trouble      `json:"troubles"`
-	// Off are mechanisms of the decisions that are switched off.
-	Off dispatch.Mechanisms `json:"off"`
+	Disturbances   []Disturbance  `json:"troubles"`
+	// Disabled are the mechanisms of the decisions that are disabled.
+	Disabled dispatch.Mechanisms `json:"off"`
 }
 
-// Default times of a scenario; a file names what differs.
+// Defaults of a scenario; a scenario file sets only what differs.
 const (
-	defaultLength     = 40 * time.Second
-	defaultReport     = 250 * time.Millisecond
-	defaultHop        = 500 * time.Microsecond
-	defaultClientHop  = 8 * time.Millisecond
-	defaultWavePeriod = 11 * time.Second
-	defaultOwnerLost  = 4500 * time.Millisecond
-	defaultOwnerGone  = 1200 * time.Millisecond
-	defaultWindow     = 10 * time.Second
+	defaultLength               = 40 * time.Second
+	defaultReportInterval       = 250 * time.Millisecond
+	defaultHop                  = 500 * time.Microsecond
+	defaultClientHop            = 8 * time.Millisecond
+	defaultSwingPeriod          = 11 * time.Second
+	defaultSilentOwnerTimeout   = 4500 * time.Millisecond
+	defaultRefusingOwnerTimeout = 1200 * time.Millisecond
+	defaultRetryWindow          = 10 * time.Second
 )
 
-// DefaultScenario returns the defaults.
+// DefaultScenario returns a scenario with the default settings.
 func DefaultScenario() Scenario {
 	return Scenario{
-		Length: jsonc.Duration(defaultLength), Report: jsonc.Duration(defaultReport),
+		Length: jsonc.Duration(defaultLength), ReportInterval: jsonc.Duration(defaultReportInterval),
 		Hop: jsonc.Duration(defaultHop), ClientHop: jsonc.Duration(defaultClientHop),
-		WavePeriod: jsonc.Duration(defaultWavePeriod),
-		OwnerLost:  jsonc.Duration(defaultOwnerLost), OwnerGone: jsonc.Duration(defaultOwnerGone),
-		RetryShare: 0.2, RetryAllowance: 64, RetryWindow: jsonc.Duration(defaultWindow),
+		SwingPeriod:        jsonc.Duration(defaultSwingPeriod),
+		SilentOwnerTimeout: jsonc.Duration(defaultSilentOwnerTimeout), RefusingOwnerTimeout: jsonc.Duration(defaultRefusingOwnerTimeout),
+		RetryShare: 0.2, RetryAllowance: 64, RetryWindow: jsonc.Duration(defaultRetryWindow),
 	}
 }
 
-// mostRequests bounds the requests of one run: an event takes about a microsecond
-// and some hundred bytes.
-const mostRequests = 5_000_000
+// maxRequests bounds the requests of one run; an event takes about a microsecond and some hundred
+// bytes.
+const maxRequests = 5_000_000
 
 // Check implements jsonc.Checker.
 func (s *Scenario) Check() []jsonc.Diagnostic {
@@ -188,11 +190,11 @@
 	add(s.Name == "", "name", "is required")
 	add(s.Length <= 0, "length", "must be positive")
 	add(s.Gateways <= 0, "gateways", "must be positive")
-	add(s.Report <= 0, "report", "must be positive")
+	add(s.ReportInterval <= 0, "report", "must be positive")
 	add(s.Hop < 0, "hop", "must not be negative")
 	add(s.ClientHop < 0, "client_hop", "must not be negative")
-	add(s.Wave < 0 || s.Wave >= 1, "wave", "must lie between 0 and 1")
-	add(s.WavePeriod <= 0, "wave_period", "must be positive")
+	add(s.RateSwing < 0 || s.RateSwing >= 1, "wave", "must lie between 0 and 1")
+	add(s.SwingPeriod <= 0, "wave_period", "must be positive")
 	add(s.RetryShare < 0, "retry_share", "must not be negative")
 	add(s.RetryAllowance < 0, "retry_allowance", "must not be negative")
 	add(s.RetryWindow <= 0, "retry_window", "must be positive")
@@ -210,19 +212,19 @@
 		add(!services[one.Service], fmt.Sprintf("routes[%d].service", i), "is not among the services")
 		total += one.Rate * time.Duration(s.Length).Seconds()
 	}
-	for i, one := range s.Troubles {
+	for i, one := range s.Disturbances {
 		one.check(fmt.Sprintf("troubles[%d].", i), services, routes, add)
-		if one.Kind == Burst && one.Factor > 1 {
-			total *= 1 + (one.Factor-1)*one.For.D().Seconds()/max(s.Length.D().Seconds(), 1)
+		if one.Kind == TrafficBurst && one.Factor > 1 {
+			total *= 1 + (one.Factor-1)*one.Duration.D().Seconds()/max(s.Length.D().Seconds(), 1)
 		}
 	}
-	add(total > mostRequests || math.IsNaN(total), "routes", fmt.Sprintf("make %.0f requests, at most %d can be played", total, mostRequests))
+	add(total > maxRequests || math.IsNaN(total), "routes", fmt.Sprintf("make %.0f requests, at most %d can be played", total, maxRequests))
 	return out
 }
 
-type addFinding func(bad bool, path, message string)
+type addDiagnostic func(bad bool, path, message string)
 
-func (s *Service) check(path string, add addFinding) {
+func (s *Service) check(path string, add addDiagnostic) {
 	add(s.Name == "", path+"name", "is required")
 	add(s.Upstreams <= 0, path+"upstreams", "must be positive")
 	add(s.Slots <= 0, path+"slots", "must be positive")
@@ -232,17 +234,17 @@
 		add(speed <= 0, path+"speeds", "must be positive")
 	}
 	add(s.ColdFactor < 0, path+"cold_factor", "must not be negative")
-	add(s.Breaks < 0 || s.StartBound < 0, path+"breaks", "and start_bound must not be negative")
+	add(s.MaxWarmUpRate < 0 || s.WarmUpRateLimit < 0, path+"breaks", "and start_bound must not be negative")
 	add(s.WarmUp > 0 && s.WarmUpFactor <= 0, path+"warm_up_factor", "must be positive")
 	add(s.NoiseShare < 0 || s.NoiseShare > 1, path+"noise_share", "must lie between 0 and 1")
 	add(s.NoiseShare > 0 && s.NoiseFactor <= 0, path+"noise_factor", "must be positive")
 	add(s.NoiseShare > 0 && s.NoiseEvery <= 0, path+"noise_every", "must be positive")
 }
 
-func (r *Route) check(path string, add addFinding) {
+func (r *Route) check(path string, add addDiagnostic) {
 	add(r.Name == "", path+"name", "is required")
 	add(r.Rate < 0, path+"rate", "must not be negative")
-	add(r.Work <= 0, path+"work", "must be positive")
+	add(r.WorkTime <= 0, path+"work", "must be positive")
 	add(r.Spread < 0, path+"spread", "must not be negative")
 	add(r.Tail < 0 || r.Tail > 1, path+"tail", "must lie between 0 and 1")
 	add(r.Objective <= 0, path+"objective", "must be positive")
@@ -255,25 +257,25 @@
 	add(r.Skew < 0, path+"skew", "must not be negative")
 }
 
-func (t *Trouble) check(path string, services, routes map[string]bool, add addFinding) {
-	add(t.At < 0, path+"at", "must not be negative")
-	add(t.For < 0, path+"for", "must not be negative")
+func (t *Disturbance) check(path string, services, routes map[string]bool, add addDiagnostic) {
+	add(t.Start < 0, path+"at", "must not be negative")
+	add(t.Duration < 0, path+"for", "must not be negative")
 	add(t.Share < 0 || t.Share > 1, path+"share", "must lie between 0 and 1")
 	switch t.Kind {
-	case Burst:
+	case TrafficBurst:
 		add(t.Factor <= 0, path+"factor", "must be positive")
 	case HotKey:
 		add(!routes[t.Route], path+"route", "is not among the routes")
 		add(t.Count < 0 || t.Count > spans.MaxKey, path+"count", "must lie between 0 and the largest key")
-	case ColdReturn:
+	case ColdRestart:
 		add(!services[t.Service], path+"service", "is not among the services")
-		add(t.Count < 0 || t.Count >= domains, path+"count", "is no failure domain")
-	case Slow, Need:
+		add(t.Count < 0 || t.Count >= failureDomains, path+"count", "is no failure domain")
+	case Slowdown, NamedLimits:
 		add(t.Factor <= 0, path+"factor", "must be positive")
 		add(!services[t.Service], path+"service", "is not among the services")
-	case Dark, Gone, Drain:
+	case Silent, Refusing, Draining:
 		add(!services[t.Service], path+"service", "is not among the services")
-	case GatewayLost:
+	case GatewayFailure:
 	default:
 		add(true, path+"kind", "is not known")
 	}
--- a/bench/lab/tally.go
+++ b/bench/lab/tally.go
@@ -17,74 +17,75 @@
 	outcomes
 )
 
-// longestLatency bounds the histograms of latency, in microseconds.
-const longestLatency = 60_000_000
+// maxLatencyMicros bounds the latency histograms, in microseconds.
+const maxLatencyMicros = 60_000_000
 
-// tally counts what clients got.
+// tally collects the measurements of a run.
 type tally struct {
 	routes map[string]*routeTally
-	// full counts requests that found an upstream without any room.
-	full int
-	// overLimit is the most that came at an upstream in need within a window, over what might.
-	overLimit float64
-	// fell counts upstreams that broke while they warmed up.
-	fell int
-	// moved counts keys that moved, plans those with moves.
-	moved, plans int
-	// sent counts tries for services without keys, crossed those of them that left the
-	// failure domain.
-	sent, crossed int
-	// seconds are the outcomes by second of the first try.
+	// fullUpstream counts requests that reached an upstream without a free slot or queue place.
+	fullUpstream int
+	// peakOverLimit is the highest ratio, within a window, of the requests that reached an upstream
+	// to those that its named limit allows.
+	peakOverLimit float64
+	// warmUpFailures counts upstreams that failed from overload while they were warming up.
+	warmUpFailures int
+	// movedKeys counts keys that moved, plans the plans with moves.
+	movedKeys, plans int
+	// sent counts attempts for services without keys, crossDomain those of them that went to
+	// another failure domain.
+	sent, crossDomain int
+	// seconds are the outcomes by the second of the first try.
 	seconds [][outcomes]int
 }
 
-// routeTally is the part of one route.
+// routeTally collects the measurements of one route.
 type routeTally struct {
-	route    *Route
-	count    [outcomes]int
-	refusals int
-	held     time.Duration
-	wasted   time.Duration
-	latency  *hdrhistogram.Histogram
+	route      *Route
+	count      [outcomes]int
+	refusals   int
+	heldTime   time.Duration
+	wastedTime time.Duration
+	latency    *hdrhistogram.Histogram
 }
 
 func newTally(s *Scenario) *tally {
 	t := &tally{routes: make(map[string]*routeTally)}
 	for i := range s.Routes {
 		r := &s.Routes[i]
-		t.routes[r.Name] = &routeTally{route: r, latency: hdrhistogram.New(1, longestLatency, 2)}
+		t.routes[r.Name] = &routeTally{route: r, latency: hdrhistogram.New(1, maxLatencyMicros, 2)}
 	}
 	return t
 }
 
 func (t *tally) route(r *Route) *routeTally { return t.routes[r.Name] }
 
-// end counts the end of a call.
+// end records the end of a call.
 func (t *tally) end(c *call, o outcome) {
 	one := t.route(c.route)
 	one.count[o]++
 	if o == refused {
-		one.held += c.heldFor
+		one.heldTime += c.heldFor
 	}
 	if o == onTime || o == late {
-		// It cannot fail: no client waits for as long as the histogram's bound.
-		_ = one.latency.RecordValue((c.w.at - c.began).Microseconds())
+		// This cannot fail: no client waits as long as the upper bound of the histogram.
+		_ = one.latency.RecordValue((c.sim.elapsed - c.startedAt).Microseconds())
 	}
-	second := int(c.began / time.Second)
+	second := int(c.startedAt / time.Second)
 	for len(t.seconds) <= second {
 		t.seconds = append(t.seconds, [outcomes]int{})
 	}
 	t.seconds[second][o]++
 }
 
-// asked is the number of calls that have ended.
-func (t *routeTally) asked() int {
+// calls returns the number of calls that have ended.
+func (t *routeTally) calls() int {
 	return t.count[onTime] + t.count[late] + t.count[refused] + t.count[failed]
 }
 
-// worth is what the calls brought, owed what they could have.
+// worth returns the worth that the calls achieved, maxWorth the worth if all were answered on time.
 func (t *routeTally) worth() float64 {
 	return t.route.Worth*float64(t.count[onTime]) + t.route.LateWorth*float64(t.count[late])
 }
 
-func (t *routeTally) owed() float64 { return t.route.Worth * float64(t.asked()) }
+func (t *routeTally) maxWorth() float64 { return t.route.Worth * float64(t.calls()) }
--- a/bench/lab/warmup.go
+++ b/bench/lab/warmup.go
@@ -8,73 +8,74 @@
 	"github.com/rockcroft/rockcroft/coordination/warmup"
 )
 
-// This file models upstreams that warm up: they are slow, and break under more than a few
-// requests a second.
+// This file models the warm-up of upstreams, during which they are slow and fail under more than a
+// few requests per second.
 
-// fallenFor is how long an upstream that broke is away before it starts again.
-const fallenFor = 2 * time.Second
+// warmUpFailureDowntime is how long an upstream that failed during warm-up stays down before it
+// restarts.
+const warmUpFailureDowntime = 2 * time.Second
 
-func (u *upstream) warming() bool { return u.w.at < u.warmUntil }
+func (u *upstream) isWarmingUp() bool { return u.sim.elapsed < u.warmUntil }
 
-// start lets the upstream serve again, as another start of it that warms up.
-func (u *upstream) start() {
-	u.back()
-	u.one.StartedMs++
-	u.warmUntil = u.w.at + u.service.WarmUp.D()
-	u.lately = nil
-	u.enter(u.service.WarmUp.D())
-	u.w.after(u.service.WarmUp.D(), func() {
-		if !u.warming() && !u.gone {
-			u.enter(0)
+// restart makes the upstream serve again as a new incarnation that is warming up.
+func (u *upstream) restart() {
+	u.recover()
+	u.instance.StartedMs++
+	u.warmUntil = u.sim.elapsed + u.service.WarmUp.D()
+	u.warmUpArrivals = nil
+	u.publishEntry(u.service.WarmUp.D())
+	u.sim.after(u.service.WarmUp.D(), func() {
+		if !u.isWarmingUp() && !u.refusing {
+			u.publishEntry(0)
 		}
 	})
 }
 
-// enter writes the upstream's entry, which says how much longer it warms up.
-func (u *upstream) enter(left time.Duration) {
-	u.one.Revision++
-	u.one.WarmUp = left
-	u.w.after(u.w.hop(), func() { u.w.policy.changed(u.service) })
+// publishEntry updates the upstream's entry with the remaining warm-up time.
+func (u *upstream) publishEntry(left time.Duration) {
+	u.instance.Revision++
+	u.instance.WarmUp = left
+	u.sim.after(u.sim.hopDelay(), func() { u.sim.policy.upstreamsChanged(u.service) })
 }
 
-// breaks notes a request to an upstream that warms up, and reports whether it is one too
-// many: then the upstream falls, and starts again later.
-func (u *upstream) breaks() bool {
-	if !u.warming() || u.service.Breaks == 0 {
+// failIfOverloaded records a request to an upstream that is warming up. If the rate is too high, it
+// makes the upstream fail, schedules its restart and returns true.
+func (u *upstream) failIfOverloaded() bool {
+	if !u.isWarmingUp() || u.service.MaxWarmUpRate == 0 {
 		return false
 	}
-	u.lately = append(slices.DeleteFunc(u.lately, func(at time.Duration) bool { return u.w.at-at >= time.Second }), u.w.at)
-	if len(u.lately) <= u.service.Breaks {
+	u.warmUpArrivals = append(slices.DeleteFunc(u.warmUpArrivals, func(at time.Duration) bool { return u.sim.elapsed-at >= time.Second }), u.sim.elapsed)
+	if len(u.warmUpArrivals) <= u.service.MaxWarmUpRate {
 		return false
 	}
-	u.w.tally.fell++
-	u.lose(true)
-	u.w.after(fallenFor, u.start)
+	u.sim.tally.warmUpFailures++
+	u.fail(true)
+	u.sim.after(warmUpFailureDowntime, u.restart)
 	return true
 }
 
-// coldReturn lets the upstreams of a failure domain end, and start again together.
-func (w *world) coldReturn(t *Trouble) {
-	for _, u := range w.upstreams[t.Service] {
-		if u.one.Domain != domainName(t.Count) {
+// coldRestart stops the upstreams of a failure domain and restarts them at the same time.
+func (sim *simulation) coldRestart(t *Disturbance) {
+	for _, u := range sim.upstreams[t.Service] {
+		if u.instance.Domain != domainName(t.Count) {
 			continue
 		}
-		u.lose(true)
-		w.after(lapse, func() { w.policy.changed(u.service) })
-		w.after(t.For.D(), u.start)
+		u.fail(true)
+		sim.after(entryExpiry, func() { sim.policy.upstreamsChanged(u.service) })
+		sim.after(t.Duration.D(), u.restart)
 	}
 }
 
 func gatewayName(i int) string { return fmt.Sprintf("g%d", i) }
 
-// rights names the gateways that may send to upstreams that warm up, and returns until when
-// the one of the number may.
-func (c *control) rights(gateway int) map[string]time.Time {
+// warmUpRights assigns gateways to the upstreams that are warming up. It returns, for each upstream
+// that the given gateway may send to, the time until which it may.
+func (c *controller) warmUpRights(gateway int) map[string]time.Time {
 	var warming []warmup.Upstream
-	for _, u := range c.w.all {
-		if u.warming() && !u.gone && u.service.StartBound > 0 && !u.service.Keyed {
+	for _, u := range c.sim.allUpstreams {
+		if u.isWarmingUp() && !u.refusing && u.service.WarmUpRateLimit > 0 && !u.service.Keyed {
 			warming = append(warming, warmup.Upstream{
-				ID: u.one.ID, Incarnation: u.one.Incarnation(), Service: u.service.Name, Domain: u.one.Domain,
+				ID: u.instance.ID, Incarnation: u.instance.Incarnation(), Service: u.service.Name, Domain: u.instance.Domain,
 			})
 		}
 	}
@@ -82,15 +83,15 @@
 		return nil
 	}
 	var gateways []warmup.Gateway
-	for i := range c.w.sc.Gateways {
-		if !c.w.down[i] {
-			gateways = append(gateways, warmup.Gateway{Node: gatewayName(i), Domain: domainName(i % domains)})
+	for i := range c.sim.sc.Gateways {
+		if !c.sim.gatewayDown[i] {
+			gateways = append(gateways, warmup.Gateway{Node: gatewayName(i), Domain: domainName(i % failureDomains)})
 		}
 	}
 	out := make(map[string]time.Time)
-	for _, r := range c.book.Assign(c.w.now(), warming, gateways) {
+	for _, r := range c.assignments.Assign(c.sim.now(), warming, gateways) {
 		if r.Gateway == gatewayName(gateway) {
-			out[r.Upstream] = c.w.now().Add(warmup.RightDuration)
+			out[r.Upstream] = c.sim.now().Add(warmup.RightDuration)
 		}
 	}
 	return out
