--- a/bench/load/balancer.go
+++ b/bench/load/balancer.go
@@ -18,19 +18,19 @@
 // balancer hands out entries in turn and passes over those that are not ready,
 // as the platform's balancer does. It learns of changes late.
 type balancer struct {
-	entries []jsonc.Addr
-	admin   []jsonc.Addr
-	down    []atomic.Bool
-	next    atomic.Uint64
-	client  *http.Client
+	entries  []jsonc.Addr
+	admin    []jsonc.Addr
+	notReady []atomic.Bool
+	next     atomic.Uint64
+	client   *http.Client
 }
 
 func newBalancer(entries, admin []jsonc.Addr) *balancer {
 	return &balancer{
-		entries: entries,
-		admin:   admin,
-		down:    make([]atomic.Bool, len(entries)),
-		client:  &http.Client{Timeout: readyTimeout},
+		entries:  entries,
+		admin:    admin,
+		notReady: make([]atomic.Bool, len(entries)),
+		client:   &http.Client{Timeout: readyTimeout},
 	}
 }
 
@@ -39,7 +39,7 @@
 	for i := range b.admin {
 		go func() {
 			for ctx.Err() == nil {
-				b.down[i].Store(!b.isReady(b.admin[i].String()))
+				b.notReady[i].Store(!b.isReady(b.admin[i].String()))
 				sleepUntil(ctx, time.Now().Add(readyInterval))
 			}
 		}()
@@ -58,7 +58,7 @@
 func (b *balancer) pick() jsonc.Addr {
 	start := int(b.next.Add(1))
 	for i := range b.entries {
-		if n := (start + i) % len(b.entries); !b.down[n].Load() {
+		if n := (start + i) % len(b.entries); !b.notReady[n].Load() {
 			return b.entries[n]
 		}
 	}
--- a/bench/load/outcome.go
+++ b/bench/load/outcome.go
@@ -18,7 +18,7 @@
 	Service    string `json:"service"`
 	Key        string `json:"key"`
 	RequestID  string `json:"request_id"`
-	Try        int    `json:"try"`
+	Attempt    int    `json:"try"`
 	Idempotent bool   `json:"idempotent"`
 	// Status is the HTTP status; zero when no answer came.
 	Status int `json:"status"`
@@ -37,14 +37,14 @@
 func (o Outcome) OK() bool { return o.Status == 200 && o.Kind == "" }
 
 // Save writes outcomes to a file, one a line.
-func Save(path string, list []Outcome) error {
+func Save(path string, outcomes []Outcome) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("outcomes: %w", err)
 	}
 	w := bufio.NewWriter(f)
 	enc := json.NewEncoder(w)
-	for _, o := range list {
+	for _, o := range outcomes {
 		if err := enc.Encode(o); err != nil {
 			return fmt.Errorf("outcomes: %w", err)
 		}
--- a/bench/load/run.go
+++ b/bench/load/run.go
@@ -28,22 +28,22 @@
 // noAnswer is the kind of an outcome without an answer.
 const noAnswer = "no_answer"
 
-// minPause is the least pause before a caller asks again.
-const minPause = 100 * time.Millisecond
+// minRetryDelay is the least pause before a caller asks again.
+const minRetryDelay = 100 * time.Millisecond
 
-// maxAnswer bounds the answer read, in bytes.
-const maxAnswer = 1 << 20
+// maxAnswerBytes bounds the answer read, in bytes.
+const maxAnswerBytes = 1 << 20
 
 // runner is one run in progress.
 type runner struct {
 	conf        Settings
 	client      *http.Client
 	started     time.Time
-	prefix      string
+	idPrefix    string
 	outstanding atomic.Int64
 	notOffered  atomic.Int64
 	balancer    *balancer
-	wait        sync.WaitGroup
+	requests    sync.WaitGroup
 
 	mu       sync.Mutex
 	outcomes []Outcome
@@ -60,7 +60,7 @@
 		}},
 		balancer: newBalancer(conf.Entries, conf.Ready),
 		started:  time.Now(),
-		prefix:   strconv.FormatInt(time.Now().UnixNano(), 36),
+		idPrefix: strconv.FormatInt(time.Now().UnixNano(), 36),
 	}
 	ctx, cancel := context.WithTimeout(ctx, conf.Duration.D())
 	defer cancel()
@@ -74,7 +74,7 @@
 		}()
 	}
 	generators.Wait()
-	r.wait.Wait()
+	r.requests.Wait()
 	return Result{Outcomes: r.outcomes, NotOffered: r.notOffered.Load()}
 }
 
@@ -92,7 +92,7 @@
 			Due:        due.UnixNano(),
 			Service:    s.Name,
 			Key:        r.key(zipf.Uint64(), s, due),
-			RequestID:  fmt.Sprintf("%s-%s-%d", r.prefix, s.Name, n),
+			RequestID:  fmt.Sprintf("%s-%s-%d", r.idPrefix, s.Name, n),
 			Idempotent: rng.Float64() >= s.Writes,
 		}
 		if r.outstanding.Load() >= int64(r.conf.MaxOutstanding) {
@@ -100,11 +100,11 @@
 			continue
 		}
 		r.outstanding.Add(1)
-		r.wait.Add(1)
+		r.requests.Add(1)
 		go func() {
-			defer r.wait.Done()
+			defer r.requests.Done()
 			defer r.outstanding.Add(-1)
-			r.ask(s, o)
+			r.send(s, o)
 		}()
 	}
 }
@@ -135,26 +135,26 @@
 }
 
 // ask sends one request, and again while the answers allow it.
-func (r *runner) ask(s Service, o Outcome) {
-	repeat := uint64(0)
-	for try := 1; ; try++ {
-		o.Try = try
-		one, again, wait := r.try(s, o, repeat)
+func (r *runner) send(s Service, o Outcome) {
+	repeatEpoch := uint64(0)
+	for attempt := 1; ; attempt++ {
+		o.Attempt = attempt
+		result, retry, delay := r.sendAttempt(s, o, repeatEpoch)
 		r.mu.Lock()
-		r.outcomes = append(r.outcomes, one)
+		r.outcomes = append(r.outcomes, result)
 		r.mu.Unlock()
-		if !again || try > r.conf.AskAgain {
+		if !retry || attempt > r.conf.MaxRetries {
 			return
 		}
-		if one.Ran == string(answer.Unknown) {
-			repeat = one.Epoch
+		if result.Ran == string(answer.Unknown) {
+			repeatEpoch = result.Epoch
 		}
-		time.Sleep(wait)
+		time.Sleep(delay)
 	}
 }
 
-// try sends one try. It reports whether the caller may ask again, and when.
-func (r *runner) try(s Service, o Outcome, repeat uint64) (Outcome, bool, time.Duration) {
+// attempt sends one attempt. It reports whether the caller may ask again, and when.
+func (r *runner) sendAttempt(s Service, o Outcome, repeatEpoch uint64) (Outcome, bool, time.Duration) {
 	entry := r.balancer.pick()
 	method := http.MethodPost
 	if o.Idempotent {
@@ -174,8 +174,8 @@
 	req.Header.Set(header.Key, o.Key)
 	req.Header.Set(header.RequestID, o.RequestID)
 	req.Header.Set(header.Timeout, timeout.String())
-	if repeat != 0 {
-		req.Header.Set(header.Repeat, strconv.FormatUint(repeat, 10))
+	if repeatEpoch != 0 {
+		req.Header.Set(header.Repeat, strconv.FormatUint(repeatEpoch, 10))
 	}
 	o.Start = time.Now().UnixNano()
 	resp, err := r.client.Do(req)
@@ -188,14 +188,14 @@
 		o.End = time.Now().UnixNano()
 		o.Kind = noAnswer
 		o.Ran = string(answer.Unknown)
-		return o, o.Idempotent, minPause
+		return o, o.Idempotent, minRetryDelay
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return read(o, resp)
+	return readAnswer(o, resp)
 }
 
 // body is what stand-in upstreams and entries answer.
-type body struct {
+type answerBody struct {
 	Key       string `json:"key"`
 	RequestID string `json:"request_id"`
 	Epoch     uint64 `json:"epoch"`
@@ -207,7 +207,7 @@
 	o.Kind = h.Get(header.Kind)
 	o.Ran = h.Get(header.Ran)
 	o.Owner = h.Get(header.Owner)
-	var b body
+	var b answerBody
 	if err := json.Unmarshal(data, &b); err != nil {
 		o.Kind = noAnswer
 		o.Ran = string(answer.Unknown)
@@ -221,18 +221,18 @@
 }
 
 // read takes the answer and decides whether the caller may ask again, and when.
-func read(o Outcome, resp *http.Response) (Outcome, bool, time.Duration) {
-	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+func readAnswer(o Outcome, resp *http.Response) (Outcome, bool, time.Duration) {
+	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	o = ParseOutcome(o, resp.StatusCode, resp.Header, data)
 	o.End = time.Now().UnixNano()
 	if o.OK() {
 		return o, false, 0
 	}
 	if o.Kind == noAnswer {
-		return o, o.Idempotent, minPause
+		return o, o.Idempotent, minRetryDelay
 	}
-	wait, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
+	retryAfter, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
 	// An answer of unknown outcome may be repeated with the epoch it names.
-	again := answer.Kind(o.Kind).Row().Again || o.Ran == string(answer.Unknown) && o.Epoch != 0
-	return o, again, max(time.Duration(wait)*time.Second, minPause)
+	retry := answer.Kind(o.Kind).Row().Again || o.Ran == string(answer.Unknown) && o.Epoch != 0
+	return o, retry, max(time.Duration(retryAfter)*time.Second, minRetryDelay)
 }
--- a/bench/load/settings.go
+++ b/bench/load/settings.go
@@ -34,8 +34,8 @@
 	Duration jsonc.Duration `json:"duration"`
 	// HotShift is the time after which other keys become hot; none without.
 	HotShift jsonc.Duration `json:"hot_shift"`
-	// AskAgain is how often a caller asks again when the answer allows it.
-	AskAgain int `json:"ask_again"`
+	// MaxRetries is how often a caller asks again when the answer allows it.
+	MaxRetries int `json:"ask_again"`
 	// MaxOutstanding bounds the requests without an answer. Default 5000.
 	MaxOutstanding int `json:"max_outstanding"`
 	// Outcomes is the file that receives one JSON line a request.
--- a/bench/rockload/cluster.go
+++ b/bench/rockload/cluster.go
@@ -27,9 +27,9 @@
 
 // cluster is a running deployment.
 type cluster struct {
-	dir  string
-	m    deploy.Map
-	http *http.Client
+	dir        string
+	deployment deploy.Map
+	http       *http.Client
 }
 
 func openCluster(dir string) (*cluster, error) {
@@ -37,11 +37,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &cluster{dir: dir, m: m, http: &http.Client{Timeout: 3 * time.Second}}, nil
+	return &cluster{dir: dir, deployment: m, http: &http.Client{Timeout: 3 * time.Second}}, nil
 }
 
 func (c *cluster) operator(entry int) operatorpb.Operator {
-	return operatorpb.NewOperatorProtobufClient("http://"+c.m.Entries[entry].Admin.String(), c.http)
+	return operatorpb.NewOperatorProtobufClient("http://"+c.deployment.Entries[entry].Admin.String(), c.http)
 }
 
 // await polls until f returns nil, or returns its last error at the limit.
@@ -95,7 +95,7 @@
 // createServices states and confirms the intents that bring all services, once
 // every cell has all its entries.
 func (c *cluster) createServices(ctx context.Context) error {
-	if err := await(ctx, 20*time.Second, func() error { return c.allVoting(ctx) }); err != nil {
+	if err := await(ctx, 20*time.Second, func() error { return c.checkAllVoting(ctx) }); err != nil {
 		return err
 	}
 	files, err := filepath.Glob(filepath.Join(c.dir, "create-*.json"))
@@ -107,15 +107,15 @@
 		if err != nil {
 			return err
 		}
-		if err := c.enact(ctx, data); err != nil {
+		if err := c.applyIntent(ctx, data); err != nil {
 			return fmt.Errorf("%s: %w", filepath.Base(f), err)
 		}
 	}
-	return await(ctx, 20*time.Second, func() error { return c.allOwned(ctx) })
+	return await(ctx, 20*time.Second, func() error { return c.checkAllOwned(ctx) })
 }
 
-// enact creates an intent and confirms its plan.
-func (c *cluster) enact(ctx context.Context, spec []byte) error {
+// applyIntent creates an intent and confirms its plan.
+func (c *cluster) applyIntent(ctx context.Context, spec []byte) error {
 	resp, err := c.operator(0).CreateIntent(ctx, &operatorpb.CreateIntentRequest{Spec: spec, By: "rockload"})
 	if err != nil {
 		return err
@@ -130,17 +130,17 @@
 	})
 }
 
-func (c *cluster) enactSpec(ctx context.Context, spec intent.Spec) error {
+func (c *cluster) applySpec(ctx context.Context, spec intent.Spec) error {
 	data, err := json.Marshal(spec)
 	if err != nil {
 		return err
 	}
-	return c.enact(ctx, data)
+	return c.applyIntent(ctx, data)
 }
 
 func (c *cluster) status(ctx context.Context) (*operatorpb.StatusResponse, error) {
 	var errs []error
-	for i := range c.m.Entries {
+	for i := range c.deployment.Entries {
 		s, err := c.operator(i).Status(ctx, &operatorpb.StatusRequest{})
 		if err == nil {
 			return s, nil
@@ -150,8 +150,8 @@
 	return nil, errors.Join(errs...)
 }
 
-// allVoting reports an error until every entry is a voter of its cell.
-func (c *cluster) allVoting(ctx context.Context) error {
+// checkAllVoting reports an error until every entry is a voter of its cell.
+func (c *cluster) checkAllVoting(ctx context.Context) error {
 	s, err := c.status(ctx)
 	if err != nil {
 		return err
@@ -160,14 +160,14 @@
 	for _, cell := range s.Cells {
 		voters += len(cell.Members)
 	}
-	if voters < len(c.m.Entries) {
-		return fmt.Errorf("%d of %d entries vote", voters, len(c.m.Entries))
+	if voters < len(c.deployment.Entries) {
+		return fmt.Errorf("%d of %d entries vote", voters, len(c.deployment.Entries))
 	}
 	return nil
 }
 
-// allOwned reports an error until the hash space of every service is owned.
-func (c *cluster) allOwned(ctx context.Context) error {
+// checkAllOwned reports an error until the hash space of every service is owned.
+func (c *cluster) checkAllOwned(ctx context.Context) error {
 	s, err := c.status(ctx)
 	if err != nil {
 		return err
@@ -178,7 +178,7 @@
 			share[u.Service] += u.Share
 		}
 	}
-	for _, u := range c.m.Upstreams {
+	for _, u := range c.deployment.Upstreams {
 		if share[u.Service] < 0.9999 {
 			return fmt.Errorf("%.4f of service %s is owned", share[u.Service], u.Service)
 		}
@@ -211,20 +211,20 @@
 
 // platformFaults changes the failures of the stand-in platform.
 func (c *cluster) platformFaults(f platform.Faults) error {
-	return c.put(c.m.Platform.String()+"/faults", f)
+	return c.putJSON(c.deployment.Platform.String()+"/faults", f)
 }
 
 // upstreamFaults changes the failures of a stand-in upstream.
 func (c *cluster) upstreamFaults(name string, f upstream.Faults) error {
-	for _, u := range c.m.Upstreams {
+	for _, u := range c.deployment.Upstreams {
 		if u.Name == name {
-			return c.put(u.Addr.String()+"/faults", f)
+			return c.putJSON(u.Addr.String()+"/faults", f)
 		}
 	}
 	return fmt.Errorf("no upstream %q", name)
 }
 
-func (c *cluster) put(url string, v any) error {
+func (c *cluster) putJSON(url string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -246,7 +246,7 @@
 
 // metrics reads the counters of an entry.
 func (c *cluster) metrics(entry int) (map[string]map[string]float64, error) {
-	resp, err := c.http.Get("http://" + c.m.Entries[entry].Admin.String() + "/metrics")
+	resp, err := c.http.Get("http://" + c.deployment.Entries[entry].Admin.String() + "/metrics")
 	if err != nil {
 		return nil, err
 	}
--- a/bench/rockload/experiment.go
+++ b/bench/rockload/experiment.go
@@ -24,73 +24,75 @@
 
 // action is something done to the deployment during a run.
 type action struct {
-	at   time.Duration
-	what string
-	do   func(ctx context.Context, c *cluster) error
+	at    time.Duration
+	label string
+	do    func(ctx context.Context, c *cluster) error
 }
 
 // experiment is a named load with actions.
 type experiment struct {
-	name     string
-	about    string
-	duration time.Duration
+	name        string
+	description string
+	duration    time.Duration
 	// ratio is the offered load over the capacity of the slots.
-	ratio    float64
-	zipf     float64
-	writes   float64
-	hotShift time.Duration
-	askAgain int
-	actions  []action
+	loadRatio  float64
+	zipf       float64
+	writeShare float64
+	hotShift   time.Duration
+	maxRetries int
+	actions    []action
 }
 
-func victim(c *cluster, i int) string { return c.m.Upstreams[i%len(c.m.Upstreams)].Name }
+func upstreamName(c *cluster, i int) string {
+	return c.deployment.Upstreams[i%len(c.deployment.Upstreams)].Name
+}
 
 func killUpstream(i int) func(context.Context, *cluster) error {
-	return func(_ context.Context, c *cluster) error { return c.signal(victim(c, i), syscall.SIGKILL) }
+	return func(_ context.Context, c *cluster) error { return c.signal(upstreamName(c, i), syscall.SIGKILL) }
 }
 
 func restartUpstream(i int) func(context.Context, *cluster) error {
-	return func(_ context.Context, c *cluster) error { return c.restart(victim(c, i)) }
+	return func(_ context.Context, c *cluster) error { return c.restart(upstreamName(c, i)) }
 }
 
-func stopUpstream(i int, sig syscall.Signal) func(context.Context, *cluster) error {
-	return func(_ context.Context, c *cluster) error { return c.signal(victim(c, i), sig) }
+func signalUpstream(i int, sig syscall.Signal) func(context.Context, *cluster) error {
+	return func(_ context.Context, c *cluster) error { return c.signal(upstreamName(c, i), sig) }
 }
 
 func signalEntry(i int, sig syscall.Signal) func(context.Context, *cluster) error {
 	return func(_ context.Context, c *cluster) error {
-		return c.signal(c.m.Entries[i%len(c.m.Entries)].Name, sig)
+		return c.signal(c.deployment.Entries[i%len(c.deployment.Entries)].Name, sig)
 	}
 }
 
 func restartEntry(i int) func(context.Context, *cluster) error {
 	return func(_ context.Context, c *cluster) error {
-		return c.restart(c.m.Entries[i%len(c.m.Entries)].Name)
+		return c.restart(c.deployment.Entries[i%len(c.deployment.Entries)].Name)
 	}
 }
 
-func faults(f platform.Faults) func(context.Context, *cluster) error {
+func setPlatformFaults(f platform.Faults) func(context.Context, *cluster) error {
 	return func(_ context.Context, c *cluster) error { return c.platformFaults(f) }
 }
 
-func slowUpstream(i int, f upstream.Faults) func(context.Context, *cluster) error {
-	return func(_ context.Context, c *cluster) error { return c.upstreamFaults(victim(c, i), f) }
+func setUpstreamFaults(i int, f upstream.Faults) func(context.Context, *cluster) error {
+	return func(_ context.Context, c *cluster) error { return c.upstreamFaults(upstreamName(c, i), f) }
 }
 
-func leave(i int) func(context.Context, *cluster) error {
+func leaveUpstream(i int) func(context.Context, *cluster) error {
 	return func(ctx context.Context, c *cluster) error {
-		return c.enactSpec(ctx, intent.Spec{Kind: intent.Leave, Names: []string{victim(c, i)}})
+		return c.applySpec(ctx, intent.Spec{Kind: intent.Leave, Names: []string{upstreamName(c, i)}})
 	}
 }
 
-// moveKeys moves the hottest keys of the first service to one upstream.
-func moveKeys(i int) func(context.Context, *cluster) error {
+// moveHottestKeys moves the hottest keys of the first service to one upstream.
+func moveHottestKeys(i int) func(context.Context, *cluster) error {
 	return func(ctx context.Context, c *cluster) error {
 		var errs []error
 		for rank := range 4 {
-			errs = append(errs, c.enactSpec(ctx, intent.Spec{
-				Kind: intent.Move, ServiceName: c.m.Upstreams[0].Service,
-				Key: fmt.Sprintf("%s-key-%d", c.m.Upstreams[0].Service, rank), To: victim(c, i),
+			errs = append(errs, c.applySpec(ctx, intent.Spec{
+				Kind: intent.Move, ServiceName: c.deployment.Upstreams[0].Service,
+				Key: fmt.Sprintf("%s-key-%d", c.deployment.Upstreams[0].Service, rank), To: upstreamName(c, i),
 			}))
 		}
 		return errors.Join(errs...)
@@ -111,51 +113,51 @@
 	}
 	return []experiment{
 		{
-			name: "demo", about: "a planned move, a kill, a hot-key shift", duration: 30 * s,
-			ratio: 0.25, zipf: 1.1, writes: 0.3, hotShift: 15 * s, askAgain: 2,
+			name: "demo", description: "a planned move, a kill, a hot-key shift", duration: 30 * s,
+			loadRatio: 0.25, zipf: 1.1, writeShare: 0.3, hotShift: 15 * s, maxRetries: 2,
 			actions: []action{
-				{4 * s, "move the 4 hottest keys", moveKeys(1)},
+				{4 * s, "move the 4 hottest keys", moveHottestKeys(1)},
 				{9 * s, "kill an upstream", killUpstream(3)},
 				{20 * s, "start it again", restartUpstream(3)},
 			},
 		},
 		{
-			name: "steady", about: "steady load, nothing happens", duration: 30 * s,
-			ratio: 0.4, zipf: 1.1, writes: 0.3,
+			name: "steady", description: "steady load, nothing happens", duration: 30 * s,
+			loadRatio: 0.4, zipf: 1.1, writeShare: 0.3,
 		},
 		{
-			name: "hotset", about: "the hot set moves every 60 s", duration: 120 * s,
-			ratio: 0.4, zipf: 1.1, writes: 0.2, hotShift: 60 * s,
+			name: "hotset", description: "the hot set moves every 60 s", duration: 120 * s,
+			loadRatio: 0.4, zipf: 1.1, writeShare: 0.2, hotShift: 60 * s,
 		},
 		{
-			name: "rush", about: "a morning rush of idempotent look-ups", duration: 45 * s,
-			ratio: 0.8, zipf: 1.2, writes: 0.05,
+			name: "rush", description: "a morning rush of idempotent look-ups", duration: 45 * s,
+			loadRatio: 0.8, zipf: 1.2, writeShare: 0.05,
 		},
 		{
-			name: "leave", about: "one upstream leaves", duration: 30 * s,
-			ratio: 0.4, zipf: 1.1, writes: 0.3, askAgain: 2,
-			actions: []action{{8 * s, "leave", leave(2)}},
+			name: "leave", description: "one upstream leaves", duration: 30 * s,
+			loadRatio: 0.4, zipf: 1.1, writeShare: 0.3, maxRetries: 2,
+			actions: []action{{8 * s, "leave", leaveUpstream(2)}},
 		},
 		{
-			name: "crash", about: "one upstream is killed", duration: 30 * s,
-			ratio: 0.4, zipf: 1.1, writes: 0.3, askAgain: 2,
+			name: "crash", description: "one upstream is killed", duration: 30 * s,
+			loadRatio: 0.4, zipf: 1.1, writeShare: 0.3, maxRetries: 2,
 			actions: []action{{8 * s, "kill", killUpstream(2)}, {20 * s, "start again", restartUpstream(2)}},
 		},
 		{
-			name: "freeze", about: "one upstream is stopped and continued", duration: 30 * s,
-			ratio: 0.4, zipf: 1.1, writes: 0.3, askAgain: 2,
+			name: "freeze", description: "one upstream is stopped and continued", duration: 30 * s,
+			loadRatio: 0.4, zipf: 1.1, writeShare: 0.3, maxRetries: 2,
 			actions: []action{
-				{8 * s, "stop", stopUpstream(2, syscall.SIGSTOP)},
-				{18 * s, "continue", stopUpstream(2, syscall.SIGCONT)},
+				{8 * s, "stop", signalUpstream(2, syscall.SIGSTOP)},
+				{18 * s, "continue", signalUpstream(2, syscall.SIGCONT)},
 			},
 		},
 		{
-			name: "rolling", about: "all entries are replaced one by one", duration: 60 * s,
-			ratio: 0.3, zipf: 1.1, writes: 0.3, askAgain: 3, actions: rolling(),
+			name: "rolling", description: "all entries are replaced one by one", duration: 60 * s,
+			loadRatio: 0.3, zipf: 1.1, writeShare: 0.3, maxRetries: 3, actions: rolling(),
 		},
 		{
-			name: "controller", about: "the controller of the first cell is killed, then frozen", duration: 30 * s,
-			ratio: 0.3, zipf: 1.1, writes: 0.3, askAgain: 3,
+			name: "controller", description: "the controller of the first cell is killed, then frozen", duration: 30 * s,
+			loadRatio: 0.3, zipf: 1.1, writeShare: 0.3, maxRetries: 3,
 			actions: []action{
 				{6 * s, "kill entry 0", signalEntry(0, syscall.SIGKILL)},
 				{7 * s, "kill an upstream of its cell", killUpstream(0)},
@@ -165,26 +167,26 @@
 			},
 		},
 		{
-			name: "slow", about: "one upstream becomes five times slower", duration: 40 * s,
-			ratio: 0.4, zipf: 1.1, writes: 0.3,
-			actions: []action{{8 * s, "slow", slowUpstream(2, upstream.Faults{SlowFactor: 5})}},
+			name: "slow", description: "one upstream becomes five times slower", duration: 40 * s,
+			loadRatio: 0.4, zipf: 1.1, writeShare: 0.3,
+			actions: []action{{8 * s, "slow", setUpstreamFaults(2, upstream.Faults{SlowFactor: 5})}},
 		},
 		{
-			name: "lying", about: "one upstream's health endpoint lies", duration: 25 * s,
-			ratio: 0.4, zipf: 1.1, writes: 0.3,
-			actions: []action{{8 * s, "lie", slowUpstream(2, upstream.Faults{LyingHealth: true})}},
+			name: "lying", description: "one upstream's health endpoint lies", duration: 25 * s,
+			loadRatio: 0.4, zipf: 1.1, writeShare: 0.3,
+			actions: []action{{8 * s, "lie", setUpstreamFaults(2, upstream.Faults{LyingHealth: true})}},
 		},
 		{
-			name: "overload", about: "twice the capacity", duration: 30 * s,
-			ratio: 2, zipf: 1.05, writes: 0.3,
+			name: "overload", description: "twice the capacity", duration: 30 * s,
+			loadRatio: 2, zipf: 1.05, writeShare: 0.3,
 		},
 		{
-			name: "outage", about: "the platform is down for 20 s; an entry is lost meanwhile", duration: 45 * s,
-			ratio: 0.3, zipf: 1.1, writes: 0.3, askAgain: 3,
+			name: "outage", description: "the platform is down for 20 s; an entry is lost meanwhile", duration: 45 * s,
+			loadRatio: 0.3, zipf: 1.1, writeShare: 0.3, maxRetries: 3,
 			actions: []action{
-				{6 * s, "platform down", faults(platform.Faults{Down: true})},
+				{6 * s, "platform down", setPlatformFaults(platform.Faults{Down: true})},
 				{10 * s, "kill entry 0", signalEntry(0, syscall.SIGKILL)},
-				{26 * s, "platform up", faults(platform.Faults{})},
+				{26 * s, "platform up", setPlatformFaults(platform.Faults{})},
 				{30 * s, "start entry 0", restartEntry(0)},
 			},
 		},
@@ -205,14 +207,14 @@
 // callerTimeout is how long the experiments' callers wait: some ten times the longest run.
 const callerTimeout = 2 * time.Second
 
-// rates divides the wanted load among services by their capacity.
-func rates(shape deploy.Shape, e experiment) []load.Service {
+// serviceLoads divides the wanted load among services by their capacity.
+func serviceLoads(shape deploy.Shape, e experiment) []load.Service {
 	var out []load.Service
 	for _, s := range shape.Services {
-		mean := (1-e.writes)*s.ReadTime.Seconds() + e.writes*s.WriteTime.Seconds()
-		capacity := float64(s.Instances*s.Slots) / mean
+		meanTime := (1-e.writeShare)*s.ReadTime.Seconds() + e.writeShare*s.WriteTime.Seconds()
+		capacity := float64(s.Instances*s.Slots) / meanTime
 		out = append(out, load.Service{
-			Name: s.Name, Rate: e.ratio * capacity, Keys: 100_000, Zipf: e.zipf, Writes: e.writes,
+			Name: s.Name, Rate: e.loadRatio * capacity, Keys: 100_000, Zipf: e.zipf, Writes: e.writeShare,
 			Timeout: jsonc.Duration(callerTimeout),
 		})
 	}
@@ -225,7 +227,7 @@
 		Short: "List the experiments",
 		RunE: func(*cobra.Command, []string) error {
 			for _, e := range experiments() {
-				if _, err := fmt.Fprintf(out, "%-12s %4s  %s\n", e.name, e.duration, e.about); err != nil {
+				if _, err := fmt.Fprintf(out, "%-12s %4s  %s\n", e.name, e.duration, e.description); err != nil {
 					return err
 				}
 			}
@@ -262,8 +264,8 @@
 	return cmd
 }
 
-// ownersLimit bounds the check of what callers saw.
-const ownersLimit = 30 * time.Second
+// ownershipCheckLimit bounds the check of what callers saw.
+const ownershipCheckLimit = 30 * time.Second
 
 // errViolations makes the command fail when a promise was broken.
 var errViolations = errors.New("promises were broken")
@@ -289,7 +291,7 @@
 			if err := report.print(out); err != nil {
 				return err
 			}
-			if len(report.history.Violations) > 0 || report.owners == check.Violated {
+			if len(report.history.Violations) > 0 || report.ownership == check.Violated {
 				return errViolations
 			}
 			return nil
@@ -303,32 +305,32 @@
 
 // run drives one experiment to its end and gathers what it showed.
 func (c *cluster) run(ctx context.Context, e experiment, out io.Writer) (*report, error) {
-	shape, err := deploy.Find(c.m.Shape)
+	shape, err := deploy.Find(c.deployment.Shape)
 	if err != nil {
 		return nil, err
 	}
 	conf := load.DefaultSettings()
-	for _, entry := range c.m.Entries {
+	for _, entry := range c.deployment.Entries {
 		conf.Entries = append(conf.Entries, entry.Callers)
 		conf.Ready = append(conf.Ready, entry.Admin)
 	}
-	conf.Services = rates(shape, e)
+	conf.Services = serviceLoads(shape, e)
 	conf.Duration = jsonc.Duration(e.duration)
 	conf.HotShift = jsonc.Duration(e.hotShift)
-	conf.AskAgain = e.askAgain
-	before, err := c.assignment(ctx)
+	conf.MaxRetries = e.maxRetries
+	before, err := c.upstreamShares(ctx)
 	if err != nil {
 		return nil, err
 	}
 	began := time.Now()
-	go c.act(ctx, e, began, out)
+	go c.runActions(ctx, e, began, out)
 	result := load.Run(ctx, conf)
 	outcomes := filepath.Join(c.dir, e.name+".outcomes")
 	if err := load.Save(outcomes, result.Outcomes); err != nil {
 		return nil, err
 	}
 	var runs []upstream.Run
-	for _, u := range c.m.Upstreams {
+	for _, u := range c.deployment.Upstreams {
 		list, err := load.ReadLines[upstream.Run](u.Oracle)
 		if err != nil {
 			return nil, err
@@ -339,26 +341,26 @@
 		experiment: e,
 		began:      began,
 		summary:    Summarize(result),
-		history:    check.History(result.Outcomes, since(runs, began)),
-		owners:     check.Owners(result.Outcomes, ownersLimit),
+		history:    check.History(result.Outcomes, runsSince(runs, began)),
+		ownership:  check.Owners(result.Outcomes, ownershipCheckLimit),
 		outcomes:   result.Outcomes,
-		runs:       since(runs, began),
+		runs:       runsSince(runs, began),
 		before:     before,
 	}
-	r.after, err = c.assignment(ctx)
+	r.after, err = c.upstreamShares(ctx)
 	if err != nil {
 		return nil, err
 	}
-	r.unavailable = c.unavailable()
+	r.unavailable = c.unavailableTimes()
 	return r, nil
 }
 
-func since(runs []upstream.Run, began time.Time) []upstream.Run {
+func runsSince(runs []upstream.Run, began time.Time) []upstream.Run {
 	return slices.DeleteFunc(runs, func(r upstream.Run) bool { return r.At < began.UnixNano() })
 }
 
-// act carries out the actions at their times.
-func (c *cluster) act(ctx context.Context, e experiment, began time.Time, out io.Writer) {
+// runActions carries out the actions at their times.
+func (c *cluster) runActions(ctx context.Context, e experiment, began time.Time, out io.Writer) {
 	for _, a := range e.actions {
 		select {
 		case <-time.After(time.Until(began.Add(a.at))):
@@ -369,6 +371,6 @@
 		if err := a.do(ctx, c); err != nil {
 			result = err.Error()
 		}
-		_, _ = fmt.Fprintf(out, "%6.1fs  %s: %s\n", time.Since(began).Seconds(), a.what, result)
+		_, _ = fmt.Fprintf(out, "%6.1fs  %s: %s\n", time.Since(began).Seconds(), a.label, result)
 	}
 }
--- a/bench/rockload/report.go
+++ b/bench/rockload/report.go
@@ -19,8 +19,8 @@
 // imbalanceWindow is the time over which load is compared between upstreams.
 const imbalanceWindow = 10 * time.Second
 
-// shownViolations bounds the violations printed.
-const shownViolations = 10
+// maxPrintedViolations bounds the violations printed.
+const maxPrintedViolations = 10
 
 // report is what one experiment showed.
 type report struct {
@@ -28,25 +28,25 @@
 	began       time.Time
 	summary     Summary
 	history     check.Report
-	owners      check.Verdict
+	ownership   check.Verdict
 	outcomes    []load.Outcome
 	runs        []upstream.Run
 	before      map[string]string
 	after       map[string]string
-	unavailable []unavailableLine
+	unavailable []unavailability
 }
 
-// unavailableLine is one kind of hand-over at one entry.
-type unavailableLine struct {
+// unavailability is one kind of hand-over at one entry.
+type unavailability struct {
 	name          string
 	count         int
 	p50, p99, max time.Duration
 }
 
-// assignment samples the owner of a fixed set of points of each service.
-func (c *cluster) assignment(ctx context.Context) (map[string]string, error) {
+// upstreamShares samples the owner of a fixed set of points of each service.
+func (c *cluster) upstreamShares(ctx context.Context) (map[string]string, error) {
 	out := make(map[string]string)
-	for i := range c.m.Entries {
+	for i := range c.deployment.Entries {
 		s, err := c.operator(i).Status(ctx, &operatorpb.StatusRequest{})
 		if err != nil {
 			continue
@@ -61,10 +61,10 @@
 	return nil, fmt.Errorf("no entry answers")
 }
 
-// unavailable reads the times without an owner that the entries measured.
-func (c *cluster) unavailable() []unavailableLine {
-	var out []unavailableLine
-	for i := range c.m.Entries {
+// unavailableTimes reads the times without an owner that the entries measured.
+func (c *cluster) unavailableTimes() []unavailability {
+	var out []unavailability
+	for i := range c.deployment.Entries {
 		m, err := c.metrics(i)
 		if err != nil {
 			continue
@@ -74,40 +74,40 @@
 			if h["count"] == 0 {
 				continue
 			}
-			out = append(out, unavailableLine{
-				name:  c.m.Entries[i].Name + " " + kind,
+			out = append(out, unavailability{
+				name:  c.deployment.Entries[i].Name + " " + kind,
 				count: int(h["count"]),
-				p50:   micros(h["median"]),
-				p99:   micros(h["99%"]),
-				max:   micros(h["max"]),
+				p50:   microseconds(h["median"]),
+				p99:   microseconds(h["99%"]),
+				max:   microseconds(h["max"]),
 			})
 		}
 	}
 	return out
 }
 
-func micros(v float64) time.Duration { return time.Duration(v) * time.Microsecond }
+func microseconds(v float64) time.Duration { return time.Duration(v) * time.Microsecond }
 
 // window is the load of one stretch of time.
 type window struct {
-	counts map[string]int
-	total  int
-	most   int
+	counts  map[string]int
+	total   int
+	busiest int
 }
 
 func (w *window) add(name string) {
 	w.counts[name]++
 	w.total++
-	w.most = max(w.most, w.counts[name])
+	w.busiest = max(w.busiest, w.counts[name])
 }
 
-// windows counts the runs of a service's upstreams by name in each window. The
+// countByWindow counts the runs of a service's upstreams by name in each window. The
 // last one is cut short and left out.
-func windows(runs []upstream.Run, owners map[string]bool, length time.Duration, name func(upstream.Run) string) []*window {
+func countByWindow(runs []upstream.Run, upstreams map[string]bool, length time.Duration, name func(upstream.Run) string) []*window {
 	byTime := make(map[int64]*window)
 	var last int64
 	for _, r := range runs {
-		if !owners[r.Upstream] {
+		if !upstreams[r.Upstream] {
 			continue
 		}
 		at := r.At / int64(length)
@@ -123,33 +123,33 @@
 
 // imbalances returns busiest over mean for each window, in rising order, when
 // requests are owned as the function says.
-func imbalances(runs []upstream.Run, owners map[string]bool, length time.Duration, owner func(upstream.Run) string) []float64 {
+func imbalances(runs []upstream.Run, upstreams map[string]bool, length time.Duration, owner func(upstream.Run) string) []float64 {
 	var out []float64
-	for _, w := range windows(runs, owners, length, owner) {
-		out = append(out, float64(w.most)*float64(len(owners))/float64(w.total))
+	for _, w := range countByWindow(runs, upstreams, length, owner) {
+		out = append(out, float64(w.busiest)*float64(len(upstreams))/float64(w.total))
 	}
 	slices.Sort(out)
 	return out
 }
 
-// leastImbalances returns what no placement can go below, as a key has one
+// minImbalances returns what no placement can go below, as a key has one
 // owner: the share of the hottest key times the number of upstreams.
-func leastImbalances(runs []upstream.Run, owners map[string]bool, length time.Duration) []float64 {
+func minImbalances(runs []upstream.Run, upstreams map[string]bool, length time.Duration) []float64 {
 	var out []float64
-	for _, w := range windows(runs, owners, length, func(r upstream.Run) string { return r.Key }) {
-		out = append(out, max(1, float64(w.most)*float64(len(owners))/float64(w.total)))
+	for _, w := range countByWindow(runs, upstreams, length, func(r upstream.Run) string { return r.Key }) {
+		out = append(out, max(1, float64(w.busiest)*float64(len(upstreams))/float64(w.total)))
 	}
 	slices.Sort(out)
 	return out
 }
 
-// rendezvous owns each key by the highest hash of key and upstream: the static
+// rendezvousOwner owns each key by the highest hash of key and upstream: the static
 // baseline.
-func rendezvous(owners map[string]bool) func(upstream.Run) string {
-	names := slices.Sorted(maps.Keys(owners))
-	known := make(map[string]string)
+func rendezvousOwner(upstreams map[string]bool) func(upstream.Run) string {
+	names := slices.Sorted(maps.Keys(upstreams))
+	ownerByKey := make(map[string]string)
 	return func(r upstream.Run) string {
-		if owner, ok := known[r.Key]; ok {
+		if owner, ok := ownerByKey[r.Key]; ok {
 			return owner
 		}
 		best, highest := "", keyspace.Hash(0)
@@ -158,7 +158,7 @@
 				best, highest = name, h
 			}
 		}
-		known[r.Key] = best
+		ownerByKey[r.Key] = best
 		return best
 	}
 }
@@ -171,32 +171,32 @@
 }
 
 func (r *report) print(out io.Writer) error {
-	if _, err := fmt.Fprintf(out, "\nexperiment %s: %s\n", r.experiment.name, r.experiment.about); err != nil {
+	if _, err := fmt.Fprintf(out, "\nexperiment %s: %s\n", r.experiment.name, r.experiment.description); err != nil {
 		return err
 	}
 	if err := r.summary.Print(out); err != nil {
 		return err
 	}
 	t := process.NewTableWriter(out)
-	for _, service := range services(r.runs) {
-		for _, way := range []struct {
+	for _, service := range servicesOf(r.runs) {
+		for _, method := range []struct {
 			name  string
 			owner func(upstream.Run) string
 		}{
 			{"", func(run upstream.Run) string { return run.Upstream }},
-			{" by rendezvous hashing", rendezvous(service.owners)},
+			{" by rendezvous hashing", rendezvousOwner(service.upstreams)},
 		} {
-			list := imbalances(r.runs, service.owners, imbalanceWindow, way.owner)
+			list := imbalances(r.runs, service.upstreams, imbalanceWindow, method.owner)
 			t.Printf("imbalance %s%s\tp50 %.3f\tp99 %.3f\tmax %.3f\n",
-				service.name, way.name, quantile(list, 0.5), quantile(list, 0.99), quantile(list, 1))
+				service.name, method.name, quantile(list, 0.5), quantile(list, 0.99), quantile(list, 1))
 		}
-		bounds := leastImbalances(r.runs, service.owners, imbalanceWindow)
+		bounds := minImbalances(r.runs, service.upstreams, imbalanceWindow)
 		t.Printf("imbalance %s, least for its hottest key\tp50 %.3f\tp99 %.3f\t\n",
 			service.name, quantile(bounds, 0.5), quantile(bounds, 0.99))
 	}
 	changed := 0
-	for id, was := range r.before {
-		if r.after[id] != was {
+	for id, before := range r.before {
+		if r.after[id] != before {
 			changed++
 		}
 	}
@@ -205,32 +205,32 @@
 		t.Printf("unavailable %s\t%d ranges\tp50 %s\tp99 %s\tmax %s\n", u.name, u.count, u.p50, u.p99, u.max)
 	}
 	t.Printf("history\t%d outcomes against %d runs\n", r.history.Outcomes, r.history.Runs)
-	t.Printf("owners as callers saw them\t%s\n", r.owners)
+	t.Printf("owners as callers saw them\t%s\n", r.ownership)
 	t.Printf("violations\t%d\n", len(r.history.Violations))
 	for i, v := range r.history.Violations {
-		if i < shownViolations {
+		if i < maxPrintedViolations {
 			t.Printf("  %s\t%s\n", v.Rule, v.Detail)
 		}
 	}
 	return t.Close()
 }
 
-// serviceOwners are the upstreams that ran requests of one service.
-type serviceOwners struct {
-	name   string
-	owners map[string]bool
+// serviceUpstreams are the upstreams that ran requests of one service.
+type serviceUpstreams struct {
+	name      string
+	upstreams map[string]bool
 }
 
-func services(runs []upstream.Run) []serviceOwners {
-	var out []serviceOwners
+func servicesOf(runs []upstream.Run) []serviceUpstreams {
+	var out []serviceUpstreams
 	for _, r := range runs {
 		name := serviceOf(r.Upstream)
-		i := slices.IndexFunc(out, func(s serviceOwners) bool { return s.name == name })
+		i := slices.IndexFunc(out, func(s serviceUpstreams) bool { return s.name == name })
 		if i < 0 {
-			out = append(out, serviceOwners{name, make(map[string]bool)})
+			out = append(out, serviceUpstreams{name, make(map[string]bool)})
 			i = len(out) - 1
 		}
-		out[i].owners[r.Upstream] = true
+		out[i].upstreams[r.Upstream] = true
 	}
 	return out
 }
--- a/bench/rockload/summary.go
+++ b/bench/rockload/summary.go
@@ -11,10 +11,10 @@
 	"github.com/rockcroft/rockcroft/process"
 )
 
-// Bounds of recorded latencies in microseconds, and their digits.
+// Bounds of recorded latencies in microseconds, and their significantDigits.
 const (
-	maxLatency = 60_000_000
-	digits     = 3
+	maxLatencyMicros  = 60_000_000
+	significantDigits = 3
 )
 
 // Summary is what a load run showed.
@@ -35,7 +35,7 @@
 	s := Summary{
 		NotOffered: r.NotOffered,
 		Kinds:      make(map[string]int),
-		latency:    hdrhistogram.New(1, maxLatency, digits),
+		latency:    hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 	}
 	for _, o := range r.Outcomes {
 		s.Total++
@@ -47,7 +47,7 @@
 		}
 		if o.OK() {
 			s.Answered++
-			_ = s.latency.RecordValue(min(max((o.End-o.Due)/1000, 1), maxLatency))
+			_ = s.latency.RecordValue(min(max((o.End-o.Due)/1000, 1), maxLatencyMicros))
 			continue
 		}
 		s.Kinds[o.Kind]++
--- a/bench/soak/command.go
+++ b/bench/soak/command.go
@@ -12,12 +12,12 @@
 // Bounds of a deployment: a gateway takes about 35 MB on an ordinary machine, and a few
 // hundred processes are what one bears.
 const (
-	leastGateways = 2
-	mostGateways  = 200
-	leastUpstream = 4
-	mostUpstreams = 400
-	mostSteps     = 10000
-	processMB     = 60
+	minGateways  = 2
+	maxGateways  = 200
+	minUpstreams = 4
+	maxUpstreams = 400
+	maxSteps     = 10000
+	processMB    = 60
 )
 
 // Command returns the root command of the soak.
@@ -73,7 +73,7 @@
 		}
 	}
 	_, err := fmt.Fprintf(out, "seed %d: %d served, %d refused, %d failed, %d without a connection, %d violations\n",
-		r.Seed, r.Served, r.Refused, r.Failed, r.NoWay, len(r.Violations))
+		r.Seed, r.Served, r.Refused, r.Failed, r.NoConnection, len(r.Violations))
 	if err == nil && len(r.Violations) > 0 {
 		err = fmt.Errorf("seed %d: %d violations", r.Seed, len(r.Violations))
 	}
@@ -84,12 +84,12 @@
 // machine's, in MB; at most half of it is used.
 func (s Size) Check(memory int) error {
 	switch {
-	case s.Gateways < leastGateways || s.Gateways > mostGateways:
-		return fmt.Errorf("--gateways: %d is not between %d and %d", s.Gateways, leastGateways, mostGateways)
-	case s.Upstreams < leastUpstream || s.Upstreams > mostUpstreams:
-		return fmt.Errorf("--upstreams: %d is not between %d and %d", s.Upstreams, leastUpstream, mostUpstreams)
-	case s.Steps < 1 || s.Steps > mostSteps:
-		return fmt.Errorf("--steps: %d is not between 1 and %d", s.Steps, mostSteps)
+	case s.Gateways < minGateways || s.Gateways > maxGateways:
+		return fmt.Errorf("--gateways: %d is not between %d and %d", s.Gateways, minGateways, maxGateways)
+	case s.Upstreams < minUpstreams || s.Upstreams > maxUpstreams:
+		return fmt.Errorf("--upstreams: %d is not between %d and %d", s.Upstreams, minUpstreams, maxUpstreams)
+	case s.Steps < 1 || s.Steps > maxSteps:
+		return fmt.Errorf("--steps: %d is not between 1 and %d", s.Steps, maxSteps)
 	case memory > 0 && s.Gateways*processMB > memory/2:
 		return fmt.Errorf("--gateways: %d need %d MB, more than half of the machine's %d MB", s.Gateways, s.Gateways*processMB, memory)
 	}
--- a/bench/soak/faults.go
+++ b/bench/soak/faults.go
@@ -11,107 +11,109 @@
 
 // The variants of faults, picked by Step.Variant.
 var (
-	pathFaults = []relay.Fault{relay.Slow, relay.CutThere, relay.CutBack, relay.CutBoth, relay.Refuse}
-	storeModes = []metastore.Mode{
+	relayFaults = []relay.Fault{relay.Slow, relay.CutThere, relay.CutBack, relay.CutBoth, relay.Refuse}
+	storeModes  = []metastore.Mode{
 		metastore.Busy, metastore.Many, metastore.Reset, metastore.Silent, metastore.Lose, metastore.Late,
 	}
 	upstreamModes = []instance.Mode{
 		instance.Silent, instance.Loses, instance.Fails, instance.Sheds, instance.LateGrants,
 	}
 	// limits are in requests a second: far below what an upstream gets here, and beyond it.
-	limits = []float64{0, 1, 5, 20, 100}
+	rateLimits = []float64{0, 1, 5, 20, 100}
 )
 
 func pick[T any](list []T, n int) T { return list[n%len(list)] }
 
 // apply carries a fault out and returns when it has ended.
-func (s *site) apply(step Step) error {
-	g, u := pick(s.gateways, step.Target), s.upstreamAt(step.Target)
+func (d *deployment) apply(step Step) error {
+	g, u := pick(d.gateways, step.Target), d.upstreamAt(step.Target)
 	switch step.Kind {
 	case Kill, Stop, Pause:
-		return s.applyToProcess(g, step)
+		return d.applyToProcess(g, step)
 	case StorePath:
-		lasting(step.For, func() { g.relay.Set(pick(pathFaults, step.Variant)) }, func() { g.relay.Set(relay.None) })
+		holdFault(step.Duration, func() { g.relay.Set(pick(relayFaults, step.Variant)) }, func() { g.relay.Set(relay.None) })
 	case StoreSilent:
 		g.relay.SilenceAll()
 	case StoreMode:
-		lasting(step.For, func() { g.door.Set(pick(storeModes, step.Variant)) }, func() { g.door.Set(metastore.Open) })
-	case StoreAway:
-		lasting(step.For, func() { s.store.SetAll(pick(storeModes, step.Variant)) }, func() { s.store.SetAll(metastore.Open) })
+		holdFault(step.Duration, func() { g.door.Set(pick(storeModes, step.Variant)) }, func() { g.door.Set(metastore.Open) })
+	case StoreModeAll:
+		holdFault(step.Duration, func() { d.store.SetAll(pick(storeModes, step.Variant)) }, func() { d.store.SetAll(metastore.Open) })
 	case Compact:
-		s.store.Compact()
+		d.store.Compact()
 	case UpstreamPath:
-		u.cuts.during(func() {
-			lasting(step.For, func() { u.relay.Set(pick(pathFaults, step.Variant)) }, func() { u.relay.Set(relay.None) })
+		u.pathFaults.record(func() {
+			holdFault(step.Duration, func() { u.relay.Set(pick(relayFaults, step.Variant)) }, func() { u.relay.Set(relay.None) })
 		})
 	case UpstreamReset:
-		u.cuts.during(u.relay.ResetAll)
-	case UpstreamQuiet:
-		u.cuts.during(u.relay.SilenceAll)
+		u.pathFaults.record(u.relay.ResetAll)
+	case UpstreamSilent:
+		u.pathFaults.record(u.relay.SilenceAll)
 	case UpstreamMode:
-		lasting(step.For, func() { u.Set(pick(upstreamModes, step.Variant)) }, func() { u.Set(instance.Serves) })
-	case Harm:
-		s.harm(step.For)
+		holdFault(step.Duration, func() { u.Set(pick(upstreamModes, step.Variant)) }, func() { u.Set(instance.Serves) })
+	case HarmfulRequest:
+		d.sendHarmfulRequests(step.Duration)
 	case LateCalls:
-		lasting(step.For, func() { s.setAll(instance.LateCalls) }, func() { s.setAll(instance.Serves) })
-	case Need:
-		lasting(step.For, func() { u.Name(pick(limits, step.Variant)) }, u.NameNone)
+		holdFault(step.Duration, func() { d.setAll(instance.LateCalls) }, func() { d.setAll(instance.Serves) })
+	case NameLimit:
+		holdFault(step.Duration, func() { u.Name(pick(rateLimits, step.Variant)) }, u.NameNone)
 	case Rest:
-		lasting(step.For, func() { u.Rest(pick(rests, step.Variant)...) }, u.Resume)
+		holdFault(step.Duration, func() { u.Rest(pick(restValues, step.Variant)...) }, u.Resume)
 	case Drain:
-		return s.replace(u, func() { s.register(u, "draining") })
-	case Depart:
-		return s.replace(u, func() {})
+		return d.replaceUpstream(u, func() { d.register(u, "draining") })
+	case LeaveByAnswers:
+		return d.replaceUpstream(u, func() {})
 	case Restart:
-		return s.restart(u, step.For/2)
+		return d.restartUpstream(u, step.Duration/2)
 	case Evacuate:
 		domain := domainName(step.Target % domains)
-		lasting(step.For, func() { s.evacuate(domain) }, func() { s.takeBack(domain) })
+		holdFault(step.Duration, func() { d.evacuate(domain) }, func() { d.cancelEvacuation(domain) })
 	case Configure:
-		s.configure()
+		d.writeConfiguration()
 	}
 	return nil
 }
 
 // setAll sets the mode of all upstreams that run now.
-func (s *site) setAll(m instance.Mode) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, u := range s.upstreams {
+func (d *deployment) setAll(m instance.Mode) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, u := range d.upstreams {
 		u.Set(m)
 	}
 }
 
-// evacuate and takeBack write and remove the operator's entry of a failure domain. Evacuations
+// evacuate and cancelEvacuation write and remove the operator'd entry of a failure domain. Evacuations
 // of one overlap: the first end takes it back.
-func (s *site) evacuate(domain string) {
-	s.store.Put(platform.EvacuationsKind, domain, struct{}{})
+func (d *deployment) evacuate(domain string) {
+	d.store.Put(platform.EvacuationsKind, domain, struct{}{})
 }
 
-func (s *site) takeBack(domain string) { s.store.Remove(platform.EvacuationsKind, domain) }
+func (d *deployment) cancelEvacuation(domain string) {
+	d.store.Remove(platform.EvacuationsKind, domain)
+}
 
 // applyToProcess signals a gateway, unless another fault of it is under way.
-func (s *site) applyToProcess(g *gateway, step Step) error {
-	if !g.claim() {
+func (d *deployment) applyToProcess(g *gateway, step Step) error {
+	if !g.beginFault() {
 		return nil
 	}
-	defer g.release()
+	defer g.endFault()
 	var err error
-	g.faults.during(func() {
+	g.faults.record(func() {
 		switch step.Kind {
 		case Kill:
-			err = g.kill(step.For / 2)
+			err = g.kill(step.Duration / 2)
 		case Stop:
-			err = g.stop(step.For / 2)
+			err = g.stop(step.Duration / 2)
 		default:
-			err = g.pauseFor(step.For)
+			err = g.pauseFor(step.Duration)
 		}
 	})
 	return err
 }
 
-// lasting begins a fault, waits and ends it.
-func lasting(d time.Duration, begin, end func()) {
+// holdFault begins a fault, waits and ends it.
+func holdFault(d time.Duration, begin, end func()) {
 	begin()
 	time.Sleep(d)
 	end()
--- a/bench/soak/harm.go
+++ b/bench/soak/harm.go
@@ -16,34 +16,34 @@
 // This file plays requests that end the upstreams which run them, asked again at all gateways.
 
 const (
-	// harmLeast is how long such a request is asked for at least, harmPause the time between.
-	harmLeast = 8 * time.Second
-	harmPause = 150 * time.Millisecond
-	// harmBack is how long an upstream is away that such a request has ended.
-	harmBack = 1500 * time.Millisecond
-	// harmKnown is how many ends it takes until a request is known for what it is, harmSettles the
-	// time within which all gateways then refuse it, and harmMore how often it may reach one later.
-	harmKnown   = 3
-	harmSettles = 3 * time.Second
-	harmMore    = 3
+	// minHarmDuration is how long such a request is asked for at least, harmInterval the time between.
+	minHarmDuration = 8 * time.Second
+	harmInterval    = 150 * time.Millisecond
+	// harmRestartDelay is how long an upstream is away that such a request has ended.
+	harmRestartDelay = 1500 * time.Millisecond
+	// harmDetectionCrashes is how many ends it takes until a request is known for what it is, harmDetectionTime the
+	// time within which all gateways then refuse it, and maxLaterCrashes how often it may reach one later.
+	harmDetectionCrashes = 3
+	harmDetectionTime    = 3 * time.Second
+	maxLaterCrashes      = 3
 )
 
-// harms notes when requests ended upstreams, by path.
-type harms struct {
+// harmfulRequests notes when requests ended upstreams, by path.
+type harmfulRequests struct {
 	mu    sync.Mutex
 	count int
 	ends  map[string][]time.Time
 }
 
-// name returns a path that no such request had before.
-func (h *harms) name() string {
+// newPath returns a path that no such request had before.
+func (h *harmfulRequests) newPath() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.count++
 	return fmt.Sprintf("/pay/harm-%d", h.count)
 }
 
-func (h *harms) note(path string) {
+func (h *harmfulRequests) recordCrash(path string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ends == nil {
@@ -52,51 +52,51 @@
 	h.ends[path] = append(h.ends[path], time.Now())
 }
 
-// tooMany returns requests that went on to end upstreams when they should have been known.
-func (h *harms) tooMany() (out []string) {
+// undetected returns requests that went on to end upstreams when they should have been known.
+func (h *harmfulRequests) undetected() (out []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for path, ends := range h.ends {
 		later := 0
 		for i, at := range ends {
-			if i >= harmKnown && at.Sub(ends[harmKnown-1]) > harmSettles {
+			if i >= harmDetectionCrashes && at.Sub(ends[harmDetectionCrashes-1]) > harmDetectionTime {
 				later++
 			}
 		}
-		if later > harmMore {
-			out = append(out, fmt.Sprintf("%s ended %d upstreams, %d of them more than %s after the third", path, len(ends), later, harmSettles))
+		if later > maxLaterCrashes {
+			out = append(out, fmt.Sprintf("%s ended %d upstreams, %d of them more than %s after the third", path, len(ends), later, harmDetectionTime))
 		}
 	}
 	return out
 }
 
-// arm lets the upstream end by a harmful request, and start again. One that is being replaced or
+// setCrashHandler lets the upstream end by a harmful request, and start again. One that is being replaced or
 // started again breaks the connection and does not end: that is no harm that anybody could know by.
-func (s *site) arm(u *upstream) {
+func (d *deployment) setCrashHandler(u *upstream) {
 	u.OnHarm(func(path string) {
 		if !u.changing.CompareAndSwap(false, true) {
 			return
 		}
-		s.harms.note(path)
+		d.harmfulRequests.recordCrash(path)
 		go func() {
-			if err := s.startAgain(u, harmBack); err != nil {
-				s.failedRestart(err)
+			if err := d.restartClaimed(u, harmRestartDelay); err != nil {
+				d.recordRestartError(err)
 			}
 		}()
 	})
 }
 
-// harm asks for one harmful request again and again, at all gateways in turn.
-func (s *site) harm(length time.Duration) {
-	path := s.harms.name()
-	for end, i := time.Now().Add(harmLeast+length), 0; time.Now().Before(end); i++ {
-		s.askHarmful(pick(s.gateways, i), path, i)
-		time.Sleep(harmPause)
+// sendHarmfulRequests asks for one harmful request again and again, at all gateways in turn.
+func (d *deployment) sendHarmfulRequests(length time.Duration) {
+	path := d.harmfulRequests.newPath()
+	for end, i := time.Now().Add(minHarmDuration+length), 0; time.Now().Before(end); i++ {
+		d.sendHarmfulRequest(pick(d.gateways, i), path, i)
+		time.Sleep(harmInterval)
 	}
 }
 
-func (s *site) askHarmful(g *gateway, path string, i int) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (d *deployment) sendHarmfulRequest(g *gateway, path string, i int) {
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.callers+path, strings.NewReader("the same body"))
 	if err != nil {
@@ -104,7 +104,7 @@
 	}
 	r.Host = host
 	r.Header.Set(platform.RequestID, fmt.Sprintf("h%s-%d", strings.TrimPrefix(path, "/pay/harm-"), i))
-	r.Header.Set(platform.Deadline, wantedTime)
+	r.Header.Set(platform.Deadline, deadlineMs)
 	r.Header.Set(instance.HarmHeader, "1")
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
--- a/bench/soak/notices.go
+++ b/bench/soak/notices.go
@@ -12,41 +12,41 @@
 // the promises only, and nothing of how gateways keep them.
 
 const (
-	// restGrace is how long after it was asked for rest a gateway may go on, mostInRest how many
+	// restGrace is how long after it was asked for rest a gateway may go on, maxRequestsInRest how many
 	// requests it may send from then to the end of the rest.
-	restGrace  = 500 * time.Millisecond
-	mostInRest = 2
-	// cutMemory is how long before and after a fault of an upstream's path its answers may be
+	restGrace         = 500 * time.Millisecond
+	maxRequestsInRest = 2
+	// pathFaultMargin is how long before and after a fault of an upstream's path its answers may be
 	// lost.
-	cutMemory = 3 * time.Second
+	pathFaultMargin = 3 * time.Second
 )
 
-// rests are what upstreams ask for: seconds, several of them, none, and what is no time.
-var rests = [][]string{{"0.7"}, {"1"}, {"3"}, {"10"}, {"1", "2.5"}, {"0"}, {"-1"}, {"soon"}, {"Fri, 31 Dec 1999 23:59:59 GMT"}}
+// restValues are what upstreams ask for: seconds, several of them, none, and what is no time.
+var restValues = [][]string{{"0.7"}, {"1"}, {"3"}, {"10"}, {"1", "2.5"}, {"0"}, {"-1"}, {"soon"}, {"Fri, 31 Dec 1999 23:59:59 GMT"}}
 
-// span is a time in which a fault lasted.
-type span struct{ from, to time.Time }
+// interval is a time in which a fault lasted.
+type interval struct{ from, to time.Time }
 
-// faultTimes are when faults of one thing lasted. They are safe for concurrent use.
-type faultTimes struct {
-	mu    sync.Mutex
-	spans []span
+// faultIntervals are when faults of arrival thing lasted. They are safe for concurrent use.
+type faultIntervals struct {
+	mu        sync.Mutex
+	intervals []interval
 }
 
-// during carries a fault out and notes when it lasted.
-func (f *faultTimes) during(fault func()) {
+// record carries a fault out and notes when it lasted.
+func (f *faultIntervals) record(fault func()) {
 	from := time.Now()
 	fault()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.spans = append(f.spans, span{from, time.Now()})
+	f.intervals = append(f.intervals, interval{from, time.Now()})
 }
 
-// any reports whether a fault lasted in a part of a time.
-func (f *faultTimes) any(from, to time.Time) bool {
+// overlaps reports whether a fault lasted in a part of a time.
+func (f *faultIntervals) overlaps(from, to time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.spans {
+	for _, s := range f.intervals {
 		if s.from.Before(to) && from.Before(s.to) {
 			return true
 		}
@@ -54,83 +54,83 @@
 	return false
 }
 
-// asked is one request as its client saw it.
-type asked struct {
+// asked is arrival request as its client saw it.
+type sentRequest struct {
 	gateway *gateway
 	sent    time.Time
-	// told is when its answer came that tells that the upstream leaves; zero for none. by tells
+	// leavingSeen is when its answer came that tells that the upstream leaves; zero for none. by tells
 	// which start of an upstream made the answer.
-	told time.Time
-	by   string
+	leavingSeen time.Time
+	incarnation string
 }
 
 // asks keeps what clients have asked, by request. It is safe for concurrent use.
-type asks struct {
+type requestLog struct {
 	mu   sync.Mutex
-	byID map[string]asked
+	byID map[string]sentRequest
 }
 
-func newAsks() *asks { return &asks{byID: make(map[string]asked)} }
+func newRequestLog() *requestLog { return &requestLog{byID: make(map[string]sentRequest)} }
 
-func (a *asks) add(id string, one asked) {
+func (a *requestLog) add(id string, request sentRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.byID[id] = one
+	a.byID[id] = request
 }
 
-// broken returns which promises were not kept to an upstream.
-func (a *asks) broken(u *upstream) []string {
+// violations returns which promises were not kept to an upstream.
+func (a *requestLog) violations(u *upstream) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	byGateway := make(map[*gateway][]instance.Arrival)
-	for _, one := range u.Arrived() {
-		if g := a.byID[one.Request].gateway; g != nil {
-			byGateway[g] = append(byGateway[g], one)
+	for _, arrival := range u.Arrived() {
+		if g := a.byID[arrival.Request].gateway; g != nil {
+			byGateway[g] = append(byGateway[g], arrival)
 		}
 	}
 	var out []string
 	for g, arrivals := range byGateway {
-		out = append(out, a.lateAt(u, g, arrivals)...)
-		out = append(out, inRests(u, g, arrivals)...)
+		out = append(out, a.requestsAfterLeaving(u, g, arrivals)...)
+		out = append(out, requestsDuringRest(u, g, arrivals)...)
 	}
 	return out
 }
 
-// lateAt returns the requests that a gateway sent to an upstream which had told it that it leaves.
-func (a *asks) lateAt(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
-	var told time.Time
-	for _, one := range arrivals {
-		answer := a.byID[one.Request]
-		if answer.by == u.Start() && !answer.told.IsZero() && (told.IsZero() || answer.told.Before(told)) {
-			told = answer.told
+// requestsAfterLeaving returns the requests that a gateway sent to an upstream which had leavingSeen it that it leaves.
+func (a *requestLog) requestsAfterLeaving(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
+	var leavingSeen time.Time
+	for _, arrival := range arrivals {
+		answer := a.byID[arrival.Request]
+		if answer.incarnation == u.Start() && !answer.leavingSeen.IsZero() && (leavingSeen.IsZero() || answer.leavingSeen.Before(leavingSeen)) {
+			leavingSeen = answer.leavingSeen
 		}
 	}
 	var out []string
-	for _, one := range arrivals {
-		after := a.byID[one.Request].sent.Sub(told)
-		if !told.IsZero() && after > upstreamDrain && !g.faults.any(told, one.At) {
-			out = append(out, fmt.Sprintf("request %s reached %s by %s %s after that had told that it leaves", one.Request, u.ID, g.name, after))
+	for _, arrival := range arrivals {
+		after := a.byID[arrival.Request].sent.Sub(leavingSeen)
+		if !leavingSeen.IsZero() && after > upstreamDrain && !g.faults.overlaps(leavingSeen, arrival.At) {
+			out = append(out, fmt.Sprintf("request %s reached %s by %s %s after that had told that it leaves", arrival.Request, u.ID, g.name, after))
 		}
 	}
 	return out
 }
 
-// inRests returns the rests in which a gateway sent an upstream more than it may.
-func inRests(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
+// requestsDuringRest returns the rests in which a gateway sent an upstream more than it may.
+func requestsDuringRest(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
 	var out []string
-	for _, asked := range arrivals {
-		ends := asked.At.Add(asked.Rest)
-		if asked.Rest <= restGrace || g.faults.any(asked.At, ends) || u.cuts.any(asked.At.Add(-cutMemory), ends.Add(cutMemory)) {
+	for _, restStart := range arrivals {
+		ends := restStart.At.Add(restStart.Rest)
+		if restStart.Rest <= restGrace || g.faults.overlaps(restStart.At, ends) || u.pathFaults.overlaps(restStart.At.Add(-pathFaultMargin), ends.Add(pathFaultMargin)) {
 			continue
 		}
 		count := 0
-		for _, one := range arrivals {
-			if one.At.After(asked.At.Add(restGrace)) && one.At.Before(ends) {
+		for _, arrival := range arrivals {
+			if arrival.At.After(restStart.At.Add(restGrace)) && arrival.At.Before(ends) {
 				count++
 			}
 		}
-		if count > mostInRest {
-			out = append(out, fmt.Sprintf("%s asked %s for %s of rest and got %d requests in it", u.ID, g.name, asked.Rest, count))
+		if count > maxRequestsInRest {
+			out = append(out, fmt.Sprintf("%s asked %s for %s of rest and got %d requests in it", u.ID, g.name, restStart.Rest, count))
 		}
 	}
 	return out
--- a/bench/soak/process.go
+++ b/bench/soak/process.go
@@ -27,23 +27,23 @@
 	relay                          *relay.Relay
 
 	// faults are when its process was killed, stopped or paused.
-	faults faultTimes
+	faults faultIntervals
 
 	mu sync.Mutex
 	// busy says that a fault of the process is under way.
-	busy bool
+	faultActive bool
 	// killed counts the ends that cut off what was in flight.
 	killed int
 }
 
-// startWait bounds the time until the script has started a process, pollPause is the
+// startTimeout bounds the time until the script has started a process, pollInterval is the
 // time between looks.
 const (
-	startWait = 20 * time.Second
-	pollPause = 50 * time.Millisecond
+	startTimeout = 20 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
-func (g *gateway) path(ending string) string { return filepath.Join(g.dir, g.name+ending) }
+func (g *gateway) path(extension string) string { return filepath.Join(g.dir, g.name+extension) }
 
 // start asks the script for a process and waits until it is there.
 func (g *gateway) start() error {
@@ -53,12 +53,12 @@
 	if err := os.WriteFile(g.path(".start"), nil, 0o600); err != nil {
 		return err
 	}
-	for limit := time.Now().Add(startWait); time.Now().Before(limit); time.Sleep(pollPause) {
+	for limit := time.Now().Add(startTimeout); time.Now().Before(limit); time.Sleep(pollInterval) {
 		if _, err := g.pid(); err == nil {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s was not started within %s; is scripts/soak.sh running?", g.name, startWait)
+	return fmt.Errorf("%s was not started within %s; is scripts/soak.sh running?", g.name, startTimeout)
 }
 
 func (g *gateway) pid() (int, error) {
@@ -77,9 +77,9 @@
 	return syscall.Kill(pid, s)
 }
 
-// gone waits until the process has ended.
-func (g *gateway) gone(limit time.Duration) bool {
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollPause) {
+// waitExited waits until the process has ended.
+func (g *gateway) waitExited(limit time.Duration) bool {
+	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollInterval) {
 		if g.signal(0) != nil {
 			return true
 		}
@@ -87,30 +87,30 @@
 	return false
 }
 
-// claim begins a fault of the process, unless one is under way.
-func (g *gateway) claim() bool {
+// beginFault begins a fault of the process, unless one is under way.
+func (g *gateway) beginFault() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.busy {
+	if g.faultActive {
 		return false
 	}
-	g.busy = true
+	g.faultActive = true
 	return true
 }
 
-func (g *gateway) release() {
+func (g *gateway) endFault() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.busy = false
+	g.faultActive = false
 }
 
-func (g *gateway) noteKilled() {
+func (g *gateway) recordKill() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.killed++
 }
 
-func (g *gateway) kills() int {
+func (g *gateway) killCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.killed
@@ -118,11 +118,11 @@
 
 // kill ends the process at once and starts another.
 func (g *gateway) kill(pause time.Duration) error {
-	g.noteKilled()
+	g.recordKill()
 	if err := g.signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	g.gone(startWait)
+	g.waitExited(startTimeout)
 	time.Sleep(pause)
 	return g.start()
 }
@@ -133,8 +133,8 @@
 	if err := g.signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	if !g.gone(stopLimit + time.Second) {
-		g.noteKilled()
+	if !g.waitExited(stopLimit + time.Second) {
+		g.recordKill()
 		return errors.Join(fmt.Errorf("%s did not stop within %s", g.name, stopLimit), g.kill(pause))
 	}
 	time.Sleep(pause)
--- a/bench/soak/report.go
+++ b/bench/soak/report.go
@@ -17,8 +17,8 @@
 
 // Event is one fault as it was played.
 type Event struct {
-	At   time.Duration `json:"at_ns"`
-	What string        `json:"what"`
+	At          time.Duration `json:"at_ns"`
+	Description string        `json:"what"`
 }
 
 // Report is what one run showed.
@@ -28,28 +28,28 @@
 	Events     []Event  `json:"events"`
 	Violations []string `json:"violations"`
 	// Seconds are the outcomes by second.
-	Seconds []map[outcome]int `json:"seconds"`
-	Served  int               `json:"served"`
-	Refused int               `json:"refused"`
-	Failed  int               `json:"failed"`
-	NoWay   int               `json:"no_connection"`
+	Seconds      []map[outcome]int `json:"seconds"`
+	Served       int               `json:"served"`
+	Refused      int               `json:"refused"`
+	Failed       int               `json:"failed"`
+	NoConnection int               `json:"no_connection"`
 }
 
-func (w *watcher) report(plan Plan, size Size, events []Event) *Report {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	r := &Report{Seed: plan.Seed, Size: size, Events: events, Violations: append(w.violations, w.site.oracle.Violations()...)}
+func (m *monitor) report(plan Plan, size Size, events []Event) *Report {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	r := &Report{Seed: plan.Seed, Size: size, Events: events, Violations: append(m.violations, m.deployment.oracle.Violations()...)}
 	last := 0
-	for second := range w.counts {
+	for second := range m.counts {
 		last = max(last, second)
 	}
 	for second := range last + 1 {
-		c := w.counts[second]
+		c := m.counts[second]
 		r.Seconds = append(r.Seconds, c)
 		r.Served += c[served]
 		r.Refused += c[refused]
 		r.Failed += c[failed]
-		r.NoWay += c[noWay]
+		r.NoConnection += c[noConnection]
 	}
 	return r
 }
@@ -92,7 +92,7 @@
 func (r *Report) Plot() (template.URL, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "s", "requests a second"
-	for i, o := range []outcome{served, refused, failed, noWay} {
+	for i, o := range []outcome{served, refused, failed, noConnection} {
 		var points plotter.XYs
 		for second, c := range r.Seconds {
 			points = append(points, plotter.XY{X: float64(second), Y: float64(c[o])})
@@ -133,12 +133,12 @@
 <style>body{font-family:sans-serif;margin:2em} td,th{padding:2px 8px;text-align:right} .bad{color:#b00}</style>
 <h1>Soak of {{len .}} seeds</h1>
 <table><tr><th>seed<th>gateways<th>faults<th>served<th>refused<th>failed<th>no connection<th>violations</tr>
-{{range .}}<tr><td><a href="#{{.Seed}}">{{.Seed}}</a><td>{{.Size.Gateways}}<td>{{len .Events}}<td>{{.Served}}<td>{{.Refused}}<td>{{.Failed}}<td>{{.NoWay}}<td>{{len .Violations}}</tr>
+{{range .}}<tr><td><a href="#{{.Seed}}">{{.Seed}}</a><td>{{.Size.Gateways}}<td>{{len .Events}}<td>{{.Served}}<td>{{.Refused}}<td>{{.Failed}}<td>{{.NoConnection}}<td>{{len .Violations}}</tr>
 {{end}}</table>
 {{range .}}<h2 id="{{.Seed}}">Seed {{.Seed}}</h2>
 <img src="{{.Plot}}" alt="outcomes by second">
 {{range .Violations}}<p class="bad">{{.}}</p>{{end}}
-<details><summary>Faults</summary><ul>{{range .Events}}<li>{{.At}} {{.What}}</li>{{end}}</ul></details>
+<details><summary>Faults</summary><ul>{{range .Events}}<li>{{.At}} {{.Description}}</li>{{end}}</ul></details>
 {{end}}`))
 
 // WritePage writes the reports as a page with plots.
--- a/bench/soak/run.go
+++ b/bench/soak/run.go
@@ -18,58 +18,58 @@
 type Size struct{ Gateways, Upstreams, Steps int }
 
 const (
-	// readyWait bounds the start of all gateways, healWait the time until every key
+	// readyTimeout bounds the start of all gateways, recoveryTimeout the time until every key
 	// is served after all faults have ended: grants of ten seconds, the lease and a
 	// stop lie within it. They end a run that hangs; no promise is that long.
-	readyWait = time.Minute
-	healWait  = time.Minute
+	readyTimeout    = time.Minute
+	recoveryTimeout = time.Minute
 	// keyStride is the distance between the keys that are asked for at the end.
 	keyStride = 3121
 )
 
 // Run plays a plan against gateways that the script starts, and returns what was seen.
 func Run(ctx context.Context, dir string, size Size, plan Plan, progress io.Writer) (*Report, error) {
-	s, err := newSite(dir, size)
+	d, err := newDeployment(dir, size)
 	if err != nil {
 		return nil, err
 	}
-	for _, g := range s.gateways {
+	for _, g := range d.gateways {
 		if err := g.start(); err != nil {
 			return nil, err
 		}
 	}
-	w := newWatcher(s)
-	if !until(readyWait, func() bool { return w.allReady(ctx) }) {
-		return nil, fmt.Errorf("the gateways were not ready within %s; their logs are in %s", readyWait, dir)
+	m := newMonitor(d)
+	if !waitFor(readyTimeout, func() bool { return m.allReady(ctx) }) {
+		return nil, fmt.Errorf("the gateways were not ready within %s; their logs are in %s", readyTimeout, dir)
 	}
-	w.began = time.Now()
-	callers, stop := w.startCallers(ctx)
-	events, err := w.play(plan, progress)
-	s.heal()
-	if !until(healWait, func() bool { return w.allServed(ctx) }) {
-		w.violate("not every key was served within %s after the last fault", healWait)
+	m.startedAt = time.Now()
+	callers, stop := m.startCallers(ctx)
+	events, err := m.runSteps(plan, progress)
+	d.endFaults()
+	if !waitFor(recoveryTimeout, func() bool { return m.allServed(ctx) }) {
+		m.addViolation("not every key was served within %s after the last fault", recoveryTimeout)
 	}
-	if !until(healWait, func() bool { return w.allConfigured(ctx) }) {
-		w.violate("configuration %d was not in force everywhere within %s after the last fault", s.configured(), healWait)
+	if !waitFor(recoveryTimeout, func() bool { return m.allConfigured(ctx) }) {
+		m.addViolation("configuration %d was not in force everywhere within %s after the last fault", d.configurationVersion(), recoveryTimeout)
 	}
 	stop()
 	callers.Wait()
-	w.checkRefused()
-	for _, u := range s.ever {
-		for _, v := range w.asks.broken(u) {
-			w.violate("%s", v)
+	m.checkRefused()
+	for _, u := range d.allUpstreams {
+		for _, v := range m.requests.violations(u) {
+			m.addViolation("%s", v)
 		}
 	}
-	for _, v := range s.harms.tooMany() {
-		w.violate("%s", v)
+	for _, v := range d.harmfulRequests.undetected() {
+		m.addViolation("%s", v)
 	}
-	err = errors.Join(append(s.restartErrs, err)...)
-	return w.report(plan, size, events), err
+	err = errors.Join(append(d.restartErrs, err)...)
+	return m.report(plan, size, events), err
 }
 
-// until waits for a condition, at most for the limit.
-func until(limit time.Duration, condition func() bool) bool {
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollPause) {
+// waitFor waits for a condition, at most for the limit.
+func waitFor(limit time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollInterval) {
 		if condition() {
 			return true
 		}
@@ -77,31 +77,31 @@
 	return false
 }
 
-func (w *watcher) startCallers(ctx context.Context) (*sync.WaitGroup, context.CancelFunc) {
+func (m *monitor) startCallers(ctx context.Context) (*sync.WaitGroup, context.CancelFunc) {
 	ctx, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
-	for n := range callers {
-		all.Go(func() { w.call(ctx, n) })
+	for n := range callerCount {
+		all.Go(func() { m.runCaller(ctx, n) })
 	}
-	all.Go(func() { w.watchVersions(ctx) })
+	all.Go(func() { m.checkVersions(ctx) })
 	return &all, stop
 }
 
-// play carries the steps out, which overlap, and waits for the last one's end.
-func (w *watcher) play(plan Plan, progress io.Writer) ([]Event, error) {
+// runSteps carries the steps out, which overlap, and waits for the last one's end.
+func (m *monitor) runSteps(plan Plan, progress io.Writer) ([]Event, error) {
 	var events []Event
 	var errs []error
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for i, step := range plan.Steps {
-		time.Sleep(step.After)
-		at := time.Since(w.began)
-		events = append(events, Event{At: at, What: step.String()})
+		time.Sleep(step.Delay)
+		at := time.Since(m.startedAt)
+		events = append(events, Event{At: at, Description: step.String()})
 		if _, err := fmt.Fprintf(progress, "%6.1f s  %2d/%d  %s\n", at.Seconds(), i+1, len(plan.Steps), step); err != nil {
 			return events, err
 		}
 		all.Go(func() {
-			err := w.site.apply(step)
+			err := m.deployment.apply(step)
 			mu.Lock()
 			defer mu.Unlock()
 			errs = append(errs, err)
@@ -111,35 +111,35 @@
 	return events, errors.Join(errs...)
 }
 
-// heal ends all faults.
-func (s *site) heal() {
-	s.store.SetAll(metastore.Open)
-	for _, g := range s.gateways {
+// endFaults ends all faults.
+func (d *deployment) endFaults() {
+	d.store.SetAll(metastore.Open)
+	for _, g := range d.gateways {
 		g.relay.Set(relay.None)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, u := range s.upstreams {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, u := range d.upstreams {
 		u.relay.Set(relay.None)
 		u.Set(instance.Serves)
 	}
 }
 
-func (w *watcher) allReady(ctx context.Context) bool {
-	for _, g := range w.site.gateways {
+func (m *monitor) allReady(ctx context.Context) bool {
+	for _, g := range m.deployment.gateways {
 		if !g.isReady(ctx) {
 			return false
 		}
 	}
-	return w.allServed(ctx)
+	return m.allServed(ctx)
 }
 
 // allServed reports whether keys all over the space and requests without one are
 // served.
-func (w *watcher) allServed(ctx context.Context) bool {
+func (m *monitor) allServed(ctx context.Context) bool {
 	for i := 0; i*keyStride <= spans.MaxKey; i++ {
-		g := pick(w.site.gateways, i)
-		if w.ask(ctx, g, false, i*keyStride) != served || w.ask(ctx, g, true, 0) != served {
+		g := pick(m.deployment.gateways, i)
+		if m.sendRequest(ctx, g, false, i*keyStride) != served || m.sendRequest(ctx, g, true, 0) != served {
 			return false
 		}
 	}
@@ -147,9 +147,9 @@
 }
 
 // allConfigured reports whether the newest configuration is in force at all gateways.
-func (w *watcher) allConfigured(ctx context.Context) bool {
-	for _, g := range w.site.gateways {
-		if version, ok := w.versionOf(ctx, g); !ok || version != w.site.configured() {
+func (m *monitor) allConfigured(ctx context.Context) bool {
+	for _, g := range m.deployment.gateways {
+		if version, ok := m.gatewayVersion(ctx, g); !ok || version != m.deployment.configurationVersion() {
 			return false
 		}
 	}
--- a/bench/soak/site.go
+++ b/bench/soak/site.go
@@ -24,11 +24,11 @@
 )
 
 const (
-	keyedService = "status"
-	otherService = "pay"
-	host         = "soak.example"
-	// work is how long a stand-in upstream runs a request.
-	work = 5 * time.Millisecond
+	keyedService   = "status"
+	unkeyedService = "pay"
+	host           = "soak.example"
+	// requestDuration is how long a stand-in upstream runs a request.
+	requestDuration = 5 * time.Millisecond
 	// slots of each upstream.
 	slots = 4
 	// domains are as many as Addis has.
@@ -37,39 +37,39 @@
 	gatewayMemory = 100
 	// The users' bounds on the platform: for a stop, for an upstream that leaves, for a
 	// grant, and for second tries.
-	stopLimit      = 6 * time.Second
-	upstreamDrain  = 2 * time.Second
-	longestHold    = 10 * time.Second
-	retryShare     = 0.2
-	retryAllowance = 60
-	retryWindow    = 10 * time.Second
+	stopLimit        = 6 * time.Second
+	upstreamDrain    = 2 * time.Second
+	maxGrantDuration = 10 * time.Second
+	retryShare       = 0.2
+	retryAllowance   = 60
+	retryWindow      = 10 * time.Second
 	// drainNotice is how long a stopping gateway still takes connections; the callers
 	// here notice at once.
 	drainNotice = time.Second
 )
 
 // site is the deployment: everything but the gateway processes.
-type site struct {
+type deployment struct {
 	dir    string
 	store  *metastore.Store
 	oracle *instance.Oracle
 
-	mu        sync.Mutex
-	upstreams []*upstream
-	started   int
-	version   uint64
-	gateways  []*gateway
-	harms     harms
-	// ever are all upstreams that were started, those that have ended among them.
-	ever []*upstream
+	mu               sync.Mutex
+	upstreams        []*upstream
+	upstreamsStarted int
+	version          uint64
+	gateways         []*gateway
+	harmfulRequests  harmfulRequests
+	// allUpstreams are all upstreams that were started, those that have ended among them.
+	allUpstreams []*upstream
 	// restartErrs are errors of upstreams that harmful requests ended.
 	restartErrs []error
 }
 
-func (s *site) failedRestart(err error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.restartErrs = append(s.restartErrs, err)
+func (d *deployment) recordRestartError(err error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.restartErrs = append(d.restartErrs, err)
 }
 
 // upstream is a stand-in instance behind a relay.
@@ -79,72 +79,72 @@
 	domain  string
 	relay   *relay.Relay
 	server  *http.Server
-	// born is when its process started.
-	born time.Time
-	// cuts are when its path was disturbed.
-	cuts faultTimes
+	// startTime is when its process started.
+	startTime time.Time
+	// pathFaults are when its path was disturbed.
+	pathFaults faultIntervals
 	// changing says that it is being replaced or started again.
 	changing atomic.Bool
 }
 
-// newSite opens the store, the upstreams and the gateways' addresses, and writes the
+// newDeployment opens the store, the upstreams and the gateways' addresses, and writes the
 // gateways' settings.
-func newSite(dir string, size Size) (*site, error) {
-	s := &site{dir: dir, store: metastore.New(), oracle: instance.NewOracle()}
-	s.configure()
+func newDeployment(dir string, size Size) (*deployment, error) {
+	d := &deployment{dir: dir, store: metastore.New(), oracle: instance.NewOracle()}
+	d.writeConfiguration()
 	for i := range size.Upstreams {
 		service := keyedService
 		if i%2 == 1 {
-			service = otherService
+			service = unkeyedService
 		}
-		if err := s.addUpstream(service, domainName(i/2)); err != nil {
+		if err := d.addUpstream(service, domainName(i/2)); err != nil {
 			return nil, err
 		}
 	}
 	for i := range size.Gateways {
-		g, err := s.newGateway(i)
+		g, err := d.newGateway(i)
 		if err != nil {
 			return nil, err
 		}
-		s.gateways = append(s.gateways, g)
+		d.gateways = append(d.gateways, g)
 	}
-	return s, s.writeSettings()
+	return d, d.writeSettings()
 }
 
 func domainName(i int) string { return string(rune('a' + i%domains)) }
 
 const (
-	// addedRoutes is the number of routes that each version has more than the one before
+	// routesPerVersion is the number of routes that each version has more than the one before
 	// it, some 200 KB: news between gateways are differences and pieces.
-	addedRoutes = 1400
-	// mostVersions with added routes keep a configuration below the megabyte that the
+	routesPerVersion = 1400
+	// maxGrowingVersions with added routes keep a configuration below the megabyte that the
 	// platform's store takes.
-	mostVersions = 4
+	maxGrowingVersions = 4
 )
 
 // addRoutes adds the routes of all versions up to the given one. The same version has the
 // same routes in each run.
-func addRoutes(routes map[string]platform.RouteBody, like platform.RouteBody, version uint64) {
+func addRoutes(routes map[string]platform.RouteBody, template platform.RouteBody, version uint64) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	for range addedRoutes * min(version, mostVersions) {
+	for range routesPerVersion * min(version, maxGrowingVersions) {
 		name := fmt.Sprintf("r-%x", rng.Uint64())
-		like.Path = "/" + name + "/"
-		routes[name] = like
+		template.Path = "/" + name + "/"
+		routes[name] = template
 	}
 }
 
-// configured returns the version that the operator has written last.
-func (s *site) configured() uint64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.version
+// configurationVersion returns the version that the operator has written last.
+func (d *deployment) configurationVersion() uint64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.version
 }
 
-// configure writes the next version of the configuration.
-func (s *site) configure() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.version++
+// writeConfiguration writes the next version of the configuration.
+func (d *deployment) writeConfiguration() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.version++
 	route := func(path, kind, service string, priority int) platform.RouteBody {
 		return platform.RouteBody{
 			Host: host, Path: path, Kind: kind, Timeout: 2, TargetLatency: 1, Priority: priority,
@@ -153,37 +153,37 @@
 	}
 	routes := map[string]platform.RouteBody{
 		"status": route("/status/", "safe", keyedService, 2),
-		"pay":    route("/pay/", "unsafe", otherService, 0),
+		"pay":    route("/pay/", "unsafe", unkeyedService, 0),
 	}
-	addRoutes(routes, route("", "safe", otherService, 2), s.version)
-	s.store.Put(platform.ConfigKind, platform.ConfigName, platform.ConfigBody{
-		Version: s.version,
+	addRoutes(routes, route("", "safe", unkeyedService, 2), d.version)
+	d.store.Put(platform.ConfigKind, platform.ConfigName, platform.ConfigBody{
+		Version: d.version,
 		Routes:  routes,
 		Services: map[string]platform.ServiceBody{
-			keyedService: {MaxConns: 1000, Keyed: true, WarmUp: 1}, otherService: {MaxConns: 1000},
+			keyedService: {MaxConns: 1000, Keyed: true, WarmUp: 1}, unkeyedService: {MaxConns: 1000},
 		},
 		Limits: platform.LimitsBody{MaxHeader: 16384, MaxBody: 100000, HeaderTimeout: 3, IdleTimeout: 15},
 	})
 }
 
 // addUpstream starts an upstream with an ID of its own.
-func (s *site) addUpstream(service, domain string) error {
-	s.mu.Lock()
-	s.started++
-	id := fmt.Sprintf("i-%s-%d", service, s.started)
-	s.mu.Unlock()
-	u, err := s.startUpstream(id, service, domain)
+func (d *deployment) addUpstream(service, domain string) error {
+	d.mu.Lock()
+	d.upstreamsStarted++
+	id := fmt.Sprintf("i-%s-%d", service, d.upstreamsStarted)
+	d.mu.Unlock()
+	u, err := d.startUpstream(id, service, domain)
 	if err != nil {
 		return err
 	}
-	s.mu.Lock()
-	s.upstreams = append(s.upstreams, u)
-	s.mu.Unlock()
+	d.mu.Lock()
+	d.upstreams = append(d.upstreams, u)
+	d.mu.Unlock()
 	return nil
 }
 
 // startUpstream starts the process of an upstream behind a relay and registers it.
-func (s *site) startUpstream(id, service, domain string) (*upstream, error) {
+func (d *deployment) startUpstream(id, service, domain string) (*upstream, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -193,96 +193,96 @@
 		return nil, err
 	}
 	u := &upstream{
-		Instance: instance.New(id, service == keyedService, work, s.oracle),
-		service:  service, domain: domain, relay: r, born: time.Now(),
+		Instance: instance.New(id, service == keyedService, requestDuration, d.oracle),
+		service:  service, domain: domain, relay: r, startTime: time.Now(),
 	}
-	s.arm(u)
-	s.mu.Lock()
-	s.ever = append(s.ever, u)
-	s.mu.Unlock()
+	d.setCrashHandler(u)
+	d.mu.Lock()
+	d.allUpstreams = append(d.allUpstreams, u)
+	d.mu.Unlock()
 	u.server = &http.Server{Handler: u.Instance}
 	// The server ends with the process or with close; its error says no more.
 	go func() { _ = u.server.Serve(l) }()
-	s.register(u, "ready")
+	d.register(u, "ready")
 	return u, nil
 }
 
-// restart ends the process of an upstream and starts it again under its ID after a time, at
+// restartUpstream ends the process of an upstream and starts it again under its ID after a time, at
 // another address. One that is being replaced or restarted is left alone.
-func (s *site) restart(u *upstream, dark time.Duration) error {
+func (d *deployment) restartUpstream(u *upstream, downtime time.Duration) error {
 	if !u.changing.CompareAndSwap(false, true) {
 		return nil
 	}
-	return s.startAgain(u, dark)
+	return d.restartClaimed(u, downtime)
 }
 
-// startAgain is restart for an upstream that nobody else replaces or restarts.
-func (s *site) startAgain(u *upstream, dark time.Duration) error {
+// restartClaimed is restart for an upstream that nobody else replaces or restarts.
+func (d *deployment) restartClaimed(u *upstream, downtime time.Duration) error {
 	u.relay.Close()
 	err := u.server.Close()
 	u.End()
-	time.Sleep(dark)
-	next, startErr := s.startUpstream(u.ID, u.service, u.domain)
+	time.Sleep(downtime)
+	next, startErr := d.startUpstream(u.ID, u.service, u.domain)
 	if startErr != nil {
 		return errors.Join(err, startErr)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if i := slices.Index(s.upstreams, u); i >= 0 {
-		s.upstreams[i] = next
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if i := slices.Index(d.upstreams, u); i >= 0 {
+		d.upstreams[i] = next
 	}
 	return err
 }
 
-func (s *site) register(u *upstream, state string) {
+func (d *deployment) register(u *upstream, state string) {
 	var body platform.InstanceBody
-	body.Address, body.StartedMs = u.relay.Addr(), uint64(u.born.UnixMilli())
+	body.Address, body.StartedMs = u.relay.Addr(), uint64(u.startTime.UnixMilli())
 	body.Info.Service, body.Info.Zone, body.Info.Slots = u.service, u.domain, slots
 	body.Status.State = state
-	s.store.Put(platform.InstancesKind, u.ID, body)
+	d.store.Put(platform.InstancesKind, u.ID, body)
 }
 
 // upstreamAt picks one of the upstreams.
-func (s *site) upstreamAt(n int) *upstream {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.upstreams[n%len(s.upstreams)]
+func (d *deployment) upstreamAt(n int) *upstream {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.upstreams[n%len(d.upstreams)]
 }
 
-// replace lets an upstream leave as the platform's do, and starts another. Its answers tell that it
+// replaceUpstream lets an upstream leave as the platform'd do, and starts another. Its answers tell that it
 // leaves; announce tells it elsewhere.
-func (s *site) replace(u *upstream, announce func()) error {
+func (d *deployment) replaceUpstream(u *upstream, announce func()) error {
 	if !u.changing.CompareAndSwap(false, true) {
 		return nil
 	}
 	u.Leave()
 	announce()
-	time.Sleep(leaveTime)
-	s.store.Remove(platform.InstancesKind, u.ID)
-	s.mu.Lock()
-	for i, one := range s.upstreams {
-		if one == u {
-			s.upstreams = append(s.upstreams[:i:i], s.upstreams[i+1:]...)
+	time.Sleep(leaveDuration)
+	d.store.Remove(platform.InstancesKind, u.ID)
+	d.mu.Lock()
+	for i, other := range d.upstreams {
+		if other == u {
+			d.upstreams = append(d.upstreams[:i:i], d.upstreams[i+1:]...)
 			break
 		}
 	}
-	s.mu.Unlock()
-	if err := s.addUpstream(u.service, u.domain); err != nil {
+	d.mu.Unlock()
+	if err := d.addUpstream(u.service, u.domain); err != nil {
 		return err
 	}
-	time.Sleep(leaveTime)
+	time.Sleep(leaveDuration)
 	u.relay.Close()
 	u.End()
 	return u.server.Close()
 }
 
-// leaveTime is how long an upstream serves on after it has said that it leaves.
-const leaveTime = 2500 * time.Millisecond
+// leaveDuration is how long an upstream serves on after it has said that it leaves.
+const leaveDuration = 2500 * time.Millisecond
 
 // newGateway opens the relay of a gateway to the store and finds ports for it.
-func (s *site) newGateway(number int) (*gateway, error) {
+func (d *deployment) newGateway(number int) (*gateway, error) {
 	name, domain, ip := fmt.Sprintf("g%d", number), domainName(number), gatewayIP(number)
-	door := s.store.Door(name)
+	door := d.store.Door(name)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -293,7 +293,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &gateway{name: name, dir: s.dir, domain: domain, door: door, relay: r}
+	g := &gateway{name: name, dir: d.dir, domain: domain, door: door, relay: r}
 	addresses, err := freeAddresses(ip, 4)
 	if err != nil {
 		return nil, err
@@ -328,28 +328,28 @@
 }
 
 // writeSettings writes the settings file of each gateway.
-func (s *site) writeSettings() error {
+func (d *deployment) writeSettings() error {
 	var errs []error
 	var seeds []jsonc.Addr
-	for _, g := range s.gateways[:min(domains, len(s.gateways))] {
-		seeds = append(seeds, address(g.peers))
+	for _, g := range d.gateways[:min(domains, len(d.gateways))] {
+		seeds = append(seeds, parseAddress(g.peers))
 	}
-	for _, g := range s.gateways {
+	for _, g := range d.gateways {
 		conf := settings.DefaultGateway()
 		conf.Node, conf.Domain, conf.Seeds = g.name, g.domain, seeds
-		conf.Callers, conf.Ready, conf.Peers, conf.Metrics = address(g.callers), address(g.ready), address(g.peers), address(g.metrics)
-		conf.Store = address(g.relay.Addr())
+		conf.Callers, conf.Ready, conf.Peers, conf.Metrics = parseAddress(g.callers), parseAddress(g.ready), parseAddress(g.peers), parseAddress(g.metrics)
+		conf.Store = parseAddress(g.relay.Addr())
 		conf.DrainNotice, conf.StopLimit = jsonc.Duration(drainNotice), jsonc.Duration(stopLimit)
-		conf.UpstreamDrainTimeout, conf.MaxGrantDuration = jsonc.Duration(upstreamDrain), jsonc.Duration(longestHold)
+		conf.UpstreamDrainTimeout, conf.MaxGrantDuration = jsonc.Duration(upstreamDrain), jsonc.Duration(maxGrantDuration)
 		conf.RetryShare, conf.RetryAllowance, conf.RetryWindow = retryShare, retryAllowance, jsonc.Duration(retryWindow)
 		conf.MemoryMB = gatewayMemory
 		data, err := json.MarshalIndent(conf, "", "  ")
 		if err != nil {
 			return err
 		}
-		errs = append(errs, os.WriteFile(filepath.Join(s.dir, g.name+".json"), data, 0o600))
+		errs = append(errs, os.WriteFile(filepath.Join(d.dir, g.name+".json"), data, 0o600))
 	}
 	return errors.Join(errs...)
 }
 
-func address(text string) jsonc.Addr { return jsonc.Addr{AddrPort: netip.MustParseAddrPort(text)} }
+func parseAddress(text string) jsonc.Addr { return jsonc.Addr{AddrPort: netip.MustParseAddrPort(text)} }
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -12,25 +12,25 @@
 	"github.com/rockcroft/rockcroft/standin/instance"
 )
 
-func TestPlanIsThatOfItsSeed(t *testing.T) {
+func TestPlanIsDeterministicForItsSeed(t *testing.T) {
 	if diff := cmp.Diff(NewPlan(7, 50), NewPlan(7, 50)); diff != "" {
 		t.Error(diff)
 	}
 	seen := make(map[Kind]bool)
 	for _, step := range NewPlan(7, 500).Steps {
 		seen[step.Kind] = true
-		if step.After >= longestGap || step.For >= longestFault {
+		if step.Delay >= maxDelay || step.Duration >= maxFaultDuration {
 			t.Errorf("step %+v", step)
 		}
 	}
-	for _, k := range append([]Kind{Restart, Evacuate, Rest, Depart}, kinds...) {
+	for _, k := range append([]Kind{Restart, Evacuate, Rest, LeaveByAnswers}, weightedKinds...) {
 		if !seen[k] {
 			t.Errorf("%s never comes", k)
 		}
 	}
 }
 
-func TestSizesAreRefusedBeforeAnythingStarts(t *testing.T) {
+func TestInvalidSizesAreRejectedBeforeAnyFileIsWritten(t *testing.T) {
 	good := Size{Gateways: 5, Upstreams: 8, Steps: 20}
 	if err := good.Check(4096); err != nil {
 		t.Error(err)
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestWatcherSeesBrokenPromises: what must not happen is noticed when it does.
-func TestWatcherSeesBrokenPromises(t *testing.T) {
+// TestMonitorReportsViolations: what must not happen is noticed when it does.
+func TestMonitorReportsViolations(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
 		body   string
@@ -73,10 +73,10 @@
 		"an error of its own":   {404, "", false, 1},
 		"unknown outcome":       {502, "", true, 0},
 	} {
-		w := newWatcher(&site{oracle: oracleWith(c.run)})
-		w.check("r", true, c.status, c.body)
-		if len(w.violations) != c.want {
-			t.Errorf("%s: %v", name, w.violations)
+		m := newMonitor(&deployment{oracle: oracleWith(c.run)})
+		m.checkAnswer("r", true, c.status, c.body)
+		if len(m.violations) != c.want {
+			t.Errorf("%s: %v", name, m.violations)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 
 func TestPage(t *testing.T) {
 	dir := t.TempDir()
-	r := &Report{Seed: 7, Size: Size{Gateways: 5}, Events: []Event{{At: time.Second, What: "kill"}},
+	r := &Report{Seed: 7, Size: Size{Gateways: 5}, Events: []Event{{At: time.Second, Description: "kill"}},
 		Violations: []string{"two owners"}, Seconds: []map[outcome]int{{served: 10}, {served: 8, refused: 2}}}
 	run := filepath.Join(dir, "7")
 	if err := os.Mkdir(run, 0o700); err != nil {
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestAddressesDiffer: a gateway's four addresses are four. (The kernel gave a port out
+// TestFreeAddressesAreDistinct: a gateway's four addresses are four. (The kernel gave a port out
 // twice, and one of some hundred runs did not start.)
-func TestAddressesDiffer(t *testing.T) {
+func TestFreeAddressesAreDistinct(t *testing.T) {
 	for range 2000 {
 		list, err := freeAddresses("127.0.0.1", 4)
 		if err != nil {
