--- a/bench/load/balancer.go
+++ b/bench/load/balancer.go
@@ -9,14 +9,15 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// Times of the balancer's readiness checks.
+// Interval and timeout of the readiness checks.
 const (
 	readyInterval = 250 * time.Millisecond
 	readyTimeout  = 500 * time.Millisecond
 )
 
-// balancer hands out entries in turn and passes over those that are not ready,
-// as the platform's balancer does. It learns of changes late.
+// balancer selects entries round-robin and skips those that are not ready, as
+// the platform's load balancer does. It notices a change only with the next
+// readiness check.
 type balancer struct {
 	entries  []jsonc.Addr
 	admin    []jsonc.Addr
@@ -34,7 +35,7 @@
 	}
 }
 
-// run checks all entries until ctx ends.
+// run starts readiness checks of all entries, which go on until ctx ends.
 func (b *balancer) run(ctx context.Context) {
 	for i := range b.admin {
 		go func() {
@@ -55,6 +56,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
+// pick returns the next ready entry, or the next entry if none is ready.
 func (b *balancer) pick() jsonc.Addr {
 	start := int(b.next.Add(1))
 	for i := range b.entries {
--- a/bench/load/outcome.go
+++ b/bench/load/outcome.go
@@ -7,10 +7,10 @@
 	"os"
 )
 
-// Outcome is what a caller was told about one try of a request.
+// Outcome records what a caller learned about one attempt of a request.
 type Outcome struct {
-	// Due is when the request should have been sent, Start and End bound the
-	// try; all are wall clock readings in nanoseconds.
+	// Due is when the request was scheduled to be sent; Start and End delimit
+	// the attempt. All are wall-clock times in nanoseconds since the Unix epoch.
 	Due   int64 `json:"due"`
 	Start int64 `json:"start"`
 	End   int64 `json:"end"`
@@ -20,47 +20,47 @@
 	RequestID  string `json:"request_id"`
 	Attempt    int    `json:"try"`
 	Idempotent bool   `json:"idempotent"`
-	// Status is the HTTP status; zero when no answer came.
+	// Status is the HTTP status code, or zero if there was no response.
 	Status int `json:"status"`
-	// Kind is the error kind, "" for an upstream's own answer, "no_answer"
-	// when the connection gave none.
+	// Kind is the error kind: empty for an upstream's own response, "no_answer"
+	// if the connection ended without a usable response.
 	Kind string `json:"kind,omitempty"`
 	Ran  string `json:"ran,omitempty"`
-	// Owner, AnswerKey, AnswerID and Epoch are read from the answer.
+	// Owner, AnswerKey, AnswerID and Epoch are taken from the response.
 	Owner     string `json:"owner,omitempty"`
 	AnswerKey string `json:"answer_key,omitempty"`
 	AnswerID  string `json:"answer_id,omitempty"`
 	Epoch     uint64 `json:"epoch,omitempty"`
 }
 
-// OK reports whether the upstream answered the request.
+// OK reports whether the upstream served the request successfully.
 func (o Outcome) OK() bool { return o.Status == 200 && o.Kind == "" }
 
-// Save writes outcomes to a file, one a line.
+// Save writes the outcomes to a file as JSON lines.
 func Save(path string, outcomes []Outcome) error {
 	f, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("outcomes: %w", err)
+		return fmt.Errorf("writing outcomes: %w", err)
 	}
 	w := bufio.NewWriter(f)
 	enc := json.NewEncoder(w)
 	for _, o := range outcomes {
 		if err := enc.Encode(o); err != nil {
-			return fmt.Errorf("outcomes: %w", err)
+			return fmt.Errorf("writing outcomes: %w", err)
 		}
 	}
 	if err := w.Flush(); err != nil {
-		return fmt.Errorf("outcomes: %w", err)
+		return fmt.Errorf("writing outcomes: %w", err)
 	}
 	return f.Close()
 }
 
-// ReadLines reads a file of JSON lines. A last line that was cut off by the
-// end of its writer is left out.
+// ReadLines reads a file of JSON lines. It stops without an error at a line that
+// does not decode: the last line is incomplete if its writer was killed.
 func ReadLines[T any](path string) ([]T, error) {
 	f, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("read: %w", err)
+		return nil, fmt.Errorf("reading JSON lines: %w", err)
 	}
 	defer func() { _ = f.Close() }()
 	var out []T
--- a/bench/load/run.go
+++ b/bench/load/run.go
@@ -18,23 +18,24 @@
 	"github.com/rockcroft/rockcroft/protocol/header"
 )
 
-// Result is what a run recorded.
+// Result holds the outcomes of a run.
 type Result struct {
 	Outcomes []Outcome
-	// NotOffered counts requests left out because too many had no answer.
+	// NotOffered counts scheduled requests that were not sent because
+	// Settings.MaxOutstanding requests were still unanswered.
 	NotOffered int64
 }
 
-// noAnswer is the kind of an outcome without an answer.
+// noAnswer is the Kind of an outcome without a usable response.
 const noAnswer = "no_answer"
 
-// minRetryDelay is the least pause before a caller asks again.
+// minRetryDelay is the minimum delay before a caller retries a request.
 const minRetryDelay = 100 * time.Millisecond
 
-// maxAnswerBytes bounds the answer read, in bytes.
+// maxAnswerBytes limits how much of a response body is read.
 const maxAnswerBytes = 1 << 20
 
-// runner is one run in progress.
+// runner holds the state of a run in progress.
 type runner struct {
 	conf        Settings
 	client      *http.Client
@@ -49,8 +50,8 @@
 	outcomes []Outcome
 }
 
-// Run sends the load until the duration is over or ctx ends, and waits for all
-// answers.
+// Run generates load until the configured duration has passed or ctx ends, and
+// then waits until every request that was sent has completed.
 func Run(ctx context.Context, conf Settings) Result {
 	r := &runner{
 		conf: conf,
@@ -78,8 +79,8 @@
 	return Result{Outcomes: r.outcomes, NotOffered: r.notOffered.Load()}
 }
 
-// generate sends the requests of one service at random times with the wanted
-// mean rate.
+// generate sends the requests of one service with exponentially distributed
+// intervals, at the configured mean rate.
 func (r *runner) generate(ctx context.Context, s Service, rng *rand.Rand) {
 	zipf := rand.NewZipf(rng, s.Zipf, 1, s.Keys-1)
 	due := time.Now()
@@ -109,8 +110,8 @@
 	}
 }
 
-// key maps a rank to a key. With a hot shift, the ranks move over the keys as
-// time passes.
+// key returns the key with the given popularity rank. With HotShift set, the
+// mapping from ranks to keys changes at that interval, so other keys become hot.
 func (r *runner) key(rank uint64, s Service, due time.Time) string {
 	if shift := r.conf.HotShift.D(); shift > 0 {
 		const stride = 7919
@@ -119,6 +120,7 @@
 	return s.Name + "-key-" + strconv.FormatUint(rank, 10)
 }
 
+// sleepUntil waits until the given time and reports whether it came before ctx ended.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	wait := time.Until(at)
 	if wait <= 0 {
@@ -134,7 +136,8 @@
 	}
 }
 
-// ask sends one request, and again while the answers allow it.
+// send sends one request and retries it while the responses allow that, at most
+// MaxRetries times.
 func (r *runner) send(s Service, o Outcome) {
 	repeatEpoch := uint64(0)
 	for attempt := 1; ; attempt++ {
@@ -153,7 +156,8 @@
 	}
 }
 
-// attempt sends one attempt. It reports whether the caller may ask again, and when.
+// sendAttempt sends one attempt of a request. It returns its outcome, whether the
+// caller may retry, and after which delay.
 func (r *runner) sendAttempt(s Service, o Outcome, repeatEpoch uint64) (Outcome, bool, time.Duration) {
 	entry := r.balancer.pick()
 	method := http.MethodPost
@@ -180,7 +184,8 @@
 	o.Start = time.Now().UnixNano()
 	resp, err := r.client.Do(req)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		// The balancer tries another entry when none listens.
+		// A refused connection means that no process listens there: as a load
+		// balancer does, try another entry at once.
 		req.URL.Host = r.balancer.pick().String()
 		resp, err = r.client.Do(req)
 	}
@@ -194,14 +199,15 @@
 	return readAnswer(o, resp)
 }
 
-// body is what stand-in upstreams and entries answer.
+// answerBody is the part of the response body that stand-in upstreams and entries have
+// in common.
 type answerBody struct {
 	Key       string `json:"key"`
 	RequestID string `json:"request_id"`
 	Epoch     uint64 `json:"epoch"`
 }
 
-// ParseOutcome fills in what an answer told its caller.
+// ParseOutcome returns the outcome with the fields filled in that come from the response.
 func ParseOutcome(o Outcome, status int, h http.Header, data []byte) Outcome {
 	o.Status = status
 	o.Kind = h.Get(header.Kind)
@@ -220,7 +226,8 @@
 	return o
 }
 
-// read takes the answer and decides whether the caller may ask again, and when.
+// readAnswer reads the response. It returns the outcome, whether the caller may retry,
+// and after which delay.
 func readAnswer(o Outcome, resp *http.Response) (Outcome, bool, time.Duration) {
 	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	o = ParseOutcome(o, resp.StatusCode, resp.Header, data)
@@ -232,7 +239,8 @@
 		return o, o.Idempotent, minRetryDelay
 	}
 	retryAfter, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
-	// An answer of unknown outcome may be repeated with the epoch it names.
+	// If it is unknown whether the request ran, it may be repeated only together
+	// with the epoch that the response names.
 	retry := answer.Kind(o.Kind).Row().Again || o.Ran == string(answer.Unknown) && o.Epoch != 0
 	return o, retry, max(time.Duration(retryAfter)*time.Second, minRetryDelay)
 }
