--- a/bench/rockload/cluster.go
+++ b/bench/rockload/cluster.go
@@ -22,10 +22,10 @@
 	"github.com/rockcroft/rockcroft/state/intent"
 )
 
-// pollInterval is the time between looks at something awaited.
+// pollInterval is the interval at which await checks its condition.
 const pollInterval = 50 * time.Millisecond
 
-// cluster is a running deployment.
+// cluster gives access to a running deployment.
 type cluster struct {
 	dir        string
 	deployment deploy.Map
@@ -44,7 +44,8 @@
 	return operatorpb.NewOperatorProtobufClient("http://"+c.deployment.Entries[entry].Admin.String(), c.http)
 }
 
-// await polls until f returns nil, or returns its last error at the limit.
+// await calls f repeatedly until it returns nil. After the limit it returns f's last
+// error.
 func await(ctx context.Context, limit time.Duration, f func() error) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -69,12 +70,12 @@
 	_, _ = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s answered %d", url, resp.StatusCode)
+		return fmt.Errorf("%s returned HTTP status %d", url, resp.StatusCode)
 	}
 	return nil
 }
 
-// waitReady waits until every process answers.
+// waitReady waits until every process of the deployment reports that it is ready.
 func (c *cluster) waitReady(ctx context.Context) error {
 	data, err := os.ReadFile(filepath.Join(c.dir, "processes"))
 	if err != nil {
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// createServices states and confirms the intents that bring all services, once
-// every cell has all its entries.
+// createServices waits until all entries are voters, creates and confirms the
+// intents that create the services, and waits until every service is fully owned.
 func (c *cluster) createServices(ctx context.Context) error {
 	if err := await(ctx, 20*time.Second, func() error { return c.checkAllVoting(ctx) }); err != nil {
 		return err
@@ -114,7 +115,7 @@
 	return await(ctx, 20*time.Second, func() error { return c.checkAllOwned(ctx) })
 }
 
-// applyIntent creates an intent and confirms its plan.
+// applyIntent creates an intent from its encoded specification and confirms its plan.
 func (c *cluster) applyIntent(ctx context.Context, spec []byte) error {
 	resp, err := c.operator(0).CreateIntent(ctx, &operatorpb.CreateIntentRequest{Spec: spec, By: "rockload"})
 	if err != nil {
@@ -130,6 +131,7 @@
 	})
 }
 
+// applySpec encodes the specification of an intent and applies it.
 func (c *cluster) applySpec(ctx context.Context, spec intent.Spec) error {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -138,6 +140,7 @@
 	return c.applyIntent(ctx, data)
 }
 
+// status returns the status from the first entry that answers.
 func (c *cluster) status(ctx context.Context) (*operatorpb.StatusResponse, error) {
 	var errs []error
 	for i := range c.deployment.Entries {
@@ -150,7 +153,7 @@
 	return nil, errors.Join(errs...)
 }
 
-// checkAllVoting reports an error until every entry is a voter of its cell.
+// checkAllVoting returns an error unless every entry is a voter of its cell.
 func (c *cluster) checkAllVoting(ctx context.Context) error {
 	s, err := c.status(ctx)
 	if err != nil {
@@ -161,12 +164,12 @@
 		voters += len(cell.Members)
 	}
 	if voters < len(c.deployment.Entries) {
-		return fmt.Errorf("%d of %d entries vote", voters, len(c.deployment.Entries))
+		return fmt.Errorf("%d of %d entries are voters", voters, len(c.deployment.Entries))
 	}
 	return nil
 }
 
-// checkAllOwned reports an error until the hash space of every service is owned.
+// checkAllOwned returns an error unless the whole hash space of every service is owned.
 func (c *cluster) checkAllOwned(ctx context.Context) error {
 	s, err := c.status(ctx)
 	if err != nil {
@@ -180,13 +183,13 @@
 	}
 	for _, u := range c.deployment.Upstreams {
 		if share[u.Service] < 0.9999 {
-			return fmt.Errorf("%.4f of service %s is owned", share[u.Service], u.Service)
+			return fmt.Errorf("only %.4f of the hash space of service %s is owned", share[u.Service], u.Service)
 		}
 	}
 	return nil
 }
 
-// pid returns the process id that the scripts noted for a process.
+// pid returns the ID of a process, from the file to which the scripts wrote it.
 func (c *cluster) pid(name string) (int, error) {
 	data, err := os.ReadFile(filepath.Join(c.dir, name+".pid"))
 	if err != nil {
@@ -195,7 +198,7 @@
 	return strconv.Atoi(strings.TrimSpace(string(data)))
 }
 
-// signal sends a signal to a process that the scripts started.
+// signal sends a signal to a process of the deployment.
 func (c *cluster) signal(name string, sig syscall.Signal) error {
 	pid, err := c.pid(name)
 	if err != nil {
@@ -204,17 +207,18 @@
 	return syscall.Kill(pid, sig)
 }
 
-// restart asks the script that runs the deployment to start a process again.
+// restart creates the file on which the script that runs the deployment starts a
+// process again.
 func (c *cluster) restart(name string) error {
 	return os.WriteFile(filepath.Join(c.dir, name+".start"), nil, 0o644)
 }
 
-// platformFaults changes the failures of the stand-in platform.
+// platformFaults sets the faults that the stand-in platform simulates.
 func (c *cluster) platformFaults(f platform.Faults) error {
 	return c.putJSON(c.deployment.Platform.String()+"/faults", f)
 }
 
-// upstreamFaults changes the failures of a stand-in upstream.
+// upstreamFaults sets the faults that a stand-in upstream simulates.
 func (c *cluster) upstreamFaults(name string, f upstream.Faults) error {
 	for _, u := range c.deployment.Upstreams {
 		if u.Name == name {
@@ -244,7 +248,7 @@
 	return nil
 }
 
-// metrics reads the counters of an entry.
+// metrics returns the metrics of an entry, by metric name and field.
 func (c *cluster) metrics(entry int) (map[string]map[string]float64, error) {
 	resp, err := c.http.Get("http://" + c.deployment.Entries[entry].Admin.String() + "/metrics")
 	if err != nil {
--- a/bench/rockload/command.go
+++ b/bench/rockload/command.go
@@ -1,4 +1,5 @@
-// Package rockload is the command line of the load and experiment tool.
+// Package rockload implements the rockload command, which sets up deployments, generates
+// load on them and runs experiments.
 package rockload
 
 import (
@@ -13,12 +14,12 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// Command returns the root command.
+// Command returns the root command, which prints its results to out.
 func Command(out io.Writer) *cobra.Command {
 	var settings string
 	root := &cobra.Command{
 		Use:           "rockload",
-		Short:         "Drive and measure a deployment",
+		Short:         "Generate load on a deployment and measure it",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -35,7 +36,7 @@
 			return Summarize(result).Print(out)
 		},
 	}
-	root.Flags().StringVar(&settings, "settings", "", "settings file of one load, JSON with comments")
+	root.Flags().StringVar(&settings, "settings", "", "settings file of a load run, JSON with comments")
 	root.AddCommand(deployCommand(out), waitCommand(out), createCommand(out), experimentCommand(out), listCommand(out), lab.Command(out))
 	return root
 }
@@ -44,7 +45,7 @@
 	var shape, dir string
 	cmd := &cobra.Command{
 		Use:   "deploy",
-		Short: "Write the settings of a deployment",
+		Short: "Write the settings files of a deployment",
 		RunE: func(*cobra.Command, []string) error {
 			s, err := deploy.Find(shape)
 			if err != nil {
@@ -58,7 +59,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&shape, "shape", "demo", "demo, addis or merrimack")
-	cmd.Flags().StringVar(&dir, "dir", "", "folder for the settings")
+	cmd.Flags().StringVar(&dir, "dir", "", "directory for the settings files")
 	_ = cmd.MarkFlagRequired("dir")
 	return cmd
 }
--- a/bench/rockload/experiment.go
+++ b/bench/rockload/experiment.go
@@ -22,19 +22,19 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// action is something done to the deployment during a run.
+// action is an operation on the deployment at a given time of a run.
 type action struct {
 	at    time.Duration
 	label string
 	do    func(ctx context.Context, c *cluster) error
 }
 
-// experiment is a named load with actions.
+// experiment is a named load profile with the actions to run during it.
 type experiment struct {
 	name        string
 	description string
 	duration    time.Duration
-	// ratio is the offered load over the capacity of the slots.
+	// loadRatio is the offered load divided by the capacity of the upstreams' slots.
 	loadRatio  float64
 	zipf       float64
 	writeShare float64
@@ -43,6 +43,8 @@
 	actions    []action
 }
 
+// upstreamName returns the name of the upstream with the given index, modulo their
+// number.
 func upstreamName(c *cluster, i int) string {
 	return c.deployment.Upstreams[i%len(c.deployment.Upstreams)].Name
 }
@@ -85,7 +87,7 @@
 	}
 }
 
-// moveHottestKeys moves the hottest keys of the first service to one upstream.
+// moveHottestKeys moves the four hottest keys of the first service to one upstream.
 func moveHottestKeys(i int) func(context.Context, *cluster) error {
 	return func(ctx context.Context, c *cluster) error {
 		var errs []error
@@ -201,13 +203,14 @@
 		}
 		names = append(names, e.name)
 	}
-	return experiment{}, fmt.Errorf("no experiment %q; there are %s", name, strings.Join(names, ", "))
+	return experiment{}, fmt.Errorf("unknown experiment %q; known experiments: %s", name, strings.Join(names, ", "))
 }
 
-// callerTimeout is how long the experiments' callers wait: some ten times the longest run.
+// callerTimeout is the request timeout of the experiments' callers. It is about ten times
+// the longest time that a stand-in upstream takes for a request.
 const callerTimeout = 2 * time.Second
 
-// serviceLoads divides the wanted load among services by their capacity.
+// serviceLoads returns the load of each service, in proportion to its capacity.
 func serviceLoads(shape deploy.Shape, e experiment) []load.Service {
 	var out []load.Service
 	for _, s := range shape.Services {
@@ -237,7 +240,7 @@
 }
 
 func waitCommand(io.Writer) *cobra.Command {
-	return dirCommand("wait", "Wait until every process of a deployment answers",
+	return dirCommand("wait", "Wait until every process of a deployment is ready",
 		func(ctx context.Context, c *cluster) error { return c.waitReady(ctx) })
 }
 
@@ -246,6 +249,7 @@
 		func(ctx context.Context, c *cluster) error { return c.createServices(ctx) })
 }
 
+// dirCommand returns a command that runs a function on the deployment in --dir.
 func dirCommand(use, short string, run func(context.Context, *cluster) error) *cobra.Command {
 	var dir string
 	cmd := &cobra.Command{
@@ -259,22 +263,22 @@
 			return run(cmd.Context(), c)
 		},
 	}
-	cmd.Flags().StringVar(&dir, "dir", "", "folder of the deployment")
+	cmd.Flags().StringVar(&dir, "dir", "", "directory of the deployment")
 	_ = cmd.MarkFlagRequired("dir")
 	return cmd
 }
 
-// ownershipCheckLimit bounds the check of what callers saw.
+// ownershipCheckLimit limits the time that the ownership check of the outcomes may take.
 const ownershipCheckLimit = 30 * time.Second
 
-// errViolations makes the command fail when a promise was broken.
-var errViolations = errors.New("promises were broken")
+// errViolations makes the command fail if the run violated a guarantee.
+var errViolations = errors.New("the run violated guarantees")
 
 func experimentCommand(out io.Writer) *cobra.Command {
 	var dir, name string
 	cmd := &cobra.Command{
 		Use:   "experiment",
-		Short: "Run an experiment on a running deployment and print what it showed",
+		Short: "Run an experiment on a running deployment and print its report",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			e, err := findExperiment(name)
 			if err != nil {
@@ -297,13 +301,13 @@
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&dir, "dir", "", "folder of the deployment")
+	cmd.Flags().StringVar(&dir, "dir", "", "directory of the deployment")
 	cmd.Flags().StringVar(&name, "name", "demo", "name of the experiment")
 	_ = cmd.MarkFlagRequired("dir")
 	return cmd
 }
 
-// run drives one experiment to its end and gathers what it showed.
+// run runs one experiment to its end and collects its results.
 func (c *cluster) run(ctx context.Context, e experiment, out io.Writer) (*report, error) {
 	shape, err := deploy.Find(c.deployment.Shape)
 	if err != nil {
@@ -355,11 +359,13 @@
 	return r, nil
 }
 
+// runsSince returns the runs that began at the given time or later. It modifies the
+// slice.
 func runsSince(runs []upstream.Run, began time.Time) []upstream.Run {
 	return slices.DeleteFunc(runs, func(r upstream.Run) bool { return r.At < began.UnixNano() })
 }
 
-// runActions carries out the actions at their times.
+// runActions runs the actions of an experiment at their times and prints their results.
 func (c *cluster) runActions(ctx context.Context, e experiment, began time.Time, out io.Writer) {
 	for _, a := range e.actions {
 		select {
--- a/bench/rockload/report.go
+++ b/bench/rockload/report.go
@@ -16,13 +16,14 @@
 	"github.com/rockcroft/rockcroft/state/keyspace"
 )
 
-// imbalanceWindow is the time over which load is compared between upstreams.
+// imbalanceWindow is the length of the windows over which the load of the upstreams
+// is compared.
 const imbalanceWindow = 10 * time.Second
 
-// maxPrintedViolations bounds the violations printed.
+// maxPrintedViolations limits the number of violations that a report prints.
 const maxPrintedViolations = 10
 
-// report is what one experiment showed.
+// report holds the results of one experiment.
 type report struct {
 	experiment  experiment
 	began       time.Time
@@ -36,14 +37,16 @@
 	unavailable []unavailability
 }
 
-// unavailability is one kind of hand-over at one entry.
+// unavailability summarizes how long ranges had no owner during one kind of handover,
+// as measured by one entry.
 type unavailability struct {
 	name          string
 	count         int
 	p50, p99, max time.Duration
 }
 
-// upstreamShares samples the owner of a fixed set of points of each service.
+// upstreamShares returns a description of each upstream's ranges, share of the hash
+// space and state, by upstream ID. It asks the first entry that answers.
 func (c *cluster) upstreamShares(ctx context.Context) (map[string]string, error) {
 	out := make(map[string]string)
 	for i := range c.deployment.Entries {
@@ -58,10 +61,11 @@
 		}
 		return out, nil
 	}
-	return nil, fmt.Errorf("no entry answers")
+	return nil, fmt.Errorf("no entry answered the status request")
 }
 
-// unavailableTimes reads the times without an owner that the entries measured.
+// unavailableTimes returns the times without an owner that the entries measured for
+// planned and unplanned handovers.
 func (c *cluster) unavailableTimes() []unavailability {
 	var out []unavailability
 	for i := range c.deployment.Entries {
@@ -88,7 +92,7 @@
 
 func microseconds(v float64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-// window is the load of one stretch of time.
+// window holds the request counts of one time window, by name.
 type window struct {
 	counts  map[string]int
 	total   int
@@ -101,8 +105,8 @@
 	w.busiest = max(w.busiest, w.counts[name])
 }
 
-// countByWindow counts the runs of a service's upstreams by name in each window. The
-// last one is cut short and left out.
+// countByWindow counts the runs of the given upstreams by name in each time window. The
+// last window is incomplete and is left out.
 func countByWindow(runs []upstream.Run, upstreams map[string]bool, length time.Duration, name func(upstream.Run) string) []*window {
 	byTime := make(map[int64]*window)
 	var last int64
@@ -121,8 +125,8 @@
 	return slices.Collect(maps.Values(byTime))
 }
 
-// imbalances returns busiest over mean for each window, in rising order, when
-// requests are owned as the function says.
+// imbalances returns the load of the busiest upstream divided by the mean load, for each
+// window and in ascending order, if owner determines which upstream a request runs on.
 func imbalances(runs []upstream.Run, upstreams map[string]bool, length time.Duration, owner func(upstream.Run) string) []float64 {
 	var out []float64
 	for _, w := range countByWindow(runs, upstreams, length, owner) {
@@ -132,8 +136,9 @@
 	return out
 }
 
-// minImbalances returns what no placement can go below, as a key has one
-// owner: the share of the hottest key times the number of upstreams.
+// minImbalances returns a lower bound of the imbalance for each window, in ascending
+// order. As a key has only one owner, no placement can go below the share of the hottest
+// key times the number of upstreams.
 func minImbalances(runs []upstream.Run, upstreams map[string]bool, length time.Duration) []float64 {
 	var out []float64
 	for _, w := range countByWindow(runs, upstreams, length, func(r upstream.Run) string { return r.Key }) {
@@ -143,8 +148,9 @@
 	return out
 }
 
-// rendezvousOwner owns each key by the highest hash of key and upstream: the static
-// baseline.
+// rendezvousOwner returns a function that assigns each key to the upstream with the
+// highest hash of upstream and key (rendezvous hashing). It is the static baseline for
+// the imbalance.
 func rendezvousOwner(upstreams map[string]bool) func(upstream.Run) string {
 	names := slices.Sorted(maps.Keys(upstreams))
 	ownerByKey := make(map[string]string)
@@ -163,6 +169,7 @@
 	}
 }
 
+// quantile returns the p-quantile of sorted values, or zero if there are none.
 func quantile(sorted []float64, p float64) float64 {
 	if len(sorted) == 0 {
 		return 0
@@ -215,12 +222,13 @@
 	return t.Close()
 }
 
-// serviceUpstreams are the upstreams that ran requests of one service.
+// serviceUpstreams is the set of upstreams that ran requests of one service.
 type serviceUpstreams struct {
 	name      string
 	upstreams map[string]bool
 }
 
+// servicesOf groups the upstreams of the runs by service.
 func servicesOf(runs []upstream.Run) []serviceUpstreams {
 	var out []serviceUpstreams
 	for _, r := range runs {
@@ -235,7 +243,8 @@
 	return out
 }
 
-// serviceOf returns the service part of a stand-in's name, such as "status-3".
+// serviceOf returns the service in the name of a stand-in upstream: "status" for
+// "status-3".
 func serviceOf(upstreamName string) string {
 	for i := len(upstreamName) - 1; i > 0; i-- {
 		if upstreamName[i] == '-' {
--- a/bench/rockload/summary.go
+++ b/bench/rockload/summary.go
@@ -11,26 +11,27 @@
 	"github.com/rockcroft/rockcroft/process"
 )
 
-// Bounds of recorded latencies in microseconds, and their significantDigits.
+// Upper bound of recorded latencies in microseconds, and the number of significant
+// digits that the histogram keeps.
 const (
 	maxLatencyMicros  = 60_000_000
 	significantDigits = 3
 )
 
-// Summary is what a load run showed.
+// Summary holds the counts and latencies of a load run.
 type Summary struct {
 	Total      int
 	Answered   int
 	NotOffered int64
-	// Writes and WritesAnswered count requests that are not idempotent.
+	// Writes and WritesAnswered count the attempts of requests that are not idempotent.
 	Writes         int
 	WritesAnswered int
 	Kinds          map[string]int
 	latency        *hdrhistogram.Histogram
 }
 
-// Summarize counts outcomes by kind and records latencies from the time each
-// request was due.
+// Summarize counts the outcomes by kind. Latencies are measured from the time at which
+// each request was due, so they include the time that it waited to be sent.
 func Summarize(r load.Result) Summary {
 	s := Summary{
 		NotOffered: r.NotOffered,
@@ -55,7 +56,7 @@
 	return s
 }
 
-// Quantile returns the latency at a percentile.
+// Quantile returns the latency at the percentile p, from 0 to 100.
 func (s Summary) Quantile(p float64) time.Duration {
 	return time.Duration(s.latency.ValueAtQuantile(p)) * time.Microsecond
 }
