--- a/bench/soak/callers.go
+++ b/bench/soak/callers.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	// callerCount is the number of callers, each with request request at a time.
+	// callerCount is the number of callers. Each has one request in flight at a time.
 	callerCount = 12
-	// callerInterval is the time between the requests of one: some 200 a second in all.
+	// callerInterval is the pause of a caller between two requests. All callers together
+	// send up to about 200 requests per second.
 	callerInterval = 40 * time.Millisecond
-	// clientTimeout is how long a caller waits: the timeout of the routes, and as long
-	// again.
+	// clientTimeout is how long a caller waits for a response: twice the timeout of the
+	// routes.
 	clientTimeout = 4 * time.Second
-	// deadlineMs is what a caller says that it waits, in milliseconds.
+	// deadlineMs is the deadline that callers send with each request, in milliseconds.
 	deadlineMs = "2000"
 )
 
-// outcome is how a request ended for its caller.
+// outcome is the result of a request from its caller's point of view.
 type outcome string
 
-// The outcomes.
+// The outcomes that are counted.
 const (
 	served       outcome = "served"
 	refused      outcome = "refused"
@@ -39,7 +40,8 @@
 	noConnection outcome = "no connection"
 )
 
-// monitor checks what callers and upstreams see while the faults go on.
+// monitor sends requests while faults occur, and records outcomes and violations of what
+// the gateways guarantee to callers and upstreams.
 type monitor struct {
 	deployment *deployment
 	client     *http.Client
@@ -49,7 +51,7 @@
 	mu         sync.Mutex
 	violations []string
 	counts     map[int]map[outcome]int
-	// refusedIDs are requests that must never run.
+	// refusedIDs lists the requests that were refused as not run and must never run.
 	refusedIDs []string
 	versions   map[string]uint64
 	requests   *requestLog
@@ -79,8 +81,9 @@
 	m.counts[second][o]++
 }
 
-// runCaller sends requests until ctx ends. A caller goes on with the same connections until
-// the gateway closes them.
+// runCaller sends requests until ctx ends. A caller keeps using its connections until the
+// gateway closes them. It changes the gateway after every 8 requests, and every third
+// request is unsafe.
 func (m *monitor) runCaller(ctx context.Context, n int) {
 	for i := 0; ctx.Err() == nil; i++ {
 		g := pick(m.deployment.gateways, n+i/8)
@@ -89,7 +92,7 @@
 	}
 }
 
-// sendRequest sends request request and checks its answer.
+// sendRequest sends one request and checks its response.
 func (m *monitor) sendRequest(ctx context.Context, g *gateway, unsafe bool, key int) outcome {
 	id := fmt.Sprintf("r%d", m.next.Add(1))
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
@@ -127,8 +130,8 @@
 	return m.checkAnswer(id, unsafe, resp.StatusCode, string(data))
 }
 
-// checkUnanswered checks a request whose connection ended. One that has run is lost, unless
-// its gateway was killed, or the caller's own clientTimeout was over.
+// checkUnanswered checks a request whose connection ended without a response. It is a
+// violation if the request ran, unless its gateway was killed or clientTimeout had passed.
 func (m *monitor) checkUnanswered(ctx context.Context, g *gateway, id string, kills int, err error) outcome {
 	if ctx.Err() == nil && g.killCount() == kills && m.deployment.oracle.Runs(id) > 0 {
 		m.addViolation("request %s has run and %s closed its connection without an answer: %v", id, g.name, err)
@@ -136,7 +139,7 @@
 	return noConnection
 }
 
-// checkAnswer compares an answer with what the upstreams did.
+// checkAnswer compares a response with the runs that the upstreams recorded.
 func (m *monitor) checkAnswer(id string, unsafe bool, status int, body string) outcome {
 	runs := m.deployment.oracle.Runs(id)
 	switch {
@@ -161,7 +164,7 @@
 	return failed
 }
 
-// checkRefused looks at the end whether refused requests ran later.
+// checkRefused checks at the end of a run whether a refused request ran later.
 func (m *monitor) checkRefused() {
 	m.mu.Lock()
 	ids := m.refusedIDs
@@ -173,10 +176,12 @@
 	}
 }
 
-// versionPollInterval is the time between looks at the configuration in force.
+// versionPollInterval is the interval at which the configuration in force is read.
 const versionPollInterval = 300 * time.Millisecond
 
-// checkVersions checks that no process goes back to an older configuration.
+// checkVersions checks until ctx ends that no gateway process returns to an older
+// configuration. A version is compared only if the process was the same before and after
+// the read.
 func (m *monitor) checkVersions(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, g := range m.deployment.gateways {
@@ -195,7 +200,8 @@
 	}
 }
 
-// gatewayVersion reads the configuration in force from the gateway's metrics.
+// gatewayVersion returns the version of the configuration in force, read from the
+// gateway's metrics. ok is false if it cannot be read.
 func (m *monitor) gatewayVersion(ctx context.Context, g *gateway) (version uint64, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/bench/soak/command.go
+++ b/bench/soak/command.go
@@ -9,8 +9,8 @@
 	"github.com/spf13/cobra"
 )
 
-// Bounds of a deployment: a gateway takes about 35 MB on an ordinary machine, and a few
-// hundred processes are what one bears.
+// Limits of a deployment's size. One machine can run a few hundred processes. A gateway
+// takes about 35 MB; processMB, in MB, allows for more.
 const (
 	minGateways  = 2
 	maxGateways  = 200
@@ -20,10 +20,10 @@
 	processMB    = 60
 )
 
-// Command returns the root command of the soak.
+// Command returns the root command of the soak test, which prints its results to out.
 func Command(out io.Writer) *cobra.Command {
 	root := &cobra.Command{
-		Use: "rocksoak", Short: "Play seeded series of faults against real gateway processes",
+		Use: "rocksoak", Short: "Run seeded fault sequences against real gateway processes",
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.AddCommand(runCommand(out), pageCommand(out))
@@ -35,7 +35,7 @@
 	var dir string
 	size := Size{}
 	cmd := &cobra.Command{
-		Use: "run", Short: "Play one seed; scripts/soak.sh starts the gateways", Args: cobra.NoArgs,
+		Use: "run", Short: "Run the faults of one seed; scripts/soak.sh starts the gateways", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := size.Check(memoryMB()); err != nil {
 				return err
@@ -53,19 +53,19 @@
 			return report.verdict(out)
 		},
 	}
-	cmd.Flags().Uint64Var(&seed, "seed", 0, "seed of the series")
-	cmd.Flags().StringVar(&dir, "dir", "", "folder for settings, process ids, logs and the report")
+	cmd.Flags().Uint64Var(&seed, "seed", 0, "seed of the fault sequence")
+	cmd.Flags().StringVar(&dir, "dir", "", "directory for settings, process IDs, logs and the report")
 	cmd.Flags().IntVar(&size.Gateways, "gateways", 5, "number of gateway processes")
 	cmd.Flags().IntVar(&size.Upstreams, "upstreams", 8, "number of upstreams, half of them keyed")
 	cmd.Flags().IntVar(&size.Steps, "steps", 20, "number of faults")
 	for _, name := range []string{"seed", "dir"} {
-		// Both flags were defined above, so marking cannot fail.
+		// MarkFlagRequired fails only for undefined flags; both are defined above.
 		_ = cmd.MarkFlagRequired(name)
 	}
 	return cmd
 }
 
-// verdict prints the sums and fails when something happened that must not.
+// verdict prints the violations and totals. It returns an error if there are violations.
 func (r *Report) verdict(out io.Writer) error {
 	for _, v := range r.Violations {
 		if _, err := fmt.Fprintln(out, "violation:", v); err != nil {
@@ -80,8 +80,9 @@
 	return err
 }
 
-// Check refuses what cannot be played, before anything is started. memory is the
-// machine's, in MB; at most half of it is used.
+// Check returns an error if a run of this size is not possible; it is called before
+// anything is started. memory is the machine's memory in MB, zero if unknown; the gateways
+// may use at most half of it.
 func (s Size) Check(memory int) error {
 	switch {
 	case s.Gateways < minGateways || s.Gateways > maxGateways:
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// memoryMB returns the machine's memory; zero when the system does not tell.
+// memoryMB returns the machine's memory in MB, or zero if it cannot be determined.
 func memoryMB() int {
 	f, err := os.Open("/proc/meminfo")
 	if err != nil {
@@ -112,7 +113,7 @@
 
 func pageCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{
-		Use: "page DIR", Short: "Write the reports of all runs below a folder as a page with plots", Args: cobra.ExactArgs(1),
+		Use: "page DIR", Short: "Write an HTML page with plots from the reports of all runs below a directory", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			reports, err := Load(args[0])
 			if err != nil {
--- a/bench/soak/faults.go
+++ b/bench/soak/faults.go
@@ -9,7 +9,7 @@
 	"github.com/rockcroft/rockcroft/standin/relay"
 )
 
-// The variants of faults, picked by Step.Variant.
+// The variants of the fault kinds, selected by Step.Variant.
 var (
 	relayFaults = []relay.Fault{relay.Slow, relay.CutThere, relay.CutBack, relay.CutBoth, relay.Refuse}
 	storeModes  = []metastore.Mode{
@@ -18,13 +18,15 @@
 	upstreamModes = []instance.Mode{
 		instance.Silent, instance.Loses, instance.Fails, instance.Sheds, instance.LateGrants,
 	}
-	// limits are in requests a second: far below what an upstream gets here, and beyond it.
+	// rateLimits are in requests per second. They range from far below to above the rate
+	// at which an upstream receives requests here.
 	rateLimits = []float64{0, 1, 5, 20, 100}
 )
 
+// pick returns the element of a list with index n modulo its length.
 func pick[T any](list []T, n int) T { return list[n%len(list)] }
 
-// apply carries a fault out and returns when it has ended.
+// apply injects a fault and returns when it has ended.
 func (d *deployment) apply(step Step) error {
 	g, u := pick(d.gateways, step.Target), d.upstreamAt(step.Target)
 	switch step.Kind {
@@ -73,7 +75,7 @@
 	return nil
 }
 
-// setAll sets the mode of all upstreams that run now.
+// setAll sets the mode of all current upstreams.
 func (d *deployment) setAll(m instance.Mode) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -82,8 +84,8 @@
 	}
 }
 
-// evacuate and cancelEvacuation write and remove the operator'd entry of a failure domain. Evacuations
-// of one overlap: the first end takes it back.
+// evacuate and cancelEvacuation write and remove the operator's evacuation document for a
+// failure domain. If evacuations of one domain overlap, the one that ends first cancels all.
 func (d *deployment) evacuate(domain string) {
 	d.store.Put(platform.EvacuationsKind, domain, struct{}{})
 }
@@ -92,7 +94,8 @@
 	d.store.Remove(platform.EvacuationsKind, domain)
 }
 
-// applyToProcess signals a gateway, unless another fault of it is under way.
+// applyToProcess kills, stops or pauses a gateway process. It does nothing if another
+// fault of that process is in progress.
 func (d *deployment) applyToProcess(g *gateway, step Step) error {
 	if !g.beginFault() {
 		return nil
@@ -112,7 +115,7 @@
 	return err
 }
 
-// holdFault begins a fault, waits and ends it.
+// holdFault begins a fault, waits for d and ends it.
 func holdFault(d time.Duration, begin, end func()) {
 	begin()
 	time.Sleep(d)
--- a/bench/soak/harm.go
+++ b/bench/soak/harm.go
@@ -13,29 +13,33 @@
 	"github.com/rockcroft/rockcroft/standin/instance"
 )
 
-// This file plays requests that end the upstreams which run them, asked again at all gateways.
+// This file sends requests that crash each upstream which runs them, and repeats them at
+// all gateways.
 
 const (
-	// minHarmDuration is how long such a request is asked for at least, harmInterval the time between.
+	// minHarmDuration is the minimum time for which such a request is repeated;
+	// harmInterval is the pause between two repetitions.
 	minHarmDuration = 8 * time.Second
 	harmInterval    = 150 * time.Millisecond
-	// harmRestartDelay is how long an upstream is away that such a request has ended.
+	// harmRestartDelay is how long an upstream that such a request crashed stays down.
 	harmRestartDelay = 1500 * time.Millisecond
-	// harmDetectionCrashes is how many ends it takes until a request is known for what it is, harmDetectionTime the
-	// time within which all gateways then refuse it, and maxLaterCrashes how often it may reach one later.
+	// harmDetectionCrashes is the number of crashes after which gateways must recognize a
+	// request as harmful. harmDetectionTime is the time within which all gateways must
+	// then refuse it, and maxLaterCrashes the number of crashes tolerated after that.
 	harmDetectionCrashes = 3
 	harmDetectionTime    = 3 * time.Second
 	maxLaterCrashes      = 3
 )
 
-// harmfulRequests notes when requests ended upstreams, by path.
+// harmfulRequests records the times at which harmful requests crashed upstreams, by path.
+// It is safe for concurrent use.
 type harmfulRequests struct {
 	mu    sync.Mutex
 	count int
 	ends  map[string][]time.Time
 }
 
-// newPath returns a path that no such request had before.
+// newPath returns a path that no harmful request has used before.
 func (h *harmfulRequests) newPath() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,7 +56,8 @@
 	h.ends[path] = append(h.ends[path], time.Now())
 }
 
-// undetected returns requests that went on to end upstreams when they should have been known.
+// undetected returns a description of each request that continued to crash upstreams
+// after gateways should have refused it.
 func (h *harmfulRequests) undetected() (out []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,8 +75,9 @@
 	return out
 }
 
-// setCrashHandler lets the upstream end by a harmful request, and start again. One that is being replaced or
-// started again breaks the connection and does not end: that is no harm that anybody could know by.
+// setCrashHandler makes harmful requests crash and restart the upstream. An upstream that
+// is being replaced or restarted only breaks the connection. That is not counted as a crash,
+// because gateways cannot recognize it as one.
 func (d *deployment) setCrashHandler(u *upstream) {
 	u.OnHarm(func(path string) {
 		if !u.changing.CompareAndSwap(false, true) {
@@ -86,7 +92,8 @@
 	})
 }
 
-// sendHarmfulRequests asks for one harmful request again and again, at all gateways in turn.
+// sendHarmfulRequests repeats one harmful request at all gateways in turn, for length plus
+// minHarmDuration.
 func (d *deployment) sendHarmfulRequests(length time.Duration) {
 	path := d.harmfulRequests.newPath()
 	for end, i := time.Now().Add(minHarmDuration+length), 0; time.Now().Before(end); i++ {
@@ -108,7 +115,7 @@
 	r.Header.Set(instance.HarmHeader, "1")
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		// The gateway may be down.
+		// The gateway may be down because of another fault.
 		return
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
--- a/bench/soak/notices.go
+++ b/bench/soak/notices.go
@@ -8,32 +8,35 @@
 	"github.com/rockcroft/rockcroft/standin/instance"
 )
 
-// This file lets upstreams say that they leave and ask for rest, and checks what they get. It knows
-// the promises only, and nothing of how gateways keep them.
+// This file checks which requests upstreams receive after they announce that they leave or
+// ask for rest, a time without requests. It checks what gateways guarantee and does not depend
+// on how they implement it.
 
 const (
-	// restGrace is how long after it was asked for rest a gateway may go on, maxRequestsInRest how many
-	// requests it may send from then to the end of the rest.
+	// restGrace is how long a gateway may continue to send requests after it was asked for
+	// rest; maxRequestsInRest is how many it may send from then to the end of the rest.
 	restGrace         = 500 * time.Millisecond
 	maxRequestsInRest = 2
-	// pathFaultMargin is how long before and after a fault of an upstream's path its answers may be
-	// lost.
+	// pathFaultMargin is how long before and after a fault on an upstream's network path
+	// its responses may be lost.
 	pathFaultMargin = 3 * time.Second
 )
 
-// restValues are what upstreams ask for: seconds, several of them, none, and what is no time.
+// restValues are the Retry-After values with which upstreams ask for rest: seconds, several
+// values, zero, and values that are not a number of seconds.
 var restValues = [][]string{{"0.7"}, {"1"}, {"3"}, {"10"}, {"1", "2.5"}, {"0"}, {"-1"}, {"soon"}, {"Fri, 31 Dec 1999 23:59:59 GMT"}}
 
-// interval is a time in which a fault lasted.
+// interval is the time during which a fault lasted.
 type interval struct{ from, to time.Time }
 
-// faultIntervals are when faults of arrival thing lasted. They are safe for concurrent use.
+// faultIntervals records when faults of one process or network path lasted. It is safe for
+// concurrent use.
 type faultIntervals struct {
 	mu        sync.Mutex
 	intervals []interval
 }
 
-// record carries a fault out and notes when it lasted.
+// record runs a fault and records when it began and ended.
 func (f *faultIntervals) record(fault func()) {
 	from := time.Now()
 	fault()
@@ -42,7 +45,7 @@
 	f.intervals = append(f.intervals, interval{from, time.Now()})
 }
 
-// overlaps reports whether a fault lasted in a part of a time.
+// overlaps reports whether a fault overlaps the time between from and to.
 func (f *faultIntervals) overlaps(from, to time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,17 +57,18 @@
 	return false
 }
 
-// asked is arrival request as its client saw it.
+// sentRequest is a request from its client's point of view.
 type sentRequest struct {
 	gateway *gateway
 	sent    time.Time
-	// leavingSeen is when its answer came that tells that the upstream leaves; zero for none. by tells
-	// which start of an upstream made the answer.
+	// leavingSeen is when a response arrived that announces that the upstream leaves, or
+	// zero if there was none. incarnation identifies the upstream process that sent it.
 	leavingSeen time.Time
 	incarnation string
 }
 
-// asks keeps what clients have asked, by request. It is safe for concurrent use.
+// requestLog records the requests that clients sent, by request ID. It is safe for
+// concurrent use.
 type requestLog struct {
 	mu   sync.Mutex
 	byID map[string]sentRequest
@@ -78,7 +82,7 @@
 	a.byID[id] = request
 }
 
-// violations returns which promises were not kept to an upstream.
+// violations returns the violations of what gateways guarantee to an upstream.
 func (a *requestLog) violations(u *upstream) []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -96,7 +100,8 @@
 	return out
 }
 
-// requestsAfterLeaving returns the requests that a gateway sent to an upstream which had leavingSeen it that it leaves.
+// requestsAfterLeaving returns the requests that a gateway sent to an upstream later than
+// upstreamDrain after the upstream had announced to it that it leaves.
 func (a *requestLog) requestsAfterLeaving(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
 	var leavingSeen time.Time
 	for _, arrival := range arrivals {
@@ -115,7 +120,8 @@
 	return out
 }
 
-// requestsDuringRest returns the rests in which a gateway sent an upstream more than it may.
+// requestsDuringRest returns the rests during which a gateway sent an upstream more than
+// maxRequestsInRest requests.
 func requestsDuringRest(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
 	var out []string
 	for _, restStart := range arrivals {
--- a/bench/soak/plan.go
+++ b/bench/soak/plan.go
@@ -1,7 +1,8 @@
-// Package soak drives real gateway processes on loopback through seeded series of
-// faults and checks what callers and upstreams see. Store, upstreams, relays and
-// callers are stand-ins in one process; the gateways are processes of their own, which
-// a script starts and whose faults come from outside: signals and relays.
+// Package soak runs real gateway processes on the loopback interface through seeded
+// sequences of faults, and checks what callers and upstreams observe. The store, the
+// upstreams, the relays and the callers are stand-ins in one process. A script starts the
+// gateways as separate processes. Faults are injected from outside of them, by signals,
+// relays and the stand-ins.
 package soak
 
 import (
@@ -13,73 +14,76 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The faults. Those of gateways are signals, those of paths are the relays'.
+// The kinds of faults. Gateway processes get signals; relays disturb network paths.
 const (
-	Kill           Kind = "kill"           // SIGKILL, and a new start
-	Stop           Kind = "stop"           // SIGTERM, and a new start when it has ended
-	Pause          Kind = "pause"          // SIGSTOP, and SIGCONT
-	StorePath      Kind = "store_path"     // the path of one gateway to the store
-	StoreSilent    Kind = "store_silent"   // its open connections fall silent
-	StoreMode      Kind = "store_mode"     // the store turns one gateway away, or loses its answers
-	StoreModeAll   Kind = "store_away"     // the same for all gateways
-	Compact        Kind = "compact"        // the store forgets its history
-	UpstreamPath   Kind = "upstream_path"  // the path of all gateways to one upstream
-	UpstreamReset  Kind = "upstream_reset" // its open connections are reset
-	UpstreamSilent Kind = "upstream_quiet" // they fall silent
-	UpstreamMode   Kind = "upstream_mode"  // it is silent, loses answers, sheds, takes grants late
-	Drain          Kind = "drain"          // it says that it leaves, and comes back as another
-	Configure      Kind = "configure"      // a new configuration
-	Restart        Kind = "restart"        // an upstream's process ends and starts again under its ID
-	Evacuate       Kind = "evacuate"       // a failure domain is evacuated, and taken back
-	NameLimit      Kind = "need"           // an upstream names a limit on what it takes
-	Rest           Kind = "rest"           // an upstream turns requests away and asks for rest
-	LeaveByAnswers Kind = "depart"         // it says that it leaves with its answers only, and comes back as another
-	HarmfulRequest Kind = "harm"           // a request that ends upstreams is asked again at all gateways
-	LateCalls      Kind = "late_calls"     // all upstreams leave every second control call unanswered, and carry it out later
+	Kill           Kind = "kill"           // a gateway gets SIGKILL and is restarted
+	Stop           Kind = "stop"           // a gateway gets SIGTERM and is restarted after it has exited
+	Pause          Kind = "pause"          // a gateway gets SIGSTOP, and SIGCONT later
+	StorePath      Kind = "store_path"     // the path from one gateway to the store is disturbed
+	StoreSilent    Kind = "store_silent"   // open connections from one gateway to the store stop carrying data
+	StoreMode      Kind = "store_mode"     // the store rejects one gateway's calls, or loses the responses
+	StoreModeAll   Kind = "store_away"     // the same as StoreMode, for all gateways
+	Compact        Kind = "compact"        // the store compacts its history
+	UpstreamPath   Kind = "upstream_path"  // the path from all gateways to one upstream is disturbed
+	UpstreamReset  Kind = "upstream_reset" // open connections to one upstream are reset
+	UpstreamSilent Kind = "upstream_quiet" // open connections to one upstream stop carrying data
+	UpstreamMode   Kind = "upstream_mode"  // an upstream does not respond, loses responses, fails, sheds load or applies grants late
+	Drain          Kind = "drain"          // an upstream announces in the store and in its responses that it leaves, and is replaced
+	Configure      Kind = "configure"      // the operator writes a new configuration
+	Restart        Kind = "restart"        // an upstream's process ends and is restarted with the same ID
+	Evacuate       Kind = "evacuate"       // a failure domain is evacuated, and the evacuation is cancelled later
+	NameLimit      Kind = "need"           // an upstream announces a limit on its request rate
+	Rest           Kind = "rest"           // an upstream refuses requests and asks for rest
+	LeaveByAnswers Kind = "depart"         // an upstream announces only in its responses that it leaves, and is replaced
+	HarmfulRequest Kind = "harm"           // a request that crashes upstreams is repeated at all gateways
+	LateCalls      Kind = "late_calls"     // all upstreams leave every second control call unanswered and apply it later
 )
 
-// weightedKinds are all faults, the more often listed the more likely.
+// weightedKinds lists the kinds that NewPlan draws at random. A kind that is listed twice is
+// twice as likely.
 var weightedKinds = []Kind{
 	Kill, Kill, Stop, Stop, Pause, StorePath, StoreSilent, StoreMode, StoreModeAll, Compact,
 	UpstreamPath, UpstreamPath, UpstreamReset, UpstreamSilent, UpstreamMode, UpstreamMode, Drain, Configure, Configure,
 }
 
-// Step is one fault.
+// Step is one fault of a plan.
 type Step struct {
 	Kind Kind
-	// Delay is the time since the step before.
+	// Delay is the time between the previous step's begin and this one's.
 	Delay time.Duration
 	// Duration is how long the fault lasts.
 	Duration time.Duration
-	// Target picks a gateway or upstream, Variant one of the ways of the kind.
+	// Target selects a gateway, upstream or failure domain; Variant selects a variant of
+	// the kind. Both are taken modulo the number of choices.
 	Target, Variant int
 }
 
-// Bounds of a step's times: faults overlap, and the longest outlasts a grant of the
-// leader (4 s) and its lease (1.8 s).
+// Upper bounds of a step's times. The delay is short enough for faults to overlap. The
+// longest faults outlast a grant of the leader (4 s) and its lease (1.8 s).
 const (
 	maxDelay         = 1500 * time.Millisecond
 	maxFaultDuration = 6 * time.Second
 )
 
-// Plan is a series of faults. The same seed gives the same plan.
+// Plan is a sequence of faults. The same seed and number of steps give the same plan.
 type Plan struct {
 	Seed  uint64
 	Steps []Step
 }
 
-// stepsPerRestart is after how many steps an upstream starts again, beside the last of them.
-// Restarts are drawn by themselves, so the other steps of a seed are what they always were.
+// stepsPerRestart is the number of random steps after which an upstream restart is added,
+// which begins together with the last of them. Restarts have a random generator of their
+// own, so that they do not change the other steps of a seed.
 const stepsPerRestart = 4
 
-// stepsPerEvacuation is the same for evacuations.
+// stepsPerEvacuation is the same for evacuations of failure domains.
 const stepsPerEvacuation = 5
 
-// stepsPerLimit is the same for upstreams in need.
+// stepsPerLimit is the same for upstreams that announce a rate limit.
 const stepsPerLimit = 3
 
-// stepsPerRest and stepsPerDeparture are the same for upstreams that ask for rest and that leave without a
-// word in their entry.
+// stepsPerRest and stepsPerDeparture are the same for upstreams that ask for rest, and for
+// those that announce only in their responses, not in the store, that they leave.
 const (
 	stepsPerRest      = 3
 	stepsPerDeparture = 6
@@ -88,12 +92,12 @@
 // stepsPerLateCalls is the same for late control calls.
 const stepsPerLateCalls = 7
 
-// stepsPerHarm is the same for requests that end upstreams.
+// stepsPerHarm is the same for requests that crash upstreams.
 const stepsPerHarm = 10
 
-// NewPlan returns the plan of a seed: so many steps, and restarts of upstreams,
-// evacuations, upstreams in need, that rest or depart, late control calls and harmful requests beside
-// them.
+// NewPlan returns the plan of a seed. It has the given number of random steps and, in
+// addition to them, the kinds that are added at fixed intervals: restarts, rate limits,
+// rests, departures, late control calls, harmful requests and evacuations.
 func NewPlan(seed uint64, steps int) Plan {
 	rng, restarts := rand.New(rand.NewPCG(seed, seed)), rand.New(rand.NewPCG(seed, seed+1))
 	evacuations := rand.New(rand.NewPCG(seed, seed+2))
@@ -140,7 +144,7 @@
 	return p
 }
 
-// String describes a step.
+// String returns the kind and duration of the step.
 func (s Step) String() string {
 	return fmt.Sprintf("%s for %s", s.Kind, s.Duration.Round(time.Millisecond))
 }
--- a/bench/soak/process.go
+++ b/bench/soak/process.go
@@ -18,26 +18,26 @@
 	"github.com/rockcroft/rockcroft/standin/relay"
 )
 
-// gateway is one gateway process. A script starts it when the file NAME.start is there
-// and writes its id to NAME.pid; it is ended by that id only.
+// gateway is a gateway and its process. A script starts the process when the file NAME.start
+// appears and writes its process ID to NAME.pid. Only that ID is used to signal it.
 type gateway struct {
 	name, dir, domain              string
 	callers, ready, peers, metrics string
 	door                           *metastore.Door
 	relay                          *relay.Relay
 
-	// faults are when its process was killed, stopped or paused.
+	// faults records when the process was killed, stopped or paused.
 	faults faultIntervals
 
 	mu sync.Mutex
-	// busy says that a fault of the process is under way.
+	// faultActive is set while a fault of the process is in progress.
 	faultActive bool
-	// killed counts the ends that cut off what was in flight.
+	// killed counts the kills of the process, which cut off requests in flight.
 	killed int
 }
 
-// startTimeout bounds the time until the script has started a process, pollInterval is the
-// time between looks.
+// startTimeout limits the time until the script has started a process. pollInterval is the
+// interval at which conditions are checked.
 const (
 	startTimeout = 20 * time.Second
 	pollInterval = 50 * time.Millisecond
@@ -45,7 +45,7 @@
 
 func (g *gateway) path(extension string) string { return filepath.Join(g.dir, g.name+extension) }
 
-// start asks the script for a process and waits until it is there.
+// start requests a new process from the script and waits until its process ID is written.
 func (g *gateway) start() error {
 	if err := os.Remove(g.path(".pid")); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -77,7 +77,8 @@
 	return syscall.Kill(pid, s)
 }
 
-// waitExited waits until the process has ended.
+// waitExited waits until the process has exited and reports whether it did so within the
+// limit.
 func (g *gateway) waitExited(limit time.Duration) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollInterval) {
 		if g.signal(0) != nil {
@@ -87,7 +88,7 @@
 	return false
 }
 
-// beginFault begins a fault of the process, unless one is under way.
+// beginFault reserves the process for a fault. It returns false if one is in progress.
 func (g *gateway) beginFault() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -116,7 +117,7 @@
 	return g.killed
 }
 
-// kill ends the process at once and starts another.
+// kill sends SIGKILL to the process and starts a new one after a pause.
 func (g *gateway) kill(pause time.Duration) error {
 	g.recordKill()
 	if err := g.signal(syscall.SIGKILL); err != nil {
@@ -127,8 +128,8 @@
 	return g.start()
 }
 
-// stop ends the process gracefully and starts another. It fails when that takes longer
-// than allowed.
+// stop sends SIGTERM to the process and starts a new one after a pause. If the process does
+// not exit within stopLimit and one second, it is killed and an error is returned.
 func (g *gateway) stop(pause time.Duration) error {
 	if err := g.signal(syscall.SIGTERM); err != nil {
 		return err
@@ -141,7 +142,7 @@
 	return g.start()
 }
 
-// pauseFor stops the process for a while and lets it go on.
+// pauseFor suspends the process for d.
 func (g *gateway) pauseFor(d time.Duration) error {
 	if err := g.signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -150,7 +151,7 @@
 	return g.signal(syscall.SIGCONT)
 }
 
-// isReady asks the process as the balancer does.
+// isReady queries the readiness endpoint, as the platform's load balancer does.
 func (g *gateway) isReady(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/bench/soak/report.go
+++ b/bench/soak/report.go
@@ -15,19 +15,19 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Event is one fault as it was played.
+// Event is a fault that was injected, with the time since the start of the run.
 type Event struct {
 	At          time.Duration `json:"at_ns"`
 	Description string        `json:"what"`
 }
 
-// Report is what one run showed.
+// Report holds the results of one run.
 type Report struct {
 	Seed       uint64   `json:"seed"`
 	Size       Size     `json:"size"`
 	Events     []Event  `json:"events"`
 	Violations []string `json:"violations"`
-	// Seconds are the outcomes by second.
+	// Seconds holds the number of requests by outcome, for each second of the run.
 	Seconds      []map[outcome]int `json:"seconds"`
 	Served       int               `json:"served"`
 	Refused      int               `json:"refused"`
@@ -54,10 +54,10 @@
 	return r
 }
 
-// ReportFile is the name of a run's report in its folder.
+// ReportFile is the name of the report file in the directory of a run.
 const ReportFile = "report.json"
 
-// Save writes the report into the folder.
+// Save writes the report to the directory of the run.
 func (r *Report) Save(dir string) error {
 	data, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -66,7 +66,7 @@
 	return os.WriteFile(filepath.Join(dir, ReportFile), data, 0o600)
 }
 
-// Load reads the reports of all runs below a folder, in the order of their seeds.
+// Load reads the reports of all runs below a directory and sorts them by seed.
 func Load(dir string) ([]*Report, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*", ReportFile))
 	if err != nil {
@@ -88,7 +88,7 @@
 	return out, nil
 }
 
-// Plot draws the outcomes of a run by second.
+// Plot returns a plot of the outcomes by second, as the data URL of an SVG image.
 func (r *Report) Plot() (template.URL, error) {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "s", "requests a second"
@@ -114,13 +114,13 @@
 	return template.URL("data:image/svg+xml;base64," + base64.StdEncoding.EncodeToString(out)), nil
 }
 
-// The size of a plot.
+// Width and height of a plot.
 const (
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 5 * vg.Centimeter
 )
 
-// svgBuffer collects what is written.
+// svgBuffer is an io.Writer that collects the bytes of an SVG image.
 type svgBuffer []byte
 
 func (b *svgBuffer) Write(p []byte) (int, error) {
@@ -141,7 +141,7 @@
 <details><summary>Faults</summary><ul>{{range .Events}}<li>{{.At}} {{.Description}}</li>{{end}}</ul></details>
 {{end}}`))
 
-// WritePage writes the reports as a page with plots.
+// WritePage writes an HTML page with the reports and their plots.
 func WritePage(name string, reports []*Report) error {
 	f, err := os.Create(name)
 	if err != nil {
--- a/bench/soak/run.go
+++ b/bench/soak/run.go
@@ -14,20 +14,24 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// Size is how large a deployment is.
+// Size is the size of a deployment and the number of random steps of its plan. Its field
+// names are part of the report's JSON.
 type Size struct{ Gateways, Upstreams, Steps int }
 
 const (
-	// readyTimeout bounds the start of all gateways, recoveryTimeout the time until every key
-	// is served after all faults have ended: grants of ten seconds, the lease and a
-	// stop lie within it. They end a run that hangs; no promise is that long.
+	// readyTimeout limits the start of all gateways. recoveryTimeout limits the time until
+	// every key is served after all faults have ended; it is longer than grants of ten
+	// seconds, the lease and a graceful stop together. Both only end a run that hangs:
+	// gateways guarantee shorter times.
 	readyTimeout    = time.Minute
 	recoveryTimeout = time.Minute
-	// keyStride is the distance between the keys that are asked for at the end.
+	// keyStride is the distance between the keys that are requested at the start and at
+	// the end of a run.
 	keyStride = 3121
 )
 
-// Run plays a plan against gateways that the script starts, and returns what was seen.
+// Run injects the faults of a plan into a deployment whose gateways the script starts, and
+// returns the report.
 func Run(ctx context.Context, dir string, size Size, plan Plan, progress io.Writer) (*Report, error) {
 	d, err := newDeployment(dir, size)
 	if err != nil {
@@ -67,7 +71,7 @@
 	return m.report(plan, size, events), err
 }
 
-// waitFor waits for a condition, at most for the limit.
+// waitFor waits until a condition holds and reports whether it did so within the limit.
 func waitFor(limit time.Duration, condition func() bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollInterval) {
 		if condition() {
@@ -77,6 +81,8 @@
 	return false
 }
 
+// startCallers starts the callers and the check of configuration versions. The returned
+// function stops them.
 func (m *monitor) startCallers(ctx context.Context) (*sync.WaitGroup, context.CancelFunc) {
 	ctx, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
@@ -87,7 +93,8 @@
 	return &all, stop
 }
 
-// runSteps carries the steps out, which overlap, and waits for the last one's end.
+// runSteps starts the steps at their times, which may overlap, and waits until all have
+// ended.
 func (m *monitor) runSteps(plan Plan, progress io.Writer) ([]Event, error) {
 	var events []Event
 	var errs []error
@@ -111,7 +118,7 @@
 	return events, errors.Join(errs...)
 }
 
-// endFaults ends all faults.
+// endFaults ends all faults of the store, the relays and the upstreams.
 func (d *deployment) endFaults() {
 	d.store.SetAll(metastore.Open)
 	for _, g := range d.gateways {
@@ -125,6 +132,7 @@
 	}
 }
 
+// allReady reports whether all gateways are ready and serve requests.
 func (m *monitor) allReady(ctx context.Context) bool {
 	for _, g := range m.deployment.gateways {
 		if !g.isReady(ctx) {
@@ -134,8 +142,8 @@
 	return m.allServed(ctx)
 }
 
-// allServed reports whether keys all over the space and requests without one are
-// served.
+// allServed reports whether requests for keys across the whole key space, and requests
+// without a key, are served.
 func (m *monitor) allServed(ctx context.Context) bool {
 	for i := 0; i*keyStride <= spans.MaxKey; i++ {
 		g := pick(m.deployment.gateways, i)
--- a/bench/soak/site.go
+++ b/bench/soak/site.go
@@ -27,28 +27,30 @@
 	keyedService   = "status"
 	unkeyedService = "pay"
 	host           = "soak.example"
-	// requestDuration is how long a stand-in upstream runs a request.
+	// requestDuration is how long a stand-in upstream takes for a request.
 	requestDuration = 5 * time.Millisecond
-	// slots of each upstream.
+	// slots is the number of slots of each upstream.
 	slots = 4
-	// domains are as many as Addis has.
+	// domains is the number of failure domains, the same as in the Addis deployment.
 	domains = 3
-	// gatewayMemory is what a gateway may use, in MB.
+	// gatewayMemory is the memory limit of a gateway, in MB.
 	gatewayMemory = 100
-	// The users' bounds on the platform: for a stop, for an upstream that leaves, for a
-	// grant, and for second tries.
+	// Limits that the users of the platform require: the time for a stop, the time in
+	// which an upstream that leaves gets no more requests, the duration of a grant, and
+	// the budget for retries.
 	stopLimit        = 6 * time.Second
 	upstreamDrain    = 2 * time.Second
 	maxGrantDuration = 10 * time.Second
 	retryShare       = 0.2
 	retryAllowance   = 60
 	retryWindow      = 10 * time.Second
-	// drainNotice is how long a stopping gateway still takes connections; the callers
-	// here notice at once.
+	// drainNotice is how long a stopping gateway continues to accept connections. It is
+	// short because the callers here notice a stop at once.
 	drainNotice = time.Second
 )
 
-// site is the deployment: everything but the gateway processes.
+// deployment holds everything but the gateway processes: store, upstreams, relays and the
+// settings of the gateways.
 type deployment struct {
 	dir    string
 	store  *metastore.Store
@@ -60,9 +62,11 @@
 	version          uint64
 	gateways         []*gateway
 	harmfulRequests  harmfulRequests
-	// allUpstreams are all upstreams that were started, those that have ended among them.
+	// allUpstreams lists all upstreams that were ever started, including those that have
+	// ended.
 	allUpstreams []*upstream
-	// restartErrs are errors of upstreams that harmful requests ended.
+	// restartErrs collects the errors of restarting upstreams that harmful requests
+	// crashed.
 	restartErrs []error
 }
 
@@ -72,23 +76,23 @@
 	d.restartErrs = append(d.restartErrs, err)
 }
 
-// upstream is a stand-in instance behind a relay.
+// upstream is one process of a stand-in upstream, behind a relay.
 type upstream struct {
 	*instance.Instance
 	service string
 	domain  string
 	relay   *relay.Relay
 	server  *http.Server
-	// startTime is when its process started.
+	// startTime is when the process started.
 	startTime time.Time
-	// pathFaults are when its path was disturbed.
+	// pathFaults records when the path from the gateways to it was disturbed.
 	pathFaults faultIntervals
-	// changing says that it is being replaced or started again.
+	// changing is set while it is being replaced or restarted.
 	changing atomic.Bool
 }
 
-// newDeployment opens the store, the upstreams and the gateways' addresses, and writes the
-// gateways' settings.
+// newDeployment starts the store and the upstreams, chooses the addresses of the gateways
+// and writes their settings.
 func newDeployment(dir string, size Size) (*deployment, error) {
 	d := &deployment{dir: dir, store: metastore.New(), oracle: instance.NewOracle()}
 	d.writeConfiguration()
@@ -114,16 +118,16 @@
 func domainName(i int) string { return string(rune('a' + i%domains)) }
 
 const (
-	// routesPerVersion is the number of routes that each version has more than the one before
-	// it, some 200 KB: news between gateways are differences and pieces.
+	// routesPerVersion is the number of routes that each version adds to the previous one,
+	// about 200 KB. Gateways then pass configurations on as differences and in pieces.
 	routesPerVersion = 1400
-	// maxGrowingVersions with added routes keep a configuration below the megabyte that the
-	// platform's store takes.
+	// maxGrowingVersions is the number of versions that add routes. It keeps a
+	// configuration below the limit of the platform's store, one megabyte.
 	maxGrowingVersions = 4
 )
 
-// addRoutes adds the routes of all versions up to the given one. The same version has the
-// same routes in each run.
+// addRoutes adds the generated routes of all versions up to the given one. A version has
+// the same routes in each run.
 func addRoutes(routes map[string]platform.RouteBody, template platform.RouteBody, version uint64) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range routesPerVersion * min(version, maxGrowingVersions) {
@@ -133,14 +137,14 @@
 	}
 }
 
-// configurationVersion returns the version that the operator has written last.
+// configurationVersion returns the version of the configuration that was written last.
 func (d *deployment) configurationVersion() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.version
 }
 
-// writeConfiguration writes the next version of the configuration.
+// writeConfiguration writes the next version of the configuration to the store.
 func (d *deployment) writeConfiguration() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -166,7 +170,7 @@
 	})
 }
 
-// addUpstream starts an upstream with an ID of its own.
+// addUpstream starts an upstream with a new ID.
 func (d *deployment) addUpstream(service, domain string) error {
 	d.mu.Lock()
 	d.upstreamsStarted++
@@ -201,14 +205,16 @@
 	d.allUpstreams = append(d.allUpstreams, u)
 	d.mu.Unlock()
 	u.server = &http.Server{Handler: u.Instance}
-	// The server ends with the process or with close; its error says no more.
+	// Serve ends with the process or when the server is closed, so its error carries no
+	// information.
 	go func() { _ = u.server.Serve(l) }()
 	d.register(u, "ready")
 	return u, nil
 }
 
-// restartUpstream ends the process of an upstream and starts it again under its ID after a time, at
-// another address. One that is being replaced or restarted is left alone.
+// restartUpstream ends the process of an upstream and, after the downtime, starts it again
+// with the same ID at another address. It does nothing if the upstream is already being
+// replaced or restarted.
 func (d *deployment) restartUpstream(u *upstream, downtime time.Duration) error {
 	if !u.changing.CompareAndSwap(false, true) {
 		return nil
@@ -216,7 +222,7 @@
 	return d.restartClaimed(u, downtime)
 }
 
-// restartClaimed is restart for an upstream that nobody else replaces or restarts.
+// restartClaimed is restartUpstream for a caller that has set the upstream's changing flag.
 func (d *deployment) restartClaimed(u *upstream, downtime time.Duration) error {
 	u.relay.Close()
 	err := u.server.Close()
@@ -234,6 +240,7 @@
 	return err
 }
 
+// register writes the instance document of an upstream to the store.
 func (d *deployment) register(u *upstream, state string) {
 	var body platform.InstanceBody
 	body.Address, body.StartedMs = u.relay.Addr(), uint64(u.startTime.UnixMilli())
@@ -242,15 +249,16 @@
 	d.store.Put(platform.InstancesKind, u.ID, body)
 }
 
-// upstreamAt picks one of the upstreams.
+// upstreamAt returns the current upstream with index n modulo their number.
 func (d *deployment) upstreamAt(n int) *upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.upstreams[n%len(d.upstreams)]
 }
 
-// replaceUpstream lets an upstream leave as the platform'd do, and starts another. Its answers tell that it
-// leaves; announce tells it elsewhere.
+// replaceUpstream removes an upstream in the way upstreams on the platform leave, and starts
+// another one. The upstream announces in its responses that it leaves; announce does so
+// elsewhere, if at all.
 func (d *deployment) replaceUpstream(u *upstream, announce func()) error {
 	if !u.changing.CompareAndSwap(false, true) {
 		return nil
@@ -276,10 +284,12 @@
 	return u.server.Close()
 }
 
-// leaveDuration is how long an upstream serves on after it has said that it leaves.
+// leaveDuration is how long an upstream stays registered after it has announced that it
+// leaves, and how long it continues to serve after its removal.
 const leaveDuration = 2500 * time.Millisecond
 
-// newGateway opens the relay of a gateway to the store and finds ports for it.
+// newGateway starts the relay from a gateway to the store and chooses the gateway's
+// addresses.
 func (d *deployment) newGateway(number int) (*gateway, error) {
 	name, domain, ip := fmt.Sprintf("g%d", number), domainName(number), gatewayIP(number)
 	door := d.store.Door(name)
@@ -287,7 +297,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The server ends with the process.
+	// Serve ends with the process, so its error carries no information.
 	go func() { _ = (&http.Server{Handler: door}).Serve(l) }()
 	r, err := relay.New(l.Addr().String())
 	if err != nil {
@@ -302,16 +312,17 @@
 	return g, nil
 }
 
-// gatewayIP returns the loopback address of the gateway with the number. Gateways have
-// addresses of their own: on 127.0.0.1 a connection on its way out could take the port of
-// one that is to start again.
+// gatewayIP returns the loopback address of the gateway with the given number. Each gateway
+// has its own: on 127.0.0.1, an outgoing connection could take the port of a gateway that
+// is about to restart.
 func gatewayIP(number int) string {
 	const octet = 256
 	return fmt.Sprintf("127.77.%d.%d", os.Getpid()%octet, 1+number%(octet-2))
 }
 
-// freeAddresses returns different addresses of one IP, with ports of the kernel's choice.
-// All are held until the last one is found: else the kernel may give a port out again.
+// freeAddresses returns n distinct addresses on one IP, with ports chosen by the kernel. All
+// ports are held until the last one is found, because the kernel may otherwise return the
+// same port twice.
 func freeAddresses(ip string, n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -319,8 +330,8 @@
 		if err != nil {
 			return nil, err
 		}
-		// Closing a listener that nobody has connected to cannot fail in a way that
-		// matters: a port that stays taken shows when its gateway starts.
+		// An error of Close can be ignored: if the port stays in use, its gateway fails
+		// to start.
 		defer func() { _ = l.Close() }()
 		out = append(out, l.Addr().String())
 	}
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -12,6 +12,8 @@
 	"github.com/rockcroft/rockcroft/standin/instance"
 )
 
+// A seed must always give the same plan, otherwise failures cannot be reproduced, and each
+// kind of fault must occur.
 func TestPlanIsDeterministicForItsSeed(t *testing.T) {
 	if diff := cmp.Diff(NewPlan(7, 50), NewPlan(7, 50)); diff != "" {
 		t.Error(diff)
@@ -20,12 +22,12 @@
 	for _, step := range NewPlan(7, 500).Steps {
 		seen[step.Kind] = true
 		if step.Delay >= maxDelay || step.Duration >= maxFaultDuration {
-			t.Errorf("step %+v", step)
+			t.Errorf("step is out of bounds: %+v", step)
 		}
 	}
 	for _, k := range append([]Kind{Restart, Evacuate, Rest, LeaveByAnswers}, weightedKinds...) {
 		if !seen[k] {
-			t.Errorf("%s never comes", k)
+			t.Errorf("kind %s does not occur", k)
 		}
 	}
 }
@@ -42,7 +44,7 @@
 		"too much memory": {Gateways: 100, Upstreams: 8, Steps: 20},
 	} {
 		if bad.Check(4096) == nil {
-			t.Errorf("%s is played", name)
+			t.Errorf("size is accepted: %s", name)
 		}
 	}
 	dir := t.TempDir()
@@ -50,15 +52,16 @@
 		cmd := Command(&strings.Builder{})
 		cmd.SetArgs(append([]string{"run", "--dir", filepath.Join(dir, "run")}, args...))
 		if cmd.Execute() == nil {
-			t.Errorf("%v is played", args)
+			t.Errorf("arguments are accepted: %v", args)
 		}
 	}
 	if files, err := os.ReadDir(dir); err != nil || len(files) > 0 {
-		t.Errorf("something was written: %v, %v", files, err)
+		t.Errorf("files were written: %v, %v", files, err)
 	}
 }
 
-// TestMonitorReportsViolations: what must not happen is noticed when it does.
+// TestMonitorReportsViolations guards against a soak test that passes because the monitor
+// misses violations.
 func TestMonitorReportsViolations(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
@@ -66,12 +69,12 @@
 		run    bool
 		want   int
 	}{
-		"answered":              {200, "done r by i", true, 0},
-		"another's answer":      {200, "done x by i", true, 1},
-		"refused and ran":       {503, "", true, 1},
-		"refused and never ran": {503, "", false, 0},
-		"an error of its own":   {404, "", false, 1},
-		"unknown outcome":       {502, "", true, 0},
+		"answered":                       {200, "done r by i", true, 0},
+		"answer to another request":      {200, "done x by i", true, 1},
+		"refused and ran":                {503, "", true, 1},
+		"refused and never ran":          {503, "", false, 0},
+		"unexpected client error status": {404, "", false, 1},
+		"unknown outcome":                {502, "", true, 0},
 	} {
 		m := newMonitor(&deployment{oracle: oracleWith(c.run)})
 		m.checkAnswer("r", true, c.status, c.body)
@@ -81,7 +84,7 @@
 	}
 }
 
-// oracleWith is an oracle to which the request r is known as run, or not.
+// oracleWith returns an oracle that has recorded a run of request r if run is true.
 func oracleWith(run bool) *instance.Oracle {
 	o := instance.NewOracle()
 	if run {
@@ -118,13 +121,14 @@
 	}
 	for _, part := range []string{"two owners", "data:image/svg", "Seed 7"} {
 		if !strings.Contains(string(page), part) {
-			t.Errorf("the page lacks %q", part)
+			t.Errorf("page does not contain %q", part)
 		}
 	}
 }
 
-// TestFreeAddressesAreDistinct: a gateway's four addresses are four. (The kernel gave a port out
-// twice, and one of some hundred runs did not start.)
+// The kernel can return a port again after its listener is closed. If two of a gateway's four
+// addresses are the same, the gateway does not start. This happened in about one of a hundred
+// runs.
 func TestFreeAddressesAreDistinct(t *testing.T) {
 	for range 2000 {
 		list, err := freeAddresses("127.0.0.1", 4)
@@ -136,7 +140,7 @@
 			seen[a] = true
 		}
 		if len(seen) != len(list) {
-			t.Fatalf("addresses %v", list)
+			t.Fatalf("addresses are not distinct: %v", list)
 		}
 	}
 }
