--- a/Makefile
+++ b/Makefile
@@ -1,17 +1,17 @@
-# Run `make help` for the targets.
+# Run `make help` to list the targets.
 BIN := bin
 PROGRAMS := rockcroft-entry rockcroft-gateway rockcroftctl standin-platform standin-upstream rockload rocksoak
 
 .PHONY: help build demo experiment
 
-help: ## show the targets
+help: ## list the targets
 	@grep -hE '^[a-z-]+:.*##' $(MAKEFILE_LIST) | sed 's/:.*## /\t/'
 
-build: ## build all programs into bin
+build: ## build all programs into bin/
 	@mkdir -p $(BIN)
 	go build -o $(BIN) $(addprefix ./cmd/,$(PROGRAMS))
 
-demo: build ## run a small deployment under load for half a minute and print a table
+demo: build ## run a small deployment under load for 30 seconds and print a report
 	scripts/experiment.sh demo demo
 
 SHAPE ?= demo
@@ -21,28 +21,28 @@
 
 .PHONY: test race fuzz soak lab guards bench check
 
-test: ## run all tests with the race detector, fixed seeds and run counts
+test: ## run all tests with the race detector, with fixed seeds and iteration counts
 	go test -race -timeout 20m $(if $(SKIP),-skip '^($(SKIP))$$') ./...
 
 FUZZ_CHECKS ?= 20000
-fuzz: ## run the long fuzz of ownership and print the number of steps
+fuzz: ## run the long fuzz tests of ownership and print the number of steps
 	go test ./proof -timeout 60m -v -run OneOwner -rapid.seed=0 -rapid.checks=$(FUZZ_CHECKS) -rapid.steps=100
 
 SOAK_FROM ?= 1
 SOAK_TO ?= 4
-soak: build ## play seeded series of faults against real gateway processes: make soak SOAK_FROM=1 SOAK_TO=50
+soak: build ## run seeded fault sequences against real gateway processes: make soak SOAK_FROM=1 SOAK_TO=50
 	scripts/soak.sh $(SOAK_FROM) $(SOAK_TO)
 
-lab: build ## play the decisions about requests in virtual time beside their limit
+lab: build ## simulate request handling in virtual time and compare it with an ideal and a plain policy
 	bin/rockload lab run calm hot-key hot-key-refusing busy overload losses rough in-need
 
-guards: ## take guards out one by one and show that the fuzz tests notice
+guards: ## remove the safety checks one at a time and verify that the tests detect it
 	scripts/guards.sh
 
-bench: ## measure the slopes that docs/CAPACITY.md is worked out from
+bench: ## run the benchmarks from which docs/CAPACITY.md is derived
 	go test -run '^$$' -bench . -benchmem ./coordination/... ./state/... ./transport/... ./entry ./gateway
 
-check: ## format, vet and linter
+check: ## run gofmt, go vet and staticcheck
 	gofmt -l .
 	go vet ./...
 	staticcheck ./...
--- a/scripts/experiment.sh
+++ b/scripts/experiment.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # experiment.sh SHAPE EXPERIMENT [DIR]: start a deployment, run one experiment
-# on it, and stop what was started.
+# on it, and stop all processes that were started.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 SHAPE=${1:-demo}
@@ -13,7 +13,7 @@
 trap 'stop_all' EXIT
 start_all || exit 1
 
-# Processes whose name gets a .start file are started again.
+# Restart each process for which a file NAME.start appears.
 (
 	while sleep 0.2; do
 		for f in "$DIR"/*.start; do
--- a/scripts/guards.sh
+++ b/scripts/guards.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# guards.sh [CHECKS]: take one guard at a time out of a copy of the tree and
-# show that a fuzz test then fails, or else a test of its own. Prints a line a
-# guard; exits 1 when a removal goes unnoticed.
+# guards.sh [CHECKS]: mutation test of the safety checks ("guards"). Removes one
+# guard at a time from a copy of the tree and verifies that a fuzz test then
+# fails, or else a unit test in coordination/. Prints one line for each guard;
+# exits with status 1 if any removal goes undetected.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 CHECKS=${1:-300}
@@ -9,7 +10,8 @@
 trap 'rm -rf "$WORK"' EXIT
 AT_ONCE=6
 
-# guard NAME FILE OLD NEW TEST: replace OLD by NEW in a copy and run one fuzz test.
+# guard NAME FILE OLD NEW TEST: replace OLD with NEW in a copy of the tree and run one
+# fuzz test; if it passes, run the unit tests in coordination/.
 guard() {
 	local copy=$WORK/$1 result
 	mkdir -p "$copy"
@@ -30,6 +32,7 @@
 	rm -rf "$copy"
 }
 
+# queue: run guard in the background, at most AT_ONCE at the same time.
 queue() {
 	while [ "$(jobs -rp | wc -l)" -ge "$AT_ONCE" ]; do sleep 0.2; done
 	guard "$@" | tee -a "$WORK/results" &
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,14 +1,15 @@
-# Functions to start and stop the processes of a deployment. Sourced by the
-# other scripts; expects BIN and DIR.
+# Functions that start and stop the processes of a deployment. The other scripts
+# source this file; BIN and DIR must be set.
 
-# start NAME PROGRAM: start one process and note its id.
+# start NAME PROGRAM: start one process and write its ID to NAME.pid.
 start() {
 	"$BIN/$2" --settings "$DIR/$1.json" >>"$DIR/$1.log" 2>&1 &
 	echo $! >"$DIR/$1.pid"
 	disown
 }
 
-# stop_all: end every process that was started here, by its id.
+# stop_all: kill every process with a .pid file in DIR, by its ID. Suspended
+# processes are continued first.
 stop_all() {
 	local f
 	for f in "$DIR"/*.pid; do
@@ -19,7 +20,7 @@
 	done
 }
 
-# start_all: start what the deployment lists and wait until all are ready.
+# start_all: start all processes listed in the deployment and wait until they are ready.
 start_all() {
 	local name program ready
 	while read -r name program ready; do
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# soak.sh FROM TO [GATEWAYS [UPSTREAMS [STEPS]]]: play the seeds one after the other.
-# Starts the gateways that rocksoak asks for and ends them by their ids.
+# soak.sh FROM TO [GATEWAYS [UPSTREAMS [STEPS]]]: run the soak test for the seeds FROM
+# to TO, one after the other. Starts the gateway processes that rocksoak requests and
+# kills them by their process IDs.
 set -u
 cd "$(dirname "$0")/.." || exit 1
 FROM=${1:?the first seed} TO=${2:?the last seed}
@@ -17,7 +18,7 @@
 	esac
 done
 
-# serve_starts: start each gateway whose NAME.start file is there, until stopped.
+# serve_starts: start a gateway whenever its file NAME.start appears, until killed.
 serve_starts() {
 	local file name
 	while sleep 0.05; do
