--- a/bench/soak/harm.go
+++ b/bench/soak/harm.go
@@ -34,9 +34,9 @@
 // harmfulRequests records the times at which harmful requests crashed upstreams, by path.
 // It is safe for concurrent use.
 type harmfulRequests struct {
-	mu    sync.Mutex
-	count int
-	ends  map[string][]time.Time
+	mu      sync.Mutex
+	count   int
+	crashes map[string][]time.Time
 }
 
 // newPath returns a path that no harmful request has used before.
@@ -50,10 +50,10 @@
 func (h *harmfulRequests) recordCrash(path string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ends == nil {
-		h.ends = make(map[string][]time.Time)
+	if h.crashes == nil {
+		h.crashes = make(map[string][]time.Time)
 	}
-	h.ends[path] = append(h.ends[path], time.Now())
+	h.crashes[path] = append(h.crashes[path], time.Now())
 }
 
 // undetected returns a description of each request that continued to crash upstreams
@@ -61,15 +61,15 @@
 func (h *harmfulRequests) undetected() (out []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for path, ends := range h.ends {
+	for path, crashes := range h.crashes {
 		later := 0
-		for i, at := range ends {
-			if i >= harmDetectionCrashes && at.Sub(ends[harmDetectionCrashes-1]) > harmDetectionTime {
+		for i, at := range crashes {
+			if i >= harmDetectionCrashes && at.Sub(crashes[harmDetectionCrashes-1]) > harmDetectionTime {
 				later++
 			}
 		}
 		if later > maxLaterCrashes {
-			out = append(out, fmt.Sprintf("%s ended %d upstreams, %d of them more than %s after the third", path, len(ends), later, harmDetectionTime))
+			out = append(out, fmt.Sprintf("%s ended %d upstreams, %d of them more than %s after the third", path, len(crashes), later, harmDetectionTime))
 		}
 	}
 	return out
--- a/bench/soak/notices.go
+++ b/bench/soak/notices.go
@@ -76,25 +76,25 @@
 
 func newRequestLog() *requestLog { return &requestLog{byID: make(map[string]sentRequest)} }
 
-func (a *requestLog) add(id string, request sentRequest) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.byID[id] = request
+func (l *requestLog) add(id string, request sentRequest) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.byID[id] = request
 }
 
 // violations returns the violations of what gateways guarantee to an upstream.
-func (a *requestLog) violations(u *upstream) []string {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (l *requestLog) violations(u *upstream) []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	byGateway := make(map[*gateway][]instance.Arrival)
 	for _, arrival := range u.Arrived() {
-		if g := a.byID[arrival.Request].gateway; g != nil {
+		if g := l.byID[arrival.Request].gateway; g != nil {
 			byGateway[g] = append(byGateway[g], arrival)
 		}
 	}
 	var out []string
 	for g, arrivals := range byGateway {
-		out = append(out, a.requestsAfterLeaving(u, g, arrivals)...)
+		out = append(out, l.requestsAfterLeaving(u, g, arrivals)...)
 		out = append(out, requestsDuringRest(u, g, arrivals)...)
 	}
 	return out
@@ -102,17 +102,17 @@
 
 // requestsAfterLeaving returns the requests that a gateway sent to an upstream later than
 // upstreamDrain after the upstream had announced to it that it leaves.
-func (a *requestLog) requestsAfterLeaving(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
+func (l *requestLog) requestsAfterLeaving(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
 	var leavingSeen time.Time
 	for _, arrival := range arrivals {
-		answer := a.byID[arrival.Request]
+		answer := l.byID[arrival.Request]
 		if answer.incarnation == u.Start() && !answer.leavingSeen.IsZero() && (leavingSeen.IsZero() || answer.leavingSeen.Before(leavingSeen)) {
 			leavingSeen = answer.leavingSeen
 		}
 	}
 	var out []string
 	for _, arrival := range arrivals {
-		after := a.byID[arrival.Request].sent.Sub(leavingSeen)
+		after := l.byID[arrival.Request].sent.Sub(leavingSeen)
 		if !leavingSeen.IsZero() && after > upstreamDrain && !g.faults.overlaps(leavingSeen, arrival.At) {
 			out = append(out, fmt.Sprintf("request %s reached %s by %s %s after that had told that it leaves", arrival.Request, u.ID, g.name, after))
 		}
