--- a/bench/soak/callers.go
+++ b/bench/soak/callers.go
@@ -20,7 +20,7 @@
 	// callerCount is the number of callers. Each has one request in flight at a time.
 	callerCount = 12
 	// callerInterval is the pause of a caller between two requests. All callers together
-	// send up to about 200 requests per second.
+	// send about 200 requests per second.
 	callerInterval = 40 * time.Millisecond
 	// clientTimeout is how long a caller waits for a response: twice the timeout of the
 	// routes.
@@ -32,7 +32,8 @@
 // outcome is the result of a request from its caller's point of view.
 type outcome string
 
-// The outcomes that are counted.
+// The outcomes that are counted. failed covers errors other than a refusal, and
+// noConnection all requests without a complete response.
 const (
 	served       outcome = "served"
 	refused      outcome = "refused"
--- a/bench/soak/plan.go
+++ b/bench/soak/plan.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Kind is a kind of fault.
+// Kind identifies a type of fault in progress output and reports.
 type Kind string
 
 // The kinds of faults. Gateway processes get signals; relays disturb network paths.
--- a/bench/soak/process.go
+++ b/bench/soak/process.go
@@ -20,6 +20,7 @@
 
 // gateway is a gateway and its process. A script starts the process when the file NAME.start
 // appears and writes its process ID to NAME.pid. Only that ID is used to signal it.
+// callers, ready, peers and metrics are the addresses on which it listens.
 type gateway struct {
 	name, dir, domain              string
 	callers, ready, peers, metrics string
