--- a/bench/load/run.go
+++ b/bench/load/run.go
@@ -18,39 +18,40 @@
 	"github.com/rockcroft/rockcroft/protocol/header"
 )
 
-// Result is what a run recorded.
+// Result holds the outcomes of a run.
 type Result struct {
 	Outcomes []Outcome
-	// NotOffered counts requests left out because too many had no answer.
+	// NotOffered counts scheduled requests that were not sent because
+	// Settings.MaxOutstanding requests were still unanswered.
 	NotOffered int64
 }
 
-// noAnswer is the kind of an outcome without an answer.
+// noAnswer is the Kind of an outcome without a usable response.
 const noAnswer = "no_answer"
 
-// minPause is the least pause before a caller asks again.
-const minPause = 100 * time.Millisecond
+// minRetryDelay is the minimum delay before a caller retries a request.
+const minRetryDelay = 100 * time.Millisecond
 
-// maxAnswer bounds the answer read, in bytes.
-const maxAnswer = 1 << 20
+// maxAnswerBytes limits how much of a response body is read.
+const maxAnswerBytes = 1 << 20
 
-// runner is one run in progress.
+// runner holds the state of a run in progress.
 type runner struct {
 	conf        Settings
 	client      *http.Client
 	started     time.Time
-	prefix      string
+	idPrefix    string
 	outstanding atomic.Int64
 	notOffered  atomic.Int64
 	balancer    *balancer
-	wait        sync.WaitGroup
+	requests    sync.WaitGroup
 
 	mu       sync.Mutex
 	outcomes []Outcome
 }
 
-// Run sends the load until the duration is over or ctx ends, and waits for all
-// answers.
+// Run generates load until the configured duration has passed or ctx ends, and
+// then waits until every request that was sent has completed.
 func Run(ctx context.Context, conf Settings) Result {
 	r := &runner{
 		conf: conf,
@@ -60,7 +61,7 @@
 		}},
 		balancer: newBalancer(conf.Entries, conf.Ready),
 		started:  time.Now(),
-		prefix:   strconv.FormatInt(time.Now().UnixNano(), 36),
+		idPrefix: strconv.FormatInt(time.Now().UnixNano(), 36),
 	}
 	ctx, cancel := context.WithTimeout(ctx, conf.Duration.D())
 	defer cancel()
@@ -74,12 +75,12 @@
 		}()
 	}
 	generators.Wait()
-	r.wait.Wait()
+	r.requests.Wait()
 	return Result{Outcomes: r.outcomes, NotOffered: r.notOffered.Load()}
 }
 
-// generate sends the requests of one service at random times with the wanted
-// mean rate.
+// generate sends the requests of one service with exponentially distributed
+// intervals, at the configured mean rate.
 func (r *runner) generate(ctx context.Context, s Service, rng *rand.Rand) {
 	zipf := rand.NewZipf(rng, s.Zipf, 1, s.Keys-1)
 	due := time.Now()
@@ -92,7 +93,7 @@
 			Due:        due.UnixNano(),
 			Service:    s.Name,
 			Key:        r.key(zipf.Uint64(), s, due),
-			RequestID:  fmt.Sprintf("%s-%s-%d", r.prefix, s.Name, n),
+			RequestID:  fmt.Sprintf("%s-%s-%d", r.idPrefix, s.Name, n),
 			Idempotent: rng.Float64() >= s.Writes,
 		}
 		if r.outstanding.Load() >= int64(r.conf.MaxOutstanding) {
@@ -100,17 +101,17 @@
 			continue
 		}
 		r.outstanding.Add(1)
-		r.wait.Add(1)
+		r.requests.Add(1)
 		go func() {
-			defer r.wait.Done()
+			defer r.requests.Done()
 			defer r.outstanding.Add(-1)
-			r.ask(s, o)
+			r.send(s, o)
 		}()
 	}
 }
 
-// key maps a rank to a key. With a hot shift, the ranks move over the keys as
-// time passes.
+// key returns the key with the given popularity rank. With HotShift set, the
+// mapping from ranks to keys changes at that interval, so other keys become hot.
 func (r *runner) key(rank uint64, s Service, due time.Time) string {
 	if shift := r.conf.HotShift.D(); shift > 0 {
 		const stride = 7919
@@ -119,6 +120,7 @@
 	return s.Name + "-key-" + strconv.FormatUint(rank, 10)
 }
 
+// sleepUntil waits until the given time and reports whether it came before ctx ended.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	wait := time.Until(at)
 	if wait <= 0 {
@@ -134,27 +136,29 @@
 	}
 }
 
-// ask sends one request, and again while the answers allow it.
-func (r *runner) ask(s Service, o Outcome) {
-	repeat := uint64(0)
-	for try := 1; ; try++ {
-		o.Try = try
-		one, again, wait := r.try(s, o, repeat)
+// send sends one request and retries it while the responses allow that, at most
+// MaxRetries times.
+func (r *runner) send(s Service, o Outcome) {
+	repeatEpoch := uint64(0)
+	for attempt := 1; ; attempt++ {
+		o.Attempt = attempt
+		result, retry, delay := r.sendAttempt(s, o, repeatEpoch)
 		r.mu.Lock()
-		r.outcomes = append(r.outcomes, one)
+		r.outcomes = append(r.outcomes, result)
 		r.mu.Unlock()
-		if !again || try > r.conf.AskAgain {
+		if !retry || attempt > r.conf.MaxRetries {
 			return
 		}
-		if one.Ran == string(answer.ExecutionUnknown) {
-			repeat = one.Epoch
+		if result.Ran == string(answer.ExecutionUnknown) {
+			repeatEpoch = result.Epoch
 		}
-		time.Sleep(wait)
+		time.Sleep(delay)
 	}
 }
 
-// try sends one try. It reports whether the caller may ask again, and when.
-func (r *runner) try(s Service, o Outcome, repeat uint64) (Outcome, bool, time.Duration) {
+// sendAttempt sends one attempt of a request. It returns its outcome, whether the
+// caller may retry, and after which delay.
+func (r *runner) sendAttempt(s Service, o Outcome, repeatEpoch uint64) (Outcome, bool, time.Duration) {
 	entry := r.balancer.pick()
 	method := http.MethodPost
 	if o.Idempotent {
@@ -174,13 +178,14 @@
 	req.Header.Set(header.Key, o.Key)
 	req.Header.Set(header.RequestID, o.RequestID)
 	req.Header.Set(header.Timeout, timeout.String())
-	if repeat != 0 {
-		req.Header.Set(header.Repeat, strconv.FormatUint(repeat, 10))
+	if repeatEpoch != 0 {
+		req.Header.Set(header.Repeat, strconv.FormatUint(repeatEpoch, 10))
 	}
 	o.Start = time.Now().UnixNano()
 	resp, err := r.client.Do(req)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		// The balancer tries another entry when none listens.
+		// A refused connection means that no process listens there: as a load
+		// balancer does, try another entry at once.
 		req.URL.Host = r.balancer.pick().String()
 		resp, err = r.client.Do(req)
 	}
@@ -188,26 +193,27 @@
 		o.End = time.Now().UnixNano()
 		o.Kind = noAnswer
 		o.Ran = string(answer.ExecutionUnknown)
-		return o, o.Idempotent, minPause
+		return o, o.Idempotent, minRetryDelay
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return read(o, resp)
+	return readAnswer(o, resp)
 }
 
-// body is what stand-in upstreams and entries answer.
-type body struct {
+// answerBody is the part of the response body that stand-in upstreams and entries have
+// in common.
+type answerBody struct {
 	Key       string `json:"key"`
 	RequestID string `json:"request_id"`
 	Epoch     uint64 `json:"epoch"`
 }
 
-// ParseOutcome fills in what an answer told its caller.
+// ParseOutcome returns the outcome with the fields filled in that come from the response.
 func ParseOutcome(o Outcome, status int, h http.Header, data []byte) Outcome {
 	o.Status = status
 	o.Kind = h.Get(header.Kind)
 	o.Ran = h.Get(header.Ran)
 	o.Owner = h.Get(header.Owner)
-	var b body
+	var b answerBody
 	if err := json.Unmarshal(data, &b); err != nil {
 		o.Kind = noAnswer
 		o.Ran = string(answer.ExecutionUnknown)
@@ -220,19 +226,21 @@
 	return o
 }
 
-// read takes the answer and decides whether the caller may ask again, and when.
-func read(o Outcome, resp *http.Response) (Outcome, bool, time.Duration) {
-	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+// readAnswer reads the response. It returns the outcome, whether the caller may retry,
+// and after which delay.
+func readAnswer(o Outcome, resp *http.Response) (Outcome, bool, time.Duration) {
+	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	o = ParseOutcome(o, resp.StatusCode, resp.Header, data)
 	o.End = time.Now().UnixNano()
 	if o.OK() {
 		return o, false, 0
 	}
 	if o.Kind == noAnswer {
-		return o, o.Idempotent, minPause
+		return o, o.Idempotent, minRetryDelay
 	}
-	wait, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
-	// An answer of unknown outcome may be repeated with the epoch it names.
-	again := answer.Kind(o.Kind).Response().Retryable || o.Ran == string(answer.ExecutionUnknown) && o.Epoch != 0
-	return o, again, max(time.Duration(wait)*time.Second, minPause)
+	retryAfter, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
+	// If it is unknown whether the request ran, it may be repeated only together
+	// with the epoch that the response names.
+	retry := answer.Kind(o.Kind).Response().Retryable || o.Ran == string(answer.ExecutionUnknown) && o.Epoch != 0
+	return o, retry, max(time.Duration(retryAfter)*time.Second, minRetryDelay)
 }
--- a/bench/soak/harm.go
+++ b/bench/soak/harm.go
@@ -13,90 +13,97 @@
 	"github.com/rockcroft/rockcroft/standin/instance"
 )
 
-// This file plays requests that end the upstreams which run them, asked again at all gateways.
+// This file sends requests that crash each upstream which runs them, and repeats them at
+// all gateways.
 
 const (
-	// harmLeast is how long such a request is asked for at least, harmPause the time between.
-	harmLeast = 8 * time.Second
-	harmPause = 150 * time.Millisecond
-	// harmBack is how long an upstream is away that such a request has ended.
-	harmBack = 1500 * time.Millisecond
-	// harmKnown is how many ends it takes until a request is known for what it is, harmSettles the
-	// time within which all gateways then refuse it, and harmMore how often it may reach one later.
-	harmKnown   = 3
-	harmSettles = 3 * time.Second
-	harmMore    = 3
+	// minHarmDuration is the minimum time for which such a request is repeated;
+	// harmInterval is the pause between two repetitions.
+	minHarmDuration = 8 * time.Second
+	harmInterval    = 150 * time.Millisecond
+	// harmRestartDelay is how long an upstream that such a request crashed stays down.
+	harmRestartDelay = 1500 * time.Millisecond
+	// harmDetectionCrashes is the number of crashes after which gateways must recognize a
+	// request as harmful. harmDetectionTime is the time within which all gateways must
+	// then refuse it, and maxLaterCrashes the number of crashes tolerated after that.
+	harmDetectionCrashes = 3
+	harmDetectionTime    = 3 * time.Second
+	maxLaterCrashes      = 3
 )
 
-// harms notes when requests ended upstreams, by path.
-type harms struct {
-	mu    sync.Mutex
-	count int
-	ends  map[string][]time.Time
+// harmfulRequests records the times at which harmful requests crashed upstreams, by path.
+// It is safe for concurrent use.
+type harmfulRequests struct {
+	mu      sync.Mutex
+	count   int
+	crashes map[string][]time.Time
 }
 
-// name returns a path that no such request had before.
-func (h *harms) name() string {
+// newPath returns a path that no harmful request has used before.
+func (h *harmfulRequests) newPath() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.count++
 	return fmt.Sprintf("/pay/harm-%d", h.count)
 }
 
-func (h *harms) note(path string) {
+func (h *harmfulRequests) recordCrash(path string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ends == nil {
-		h.ends = make(map[string][]time.Time)
+	if h.crashes == nil {
+		h.crashes = make(map[string][]time.Time)
 	}
-	h.ends[path] = append(h.ends[path], time.Now())
+	h.crashes[path] = append(h.crashes[path], time.Now())
 }
 
-// tooMany returns requests that went on to end upstreams when they should have been known.
-func (h *harms) tooMany() (out []string) {
+// undetected returns a description of each request that continued to crash upstreams
+// after gateways should have refused it.
+func (h *harmfulRequests) undetected() (out []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for path, ends := range h.ends {
+	for path, crashes := range h.crashes {
 		later := 0
-		for i, at := range ends {
-			if i >= harmKnown && at.Sub(ends[harmKnown-1]) > harmSettles {
+		for i, at := range crashes {
+			if i >= harmDetectionCrashes && at.Sub(crashes[harmDetectionCrashes-1]) > harmDetectionTime {
 				later++
 			}
 		}
-		if later > harmMore {
-			out = append(out, fmt.Sprintf("%s ended %d upstreams, %d of them more than %s after the third", path, len(ends), later, harmSettles))
+		if later > maxLaterCrashes {
+			out = append(out, fmt.Sprintf("%s ended %d upstreams, %d of them more than %s after the third", path, len(crashes), later, harmDetectionTime))
 		}
 	}
 	return out
 }
 
-// arm lets the upstream end by a harmful request, and start again. One that is being replaced or
-// started again breaks the connection and does not end: that is no harm that anybody could know by.
-func (s *site) arm(u *upstream) {
+// setCrashHandler makes harmful requests crash and restart the upstream. An upstream that
+// is being replaced or restarted only breaks the connection. That is not counted as a crash,
+// because gateways cannot recognize it as one.
+func (d *deployment) setCrashHandler(u *upstream) {
 	u.OnCrash(func(path string) {
 		if !u.changing.CompareAndSwap(false, true) {
 			return
 		}
-		s.harms.note(path)
+		d.harmfulRequests.recordCrash(path)
 		go func() {
-			if err := s.startAgain(u, harmBack); err != nil {
-				s.failedRestart(err)
+			if err := d.restartClaimed(u, harmRestartDelay); err != nil {
+				d.recordRestartError(err)
 			}
 		}()
 	})
 }
 
-// harm asks for one harmful request again and again, at all gateways in turn.
-func (s *site) harm(length time.Duration) {
-	path := s.harms.name()
-	for end, i := time.Now().Add(harmLeast+length), 0; time.Now().Before(end); i++ {
-		s.askHarmful(pick(s.gateways, i), path, i)
-		time.Sleep(harmPause)
+// sendHarmfulRequests repeats one harmful request at all gateways in turn, for length plus
+// minHarmDuration.
+func (d *deployment) sendHarmfulRequests(length time.Duration) {
+	path := d.harmfulRequests.newPath()
+	for end, i := time.Now().Add(minHarmDuration+length), 0; time.Now().Before(end); i++ {
+		d.sendHarmfulRequest(pick(d.gateways, i), path, i)
+		time.Sleep(harmInterval)
 	}
 }
 
-func (s *site) askHarmful(g *gateway, path string, i int) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (d *deployment) sendHarmfulRequest(g *gateway, path string, i int) {
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.callers+path, strings.NewReader("the same body"))
 	if err != nil {
@@ -104,11 +111,11 @@
 	}
 	r.Host = host
 	r.Header.Set(platform.RequestID, fmt.Sprintf("h%s-%d", strings.TrimPrefix(path, "/pay/harm-"), i))
-	r.Header.Set(platform.Deadline, wantedTime)
+	r.Header.Set(platform.Deadline, deadlineMs)
 	r.Header.Set(instance.HarmHeader, "1")
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		// The gateway may be down.
+		// The gateway may be down because of another fault.
 		return
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
--- a/bench/soak/notices.go
+++ b/bench/soak/notices.go
@@ -8,45 +8,48 @@
 	"github.com/rockcroft/rockcroft/standin/instance"
 )
 
-// This file lets upstreams say that they leave and ask for rest, and checks what they get. It knows
-// the promises only, and nothing of how gateways keep them.
+// This file checks which requests upstreams receive after they announce that they leave or
+// ask for rest, a time without requests. It checks what gateways guarantee and does not depend
+// on how they implement it.
 
 const (
-	// restGrace is how long after it was asked for rest a gateway may go on, mostInRest how many
-	// requests it may send from then to the end of the rest.
-	restGrace  = 500 * time.Millisecond
-	mostInRest = 2
-	// cutMemory is how long before and after a fault of an upstream's path its answers may be
-	// lost.
-	cutMemory = 3 * time.Second
+	// restGrace is how long a gateway may continue to send requests after it was asked for
+	// rest; maxRequestsInRest is how many it may send from then to the end of the rest.
+	restGrace         = 500 * time.Millisecond
+	maxRequestsInRest = 2
+	// pathFaultMargin is how long before and after a fault on an upstream's network path
+	// its responses may be lost.
+	pathFaultMargin = 3 * time.Second
 )
 
-// rests are what upstreams ask for: seconds, several of them, none, and what is no time.
-var rests = [][]string{{"0.7"}, {"1"}, {"3"}, {"10"}, {"1", "2.5"}, {"0"}, {"-1"}, {"soon"}, {"Fri, 31 Dec 1999 23:59:59 GMT"}}
+// restValues are the Retry-After values with which upstreams ask for rest: seconds, several
+// values, zero, and values that are not a number of seconds.
+var restValues = [][]string{{"0.7"}, {"1"}, {"3"}, {"10"}, {"1", "2.5"}, {"0"}, {"-1"}, {"soon"}, {"Fri, 31 Dec 1999 23:59:59 GMT"}}
 
-// span is a time in which a fault lasted.
-type span struct{ from, to time.Time }
+// interval is the time during which a fault lasted.
+type interval struct{ from, to time.Time }
 
-// faultTimes are when faults of one thing lasted. They are safe for concurrent use.
-type faultTimes struct {
-	mu    sync.Mutex
-	spans []span
+// faultIntervals records when faults of one process or network path lasted. It is safe for
+// concurrent use.
+type faultIntervals struct {
+	mu        sync.Mutex
+	intervals []interval
 }
 
-// during carries a fault out and notes when it lasted.
-func (f *faultTimes) during(fault func()) {
+// record runs a fault and records when it began and ended.
+func (f *faultIntervals) record(fault func()) {
 	from := time.Now()
 	fault()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.spans = append(f.spans, span{from, time.Now()})
+	f.intervals = append(f.intervals, interval{from, time.Now()})
 }
 
-// any reports whether a fault lasted in a part of a time.
-func (f *faultTimes) any(from, to time.Time) bool {
+// overlaps reports whether a fault overlaps the time between from and to.
+func (f *faultIntervals) overlaps(from, to time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.spans {
+	for _, s := range f.intervals {
 		if s.from.Before(to) && from.Before(s.to) {
 			return true
 		}
@@ -54,83 +57,86 @@
 	return false
 }
 
-// asked is one request as its client saw it.
-type asked struct {
+// sentRequest is a request from its client's point of view.
+type sentRequest struct {
 	gateway *gateway
 	sent    time.Time
-	// told is when its answer came that tells that the upstream leaves; zero for none. by tells
-	// which start of an upstream made the answer.
-	told time.Time
-	by   string
+	// leavingSeen is when a response arrived that announces that the upstream leaves, or
+	// zero if there was none. incarnation identifies the upstream process that sent it.
+	leavingSeen time.Time
+	incarnation string
 }
 
-// asks keeps what clients have asked, by request. It is safe for concurrent use.
-type asks struct {
+// requestLog records the requests that clients sent, by request ID. It is safe for
+// concurrent use.
+type requestLog struct {
 	mu   sync.Mutex
-	byID map[string]asked
+	byID map[string]sentRequest
 }
 
-func newAsks() *asks { return &asks{byID: make(map[string]asked)} }
+func newRequestLog() *requestLog { return &requestLog{byID: make(map[string]sentRequest)} }
 
-func (a *asks) add(id string, one asked) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.byID[id] = one
+func (l *requestLog) add(id string, request sentRequest) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.byID[id] = request
 }
 
-// broken returns which promises were not kept to an upstream.
-func (a *asks) broken(u *upstream) []string {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// violations returns the violations of what gateways guarantee to an upstream.
+func (l *requestLog) violations(u *upstream) []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	byGateway := make(map[*gateway][]instance.Arrival)
-	for _, one := range u.Arrivals() {
-		if g := a.byID[one.RequestID].gateway; g != nil {
-			byGateway[g] = append(byGateway[g], one)
+	for _, arrival := range u.Arrivals() {
+		if g := l.byID[arrival.RequestID].gateway; g != nil {
+			byGateway[g] = append(byGateway[g], arrival)
 		}
 	}
 	var out []string
 	for g, arrivals := range byGateway {
-		out = append(out, a.lateAt(u, g, arrivals)...)
-		out = append(out, inRests(u, g, arrivals)...)
+		out = append(out, l.requestsAfterLeaving(u, g, arrivals)...)
+		out = append(out, requestsDuringRest(u, g, arrivals)...)
 	}
 	return out
 }
 
-// lateAt returns the requests that a gateway sent to an upstream which had told it that it leaves.
-func (a *asks) lateAt(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
-	var told time.Time
-	for _, one := range arrivals {
-		answer := a.byID[one.RequestID]
-		if answer.by == u.Incarnation() && !answer.told.IsZero() && (told.IsZero() || answer.told.Before(told)) {
-			told = answer.told
+// requestsAfterLeaving returns the requests that a gateway sent to an upstream later than
+// upstreamDrain after the upstream had announced to it that it leaves.
+func (l *requestLog) requestsAfterLeaving(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
+	var leavingSeen time.Time
+	for _, arrival := range arrivals {
+		answer := l.byID[arrival.RequestID]
+		if answer.incarnation == u.Incarnation() && !answer.leavingSeen.IsZero() && (leavingSeen.IsZero() || answer.leavingSeen.Before(leavingSeen)) {
+			leavingSeen = answer.leavingSeen
 		}
 	}
 	var out []string
-	for _, one := range arrivals {
-		after := a.byID[one.RequestID].sent.Sub(told)
-		if !told.IsZero() && after > upstreamDrain && !g.faults.any(told, one.ReceivedAt) {
-			out = append(out, fmt.Sprintf("request %s reached %s by %s %s after that had told that it leaves", one.RequestID, u.ID, g.name, after))
+	for _, arrival := range arrivals {
+		after := l.byID[arrival.RequestID].sent.Sub(leavingSeen)
+		if !leavingSeen.IsZero() && after > upstreamDrain && !g.faults.overlaps(leavingSeen, arrival.ReceivedAt) {
+			out = append(out, fmt.Sprintf("request %s reached %s by %s %s after that had told that it leaves", arrival.RequestID, u.ID, g.name, after))
 		}
 	}
 	return out
 }
 
-// inRests returns the rests in which a gateway sent an upstream more than it may.
-func inRests(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
+// requestsDuringRest returns the rests during which a gateway sent an upstream more than
+// maxRequestsInRest requests.
+func requestsDuringRest(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
 	var out []string
-	for _, asked := range arrivals {
-		ends := asked.ReceivedAt.Add(asked.RetryAfter)
-		if asked.RetryAfter <= restGrace || g.faults.any(asked.ReceivedAt, ends) || u.cuts.any(asked.ReceivedAt.Add(-cutMemory), ends.Add(cutMemory)) {
+	for _, restStart := range arrivals {
+		ends := restStart.ReceivedAt.Add(restStart.RetryAfter)
+		if restStart.RetryAfter <= restGrace || g.faults.overlaps(restStart.ReceivedAt, ends) || u.pathFaults.overlaps(restStart.ReceivedAt.Add(-pathFaultMargin), ends.Add(pathFaultMargin)) {
 			continue
 		}
 		count := 0
-		for _, one := range arrivals {
-			if one.ReceivedAt.After(asked.ReceivedAt.Add(restGrace)) && one.ReceivedAt.Before(ends) {
+		for _, arrival := range arrivals {
+			if arrival.ReceivedAt.After(restStart.ReceivedAt.Add(restGrace)) && arrival.ReceivedAt.Before(ends) {
 				count++
 			}
 		}
-		if count > mostInRest {
-			out = append(out, fmt.Sprintf("%s asked %s for %s of rest and got %d requests in it", u.ID, g.name, asked.RetryAfter, count))
+		if count > maxRequestsInRest {
+			out = append(out, fmt.Sprintf("%s asked %s for %s of rest and got %d requests in it", u.ID, g.name, restStart.RetryAfter, count))
 		}
 	}
 	return out
--- a/bench/soak/process.go
+++ b/bench/soak/process.go
@@ -18,34 +18,35 @@
 	"github.com/rockcroft/rockcroft/standin/relay"
 )
 
-// gateway is one gateway process. A script starts it when the file NAME.start is there
-// and writes its id to NAME.pid; it is ended by that id only.
+// gateway is a gateway and its process. A script starts the process when the file NAME.start
+// appears and writes its process ID to NAME.pid. Only that ID is used to signal it.
+// callers, ready, peers and metrics are the addresses on which it listens.
 type gateway struct {
 	name, dir, domain              string
 	callers, ready, peers, metrics string
 	door                           *metastore.Endpoint
 	relay                          *relay.Relay
 
-	// faults are when its process was killed, stopped or paused.
-	faults faultTimes
+	// faults records when the process was killed, stopped or paused.
+	faults faultIntervals
 
 	mu sync.Mutex
-	// busy says that a fault of the process is under way.
-	busy bool
-	// killed counts the ends that cut off what was in flight.
+	// faultActive is set while a fault of the process is in progress.
+	faultActive bool
+	// killed counts the kills of the process, which cut off requests in flight.
 	killed int
 }
 
-// startWait bounds the time until the script has started a process, pollPause is the
-// time between looks.
+// startTimeout limits the time until the script has started a process. pollInterval is the
+// interval at which conditions are checked.
 const (
-	startWait = 20 * time.Second
-	pollPause = 50 * time.Millisecond
+	startTimeout = 20 * time.Second
+	pollInterval = 50 * time.Millisecond
 )
 
-func (g *gateway) path(ending string) string { return filepath.Join(g.dir, g.name+ending) }
+func (g *gateway) path(extension string) string { return filepath.Join(g.dir, g.name+extension) }
 
-// start asks the script for a process and waits until it is there.
+// start requests a new process from the script and waits until its process ID is written.
 func (g *gateway) start() error {
 	if err := os.Remove(g.path(".pid")); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -53,12 +54,12 @@
 	if err := os.WriteFile(g.path(".start"), nil, 0o600); err != nil {
 		return err
 	}
-	for limit := time.Now().Add(startWait); time.Now().Before(limit); time.Sleep(pollPause) {
+	for limit := time.Now().Add(startTimeout); time.Now().Before(limit); time.Sleep(pollInterval) {
 		if _, err := g.pid(); err == nil {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s was not started within %s; is scripts/soak.sh running?", g.name, startWait)
+	return fmt.Errorf("%s was not started within %s; is scripts/soak.sh running?", g.name, startTimeout)
 }
 
 func (g *gateway) pid() (int, error) {
@@ -77,9 +78,10 @@
 	return syscall.Kill(pid, s)
 }
 
-// gone waits until the process has ended.
-func (g *gateway) gone(limit time.Duration) bool {
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollPause) {
+// waitExited waits until the process has exited and reports whether it did so within the
+// limit.
+func (g *gateway) waitExited(limit time.Duration) bool {
+	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollInterval) {
 		if g.signal(0) != nil {
 			return true
 		}
@@ -87,61 +89,61 @@
 	return false
 }
 
-// claim begins a fault of the process, unless one is under way.
-func (g *gateway) claim() bool {
+// beginFault reserves the process for a fault. It returns false if one is in progress.
+func (g *gateway) beginFault() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.busy {
+	if g.faultActive {
 		return false
 	}
-	g.busy = true
+	g.faultActive = true
 	return true
 }
 
-func (g *gateway) release() {
+func (g *gateway) endFault() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.busy = false
+	g.faultActive = false
 }
 
-func (g *gateway) noteKilled() {
+func (g *gateway) recordKill() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.killed++
 }
 
-func (g *gateway) kills() int {
+func (g *gateway) killCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.killed
 }
 
-// kill ends the process at once and starts another.
+// kill sends SIGKILL to the process and starts a new one after a pause.
 func (g *gateway) kill(pause time.Duration) error {
-	g.noteKilled()
+	g.recordKill()
 	if err := g.signal(syscall.SIGKILL); err != nil {
 		return err
 	}
-	g.gone(startWait)
+	g.waitExited(startTimeout)
 	time.Sleep(pause)
 	return g.start()
 }
 
-// stop ends the process gracefully and starts another. It fails when that takes longer
-// than allowed.
+// stop sends SIGTERM to the process and starts a new one after a pause. If the process does
+// not exit within stopLimit and one second, it is killed and an error is returned.
 func (g *gateway) stop(pause time.Duration) error {
 	if err := g.signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	if !g.gone(stopLimit + time.Second) {
-		g.noteKilled()
+	if !g.waitExited(stopLimit + time.Second) {
+		g.recordKill()
 		return errors.Join(fmt.Errorf("%s did not stop within %s", g.name, stopLimit), g.kill(pause))
 	}
 	time.Sleep(pause)
 	return g.start()
 }
 
-// pauseFor stops the process for a while and lets it go on.
+// pauseFor suspends the process for d.
 func (g *gateway) pauseFor(d time.Duration) error {
 	if err := g.signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -150,7 +152,7 @@
 	return g.signal(syscall.SIGCONT)
 }
 
-// isReady asks the process as the balancer does.
+// isReady queries the readiness endpoint, as the platform's load balancer does.
 func (g *gateway) isReady(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/bench/soak/run.go
+++ b/bench/soak/run.go
@@ -14,62 +14,66 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// Size is how large a deployment is.
+// Size is the size of a deployment and the number of random steps of its plan. Its field
+// names are part of the report's JSON.
 type Size struct{ Gateways, Upstreams, Steps int }
 
 const (
-	// readyWait bounds the start of all gateways, healWait the time until every key
-	// is served after all faults have ended: grants of ten seconds, the lease and a
-	// stop lie within it. They end a run that hangs; no promise is that long.
-	readyWait = time.Minute
-	healWait  = time.Minute
-	// keyStride is the distance between the keys that are asked for at the end.
+	// readyTimeout limits the start of all gateways. recoveryTimeout limits the time until
+	// every key is served after all faults have ended; it is longer than grants of ten
+	// seconds, the lease and a graceful stop together. Both only end a run that hangs:
+	// gateways guarantee shorter times.
+	readyTimeout    = time.Minute
+	recoveryTimeout = time.Minute
+	// keyStride is the distance between the keys that are requested at the start and at
+	// the end of a run.
 	keyStride = 3121
 )
 
-// Run plays a plan against gateways that the script starts, and returns what was seen.
+// Run injects the faults of a plan into a deployment whose gateways the script starts, and
+// returns the report.
 func Run(ctx context.Context, dir string, size Size, plan Plan, progress io.Writer) (*Report, error) {
-	s, err := newSite(dir, size)
+	d, err := newDeployment(dir, size)
 	if err != nil {
 		return nil, err
 	}
-	for _, g := range s.gateways {
+	for _, g := range d.gateways {
 		if err := g.start(); err != nil {
 			return nil, err
 		}
 	}
-	w := newWatcher(s)
-	if !until(readyWait, func() bool { return w.allReady(ctx) }) {
-		return nil, fmt.Errorf("the gateways were not ready within %s; their logs are in %s", readyWait, dir)
+	m := newMonitor(d)
+	if !waitFor(readyTimeout, func() bool { return m.allReady(ctx) }) {
+		return nil, fmt.Errorf("the gateways were not ready within %s; their logs are in %s", readyTimeout, dir)
 	}
-	w.began = time.Now()
-	callers, stop := w.startCallers(ctx)
-	events, err := w.play(plan, progress)
-	s.heal()
-	if !until(healWait, func() bool { return w.allServed(ctx) }) {
-		w.violate("not every key was served within %s after the last fault", healWait)
+	m.startedAt = time.Now()
+	callers, stop := m.startCallers(ctx)
+	events, err := m.runSteps(plan, progress)
+	d.endFaults()
+	if !waitFor(recoveryTimeout, func() bool { return m.allServed(ctx) }) {
+		m.addViolation("not every key was served within %s after the last fault", recoveryTimeout)
 	}
-	if !until(healWait, func() bool { return w.allConfigured(ctx) }) {
-		w.violate("configuration %d was not in force everywhere within %s after the last fault", s.configured(), healWait)
+	if !waitFor(recoveryTimeout, func() bool { return m.allConfigured(ctx) }) {
+		m.addViolation("configuration %d was not in force everywhere within %s after the last fault", d.configurationVersion(), recoveryTimeout)
 	}
 	stop()
 	callers.Wait()
-	w.checkRefused()
-	for _, u := range s.ever {
-		for _, v := range w.asks.broken(u) {
-			w.violate("%s", v)
+	m.checkRefused()
+	for _, u := range d.allUpstreams {
+		for _, v := range m.requests.violations(u) {
+			m.addViolation("%s", v)
 		}
 	}
-	for _, v := range s.harms.tooMany() {
-		w.violate("%s", v)
+	for _, v := range d.harmfulRequests.undetected() {
+		m.addViolation("%s", v)
 	}
-	err = errors.Join(append(s.restartErrs, err)...)
-	return w.report(plan, size, events), err
+	err = errors.Join(append(d.restartErrs, err)...)
+	return m.report(plan, size, events), err
 }
 
-// until waits for a condition, at most for the limit.
-func until(limit time.Duration, condition func() bool) bool {
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollPause) {
+// waitFor waits until a condition holds and reports whether it did so within the limit.
+func waitFor(limit time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollInterval) {
 		if condition() {
 			return true
 		}
@@ -77,31 +81,34 @@
 	return false
 }
 
-func (w *watcher) startCallers(ctx context.Context) (*sync.WaitGroup, context.CancelFunc) {
+// startCallers starts the callers and the check of configuration versions. The returned
+// function stops them.
+func (m *monitor) startCallers(ctx context.Context) (*sync.WaitGroup, context.CancelFunc) {
 	ctx, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
-	for n := range callers {
-		all.Go(func() { w.call(ctx, n) })
+	for n := range callerCount {
+		all.Go(func() { m.runCaller(ctx, n) })
 	}
-	all.Go(func() { w.watchVersions(ctx) })
+	all.Go(func() { m.checkVersions(ctx) })
 	return &all, stop
 }
 
-// play carries the steps out, which overlap, and waits for the last one's end.
-func (w *watcher) play(plan Plan, progress io.Writer) ([]Event, error) {
+// runSteps starts the steps at their times, which may overlap, and waits until all have
+// ended.
+func (m *monitor) runSteps(plan Plan, progress io.Writer) ([]Event, error) {
 	var events []Event
 	var errs []error
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for i, step := range plan.Steps {
-		time.Sleep(step.After)
-		at := time.Since(w.began)
-		events = append(events, Event{At: at, What: step.String()})
+		time.Sleep(step.Delay)
+		at := time.Since(m.startedAt)
+		events = append(events, Event{At: at, Description: step.String()})
 		if _, err := fmt.Fprintf(progress, "%6.1f s  %2d/%d  %s\n", at.Seconds(), i+1, len(plan.Steps), step); err != nil {
 			return events, err
 		}
 		all.Go(func() {
-			err := w.site.apply(step)
+			err := m.deployment.apply(step)
 			mu.Lock()
 			defer mu.Unlock()
 			errs = append(errs, err)
@@ -111,35 +118,36 @@
 	return events, errors.Join(errs...)
 }
 
-// heal ends all faults.
-func (s *site) heal() {
-	s.store.SetAllModes(metastore.Healthy)
-	for _, g := range s.gateways {
+// endFaults ends all faults of the store, the relays and the upstreams.
+func (d *deployment) endFaults() {
+	d.store.SetAllModes(metastore.Healthy)
+	for _, g := range d.gateways {
 		g.relay.SetFault(relay.None)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, u := range s.upstreams {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, u := range d.upstreams {
 		u.relay.SetFault(relay.None)
 		u.SetMode(instance.Healthy)
 	}
 }
 
-func (w *watcher) allReady(ctx context.Context) bool {
-	for _, g := range w.site.gateways {
+// allReady reports whether all gateways are ready and serve requests.
+func (m *monitor) allReady(ctx context.Context) bool {
+	for _, g := range m.deployment.gateways {
 		if !g.isReady(ctx) {
 			return false
 		}
 	}
-	return w.allServed(ctx)
+	return m.allServed(ctx)
 }
 
-// allServed reports whether keys all over the space and requests without one are
-// served.
-func (w *watcher) allServed(ctx context.Context) bool {
+// allServed reports whether requests for keys across the whole key space, and requests
+// without a key, are served.
+func (m *monitor) allServed(ctx context.Context) bool {
 	for i := 0; i*keyStride <= spans.MaxKey; i++ {
-		g := pick(w.site.gateways, i)
-		if w.ask(ctx, g, false, i*keyStride) != served || w.ask(ctx, g, true, 0) != served {
+		g := pick(m.deployment.gateways, i)
+		if m.sendRequest(ctx, g, false, i*keyStride) != served || m.sendRequest(ctx, g, true, 0) != served {
 			return false
 		}
 	}
@@ -147,9 +155,9 @@
 }
 
 // allConfigured reports whether the newest configuration is in force at all gateways.
-func (w *watcher) allConfigured(ctx context.Context) bool {
-	for _, g := range w.site.gateways {
-		if version, ok := w.versionOf(ctx, g); !ok || version != w.site.configured() {
+func (m *monitor) allConfigured(ctx context.Context) bool {
+	for _, g := range m.deployment.gateways {
+		if version, ok := m.gatewayVersion(ctx, g); !ok || version != m.deployment.configurationVersion() {
 			return false
 		}
 	}
--- a/bench/soak/site.go
+++ b/bench/soak/site.go
@@ -24,127 +24,131 @@
 )
 
 const (
-	keyedService = "status"
-	otherService = "pay"
-	host         = "soak.example"
-	// work is how long a stand-in upstream runs a request.
-	work = 5 * time.Millisecond
-	// slots of each upstream.
+	keyedService   = "status"
+	unkeyedService = "pay"
+	host           = "soak.example"
+	// requestDuration is how long a stand-in upstream takes for a request.
+	requestDuration = 5 * time.Millisecond
+	// slots is the number of slots of each upstream.
 	slots = 4
-	// domains are as many as Addis has.
+	// domains is the number of failure domains, the same as in the Addis deployment.
 	domains = 3
-	// gatewayMemory is what a gateway may use, in MB.
+	// gatewayMemory is the memory limit of a gateway, in MB.
 	gatewayMemory = 100
-	// The users' bounds on the platform: for a stop, for an upstream that leaves, for a
-	// grant, and for second tries.
-	stopLimit      = 6 * time.Second
-	upstreamDrain  = 2 * time.Second
-	longestHold    = 10 * time.Second
-	retryShare     = 0.2
-	retryAllowance = 60
-	retryWindow    = 10 * time.Second
-	// drainNotice is how long a stopping gateway still takes connections; the callers
-	// here notice at once.
+	// Limits that the users of the platform require: the time for a stop, the time in
+	// which an upstream that leaves gets no more requests, the duration of a grant, and
+	// the budget for retries.
+	stopLimit        = 6 * time.Second
+	upstreamDrain    = 2 * time.Second
+	maxGrantDuration = 10 * time.Second
+	retryShare       = 0.2
+	retryAllowance   = 60
+	retryWindow      = 10 * time.Second
+	// drainNotice is how long a stopping gateway continues to accept connections. It is
+	// short because the callers here notice a stop at once.
 	drainNotice = time.Second
 )
 
-// site is the deployment: everything but the gateway processes.
-type site struct {
+// deployment holds everything but the gateway processes: store, upstreams, relays and the
+// settings of the gateways.
+type deployment struct {
 	dir    string
 	store  *metastore.Store
 	oracle *instance.Oracle
 
-	mu        sync.Mutex
-	upstreams []*upstream
-	started   int
-	version   uint64
-	gateways  []*gateway
-	harms     harms
-	// ever are all upstreams that were started, those that have ended among them.
-	ever []*upstream
-	// restartErrs are errors of upstreams that harmful requests ended.
+	mu               sync.Mutex
+	upstreams        []*upstream
+	upstreamsStarted int
+	version          uint64
+	gateways         []*gateway
+	harmfulRequests  harmfulRequests
+	// allUpstreams lists all upstreams that were ever started, including those that have
+	// ended.
+	allUpstreams []*upstream
+	// restartErrs collects the errors of restarting upstreams that harmful requests
+	// crashed.
 	restartErrs []error
 }
 
-func (s *site) failedRestart(err error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.restartErrs = append(s.restartErrs, err)
+func (d *deployment) recordRestartError(err error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.restartErrs = append(d.restartErrs, err)
 }
 
-// upstream is a stand-in instance behind a relay.
+// upstream is one process of a stand-in upstream, behind a relay.
 type upstream struct {
 	*instance.Instance
 	service string
 	domain  string
 	relay   *relay.Relay
 	server  *http.Server
-	// born is when its process started.
-	born time.Time
-	// cuts are when its path was disturbed.
-	cuts faultTimes
-	// changing says that it is being replaced or started again.
+	// startTime is when the process started.
+	startTime time.Time
+	// pathFaults records when the path from the gateways to it was disturbed.
+	pathFaults faultIntervals
+	// changing is set while it is being replaced or restarted.
 	changing atomic.Bool
 }
 
-// newSite opens the store, the upstreams and the gateways' addresses, and writes the
-// gateways' settings.
-func newSite(dir string, size Size) (*site, error) {
-	s := &site{dir: dir, store: metastore.New(), oracle: instance.NewOracle()}
-	s.configure()
+// newDeployment starts the store and the upstreams, chooses the addresses of the gateways
+// and writes their settings.
+func newDeployment(dir string, size Size) (*deployment, error) {
+	d := &deployment{dir: dir, store: metastore.New(), oracle: instance.NewOracle()}
+	d.writeConfiguration()
 	for i := range size.Upstreams {
 		service := keyedService
 		if i%2 == 1 {
-			service = otherService
+			service = unkeyedService
 		}
-		if err := s.addUpstream(service, domainName(i/2)); err != nil {
+		if err := d.addUpstream(service, domainName(i/2)); err != nil {
 			return nil, err
 		}
 	}
 	for i := range size.Gateways {
-		g, err := s.newGateway(i)
+		g, err := d.newGateway(i)
 		if err != nil {
 			return nil, err
 		}
-		s.gateways = append(s.gateways, g)
+		d.gateways = append(d.gateways, g)
 	}
-	return s, s.writeSettings()
+	return d, d.writeSettings()
 }
 
 func domainName(i int) string { return string(rune('a' + i%domains)) }
 
 const (
-	// addedRoutes is the number of routes that each version has more than the one before
-	// it, some 200 KB: news between gateways are differences and pieces.
-	addedRoutes = 1400
-	// mostVersions with added routes keep a configuration below the megabyte that the
-	// platform's store takes.
-	mostVersions = 4
+	// routesPerVersion is the number of routes that each version adds to the previous one,
+	// about 200 KB. Gateways then pass configurations on as differences and in pieces.
+	routesPerVersion = 1400
+	// maxGrowingVersions is the number of versions that add routes. It keeps a
+	// configuration below the limit of the platform's store, one megabyte.
+	maxGrowingVersions = 4
 )
 
-// addRoutes adds the routes of all versions up to the given one. The same version has the
-// same routes in each run.
-func addRoutes(routes map[string]platform.RouteBody, like platform.RouteBody, version uint64) {
+// addRoutes adds the generated routes of all versions up to the given one. A version has
+// the same routes in each run.
+func addRoutes(routes map[string]platform.RouteBody, template platform.RouteBody, version uint64) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	for range addedRoutes * min(version, mostVersions) {
+	for range routesPerVersion * min(version, maxGrowingVersions) {
 		name := fmt.Sprintf("r-%x", rng.Uint64())
-		like.Path = "/" + name + "/"
-		routes[name] = like
+		template.Path = "/" + name + "/"
+		routes[name] = template
 	}
 }
 
-// configured returns the version that the operator has written last.
-func (s *site) configured() uint64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.version
+// configurationVersion returns the version of the configuration that was written last.
+func (d *deployment) configurationVersion() uint64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.version
 }
 
-// configure writes the next version of the configuration.
-func (s *site) configure() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.version++
+// writeConfiguration writes the next version of the configuration to the store.
+func (d *deployment) writeConfiguration() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.version++
 	route := func(path, kind, service string, priority int) platform.RouteBody {
 		return platform.RouteBody{
 			Host: host, Path: path, Kind: kind, Timeout: 2, TargetLatency: 1, Priority: priority,
@@ -153,37 +157,37 @@
 	}
 	routes := map[string]platform.RouteBody{
 		"status": route("/status/", "safe", keyedService, 2),
-		"pay":    route("/pay/", "unsafe", otherService, 0),
+		"pay":    route("/pay/", "unsafe", unkeyedService, 0),
 	}
-	addRoutes(routes, route("", "safe", otherService, 2), s.version)
-	s.store.Put(platform.ConfigKind, platform.ConfigName, platform.ConfigBody{
-		Version: s.version,
+	addRoutes(routes, route("", "safe", unkeyedService, 2), d.version)
+	d.store.Put(platform.ConfigKind, platform.ConfigName, platform.ConfigBody{
+		Version: d.version,
 		Routes:  routes,
 		Services: map[string]platform.ServiceBody{
-			keyedService: {MaxConns: 1000, Keyed: true, WarmUp: 1}, otherService: {MaxConns: 1000},
+			keyedService: {MaxConns: 1000, Keyed: true, WarmUp: 1}, unkeyedService: {MaxConns: 1000},
 		},
 		Limits: platform.LimitsBody{MaxHeader: 16384, MaxBody: 100000, HeaderTimeout: 3, IdleTimeout: 15},
 	})
 }
 
-// addUpstream starts an upstream with an ID of its own.
-func (s *site) addUpstream(service, domain string) error {
-	s.mu.Lock()
-	s.started++
-	id := fmt.Sprintf("i-%s-%d", service, s.started)
-	s.mu.Unlock()
-	u, err := s.startUpstream(id, service, domain)
+// addUpstream starts an upstream with a new ID.
+func (d *deployment) addUpstream(service, domain string) error {
+	d.mu.Lock()
+	d.upstreamsStarted++
+	id := fmt.Sprintf("i-%s-%d", service, d.upstreamsStarted)
+	d.mu.Unlock()
+	u, err := d.startUpstream(id, service, domain)
 	if err != nil {
 		return err
 	}
-	s.mu.Lock()
-	s.upstreams = append(s.upstreams, u)
-	s.mu.Unlock()
+	d.mu.Lock()
+	d.upstreams = append(d.upstreams, u)
+	d.mu.Unlock()
 	return nil
 }
 
 // startUpstream starts the process of an upstream behind a relay and registers it.
-func (s *site) startUpstream(id, service, domain string) (*upstream, error) {
+func (d *deployment) startUpstream(id, service, domain string) (*upstream, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -193,107 +197,113 @@
 		return nil, err
 	}
 	u := &upstream{
-		Instance: instance.New(id, service == keyedService, work, s.oracle),
-		service:  service, domain: domain, relay: r, born: time.Now(),
+		Instance: instance.New(id, service == keyedService, requestDuration, d.oracle),
+		service:  service, domain: domain, relay: r, startTime: time.Now(),
 	}
-	s.arm(u)
-	s.mu.Lock()
-	s.ever = append(s.ever, u)
-	s.mu.Unlock()
+	d.setCrashHandler(u)
+	d.mu.Lock()
+	d.allUpstreams = append(d.allUpstreams, u)
+	d.mu.Unlock()
 	u.server = &http.Server{Handler: u.Instance}
-	// The server ends with the process or with close; its error says no more.
+	// Serve ends with the process or when the server is closed, so its error carries no
+	// information.
 	go func() { _ = u.server.Serve(l) }()
-	s.register(u, "ready")
+	d.register(u, "ready")
 	return u, nil
 }
 
-// restart ends the process of an upstream and starts it again under its ID after a time, at
-// another address. One that is being replaced or restarted is left alone.
-func (s *site) restart(u *upstream, dark time.Duration) error {
+// restartUpstream ends the process of an upstream and, after the downtime, starts it again
+// with the same ID at another address. It does nothing if the upstream is already being
+// replaced or restarted.
+func (d *deployment) restartUpstream(u *upstream, downtime time.Duration) error {
 	if !u.changing.CompareAndSwap(false, true) {
 		return nil
 	}
-	return s.startAgain(u, dark)
+	return d.restartClaimed(u, downtime)
 }
 
-// startAgain is restart for an upstream that nobody else replaces or restarts.
-func (s *site) startAgain(u *upstream, dark time.Duration) error {
+// restartClaimed is restartUpstream for a caller that has set the upstream's changing flag.
+func (d *deployment) restartClaimed(u *upstream, downtime time.Duration) error {
 	u.relay.Close()
 	err := u.server.Close()
 	u.Terminate()
-	time.Sleep(dark)
-	next, startErr := s.startUpstream(u.ID, u.service, u.domain)
+	time.Sleep(downtime)
+	next, startErr := d.startUpstream(u.ID, u.service, u.domain)
 	if startErr != nil {
 		return errors.Join(err, startErr)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if i := slices.Index(s.upstreams, u); i >= 0 {
-		s.upstreams[i] = next
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if i := slices.Index(d.upstreams, u); i >= 0 {
+		d.upstreams[i] = next
 	}
 	return err
 }
 
-func (s *site) register(u *upstream, state string) {
+// register writes the instance document of an upstream to the store.
+func (d *deployment) register(u *upstream, state string) {
 	var body platform.InstanceBody
-	body.Address, body.StartedMs = u.relay.Addr(), uint64(u.born.UnixMilli())
+	body.Address, body.StartedMs = u.relay.Addr(), uint64(u.startTime.UnixMilli())
 	body.Info.Service, body.Info.Zone, body.Info.Slots = u.service, u.domain, slots
 	body.Status.State = state
-	s.store.Put(platform.InstancesKind, u.ID, body)
+	d.store.Put(platform.InstancesKind, u.ID, body)
 }
 
-// upstreamAt picks one of the upstreams.
-func (s *site) upstreamAt(n int) *upstream {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.upstreams[n%len(s.upstreams)]
+// upstreamAt returns the current upstream with index n modulo their number.
+func (d *deployment) upstreamAt(n int) *upstream {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.upstreams[n%len(d.upstreams)]
 }
 
-// replace lets an upstream leave as the platform's do, and starts another. Its answers tell that it
-// leaves; announce tells it elsewhere.
-func (s *site) replace(u *upstream, announce func()) error {
+// replaceUpstream removes an upstream in the way upstreams on the platform leave, and starts
+// another one. The upstream announces in its responses that it leaves; announce does so
+// elsewhere, if at all.
+func (d *deployment) replaceUpstream(u *upstream, announce func()) error {
 	if !u.changing.CompareAndSwap(false, true) {
 		return nil
 	}
 	u.AnnounceLeaving()
 	announce()
-	time.Sleep(leaveTime)
-	s.store.Remove(platform.InstancesKind, u.ID)
-	s.mu.Lock()
-	for i, one := range s.upstreams {
-		if one == u {
-			s.upstreams = append(s.upstreams[:i:i], s.upstreams[i+1:]...)
+	time.Sleep(leaveDuration)
+	d.store.Remove(platform.InstancesKind, u.ID)
+	d.mu.Lock()
+	for i, other := range d.upstreams {
+		if other == u {
+			d.upstreams = append(d.upstreams[:i:i], d.upstreams[i+1:]...)
 			break
 		}
 	}
-	s.mu.Unlock()
-	if err := s.addUpstream(u.service, u.domain); err != nil {
+	d.mu.Unlock()
+	if err := d.addUpstream(u.service, u.domain); err != nil {
 		return err
 	}
-	time.Sleep(leaveTime)
+	time.Sleep(leaveDuration)
 	u.relay.Close()
 	u.Terminate()
 	return u.server.Close()
 }
 
-// leaveTime is how long an upstream serves on after it has said that it leaves.
-const leaveTime = 2500 * time.Millisecond
+// leaveDuration is how long an upstream stays registered after it has announced that it
+// leaves, and how long it continues to serve after its removal.
+const leaveDuration = 2500 * time.Millisecond
 
-// newGateway opens the relay of a gateway to the store and finds ports for it.
-func (s *site) newGateway(number int) (*gateway, error) {
+// newGateway starts the relay from a gateway to the store and chooses the gateway's
+// addresses.
+func (d *deployment) newGateway(number int) (*gateway, error) {
 	name, domain, ip := fmt.Sprintf("g%d", number), domainName(number), gatewayIP(number)
-	door := s.store.Endpoint(name)
+	door := d.store.Endpoint(name)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	// The server ends with the process.
+	// Serve ends with the process, so its error carries no information.
 	go func() { _ = (&http.Server{Handler: door}).Serve(l) }()
 	r, err := relay.New(l.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	g := &gateway{name: name, dir: s.dir, domain: domain, door: door, relay: r}
+	g := &gateway{name: name, dir: d.dir, domain: domain, door: door, relay: r}
 	addresses, err := freeAddresses(ip, 4)
 	if err != nil {
 		return nil, err
@@ -302,16 +312,17 @@
 	return g, nil
 }
 
-// gatewayIP returns the loopback address of the gateway with the number. Gateways have
-// addresses of their own: on 127.0.0.1 a connection on its way out could take the port of
-// one that is to start again.
+// gatewayIP returns the loopback address of the gateway with the given number. Each gateway
+// has its own: on 127.0.0.1, an outgoing connection could take the port of a gateway that
+// is about to restart.
 func gatewayIP(number int) string {
 	const octet = 256
 	return fmt.Sprintf("127.77.%d.%d", os.Getpid()%octet, 1+number%(octet-2))
 }
 
-// freeAddresses returns different addresses of one IP, with ports of the kernel's choice.
-// All are held until the last one is found: else the kernel may give a port out again.
+// freeAddresses returns n distinct addresses on one IP, with ports chosen by the kernel. All
+// ports are held until the last one is found, because the kernel may otherwise return the
+// same port twice.
 func freeAddresses(ip string, n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -319,8 +330,8 @@
 		if err != nil {
 			return nil, err
 		}
-		// Closing a listener that nobody has connected to cannot fail in a way that
-		// matters: a port that stays taken shows when its gateway starts.
+		// An error of Close can be ignored: if the port stays in use, its gateway fails
+		// to start.
 		defer func() { _ = l.Close() }()
 		out = append(out, l.Addr().String())
 	}
@@ -328,28 +339,28 @@
 }
 
 // writeSettings writes the settings file of each gateway.
-func (s *site) writeSettings() error {
+func (d *deployment) writeSettings() error {
 	var errs []error
 	var seeds []jsonc.Addr
-	for _, g := range s.gateways[:min(domains, len(s.gateways))] {
-		seeds = append(seeds, address(g.peers))
+	for _, g := range d.gateways[:min(domains, len(d.gateways))] {
+		seeds = append(seeds, parseAddress(g.peers))
 	}
-	for _, g := range s.gateways {
+	for _, g := range d.gateways {
 		conf := settings.DefaultGateway()
 		conf.Node, conf.Domain, conf.Seeds = g.name, g.domain, seeds
-		conf.Callers, conf.Ready, conf.Peers, conf.Metrics = address(g.callers), address(g.ready), address(g.peers), address(g.metrics)
-		conf.Store = address(g.relay.Addr())
+		conf.Callers, conf.Ready, conf.Peers, conf.Metrics = parseAddress(g.callers), parseAddress(g.ready), parseAddress(g.peers), parseAddress(g.metrics)
+		conf.Store = parseAddress(g.relay.Addr())
 		conf.DrainNotice, conf.StopLimit = jsonc.Duration(drainNotice), jsonc.Duration(stopLimit)
-		conf.UpstreamDrainTimeout, conf.MaxGrantDuration = jsonc.Duration(upstreamDrain), jsonc.Duration(longestHold)
+		conf.UpstreamDrainTimeout, conf.MaxGrantDuration = jsonc.Duration(upstreamDrain), jsonc.Duration(maxGrantDuration)
 		conf.RetryShare, conf.RetryAllowance, conf.RetryWindow = retryShare, retryAllowance, jsonc.Duration(retryWindow)
 		conf.MemoryMB = gatewayMemory
 		data, err := json.MarshalIndent(conf, "", "  ")
 		if err != nil {
 			return err
 		}
-		errs = append(errs, os.WriteFile(filepath.Join(s.dir, g.name+".json"), data, 0o600))
+		errs = append(errs, os.WriteFile(filepath.Join(d.dir, g.name+".json"), data, 0o600))
 	}
 	return errors.Join(errs...)
 }
 
-func address(text string) jsonc.Addr { return jsonc.Addr{AddrPort: netip.MustParseAddrPort(text)} }
+func parseAddress(text string) jsonc.Addr { return jsonc.Addr{AddrPort: netip.MustParseAddrPort(text)} }
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -12,25 +12,27 @@
 	"github.com/rockcroft/rockcroft/standin/instance"
 )
 
-func TestPlanIsThatOfItsSeed(t *testing.T) {
+// A seed must always give the same plan, otherwise failures cannot be reproduced, and each
+// kind of fault must occur.
+func TestPlanIsDeterministicForItsSeed(t *testing.T) {
 	if diff := cmp.Diff(NewPlan(7, 50), NewPlan(7, 50)); diff != "" {
 		t.Error(diff)
 	}
 	seen := make(map[Kind]bool)
 	for _, step := range NewPlan(7, 500).Steps {
 		seen[step.Kind] = true
-		if step.After >= longestGap || step.For >= longestFault {
-			t.Errorf("step %+v", step)
+		if step.Delay >= maxDelay || step.Duration >= maxFaultDuration {
+			t.Errorf("step is out of bounds: %+v", step)
 		}
 	}
-	for _, k := range append([]Kind{Restart, Evacuate, Rest, Depart}, kinds...) {
+	for _, k := range append([]Kind{Restart, Evacuate, Rest, LeaveByAnswers}, weightedKinds...) {
 		if !seen[k] {
-			t.Errorf("%s never comes", k)
+			t.Errorf("kind %s does not occur", k)
 		}
 	}
 }
 
-func TestSizesAreRefusedBeforeAnythingStarts(t *testing.T) {
+func TestInvalidSizesAreRejectedBeforeAnyFileIsWritten(t *testing.T) {
 	good := Size{Gateways: 5, Upstreams: 8, Steps: 20}
 	if err := good.Check(4096); err != nil {
 		t.Error(err)
@@ -42,7 +44,7 @@
 		"too much memory": {Gateways: 100, Upstreams: 8, Steps: 20},
 	} {
 		if bad.Check(4096) == nil {
-			t.Errorf("%s is played", name)
+			t.Errorf("size is accepted: %s", name)
 		}
 	}
 	dir := t.TempDir()
@@ -50,38 +52,39 @@
 		cmd := Command(&strings.Builder{})
 		cmd.SetArgs(append([]string{"run", "--dir", filepath.Join(dir, "run")}, args...))
 		if cmd.Execute() == nil {
-			t.Errorf("%v is played", args)
+			t.Errorf("arguments are accepted: %v", args)
 		}
 	}
 	if files, err := os.ReadDir(dir); err != nil || len(files) > 0 {
-		t.Errorf("something was written: %v, %v", files, err)
+		t.Errorf("files were written: %v, %v", files, err)
 	}
 }
 
-// TestWatcherSeesBrokenPromises: what must not happen is noticed when it does.
-func TestWatcherSeesBrokenPromises(t *testing.T) {
+// TestMonitorReportsViolations guards against a soak test that passes because the monitor
+// misses violations.
+func TestMonitorReportsViolations(t *testing.T) {
 	for name, c := range map[string]struct {
 		status int
 		body   string
 		run    bool
 		want   int
 	}{
-		"answered":              {200, "done r by i", true, 0},
-		"another's answer":      {200, "done x by i", true, 1},
-		"refused and ran":       {503, "", true, 1},
-		"refused and never ran": {503, "", false, 0},
-		"an error of its own":   {404, "", false, 1},
-		"unknown outcome":       {502, "", true, 0},
+		"answered":                       {200, "done r by i", true, 0},
+		"answer to another request":      {200, "done x by i", true, 1},
+		"refused and ran":                {503, "", true, 1},
+		"refused and never ran":          {503, "", false, 0},
+		"unexpected client error status": {404, "", false, 1},
+		"unknown outcome":                {502, "", true, 0},
 	} {
-		w := newWatcher(&site{oracle: oracleWith(c.run)})
-		w.check("r", true, c.status, c.body)
-		if len(w.violations) != c.want {
-			t.Errorf("%s: %v", name, w.violations)
+		m := newMonitor(&deployment{oracle: oracleWith(c.run)})
+		m.checkAnswer("r", true, c.status, c.body)
+		if len(m.violations) != c.want {
+			t.Errorf("%s: %v", name, m.violations)
 		}
 	}
 }
 
-// oracleWith is an oracle to which the request r is known as run, or not.
+// oracleWith returns an oracle that has recorded a run of request r if run is true.
 func oracleWith(run bool) *instance.Oracle {
 	o := instance.NewOracle()
 	if run {
@@ -92,7 +95,7 @@
 
 func TestPage(t *testing.T) {
 	dir := t.TempDir()
-	r := &Report{Seed: 7, Size: Size{Gateways: 5}, Events: []Event{{At: time.Second, What: "kill"}},
+	r := &Report{Seed: 7, Size: Size{Gateways: 5}, Events: []Event{{At: time.Second, Description: "kill"}},
 		Violations: []string{"two owners"}, Seconds: []map[outcome]int{{served: 10}, {served: 8, refused: 2}}}
 	run := filepath.Join(dir, "7")
 	if err := os.Mkdir(run, 0o700); err != nil {
@@ -118,14 +121,15 @@
 	}
 	for _, part := range []string{"two owners", "data:image/svg", "Seed 7"} {
 		if !strings.Contains(string(page), part) {
-			t.Errorf("the page lacks %q", part)
+			t.Errorf("page does not contain %q", part)
 		}
 	}
 }
 
-// TestAddressesDiffer: a gateway's four addresses are four. (The kernel gave a port out
-// twice, and one of some hundred runs did not start.)
-func TestAddressesDiffer(t *testing.T) {
+// The kernel can return a port again after its listener is closed. If two of a gateway's four
+// addresses are the same, the gateway does not start. This happened in about one of a hundred
+// runs.
+func TestFreeAddressesAreDistinct(t *testing.T) {
 	for range 2000 {
 		list, err := freeAddresses("127.0.0.1", 4)
 		if err != nil {
@@ -136,7 +140,7 @@
 			seen[a] = true
 		}
 		if len(seen) != len(list) {
-			t.Fatalf("addresses %v", list)
+			t.Fatalf("addresses are not distinct: %v", list)
 		}
 	}
 }
