--- a/gateway/rights_test.go
+++ b/gateway/rights_test.go
@@ -21,7 +21,7 @@
 func (b *testCluster) configureWarmUp(version uint64, rate float64) {
 	c := config(version)
 	for name, s := range c.Services {
-		s.StartRate = rate
+		s.WarmUpRate = rate
 		c.Services[name] = s
 	}
 	b.store.Put(platform.ConfigKind, platform.ConfigName, c)
