--- a/entry/balance.go
+++ b/entry/balance.go
@@ -203,7 +203,7 @@
 	})
 }
 
-// exports returns the moves to other cells that even out the load between the
+// exportMoves returns the moves to other cells that even out the load between the
 // cells.
 func (e *Entry) exportMoves(now time.Time, name string, items []placement.Item, o placement.Options) []handover.Move {
 	var cells []placement.CellNode
--- a/entry/control.go
+++ b/entry/control.go
@@ -139,11 +139,11 @@
 	case controller.WriteDocument:
 		c.writeDocument(ctx, cmd)
 	case controller.Apply:
-		a, err := c.e.sendDocument(ctx, cmd)
-		c.dispatch(func(core *controller.Core, now time.Time) { core.OnApplied(now, cmd, a, err) })
+		result, err := c.e.sendDocument(ctx, cmd)
+		c.dispatch(func(core *controller.Core, now time.Time) { core.OnApplied(now, cmd, result, err) })
 	case controller.RaiseFence:
-		a, err := c.e.sendFence(ctx, cmd)
-		c.dispatch(func(core *controller.Core, now time.Time) { core.OnApplied(now, cmd, a, err) })
+		result, err := c.e.sendFence(ctx, cmd)
+		c.dispatch(func(core *controller.Core, now time.Time) { core.OnApplied(now, cmd, result, err) })
 	case controller.SendGrants:
 		err := c.e.sendGrants(ctx, cmd)
 		c.dispatch(func(core *controller.Core, now time.Time) { core.OnGranted(now, cmd, err) })
@@ -213,7 +213,7 @@
 }
 
 func applyResultFromProto(resp *peerpb.ApplyResponse, version uint64) controller.ApplyResult {
-	a := controller.ApplyResult{
+	result := controller.ApplyResult{
 		Ack: fence.Ack{
 			Voter:        resp.Voter,
 			Fence:        resp.Fence,
@@ -223,15 +223,15 @@
 	}
 	for _, b := range resp.Busy {
 		span := keyspace.Span{First: keyspace.Hash(b.First), Last: keyspace.Hash(b.Last)}
-		a.Busy = append(a.Busy, gate.BusyRange{Service: b.Service, Span: span})
+		result.Busy = append(result.Busy, gate.BusyRange{Service: b.Service, Span: span})
 	}
 	for _, l := range resp.Leases {
-		a.Leases = append(a.Leases, lease.RemainingLease{
+		result.Leases = append(result.Leases, lease.RemainingLease{
 			Upstream:  l.Upstream,
 			Remaining: time.Duration(l.RemainingMs) * time.Millisecond,
 		})
 	}
-	return a
+	return result
 }
 
 // applyAndDrain applies a cell document at this entry and waits, for at most the
@@ -274,11 +274,11 @@
 	if u == nil {
 		return "", answer.New(answer.NotFound, "upstream %s is not known here", cmd.Upstream.ID)
 	}
-	st, err := u.Reset(ctx)
+	status, err := u.Reset(ctx)
 	if err != nil {
 		return "", err
 	}
-	return st.Boot, nil
+	return status.Boot, nil
 }
 
 // recordExport assigns an exported range to its new cell in the directory. It
--- a/entry/faults_test.go
+++ b/entry/faults_test.go
@@ -130,7 +130,7 @@
 // counts. The second voter has received nothing but that document.
 func TestSoleVoterStopsWhileAnotherJoins(t *testing.T) {
 	t.Run("one cell", func(t *testing.T) { testSoleVoterStops(t) })
-	t.Run("beside another cell", func(t *testing.T) { testSoleVoterStops(t, "entry-b0", "entry-b1") })
+	t.Run("with another cell", func(t *testing.T) { testSoleVoterStops(t, "entry-b0", "entry-b1") })
 }
 
 // testSoleVoterStops runs the scenario with the given entries in another cell.
--- a/entry/intents.go
+++ b/entry/intents.go
@@ -27,21 +27,21 @@
 }
 
 // add stores an intent unless the known version is at least as new.
-func (b *intentSet) add(i *intent.Intent, version uint64) {
-	if known, ok := b.byID[i.ID]; ok && known.version >= version {
+func (set *intentSet) add(i *intent.Intent, version uint64) {
+	if known, ok := set.byID[i.ID]; ok && known.version >= version {
 		return
 	}
-	if b.byID == nil {
-		b.byID = make(map[string]storedIntent)
+	if set.byID == nil {
+		set.byID = make(map[string]storedIntent)
 	}
-	b.byID[i.ID] = storedIntent{i, version}
+	set.byID[i.ID] = storedIntent{i, version}
 }
 
 // unfinished returns the confirmed intents with steps in the cell that are not
 // finished yet, the oldest first.
-func (b *intentSet) unfinished(cellName string) []storedIntent {
+func (set *intentSet) unfinished(cellName string) []storedIntent {
 	var out []storedIntent
-	for _, s := range b.byID {
+	for _, s := range set.byID {
 		i := s.intent
 		if i.State == intent.Confirmed && slices.Contains(i.Cells(), cellName) && !slices.Contains(i.CompletedCells, cellName) {
 			out = append(out, s)
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -128,8 +128,8 @@
 	if err := json.Unmarshal(req.Spec, &spec); err != nil {
 		return nil, twirpError(answer.Wrap(answer.BadRequest, err))
 	}
-	if findings := spec.Check(); len(findings) > 0 {
-		return nil, twirpError(answer.New(answer.BadRequest, "%s", findings[0].String()))
+	if diagnostics := spec.Check(); len(diagnostics) > 0 {
+		return nil, twirpError(answer.New(answer.BadRequest, "%s", diagnostics[0].String()))
 	}
 	view, err := o.e.planView(ctx)
 	if err != nil {
--- a/entry/peerserver.go
+++ b/entry/peerserver.go
@@ -117,8 +117,8 @@
 			return nil, twirp.InvalidArgumentError("documents", "the document is of another cell")
 		}
 		e.recordContact(memberFromProto(req.Sender), doc.Version)
-		a := e.applyAndDrain(ctx, doc, time.Duration(req.DrainWaitMs)*time.Millisecond)
-		return applyResponse(a), nil
+		result := e.applyAndDrain(ctx, doc, time.Duration(req.DrainWaitMs)*time.Millisecond)
+		return applyResponse(result), nil
 	}
 	if req.Fence == 0 {
 		return nil, twirp.RequiredArgumentError("fence")
@@ -126,18 +126,18 @@
 	return applyResponse(controller.ApplyResult{Ack: e.gate.RaiseFence(req.Cell, req.Fence)}), nil
 }
 
-func applyResponse(a controller.ApplyResult) *peerpb.ApplyResponse {
+func applyResponse(result controller.ApplyResult) *peerpb.ApplyResponse {
 	resp := &peerpb.ApplyResponse{
-		Voter:       a.Ack.Voter,
-		Fence:       a.Ack.Fence,
-		GuestWaitMs: ceilMillis(a.Ack.NonVoterWait),
+		Voter:       result.Ack.Voter,
+		Fence:       result.Ack.Fence,
+		GuestWaitMs: ceilMillis(result.Ack.NonVoterWait),
 	}
-	for _, b := range a.Busy {
+	for _, b := range result.Busy {
 		resp.Busy = append(resp.Busy, &peerpb.BusyRange{
 			Service: b.Service, First: uint64(b.First), Last: uint64(b.Last),
 		})
 	}
-	for _, l := range a.Leases {
+	for _, l := range result.Leases {
 		resp.Leases = append(resp.Leases, &peerpb.Lease{Upstream: l.Upstream, RemainingMs: ceilMillis(l.Remaining)})
 	}
 	return resp
--- a/entry/renewals.go
+++ b/entry/renewals.go
@@ -19,37 +19,37 @@
 }
 
 // withLock runs f on the tracker while holding the lock.
-func (w *leaseTracker) withLock(f func(*lease.Tracker)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	f(w.tracker)
+func (l *leaseTracker) withLock(f func(*lease.Tracker)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	f(l.tracker)
 }
 
-func (w *leaseTracker) lastAnswer(id string) time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.tracker.LastAnswer(id)
+func (l *leaseTracker) lastAnswer(id string) time.Time {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.tracker.LastAnswer(id)
 }
 
-func (w *leaseTracker) lostLeases(now time.Time) []lease.RemainingLease {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.tracker.LostLeases(now)
+func (l *leaseTracker) lostLeases(now time.Time) []lease.RemainingLease {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.tracker.LostLeases(now)
 }
 
-func (w *leaseTracker) observations(now time.Time) []lease.UpstreamObservation {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.tracker.Observations(now)
+func (l *leaseTracker) observations(now time.Time) []lease.UpstreamObservation {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.tracker.Observations(now)
 }
 
 // observationsToProto returns the observations of the upstreams for a beat.
-func (w *leaseTracker) observationsToProto(now time.Time) []*peerpb.Observation {
-	observations := w.observations(now)
+func (l *leaseTracker) observationsToProto(now time.Time) []*peerpb.Observation {
+	observations := l.observations(now)
 	out := make([]*peerpb.Observation, len(observations))
-	for i, s := range observations {
+	for i, o := range observations {
 		out[i] = &peerpb.Observation{
-			Upstream: s.Upstream, Boot: s.Boot, SilentMs: s.Silent.Milliseconds(), Refused: s.Refused, Leaving: s.Leaving,
+			Upstream: o.Upstream, Boot: o.Boot, SilentMs: o.Silent.Milliseconds(), Refused: o.Refused, Leaving: o.Leaving,
 		}
 	}
 	return out
@@ -71,8 +71,8 @@
 		}
 		observations := e.leases.observations(e.clock())
 		e.control.record(func(core *controller.Core, now time.Time) {
-			for _, s := range observations {
-				core.OnObservation(now, e.self.ID, s.Upstream, s.Observation)
+			for _, o := range observations {
+				core.OnObservation(now, e.self.ID, o.Upstream, o.Observation)
 			}
 		})
 	})
@@ -85,12 +85,12 @@
 	if !ok {
 		return
 	}
-	st, err := client.Renew(ctx, r)
+	status, err := client.Renew(ctx, r)
 	e.leases.withLock(func(tracker *lease.Tracker) {
 		if err != nil {
 			tracker.RecordFailure(e.clock(), u.ID, upstreams.IsConnectionRefused(err))
 			return
 		}
-		tracker.RecordAnswer(e.clock(), u.ID, st)
+		tracker.RecordAnswer(e.clock(), u.ID, status)
 	})
 }
