--- a/ctl/capacity.go
+++ b/ctl/capacity.go
@@ -10,7 +10,7 @@
 )
 
 func capacityCommand(o *options) *cobra.Command {
-	shape := capacity.DeploymentSize{}
+	size := capacity.DeploymentSize{}
 	cmd := &cobra.Command{
 		Use:   "capacity",
 		Short: "Work out what gateways cost at a size, from measured slopes",
@@ -19,21 +19,21 @@
 		Example: "  rockcroftctl capacity --gateways 78 --domains 3 --upstreams 346 --keyed 119 --rate 1400",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			if err := shape.Validate(); err != nil {
+			if err := size.Validate(); err != nil {
 				return usageError{err}
 			}
-			lines := capacity.Estimate(shape)
+			lines := capacity.Estimate(size)
 			if o.json() {
 				return writeJSON(o.out, lines)
 			}
 			return o.printCapacity(lines)
 		},
 	}
-	cmd.Flags().IntVar(&shape.Gateways, "gateways", 11, "gateways in all")
-	cmd.Flags().IntVar(&shape.Domains, "domains", 3, "failure domains")
-	cmd.Flags().IntVar(&shape.Upstreams, "upstreams", 35, "upstreams in all")
-	cmd.Flags().IntVar(&shape.Keyed, "keyed", 11, "upstreams of the largest service divided by key")
-	cmd.Flags().Float64Var(&shape.Rate, "rate", 569, "requests a second in all")
+	cmd.Flags().IntVar(&size.Gateways, "gateways", 11, "gateways in all")
+	cmd.Flags().IntVar(&size.Domains, "domains", 3, "failure domains")
+	cmd.Flags().IntVar(&size.Upstreams, "upstreams", 35, "upstreams in all")
+	cmd.Flags().IntVar(&size.Keyed, "keyed", 11, "upstreams of the largest service divided by key")
+	cmd.Flags().Float64Var(&size.Rate, "rate", 569, "requests a second in all")
 	return cmd
 }
 
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -88,8 +88,8 @@
 		return ExitOK
 	}
 	var usage usageError
-	var findings jsonc.Diagnostics
-	if errors.As(err, &usage) || errors.As(err, &findings) {
+	var diagnostics jsonc.Diagnostics
+	if errors.As(err, &usage) || errors.As(err, &diagnostics) {
 		return ExitUsage
 	}
 	var rpc twirp.Error
--- a/ctl/suspects_test.go
+++ b/ctl/suspects_test.go
@@ -9,7 +9,7 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// TestPrintSuspects checks that blocked requests are told from those still sent to upstreams.
+// TestPrintSuspects checks that blocked requests are distinguished from those still sent to upstreams.
 func TestPrintSuspects(t *testing.T) {
 	var out bytes.Buffer
 	o := &options{out: &out}
--- a/ctl/watches.go
+++ b/ctl/watches.go
@@ -36,8 +36,8 @@
 		return writeJSON(o.out, state)
 	}
 	for _, w := range state.Watches {
-		heard := time.Duration(w.HeardMs) * time.Millisecond
-		if _, err := fmt.Fprintf(o.out, "%s  heard %s ago; %s\n", w.Kind, heard, watchStateText(w)); err != nil {
+		age := time.Duration(w.HeardMs) * time.Millisecond
+		if _, err := fmt.Fprintf(o.out, "%s  heard %s ago; %s\n", w.Kind, age, watchStateText(w)); err != nil {
 			return err
 		}
 	}
--- a/ctl/watches_test.go
+++ b/ctl/watches_test.go
@@ -9,7 +9,7 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// TestPrintWatches checks that a watch that receives nothing is told from one that is not needed.
+// TestPrintWatches checks that a watch that receives nothing is distinguished from one that is not needed.
 func TestPrintWatches(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
--- a/process/process.go
+++ b/process/process.go
@@ -82,8 +82,8 @@
 }
 
 func exitCode(err error) int {
-	var findings jsonc.Diagnostics
-	if errors.As(err, &findings) {
+	var diagnostics jsonc.Diagnostics
+	if errors.As(err, &diagnostics) {
 		return ExitSettings
 	}
 	return ExitFailure
--- a/process/text_test.go
+++ b/process/text_test.go
@@ -11,11 +11,11 @@
 // limitedWriter fails after a number of bytes.
 type limitedWriter struct{ left int }
 
-func (f *limitedWriter) Write(p []byte) (int, error) {
-	if len(p) > f.left {
+func (w *limitedWriter) Write(p []byte) (int, error) {
+	if len(p) > w.left {
 		return 0, errFull
 	}
-	f.left -= len(p)
+	w.left -= len(p)
 	return len(p), nil
 }
 
