--- a/transport/eventlog/eventlog.go
+++ b/transport/eventlog/eventlog.go
@@ -174,15 +174,15 @@
 }
 
 // Write implements io.Writer. It never blocks.
-func (s queueWriter) Write(line []byte) (int, error) {
-	if !s.urgent && len(s.log.queue) >= queueLength-reservedForWarnings {
-		s.log.dropped.Add(1)
+func (w queueWriter) Write(line []byte) (int, error) {
+	if !w.urgent && len(w.log.queue) >= queueLength-reservedForWarnings {
+		w.log.dropped.Add(1)
 		return len(line), nil
 	}
 	select {
-	case s.log.queue <- append([]byte(nil), line...):
+	case w.log.queue <- append([]byte(nil), line...):
 	default:
-		s.log.dropped.Add(1)
+		w.log.dropped.Add(1)
 	}
 	return len(line), nil
 }
--- a/transport/eventlog/eventlog_test.go
+++ b/transport/eventlog/eventlog_test.go
@@ -14,8 +14,8 @@
 // blockedWriter blocks forever in Write.
 type blockedWriter struct{ entered chan struct{} }
 
-func (s blockedWriter) Write([]byte) (int, error) {
-	close(s.entered)
+func (w blockedWriter) Write([]byte) (int, error) {
+	close(w.entered)
 	select {}
 }
 
@@ -29,7 +29,7 @@
 	return strings.Split(strings.TrimSpace(out.String()), "\n")
 }
 
-// TestBlockedOutputDoesNotBlockLogging guards against loggers that wait for an output that nobody
+// TestBlockedOutputDoesNotBlockLogging guards against loggers that wait for an output that no one
 // reads. Lines that do not fit into the queue must be counted as dropped.
 func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	l := New(time.Now)
--- a/transport/front/proxy.go
+++ b/transport/front/proxy.go
@@ -1,5 +1,5 @@
 // Package front serves callers: it parses requests, routes each to the one owner of its key and
-// streams the answer back. Requests for keys of another cell are forwarded to an entry of that
+// streams the response back. Requests for keys of another cell are forwarded to an entry of that
 // cell.
 package front
 
@@ -138,7 +138,7 @@
 	}
 	defer resp.done()
 	p.streamResponse(w, resp)
-	p.metrics.RecordAnswer(name, p.clock().Sub(start))
+	p.metrics.RecordResponse(name, p.clock().Sub(start))
 }
 
 func (p *Proxy) startSpan(ctx context.Context, r *http.Request, q *request) (context.Context, trace.Span) {
@@ -182,7 +182,7 @@
 	return nil
 }
 
-// response is the answer of an upstream or of another entry. done must be called once the answer
+// response is the response of an upstream or of another entry. done must be called once its body
 // has been read.
 type response struct {
 	*http.Response
@@ -323,7 +323,7 @@
 	return out
 }
 
-// streamResponse streams the answer to the caller. If the source fails midway, the answer to the
+// streamResponse streams a response to the caller. If the source fails midway, the response to the
 // caller is aborted as well, so that it cannot appear complete.
 func (p *Proxy) streamResponse(w http.ResponseWriter, resp *response) {
 	copyHeader(w.Header(), resp.Header)
--- a/transport/front/tries.go
+++ b/transport/front/tries.go
@@ -28,7 +28,7 @@
 	return b
 }
 
-// deliver makes attempts until the request is answered, fails with an error that must not be
+// deliver makes attempts until it receives a response, fails with an error that must not be
 // retried, or reaches its deadline.
 func (p *Proxy) deliver(ctx context.Context, r *http.Request, q *request, h http.Header) (*response, error) {
 	for attempt := 1; ; attempt++ {
--- a/transport/pool/errors.go
+++ b/transport/pool/errors.go
@@ -14,35 +14,35 @@
 	cause error
 }
 
-func (f *classifiedError) Error() string { return fmt.Sprintf("%v: %v", f.kinds[0], f.cause) }
+func (e *classifiedError) Error() string { return fmt.Sprintf("%v: %v", e.kinds[0], e.cause) }
 
 // Unwrap makes errors.Is match the sentinel errors and the cause.
-func (f *classifiedError) Unwrap() []error {
-	return append(f.kinds[:len(f.kinds):len(f.kinds)], f.cause)
+func (e *classifiedError) Unwrap() []error {
+	return append(e.kinds[:len(e.kinds):len(e.kinds)], e.cause)
 }
 
 func dialError(ctx context.Context, err error) error {
-	f := &classifiedError{kinds: []error{ErrNotSent}, cause: err}
+	e := &classifiedError{kinds: []error{ErrNotSent}, cause: err}
 	var timeout net.Error
 	switch {
 	case ctx.Err() != nil:
-		f.cause = context.Cause(ctx)
+		e.cause = context.Cause(ctx)
 	case errors.Is(err, syscall.ECONNREFUSED), errors.Is(err, syscall.ECONNRESET):
-		f.kinds = append(f.kinds, ErrRefused)
+		e.kinds = append(e.kinds, ErrRefused)
 	case errors.As(err, &timeout) && timeout.Timeout():
-		f.kinds = append(f.kinds, ErrDialTimeout)
+		e.kinds = append(e.kinds, ErrDialTimeout)
 	}
-	return f
+	return e
 }
 
 // ioError classifies an error that occurred on an established connection.
 func ioError(ctx context.Context, sent bool, err error) error {
-	f := &classifiedError{kinds: []error{ErrBroken}, cause: err}
+	e := &classifiedError{kinds: []error{ErrBroken}, cause: err}
 	if ctx.Err() != nil {
-		f.cause = context.Cause(ctx)
+		e.cause = context.Cause(ctx)
 	}
 	if !sent {
-		f.kinds = append(f.kinds, ErrNotSent)
+		e.kinds = append(e.kinds, ErrNotSent)
 	}
-	return f
+	return e
 }
--- a/transport/telemetry/metrics.go
+++ b/transport/telemetry/metrics.go
@@ -20,8 +20,8 @@
 // NewRequests returns counters that are registered in r.
 func NewRequests(r metrics.Registry) *Requests { return &Requests{registry: r} }
 
-// RecordAnswer counts an answer of an upstream and its latency.
-func (m *Requests) RecordAnswer(service string, latency time.Duration) {
+// RecordResponse counts a response of an upstream and its latency.
+func (m *Requests) RecordResponse(service string, latency time.Duration) {
 	metrics.GetOrRegisterCounter("requests."+service+".answered", m.registry).Inc(1)
 	h := m.registry.GetOrRegister("requests."+service+".latency_us", func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewUniformSample(latencySampleSize))
@@ -31,7 +31,7 @@
 	}
 }
 
-// RecordError counts an error answer. Unknown services share one counter, so that callers cannot
+// RecordError counts an error response. Unknown services share one counter, so that callers cannot
 // create counters.
 func (m *Requests) RecordError(service string, kind answer.Kind) {
 	if kind == answer.UnknownService {
--- a/transport/upstreams/upstreams.go
+++ b/transport/upstreams/upstreams.go
@@ -51,7 +51,7 @@
 }
 
 // AbortRequests cancels all requests in flight. It is called when the upstream is considered lost,
-// as waiting for its answers is pointless.
+// as waiting for its responses is pointless.
 func (u *Upstream) AbortRequests() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -138,7 +138,7 @@
 }
 
 // Send sends one request. sent reports whether any byte of it may have reached the upstream. done
-// must be called once the answer has been read.
+// must be called once the response has been read.
 func (u *Upstream) Send(req *http.Request) (resp *http.Response, done func(), sent bool, err error) {
 	var tracker sendTracker
 	ctx, cancel := context.WithCancel(req.Context())
@@ -179,26 +179,26 @@
 }
 
 func (u *Upstream) callControl(ctx context.Context, path string, body any) (control.Status, error) {
-	var st control.Status
+	var status control.Status
 	data, err := json.Marshal(body)
 	if err != nil {
-		return st, fmt.Errorf("upstream %s: %w", u.ID, err)
+		return status, fmt.Errorf("upstream %s: %w", u.ID, err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+u.Addr+path, bytes.NewReader(data))
 	if err != nil {
-		return st, fmt.Errorf("upstream %s: %w", u.ID, err)
+		return status, fmt.Errorf("upstream %s: %w", u.ID, err)
 	}
 	resp, err := u.control.Do(req)
 	if err != nil {
-		return st, fmt.Errorf("upstream %s: %w", u.ID, err)
+		return status, fmt.Errorf("upstream %s: %w", u.ID, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxStatusBytes))
-		return st, fmt.Errorf("upstream %s answered %d to %s", u.ID, resp.StatusCode, path)
+		return status, fmt.Errorf("upstream %s answered %d to %s", u.ID, resp.StatusCode, path)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&st); err != nil {
-		return st, fmt.Errorf("upstream %s: %w", u.ID, err)
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&status); err != nil {
+		return status, fmt.Errorf("upstream %s: %w", u.ID, err)
 	}
-	return st, nil
+	return status, nil
 }
