--- a/protocol/control/control.go
+++ b/protocol/control/control.go
@@ -28,7 +28,7 @@
 }
 
 // Revocation withdraws a span. From then on the upstream rejects grants of the span
-// with Epoch or a lower epoch. It answers when the requests in flight have ended.
+// with Epoch or a lower epoch. It responds when the requests in flight have ended.
 type Revocation struct {
 	keyspace.Span
 	Service string `json:"service"`
@@ -45,7 +45,7 @@
 // earlier Status. A renewal that is delivered late therefore does not extend the lease
 // beyond the intended time.
 type Renewal struct {
-	// Boot identifies the process that the renewal is for. If it is empty, the
+	// Boot is the boot ID of the process that the renewal is for. If it is empty, the
 	// renewal only requests a Status.
 	Boot string `json:"boot,omitempty"`
 	// UntilNanos is the end of the lease by the upstream's clock, in nanoseconds.
--- a/protocol/header/header.go
+++ b/protocol/header/header.go
@@ -7,14 +7,14 @@
 	Key = "Rockcroft-Key"
 	// RequestID identifies a request and stays the same when it is retried.
 	RequestID = "Rockcroft-Request-Id"
-	// Timeout is the time left to answer, as a Go duration such as "800ms".
+	// Timeout is the time left to respond, as a Go duration such as "800ms".
 	Timeout = "Rockcroft-Timeout"
 	// Idempotent is "true" or "false" and overrides the default for the HTTP method.
 	Idempotent = "Rockcroft-Idempotent"
 	// Importance is "high", "normal" or "low".
 	Importance = "Rockcroft-Importance"
 	// Repeat is sent with a retry of a request whose outcome is unknown. It holds the
-	// Epoch header of the response to the earlier attempt with the same request id.
+	// Epoch header of the response to the earlier attempt with the same request ID.
 	Repeat = "Rockcroft-Repeat"
 	// Caller identifies the caller, so that limits can be shared fairly among callers.
 	Caller = "Rockcroft-Caller"
