--- a/state/cell/cell.go
+++ b/state/cell/cell.go
@@ -68,8 +68,8 @@
 	Service string        `json:"service"`
 	Addr    string        `json:"addr"`
 	State   UpstreamState `json:"state"`
-	// Boot identifies the run of the upstream process that holds the grants.
-	// If it changes, the process has restarted and its earlier grants are void.
+	// Boot is the boot ID of the upstream process that holds the grants. If it
+	// changes, the process has restarted and its earlier grants are void.
 	Boot string `json:"boot,omitempty"`
 }
 
@@ -140,13 +140,13 @@
 	return Quorum{Local: slices.Clone(q.Local), Wide: slices.Clone(q.Wide)}
 }
 
-// HasLocal reports whether id is a local voter.
+// HasLocal reports whether ID is a local voter.
 func (q Quorum) HasLocal(id string) bool { return hasMember(q.Local, id) }
 
-// HasWide reports whether id is a wide voter.
+// HasWide reports whether ID is a wide voter.
 func (q Quorum) HasWide(id string) bool { return hasMember(q.Wide, id) }
 
-// Has reports whether id is a local or a wide voter.
+// Has reports whether ID is a local or a wide voter.
 func (q Quorum) Has(id string) bool { return q.HasLocal(id) || q.HasWide(id) }
 
 // Voters returns the local and wide voters without duplicates.
--- a/state/evacuation/evacuation.go
+++ b/state/evacuation/evacuation.go
@@ -26,17 +26,17 @@
 }
 
 // valid reports whether the record can come from a correct store.
-func (m Record) valid() bool {
-	return m.Domain != "" && len(m.Domain) <= maxNameLength && m.Revision > 0
+func (r Record) valid() bool {
+	return r.Domain != "" && len(r.Domain) <= maxNameLength && r.Revision > 0
 }
 
 // newerThan reports whether the record is newer than another one of the same domain. The removal of
 // an entry may carry the revision of the entry's last change; a new entry always has a higher one.
-func (m Record) newerThan(other Record) bool {
-	if m.Revision != other.Revision {
-		return m.Revision > other.Revision
+func (r Record) newerThan(other Record) bool {
+	if r.Revision != other.Revision {
+		return r.Revision > other.Revision
 	}
-	return m.Ended && !other.Ended
+	return r.Ended && !other.Ended
 }
 
 // Set holds what is known of all evacuations. It is immutable; the zero value and nil are empty
@@ -47,15 +47,15 @@
 // Merge returns a set that includes the newer ones of the given records, or s itself if none is
 // newer. It also returns the number of records that were dropped because they are invalid or exceed
 // the bound.
-func (s *Set) Merge(marks []Record) (next *Set, dropped int) {
+func (s *Set) Merge(records []Record) (next *Set, dropped int) {
 	next = s
-	for _, m := range marks {
-		known, ok := next.record(m.Domain)
+	for _, r := range records {
+		known, ok := next.record(r.Domain)
 		switch {
-		case !m.valid() || !ok && next.count() >= maxDomains:
+		case !r.valid() || !ok && next.count() >= maxDomains:
 			dropped++
-		case !ok || m.newerThan(known):
-			next = next.with(m)
+		case !ok || r.newerThan(known):
+			next = next.with(r)
 		}
 	}
 	return next, dropped
@@ -65,13 +65,13 @@
 // evacuations that are known but not listed have ended.
 func (s *Set) RecordsOfList(entries []Record, at uint64) []Record {
 	listed := make(map[string]bool, len(entries))
-	for _, m := range entries {
-		listed[m.Domain] = true
+	for _, r := range entries {
+		listed[r.Domain] = true
 	}
 	out := slices.Clone(entries)
-	for _, m := range s.Records() {
-		if !listed[m.Domain] && !m.Ended && m.Revision <= at {
-			out = append(out, Record{Domain: m.Domain, Revision: at, Ended: true})
+	for _, r := range s.Records() {
+		if !listed[r.Domain] && !r.Ended && r.Revision <= at {
+			out = append(out, Record{Domain: r.Domain, Revision: at, Ended: true})
 		}
 	}
 	return out
@@ -79,25 +79,25 @@
 
 // Active reports whether the failure domain is currently evacuated.
 func (s *Set) Active(domain string) bool {
-	m, ok := s.record(domain)
-	return ok && !m.Ended
+	r, ok := s.record(domain)
+	return ok && !r.Ended
 }
 
 // Domains returns the evacuated failure domains in ascending order.
 func (s *Set) Domains() []string {
 	var out []string
-	for _, m := range s.Records() {
-		if !m.Ended {
-			out = append(out, m.Domain)
+	for _, r := range s.Records() {
+		if !r.Ended {
+			out = append(out, r.Domain)
 		}
 	}
 	return out
 }
 
 // Covers reports whether the set includes all given records or newer ones.
-func (s *Set) Covers(marks []Record) bool {
-	for _, m := range marks {
-		if known, ok := s.record(m.Domain); m.valid() && (!ok || m.newerThan(known)) {
+func (s *Set) Covers(records []Record) bool {
+	for _, r := range records {
+		if known, ok := s.record(r.Domain); r.valid() && (!ok || r.newerThan(known)) {
 			return false
 		}
 	}
@@ -110,8 +110,8 @@
 		return nil
 	}
 	out := make([]Record, 0, len(s.records))
-	for _, m := range s.records {
-		out = append(out, m)
+	for _, r := range s.records {
+		out = append(out, r)
 	}
 	slices.SortFunc(out, func(a, b Record) int { return cmp.Compare(a.Domain, b.Domain) })
 	return out
@@ -120,8 +120,8 @@
 // Revision returns the highest revision of all records; zero if there are none.
 func (s *Set) Revision() uint64 {
 	newest := uint64(0)
-	for _, m := range s.Records() {
-		newest = max(newest, m.Revision)
+	for _, r := range s.Records() {
+		newest = max(newest, r.Revision)
 	}
 	return newest
 }
@@ -130,8 +130,8 @@
 	if s == nil {
 		return Record{}, false
 	}
-	m, ok := s.records[domain]
-	return m, ok
+	r, ok := s.records[domain]
+	return r, ok
 }
 
 func (s *Set) count() int {
@@ -141,11 +141,11 @@
 	return len(s.records)
 }
 
-func (s *Set) with(m Record) *Set {
+func (s *Set) with(r Record) *Set {
 	next := &Set{records: make(map[string]Record, s.count()+1)}
 	for _, known := range s.Records() {
 		next.records[known.Domain] = known
 	}
-	next.records[m.Domain] = m
+	next.records[r.Domain] = r
 	return next
 }
--- a/state/instances/incarnation.go
+++ b/state/instances/incarnation.go
@@ -30,6 +30,6 @@
 
 // PlausibleStart reports whether an upstream can have started at the given Unix time in
 // milliseconds. Zero, which means that the upstream does not report its start, is accepted.
-func PlausibleStart(bornMs uint64, now time.Time) bool {
-	return bornMs <= uint64(max(0, now.Add(maxClockSkew).UnixMilli()))
+func PlausibleStart(startedMs uint64, now time.Time) bool {
+	return startedMs <= uint64(max(0, now.Add(maxClockSkew).UnixMilli()))
 }
--- a/state/instances/tracker.go
+++ b/state/instances/tracker.go
@@ -108,14 +108,14 @@
 // those whose retention has passed, and reports whether anything changed.
 func (t *Tracker) ExpireAbsent(now time.Time) bool {
 	changed := false
-	for id, m := range t.unregistered {
+	for id, a := range t.unregistered {
 		instance := t.known[id]
 		switch {
-		case now.Sub(m.since) > removedRetention:
+		case now.Sub(a.since) > removedRetention:
 			delete(t.known, id)
 			delete(t.unregistered, id)
 			changed = true
-		case !instance.Leaving && !now.Before(m.graceEnd):
+		case !instance.Leaving && !now.Before(a.graceEnd):
 			instance.Leaving = true
 			t.known[id] = instance
 			changed = true
--- a/state/jsonc/jsonc_test.go
+++ b/state/jsonc/jsonc_test.go
@@ -26,20 +26,20 @@
 }`
 	conf := settings.DefaultEntry()
 	err := jsonc.Decode([]byte(text), &conf)
-	var findings jsonc.Diagnostics
-	if !errors.As(err, &findings) {
+	var diagnostics jsonc.Diagnostics
+	if !errors.As(err, &diagnostics) {
 		t.Fatalf("got error %v, want Diagnostics", err)
 	}
 	var got []string
-	for _, f := range findings {
-		got = append(got, f.Path)
+	for _, d := range diagnostics {
+		got = append(got, d.Path)
 	}
 	want := []string{"callers", "platform_timeout", "beat_interval", "color", "id"}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if findings[0].Line != 4 || findings[4].Line != 10 {
-		t.Errorf("got lines %d and %d, want 4 and 10", findings[0].Line, findings[4].Line)
+	if diagnostics[0].Line != 4 || diagnostics[4].Line != 10 {
+		t.Errorf("got lines %d and %d, want 4 and 10", diagnostics[0].Line, diagnostics[4].Line)
 	}
 }
 
--- a/state/limits/limits.go
+++ b/state/limits/limits.go
@@ -17,7 +17,7 @@
 	// ended.
 	maxEntries = 4096
 	// endedRetention is how long the end of a limit is remembered, so that no older report from
-	// another gateway restores the limit. It is several times as long as news takes to reach all
+	// another gateway restores the limit. It is several times as long as a change takes to reach all
 	// gateways.
 	endedRetention = 5 * time.Second
 	// minRelativeChange is the fraction by which a limit must change to count as changed. Upstreams
