--- a/bench/rockload/experiment.go
+++ b/bench/rockload/experiment.go
@@ -172,7 +172,7 @@
 		{
 			name: "lying", about: "one upstream's health endpoint lies", duration: 25 * s,
 			ratio: 0.4, zipf: 1.1, writes: 0.3,
-			actions: []action{{8 * s, "lie", slowUpstream(2, upstream.Faults{LyingHealth: true})}},
+			actions: []action{{8 * s, "lie", slowUpstream(2, upstream.Faults{ReportUnhealthy: true})}},
 		},
 		{
 			name: "overload", about: "twice the capacity", duration: 30 * s,
--- a/standin/instance/instance.go
+++ b/standin/instance/instance.go
@@ -22,11 +22,11 @@
 const (
 	// Healthy executes requests and control calls normally.
 	Healthy Mode = iota
-	// Unresponsive neither answers nor executes anything.
+	// Unresponsive neither responds nor executes anything.
 	Unresponsive
-	// LosesResponses executes requests, then closes the connection without an answer.
+	// LosesResponses executes requests, then closes the connection without a response.
 	LosesResponses
-	// ReturnsErrors executes requests and answers 500.
+	// ReturnsErrors executes requests and responds with 500.
 	ReturnsErrors
 	// Overloaded rejects requests as not executed, for lack of capacity.
 	Overloaded
@@ -62,12 +62,12 @@
 	Oracle      *Oracle
 	// arrivals are the most recent requests received.
 	arrivals []Arrival
-	// limit is the request rate that its answers advertise, in requests per second; none if
+	// limit is the request rate that its responses advertise, in requests per second; none if
 	// negative.
 	limit float64
 	// incarnation is unique among all instances, including those with the same ID.
 	incarnation string
-	// leaving is set if its answers announce that it is leaving.
+	// leaving is set if its responses announce that it is leaving.
 	leaving bool
 	// retryAfter holds the header values with which an overloaded instance asks senders to pause.
 	retryAfter []string
@@ -87,7 +87,7 @@
 	idle    *sync.Cond
 }
 
-// IncarnationHeader identifies, in each answer to a request, the incarnation that sent it.
+// IncarnationHeader identifies, in each response to a request, the incarnation that sent it.
 const IncarnationHeader = "X-Standin-Start"
 
 // incarnations counts the instances created, to make incarnations unique.
@@ -101,7 +101,7 @@
 	return i
 }
 
-// Incarnation returns the value of IncarnationHeader in the answers of this instance.
+// Incarnation returns the value of IncarnationHeader in the responses of this instance.
 func (i *Instance) Incarnation() string { return i.incarnation }
 
 // SetMode changes the mode.
@@ -122,7 +122,7 @@
 	i.onCrash = end
 }
 
-// crash ends the simulated process and closes the connection without an answer.
+// crash ends the simulated process and closes the connection without a response.
 func (i *Instance) crash(path string) {
 	i.mu.Lock()
 	end := i.onCrash
@@ -220,8 +220,8 @@
 	}
 }
 
-// refuseWithoutID rejects a request without an id, as the platform's instances do. A request
-// that names its target comes from a gateway, which has lost the id set by the client. Any
+// refuseWithoutID rejects a request without an ID, as the platform's instances do. A request
+// that names its target comes from a gateway, which has lost the ID set by the client. Any
 // other request was meant for a different process.
 func (i *Instance) refuseWithoutID(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(platform.TargetInstance) != "" {
--- a/standin/instance/instance_test.go
+++ b/standin/instance/instance_test.go
@@ -11,18 +11,18 @@
 	"github.com/rockcroft/rockcroft/platform"
 )
 
-// TestWithoutID checks that a request without an id is rejected as not executed, whatever its
+// TestWithoutID checks that a request without an ID is rejected as not executed, whatever its
 // method. It counts as a violation if it names its target and so was sent by a gateway, even
 // the first time.
 func TestWithoutID(t *testing.T) {
-	lost := func(method string) []string { return []string{method + " /pay/x was sent to i without an id"} }
+	missingID := func(method string) []string { return []string{method + " /pay/x was sent to i without an id"} }
 	for name, c := range map[string]struct {
 		method, target string
 		status         int
 		violations     []string
 	}{
-		"sent by a gateway":           {http.MethodPost, "i", http.StatusBadRequest, lost(http.MethodPost)},
-		"sent by a gateway, safe":     {http.MethodGet, "i", http.StatusBadRequest, lost(http.MethodGet)},
+		"sent by a gateway":           {http.MethodPost, "i", http.StatusBadRequest, missingID(http.MethodPost)},
+		"sent by a gateway, safe":     {http.MethodGet, "i", http.StatusBadRequest, missingID(http.MethodGet)},
 		"meant for another instance":  {http.MethodPost, "j", http.StatusMisdirectedRequest, nil},
 		"meant for no instance":       {http.MethodPost, "", http.StatusBadRequest, nil},
 		"meant for no instance, safe": {http.MethodGet, "", http.StatusBadRequest, nil},
--- a/standin/instance/oracle.go
+++ b/standin/instance/oracle.go
@@ -10,8 +10,8 @@
 
 // Oracle records what all instances do and detects violations: two owners of one key at the
 // same time, a new owner whose fence is not higher than that of the previous one, a request
-// that runs twice although it must not, and a request that arrives without the id set by its
-// client. All clients of the instances must therefore set ids.
+// that runs twice although it must not, and a request that arrives without the ID set by its
+// client. All clients of the instances must therefore set IDs.
 type Oracle struct {
 	mu sync.Mutex
 	// leases are the current leases by instance.
@@ -79,7 +79,7 @@
 	}
 }
 
-// recordMissingID records that an instance received a request without an id.
+// recordMissingID records that an instance received a request without an ID.
 func (o *Oracle) recordMissingID(instance, method, path string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/standin/instance/words.go
+++ b/standin/instance/words.go
@@ -9,24 +9,24 @@
 	"github.com/rockcroft/rockcroft/platform"
 )
 
-// This file controls what the instance states in the headers of its answers, and records
+// This file controls what the instance states in the headers of its responses, and records
 // the requests that arrive.
 
-// AdvertiseLimit makes each answer from now on state a limit, in requests per second.
+// AdvertiseLimit makes each response from now on state a limit, in requests per second.
 func (i *Instance) AdvertiseLimit(perSecond float64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.limit = perSecond
 }
 
-// ClearLimit makes answers state no limit any longer.
+// ClearLimit makes responses state no limit any longer.
 func (i *Instance) ClearLimit() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.limit = -1
 }
 
-// AnnounceLeaving makes each answer from now on announce that the instance is leaving.
+// AnnounceLeaving makes each response from now on announce that the instance is leaving.
 func (i *Instance) AnnounceLeaving() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -50,10 +50,10 @@
 
 // Arrival is a request that the instance received.
 type Arrival struct {
-	// RequestID is the id of the request, as received.
+	// RequestID is the ID of the request, as received.
 	RequestID  string
 	ReceivedAt time.Time
-	// RetryAfter is how long the answer asked the sender to send nothing.
+	// RetryAfter is how long the response asked the sender to send nothing.
 	RetryAfter time.Duration
 }
 
@@ -74,7 +74,7 @@
 	return out
 }
 
-// recordArrival records a request and sets the headers of its answer in which the instance
+// recordArrival records a request and sets the headers of its response in which the instance
 // states its limit, its leaving, its overload and its incarnation.
 func (i *Instance) recordArrival(id string, h http.Header) {
 	i.mu.Lock()
--- a/standin/metastore/metastore.go
+++ b/standin/metastore/metastore.go
@@ -52,13 +52,13 @@
 const (
 	// Healthy serves calls normally.
 	Healthy Mode = iota
-	// Unavailable answers 503, TooManyRequests 429.
+	// Unavailable responds with 503, TooManyRequests with 429.
 	Unavailable
 	TooManyRequests
-	// ResetConnection closes the connection without an answer, Unresponsive never answers.
+	// ResetConnection closes the connection without a response, Unresponsive never responds.
 	ResetConnection
 	Unresponsive
-	// LoseResponse executes the call, then closes the connection without an answer.
+	// LoseResponse executes the call, then closes the connection without a response.
 	LoseResponse
 	// ApplyLate closes the connection and executes the call LateDelay later.
 	ApplyLate
@@ -266,7 +266,7 @@
 	s.calls++
 }
 
-// execute executes one call and returns the status and body of the answer.
+// execute executes one call and returns the status and body of the response.
 func (s *Store) execute(r *http.Request, body []byte) (int, any) {
 	kind, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, platform.ObjectsPath), "/")
 	if r.Method == http.MethodGet {
@@ -307,7 +307,7 @@
 	return http.StatusOK, s.put(kind, name, o.Spec)
 }
 
-// pageSize is the maximum number of objects in one answer. It is small so that tests see
+// pageSize is the maximum number of objects in one response. It is small so that tests see
 // several pages.
 const pageSize = 20
 
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -20,15 +20,15 @@
 
 // Faults are the faults that the platform simulates.
 type Faults struct {
-	// Down aborts all calls without an answer.
+	// Down aborts all calls without a response.
 	Down bool `json:"down"`
-	// Silent accepts calls and never answers them.
+	// Silent accepts calls and never responds to them.
 	Silent bool `json:"silent"`
 	// ExtraMillis is added to the latency of each call, in milliseconds.
 	ExtraMillis int `json:"extra_ms"`
-	// LoseAnswers, if positive, drops the answer to every n-th write after the write took
+	// LoseResponses, if positive, drops the response to every n-th write after the write took
 	// effect.
-	LoseAnswers int `json:"lose_answers"`
+	LoseResponses int `json:"lose_answers"`
 }
 
 // Counts are the numbers of calls since the start. Refused counts calls over the rate limit.
@@ -175,7 +175,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writeCount++
-	n := s.faults.LoseAnswers
+	n := s.faults.LoseResponses
 	return n > 0 && s.writeCount%n == 0
 }
 
--- a/standin/platform/settings.go
+++ b/standin/platform/settings.go
@@ -1,5 +1,5 @@
 // Package platform simulates the platform's object service. It keeps objects in memory and
-// can simulate faults: outages, added latency and lost answers.
+// can simulate faults: outages, added latency and lost responses.
 package platform
 
 import (
--- a/standin/upstream/control.go
+++ b/standin/upstream/control.go
@@ -27,10 +27,10 @@
 }
 
 func (s *Server) writeStatus(w http.ResponseWriter) {
-	st := s.owner.Status()
-	st.Running = int(s.running.Load())
-	st.Waiting = int(s.waiting.Load())
-	writeJSON(w, st)
+	status := s.owner.Status()
+	status.Running = int(s.running.Load())
+	status.Waiting = int(s.waiting.Load())
+	writeJSON(w, status)
 }
 
 func (s *Server) grant(w http.ResponseWriter, r *http.Request) {
@@ -60,12 +60,12 @@
 }
 
 func (s *Server) renew(w http.ResponseWriter, r *http.Request) {
-	var n control.Renewal
-	if !decode(w, r, &n) {
+	var renewal control.Renewal
+	if !decode(w, r, &renewal) {
 		return
 	}
 	s.waitWhileFrozen()
-	s.owner.Renew(n)
+	s.owner.Renew(renewal)
 	s.updateCounts(func(c *Counts) { c.Probes++ })
 	s.writeStatus(w)
 }
@@ -84,9 +84,9 @@
 func (s *Server) getHealth(w http.ResponseWriter, _ *http.Request) {
 	s.waitWhileFrozen()
 	s.mu.Lock()
-	lying := s.faults.LyingHealth
+	reportUnhealthy := s.faults.ReportUnhealthy
 	s.mu.Unlock()
-	if lying {
+	if reportUnhealthy {
 		http.Error(w, "unhealthy", http.StatusServiceUnavailable)
 		return
 	}
--- a/standin/upstream/owner.go
+++ b/standin/upstream/owner.go
@@ -177,7 +177,7 @@
 	return false, false
 }
 
-// Status returns the boot ID, clock and leaving state for the answer to a control message.
+// Status returns the boot ID, clock and leaving state for the response to a control message.
 func (o *Ownership) Status() control.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/standin/upstream/server.go
+++ b/standin/upstream/server.go
@@ -31,9 +31,9 @@
 	Frozen bool `json:"frozen"`
 	// SlowFactor multiplies execution times; zero means 1.
 	SlowFactor float64 `json:"slow_factor"`
-	// LyingHealth makes the health endpoint report that the upstream is unhealthy although
+	// ReportUnhealthy makes the health endpoint report that the upstream is unhealthy although
 	// it works.
-	LyingHealth bool `json:"lying_health"`
+	ReportUnhealthy bool `json:"lying_health"`
 	// BreakEvery, if positive, aborts the response to every n-th request after the request
 	// was executed.
 	BreakEvery int `json:"break_every"`
@@ -66,21 +66,21 @@
 	unfrozen  chan struct{}
 	rng       *rand.Rand
 	completed map[string]storedResult
-	// attempts are the attempts by request id, counted only if there is no oracle file.
-	attempts map[string]int
-	counts   Counts
-	answers  int
-	active   map[*request]keyspace.Hash
+	// attempts are the attempts by request ID, counted only if there is no oracle file.
+	attempts  map[string]int
+	counts    Counts
+	responses int
+	active    map[*request]keyspace.Hash
 }
 
-// storedResult is the result of a non-idempotent request, kept to answer retries.
+// storedResult is the result of a non-idempotent request, kept to respond to retries.
 type storedResult struct {
 	key string
 	seq int64
 }
 
-// Answer is the response body of a successful request.
-type Answer struct {
+// ResponseBody is the response body of a successful request.
+type ResponseBody struct {
 	Upstream  string `json:"upstream"`
 	Key       string `json:"key"`
 	RequestID string `json:"request_id"`
@@ -203,7 +203,7 @@
 // Empty reports whether the upstream owns no ranges.
 func (s *Server) Empty() bool { return s.owner.hasNoGrants() }
 
-// Attempts returns how often a request with the id obtained a slot and passed the fencing
+// Attempts returns how often a request with the ID obtained a slot and passed the fencing
 // check if enabled, including attempts answered with a stored result. It is zero if the oracle log is
 // written to a file.
 func (s *Server) Attempts(id string) int {
@@ -317,7 +317,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(header.Ran, "ran")
-	_ = json.NewEncoder(w).Encode(Answer{
+	_ = json.NewEncoder(w).Encode(ResponseBody{
 		Upstream: s.settings.ID, Key: req.key, RequestID: req.id, Epoch: req.epoch, Seq: seq,
 	})
 }
@@ -401,7 +401,7 @@
 func (s *Server) shouldAbort() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answers++
+	s.responses++
 	n := s.faults.BreakEvery
-	return n > 0 && s.answers%n == 0
+	return n > 0 && s.responses%n == 0
 }
