--- a/ctl/unread_test.go
+++ b/ctl/unread_test.go
@@ -9,7 +9,7 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// TestPrintUnread checks that headers that upstreams still send are told from those they no longer send.
+// TestPrintUnread checks that headers that upstreams still send are distinguished from those they no longer send.
 func TestPrintUnread(t *testing.T) {
 	var out bytes.Buffer
 	o := &options{out: &out}
--- a/entry/beats.go
+++ b/entry/beats.go
@@ -32,7 +32,7 @@
 	})
 }
 
-// beatTarget is an entry to send beats to. The id is empty if only the address is
+// beatTarget is an entry to send beats to. The ID is empty if only the address is
 // known.
 type beatTarget struct {
 	id   string
@@ -153,7 +153,7 @@
 }
 
 // stopSuperseded stops this process because a newer process with the same
-// configured id has appeared. The other entries already treat this one as ended.
+// configured ID has appeared. The other entries already treat this one as ended.
 func (e *Entry) stopSuperseded(by string) {
 	err := answer.New(answer.Conflict, "%s takes the place of %s; an id belongs to one VM", by, e.self.ID)
 	select {
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -98,7 +98,7 @@
 		return
 	}
 	e.gate.Apply(doc)
-	e.outages.update(old, doc, e.clock(), e.leases.lastAnswer, e.registry)
+	e.outages.update(old, doc, e.clock(), e.leases.lastResponse, e.registry)
 	e.leases.withLock(func(tracker *lease.Tracker) { e.updateLostUpstreams(tracker, doc) })
 	e.pool.Retain(listed)
 	e.control.record(func(core *controller.Core, now time.Time) { core.OnDocument(now, doc, 0) })
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -152,7 +152,7 @@
 	return mathrand.New(mathrand.NewPCG(seed, seed))
 }
 
-// newID returns a random id for writes and intents.
+// newID returns a random ID for writes and intents.
 func newID() string {
 	var b [12]byte
 	// The source never fails; see crypto/rand.
--- a/entry/intents.go
+++ b/entry/intents.go
@@ -15,7 +15,7 @@
 	"github.com/rockcroft/rockcroft/transport/platform"
 )
 
-// intentSet holds the latest known version of each intent, by id.
+// intentSet holds the latest known version of each intent, by ID.
 type intentSet struct {
 	byID map[string]storedIntent
 }
--- a/entry/renewals.go
+++ b/entry/renewals.go
@@ -25,7 +25,7 @@
 	f(l.tracker)
 }
 
-func (l *leaseTracker) lastAnswer(id string) time.Time {
+func (l *leaseTracker) lastResponse(id string) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tracker.LastAnswer(id)
--- a/entry/unavailable.go
+++ b/entry/unavailable.go
@@ -32,8 +32,8 @@
 
 // update starts an outage for each range that lost its owner, and records the
 // duration of the outages of ranges that have an owner again. The function
-// lastAnswer returns the time of an upstream's last answer.
-func (o *outages) update(old, doc *cell.Cell, now time.Time, lastAnswer func(string) time.Time, registry metrics.Registry) {
+// lastResponse returns the time of an upstream's last response.
+func (o *outages) update(old, doc *cell.Cell, now time.Time, lastResponse func(string) time.Time, registry metrics.Registry) {
 	if o.ongoing == nil {
 		o.ongoing = make(map[outageID]outage)
 	}
@@ -51,7 +51,7 @@
 				h.Update(now.Sub(current.since).Microseconds())
 				delete(o.ongoing, id)
 			case r.Phase == cell.Releasing && !ok && wasOwned(old, s.Name, r):
-				o.ongoing[id] = newOutage(doc, r, now, lastAnswer)
+				o.ongoing[id] = newOutage(doc, r, now, lastResponse)
 			case r.Phase == cell.Exported:
 				delete(o.ongoing, id)
 			}
@@ -72,12 +72,12 @@
 }
 
 // newOutage returns an outage that starts now or, if the owner was lost, with the
-// owner's last answer.
-func newOutage(doc *cell.Cell, r cell.Range, now time.Time, lastAnswer func(string) time.Time) outage {
+// owner's last response.
+func newOutage(doc *cell.Cell, r cell.Range, now time.Time, lastResponse func(string) time.Time) outage {
 	out := outage{span: r.Span, since: now, planned: true}
 	if u := doc.Upstream(r.Owner); u != nil && u.State == cell.Lost {
 		out.planned = false
-		if at := lastAnswer(r.Owner); !at.IsZero() {
+		if at := lastResponse(r.Owner); !at.IsZero() {
 			out.since = at
 		}
 	}
--- a/transport/front/request.go
+++ b/transport/front/request.go
@@ -17,7 +17,7 @@
 
 // Limits of what a caller may send.
 const (
-	// maxKeyBytes and maxRequestIDBytes are the maximum lengths of a key and a request id.
+	// maxKeyBytes and maxRequestIDBytes are the maximum lengths of a key and a request ID.
 	maxKeyBytes       = 1024
 	maxRequestIDBytes = 128
 	// maxBufferedBody is the size in bytes up to which a body is kept in memory for a retry.
@@ -38,7 +38,7 @@
 	importance admission.Importance
 	deadline   time.Time
 	hops       int
-	// repeatEpoch is the epoch from an earlier answer with an unknown outcome, or zero.
+	// repeatEpoch is the epoch from an earlier response with an unknown outcome, or zero.
 	repeatEpoch uint64
 
 	body           []byte
--- a/transport/platform/platform.go
+++ b/transport/platform/platform.go
@@ -72,8 +72,8 @@
 	WriteID string `json:"write_id"`
 }
 
-// PutWithWriteID stores a document that carries a write id. If the response is lost, it recognizes
-// its own write by this id. It returns the version of the object.
+// PutWithWriteID stores a document that carries a write ID. If the response is lost, it recognizes
+// its own write by this ID. It returns the version of the object.
 func PutWithWriteID(ctx context.Context, s Store, kind, name string, doc any, expect uint64) (uint64, error) {
 	value, err := json.Marshal(doc)
 	if err != nil {
--- a/transport/pool/pool.go
+++ b/transport/pool/pool.go
@@ -150,7 +150,7 @@
 
 // minSilence is how long a request on a reused connection must have waited for the connection to
 // count as silent, if the request was cancelled rather than reaching its deadline. It is longer
-// than upstreams and the store usually take to answer.
+// than upstreams and the store usually take to respond.
 const minSilence = 400 * time.Millisecond
 
 // wasSilent reports whether a request that failed with err received no response for long enough.
--- a/transport/upstreams/upstreams.go
+++ b/transport/upstreams/upstreams.go
@@ -114,7 +114,7 @@
 	return c
 }
 
-// Retain removes the clients of all upstreams whose ID is not in ids.
+// Retain removes the clients of all upstreams whose ID is not in IDs.
 func (p *Pool) Retain(ids map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,7 +173,7 @@
 	return u.callControl(ctx, control.PathRevoke, r)
 }
 
-// Reset makes the upstream drop all grants and take a new boot id.
+// Reset makes the upstream drop all grants and take a new boot ID.
 func (u *Upstream) Reset(ctx context.Context) (control.Status, error) {
 	return u.callControl(ctx, control.PathReset, struct{}{})
 }
