--- a/entry/beats.go
+++ b/entry/beats.go
@@ -22,8 +22,8 @@
 // still succeed before a promise expires.
 const beatTimeout = 400 * time.Millisecond
 
-// beatLoop asks the voters of the cell for the promises on which this entry's right
-// to send rests.
+// beatLoop sends heartbeats to the voters of the cell, which respond with the promises
+// that give this entry the right to send.
 func (e *Entry) beatLoop(ctx context.Context) {
 	e.every(ctx, e.conf.HeartbeatInterval.D(), func(ctx context.Context) {
 		for _, t := range e.beatTargets() {
@@ -32,7 +32,7 @@
 	})
 }
 
-// beatTarget is an entry to send beats to. The ID is empty if only the address is
+// beatTarget is an entry to send beats to. The id is empty if only the address is
 // known.
 type beatTarget struct {
 	id   string
--- a/entry/bed_test.go
+++ b/entry/bed_test.go
@@ -114,37 +114,37 @@
 }
 
 // addEntry starts an entry in a cell, with the entries started before as its seeds.
-func (b *testCluster) addEntry(id, cellName string) *runningEntry {
-	b.t.Helper()
+func (cluster *testCluster) addEntry(id, cellName string) *runningEntry {
+	cluster.t.Helper()
 	conf := settings.DefaultEntry()
 	conf.ID, conf.Domain, conf.Cell = id, cellName, cellName
 	conf.Callers, conf.Peers, conf.Admin = loopback(), loopback(), loopback()
 	conf.Platform = loopback()
 	conf.DrainNotice = 0
-	for _, e := range b.entries {
+	for _, e := range cluster.entries {
 		_, peers, _ := e.Addresses()
 		conf.Seeds = append(conf.Seeds, jsonc.Addr{AddrPort: netip.MustParseAddrPort(peers)})
 	}
-	if b.editSettings != nil {
-		b.editSettings(&conf)
+	if cluster.editSettings != nil {
+		cluster.editSettings(&conf)
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	e, err := Provision(context.Background(), conf, b.store, log)
+	e, err := Provision(context.Background(), conf, cluster.store, log)
 	if err != nil {
-		b.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	callers, _, _ := e.Addresses()
 	r := &runningEntry{Entry: e, callers: callers, stop: cancel, done: make(chan error, 1)}
 	go func() { r.done <- e.Serve(ctx) }()
-	b.t.Cleanup(cancel)
-	b.entries = append(b.entries, r)
+	cluster.t.Cleanup(cancel)
+	cluster.entries = append(cluster.entries, r)
 	return r
 }
 
 // addUpstream starts a stand-in upstream.
-func (b *testCluster) addUpstream(id, cellName string, editSettings func(*upstream.Settings)) *runningUpstream {
-	b.t.Helper()
+func (cluster *testCluster) addUpstream(id, cellName string, editSettings func(*upstream.Settings)) *runningUpstream {
+	cluster.t.Helper()
 	conf := upstream.DefaultSettings()
 	conf.ID = id
 	conf.ReadTime, conf.WriteTime = jsonc.Duration(time.Millisecond), jsonc.Duration(time.Millisecond)
@@ -153,23 +153,23 @@
 	}
 	s, err := upstream.New(conf, upstream.NewBootID())
 	if err != nil {
-		b.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		b.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &runningUpstream{Server: s, id: id, cell: cellName, addr: l.Addr().String(), stop: cancel, listener: l}
 	go func() { _ = s.ServeListener(ctx, l) }()
-	b.t.Cleanup(cancel)
-	b.upstreams = append(b.upstreams, r)
+	cluster.t.Cleanup(cancel)
+	cluster.upstreams = append(cluster.upstreams, r)
 	return r
 }
 
 // eventually polls f until it returns nil, and fails the test after testTimeout.
-func (b *testCluster) eventually(what string, f func() error) {
-	b.t.Helper()
+func (cluster *testCluster) eventually(what string, f func() error) {
+	cluster.t.Helper()
 	limit := time.Now().Add(testTimeout)
 	for {
 		err := f()
@@ -177,16 +177,16 @@
 			return
 		}
 		if time.Now().After(limit) {
-			b.t.Fatalf("%s: %v%s", what, err, b.controllerStates())
+			cluster.t.Fatalf("%s: %v%s", what, err, cluster.controllerStates())
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
 // controllerStates describes what each entry's controller is waiting for.
-func (b *testCluster) controllerStates() string {
+func (cluster *testCluster) controllerStates() string {
 	var out strings.Builder
-	for _, e := range b.entries {
+	for _, e := range cluster.entries {
 		e.control.mu.Lock()
 		fmt.Fprintf(&out, "\n%s may_send=%v %s", e.self.ID, e.gate.MaySend(), e.control.core.Explain(e.clock()))
 		e.control.mu.Unlock()
@@ -194,14 +194,14 @@
 	return out.String()
 }
 
-func (b *testCluster) operator() operator { return operator{b.entries[0].Entry} }
+func (cluster *testCluster) operator() operator { return operator{cluster.entries[0].Entry} }
 
-func (b *testCluster) serviceSpec(name string, checks bool) intent.Spec {
+func (cluster *testCluster) serviceSpec(name string, checks bool) intent.Spec {
 	conf := service.Default()
 	conf.Name = name
 	conf.ChecksFences = checks
 	spec := intent.Spec{Kind: intent.CreateService, Service: &conf}
-	for _, u := range b.upstreams {
+	for _, u := range cluster.upstreams {
 		spec.Upstreams = append(spec.Upstreams, u.spec(name))
 	}
 	return spec
@@ -215,20 +215,20 @@
 }
 
 // create creates an intent.
-func (b *testCluster) create(spec intent.Spec) (*intent.Intent, error) {
+func (cluster *testCluster) create(spec intent.Spec) (*intent.Intent, error) {
 	data, err := json.Marshal(spec)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := b.operator().CreateIntent(context.Background(), &operatorpb.CreateIntentRequest{Spec: data})
+	resp, err := cluster.operator().CreateIntent(context.Background(), &operatorpb.CreateIntentRequest{Spec: data})
 	if err != nil {
 		return nil, err
 	}
 	return intent.Decode(resp.Intent)
 }
 
-func (b *testCluster) confirm(id string) (*intent.Intent, error) {
-	resp, err := b.operator().ConfirmIntent(context.Background(), &operatorpb.IntentRequest{Id: id})
+func (cluster *testCluster) confirm(id string) (*intent.Intent, error) {
+	resp, err := cluster.operator().ConfirmIntent(context.Background(), &operatorpb.IntentRequest{Id: id})
 	if err != nil {
 		return nil, err
 	}
@@ -237,24 +237,24 @@
 
 // createAndConfirm creates an intent and confirms it, again if its plan has become
 // stale.
-func (b *testCluster) createAndConfirm(spec intent.Spec) string {
-	b.t.Helper()
-	i, err := b.create(spec)
+func (cluster *testCluster) createAndConfirm(spec intent.Spec) string {
+	cluster.t.Helper()
+	i, err := cluster.create(spec)
 	if err != nil {
-		b.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	b.eventually("confirm", func() error {
-		_, err := b.confirm(i.ID)
+	cluster.eventually("confirm", func() error {
+		_, err := cluster.confirm(i.ID)
 		return err
 	})
 	return i.ID
 }
 
 // awaitDone waits until an intent is done.
-func (b *testCluster) awaitDone(id string) {
-	b.t.Helper()
-	b.eventually("intent "+id, func() error {
-		resp, err := b.operator().GetIntent(context.Background(), &operatorpb.IntentRequest{Id: id})
+func (cluster *testCluster) awaitDone(id string) {
+	cluster.t.Helper()
+	cluster.eventually("intent "+id, func() error {
+		resp, err := cluster.operator().GetIntent(context.Background(), &operatorpb.IntentRequest{Id: id})
 		if err != nil {
 			return err
 		}
@@ -267,10 +267,10 @@
 }
 
 // awaitVoters waits until a cell has n local voters.
-func (b *testCluster) awaitVoters(cellName string, n int) {
-	b.t.Helper()
-	b.eventually("voters of "+cellName, func() error {
-		obj, err := b.store.Memory.Get(context.Background(), platform.KindCell, cellName)
+func (cluster *testCluster) awaitVoters(cellName string, n int) {
+	cluster.t.Helper()
+	cluster.eventually("voters of "+cellName, func() error {
+		obj, err := cluster.store.Memory.Get(context.Background(), platform.KindCell, cellName)
 		if err != nil {
 			return err
 		}
@@ -283,12 +283,12 @@
 }
 
 // awaitServed waits until every entry serves requests for a sample of keys.
-func (b *testCluster) awaitServed(name string) {
-	b.t.Helper()
-	for _, e := range b.entries {
+func (cluster *testCluster) awaitServed(name string) {
+	cluster.t.Helper()
+	for _, e := range cluster.entries {
 		for k := range 32 {
-			b.eventually("service "+name, func() error {
-				resp := b.send(e.callers, http.MethodGet, name, fmt.Sprintf("key-%d", k), nil)
+			cluster.eventually("service "+name, func() error {
+				resp := cluster.send(e.callers, http.MethodGet, name, fmt.Sprintf("key-%d", k), nil)
 				if resp.status != http.StatusOK {
 					return fmt.Errorf("%s answers %d %s", e.self.ID, resp.status, resp.body)
 				}
@@ -306,7 +306,7 @@
 
 // send sends one request with a key and further headers, given as name and value
 // pairs.
-func (b *testCluster) send(addr, method, name, key string, body io.Reader, headers ...string) response {
+func (cluster *testCluster) send(addr, method, name, key string, body io.Reader, headers ...string) response {
 	req, err := http.NewRequest(method, "http://"+addr+"/"+name+"/op", body)
 	if err != nil {
 		return response{body: err.Error()}
@@ -317,7 +317,7 @@
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
 	}
-	resp, err := b.client.Do(req)
+	resp, err := cluster.client.Do(req)
 	if err != nil {
 		return response{body: err.Error()}
 	}
@@ -327,9 +327,9 @@
 }
 
 // runs returns the requests that all upstreams ran.
-func (b *testCluster) runs() []upstream.Run {
+func (cluster *testCluster) runs() []upstream.Run {
 	var out []upstream.Run
-	for _, u := range b.upstreams {
+	for _, u := range cluster.upstreams {
 		out = append(out, u.Runs()...)
 	}
 	return out
@@ -338,18 +338,18 @@
 // twoCells starts two cells of two entries and two upstreams each, with one
 // service.
 func twoCells(t testing.TB, checks bool) *testCluster {
-	b := newTestCluster(t)
+	cluster := newTestCluster(t)
 	for _, c := range []string{"a", "b"} {
 		for i := range 2 {
-			b.addEntry(fmt.Sprintf("entry-%s%d", c, i), c)
-			b.addUpstream(fmt.Sprintf("up-%s%d", c, i), c, func(s *upstream.Settings) { s.ChecksFences = checks })
+			cluster.addEntry(fmt.Sprintf("entry-%s%d", c, i), c)
+			cluster.addUpstream(fmt.Sprintf("up-%s%d", c, i), c, func(s *upstream.Settings) { s.ChecksFences = checks })
 		}
 	}
-	b.awaitVoters("a", 2)
-	b.awaitVoters("b", 2)
-	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", checks)))
-	b.awaitServed("svc")
-	return b
+	cluster.awaitVoters("a", 2)
+	cluster.awaitVoters("b", 2)
+	cluster.awaitDone(cluster.createAndConfirm(cluster.serviceSpec("svc", checks)))
+	cluster.awaitServed("svc")
+	return cluster
 }
 
 // parallel runs f in n goroutines and waits for all of them.
--- a/entry/faults_test.go
+++ b/entry/faults_test.go
@@ -21,12 +21,12 @@
 // TestNonIdempotentIsSentOnce checks that a request that is not idempotent is not
 // sent again if the upstream runs it but breaks the connection before the response.
 func TestNonIdempotentIsSentOnce(t *testing.T) {
-	b := newTestCluster(t)
-	e := b.addEntry("entry", "a")
-	u := b.addUpstream("up", "a", nil)
-	b.awaitVoters("a", 1)
-	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
-	b.awaitServed("svc")
+	cluster := newTestCluster(t)
+	e := cluster.addEntry("entry", "a")
+	u := cluster.addUpstream("up", "a", nil)
+	cluster.awaitVoters("a", 1)
+	cluster.awaitDone(cluster.createAndConfirm(cluster.serviceSpec("svc", true)))
+	cluster.awaitServed("svc")
 	u.SetFaults(upstream.Faults{BreakEvery: 1})
 	tests := []struct {
 		name    string
@@ -41,7 +41,7 @@
 	for i, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			id := fmt.Sprintf("once-%d", i)
-			resp := b.send(e.callers, tt.method, "svc", "k", nil, append(tt.headers, header.RequestID, id)...)
+			resp := cluster.send(e.callers, tt.method, "svc", "k", nil, append(tt.headers, header.RequestID, id)...)
 			if got := resp.header.Get(header.Ran); got != string(answer.ExecutionUnknown) {
 				t.Errorf("ran %q, want unknown", got)
 			}
@@ -55,8 +55,8 @@
 	}
 	u.SetFaults(upstream.Faults{})
 	// Repeated with the epoch, the owner returns the stored response.
-	resp := b.send(e.callers, http.MethodPost, "svc", "k", nil, header.RequestID, "once-0",
-		header.Repeat, fmt.Sprint(b.epochOf("svc", "k")))
+	resp := cluster.send(e.callers, http.MethodPost, "svc", "k", nil, header.RequestID, "once-0",
+		header.Repeat, fmt.Sprint(cluster.epochOf("svc", "k")))
 	if resp.status != http.StatusOK {
 		t.Errorf("repeated request: %d %s", resp.status, resp.body)
 	}
@@ -74,15 +74,15 @@
 // TestIdempotentIsRetried checks that idempotent requests succeed although the
 // upstream breaks the connection before every other response.
 func TestIdempotentIsRetried(t *testing.T) {
-	b := newTestCluster(t)
-	e := b.addEntry("entry", "a")
-	u := b.addUpstream("up", "a", nil)
-	b.awaitVoters("a", 1)
-	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
-	b.awaitServed("svc")
+	cluster := newTestCluster(t)
+	e := cluster.addEntry("entry", "a")
+	u := cluster.addUpstream("up", "a", nil)
+	cluster.awaitVoters("a", 1)
+	cluster.awaitDone(cluster.createAndConfirm(cluster.serviceSpec("svc", true)))
+	cluster.awaitServed("svc")
 	u.SetFaults(upstream.Faults{BreakEvery: 2})
 	for i := range 10 {
-		resp := b.send(e.callers, http.MethodGet, "svc", "k", nil)
+		resp := cluster.send(e.callers, http.MethodGet, "svc", "k", nil)
 		if resp.status != http.StatusOK {
 			t.Errorf("request %d: %d %s", i, resp.status, resp.body)
 		}
@@ -92,36 +92,36 @@
 // TestStartWithPlatformDown checks that an entry that starts during a platform outage
 // gets the configuration and the range owners from its peers and serves.
 func TestStartWithPlatformDown(t *testing.T) {
-	b := twoCells(t, true)
-	b.store.down.Store(true)
-	b.addEntry("entry-late", "a")
-	b.awaitServed("svc")
-	late := b.entries[len(b.entries)-1]
-	if late.gate.Version() != b.entries[0].gate.Version() {
-		t.Errorf("cell document version %d, want %d as at the other entries", late.gate.Version(), b.entries[0].gate.Version())
+	cluster := twoCells(t, true)
+	cluster.store.down.Store(true)
+	cluster.addEntry("entry-late", "a")
+	cluster.awaitServed("svc")
+	late := cluster.entries[len(cluster.entries)-1]
+	if late.gate.Version() != cluster.entries[0].gate.Version() {
+		t.Errorf("cell document version %d, want %d as at the other entries", late.gate.Version(), cluster.entries[0].gate.Version())
 	}
-	b.store.down.Store(false)
-	b.awaitVoters("a", 3)
+	cluster.store.down.Store(false)
+	cluster.awaitVoters("a", 3)
 }
 
 // TestEntryLossDuringPlatformOutage checks that one of two entries of a cell keeps
 // serving when the other stops while the platform is down.
 func TestEntryLossDuringPlatformOutage(t *testing.T) {
-	b := twoCells(t, true)
-	b.eventually("witnesses", func() error {
-		if q := b.entries[1].gate.Doc().Quorum; len(q.Wide) < 4 {
+	cluster := twoCells(t, true)
+	cluster.eventually("witnesses", func() error {
+		if q := cluster.entries[1].gate.Doc().Quorum; len(q.Wide) < 4 {
 			return fmt.Errorf("%d witnesses, want at least 4", len(q.Wide))
 		}
 		return nil
 	})
-	b.store.down.Store(true)
-	b.entries[0].stop()
-	<-b.entries[0].done
-	b.entries = b.entries[1:]
-	b.awaitServed("svc")
-	b.store.down.Store(false)
-	b.awaitVoters("a", 1)
-	b.awaitServed("svc")
+	cluster.store.down.Store(true)
+	cluster.entries[0].stop()
+	<-cluster.entries[0].done
+	cluster.entries = cluster.entries[1:]
+	cluster.awaitServed("svc")
+	cluster.store.down.Store(false)
+	cluster.awaitVoters("a", 1)
+	cluster.awaitServed("svc")
 }
 
 // TestSoleVoterStopsWhileAnotherJoins guards against a cell that is left without a
@@ -135,23 +135,23 @@
 
 // testSoleVoterStops runs the scenario with the given entries in another cell.
 func testSoleVoterStops(t *testing.T, otherEntries ...string) {
-	b := newTestCluster(t)
-	b.store.failAfter = func(doc *cell.Cell) bool {
+	cluster := newTestCluster(t)
+	cluster.store.failAfter = func(doc *cell.Cell) bool {
 		return doc.Name == "a" && len(doc.Quorum.Local) == 2 && len(doc.Previous) > 0
 	}
 	for _, id := range otherEntries {
-		b.addEntry(id, "b")
+		cluster.addEntry(id, "b")
 	}
 	if len(otherEntries) > 0 {
-		b.awaitVoters("b", len(otherEntries))
+		cluster.awaitVoters("b", len(otherEntries))
 	}
-	first := b.addEntry("entry-a0", "a")
-	b.addUpstream("up-a0", "a", func(s *upstream.Settings) { s.ChecksFences = true })
-	b.awaitVoters("a", 1)
-	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
-	b.awaitServed("svc")
-	second := b.addEntry("entry-a1", "a")
-	b.eventually("the second entry to be a voter", func() error {
+	first := cluster.addEntry("entry-a0", "a")
+	cluster.addUpstream("up-a0", "a", func(s *upstream.Settings) { s.ChecksFences = true })
+	cluster.awaitVoters("a", 1)
+	cluster.awaitDone(cluster.createAndConfirm(cluster.serviceSpec("svc", true)))
+	cluster.awaitServed("svc")
+	second := cluster.addEntry("entry-a1", "a")
+	cluster.eventually("the second entry to be a voter", func() error {
 		doc := second.gate.Doc()
 		if doc == nil || !doc.Quorum.HasLocal(second.self.ID) {
 			return fmt.Errorf("the second entry does not know it is a voter")
@@ -163,37 +163,37 @@
 	}
 	first.stop()
 	<-first.done
-	b.entries = slices.DeleteFunc(b.entries, func(e *runningEntry) bool { return e == first })
-	b.store.down.Store(false)
-	b.awaitVoters("a", 1)
-	b.awaitServed("svc")
+	cluster.entries = slices.DeleteFunc(cluster.entries, func(e *runningEntry) bool { return e == first })
+	cluster.store.down.Store(false)
+	cluster.awaitVoters("a", 1)
+	cluster.awaitServed("svc")
 }
 
 // TestLostUpstream checks that the history of the requests has no violations when an
 // upstream freezes under load and later returns.
 func TestLostUpstream(t *testing.T) {
-	b := twoCells(t, true)
+	cluster := twoCells(t, true)
 	var stop atomic.Bool
 	var results outcomes
 	var wait sync.WaitGroup
 	wait.Add(1)
 	go func() {
 		defer wait.Done()
-		results.sendUntil(b, 8, &stop)
+		results.sendUntil(cluster, 8, &stop)
 	}()
-	frozen := b.upstreams[0]
+	frozen := cluster.upstreams[0]
 	frozen.SetFaults(upstream.Faults{Frozen: true})
-	b.eventually("loss of "+frozen.id, func() error {
-		u := b.entries[0].gate.Doc().Upstream(frozen.id)
+	cluster.eventually("loss of "+frozen.id, func() error {
+		u := cluster.entries[0].gate.Doc().Upstream(frozen.id)
 		if u.State != cell.Lost {
 			return fmt.Errorf("is %s", u.State)
 		}
 		return nil
 	})
-	b.awaitServed("svc")
+	cluster.awaitServed("svc")
 	frozen.SetFaults(upstream.Faults{})
-	b.eventually("return of "+frozen.id, func() error {
-		u := b.entries[0].gate.Doc().Upstream(frozen.id)
+	cluster.eventually("return of "+frozen.id, func() error {
+		u := cluster.entries[0].gate.Doc().Upstream(frozen.id)
 		if u.State != cell.Active || u.Boot == "" {
 			return fmt.Errorf("is %s", u.State)
 		}
@@ -201,32 +201,32 @@
 	})
 	stop.Store(true)
 	wait.Wait()
-	results.verify(t, b)
+	results.verify(t, cluster)
 }
 
 // TestMalformedObjectsAreIgnored checks that the cluster keeps working when the store
 // holds objects that cannot be parsed.
 func TestMalformedObjectsAreIgnored(t *testing.T) {
-	b := twoCells(t, true)
+	cluster := twoCells(t, true)
 	ctx := context.Background()
 	for _, kind := range []string{platform.KindService, platform.KindDirectory, platform.KindRoster, platform.KindIntent} {
 		for name, value := range map[string]string{"bad1": `{`, "bad2": `{"version":-1}`, "bad3": `[]`} {
-			_, err := b.store.Put(ctx, platform.Object{Kind: kind, Name: name, Value: []byte(value)}, 0)
+			_, err := cluster.store.Put(ctx, platform.Object{Kind: kind, Name: name, Value: []byte(value)}, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	b.awaitDone(b.createAndConfirm(intent.Spec{Kind: intent.Move, ServiceName: "svc", Key: "key-1", To: "up-a0"}))
-	b.awaitServed("svc")
+	cluster.awaitDone(cluster.createAndConfirm(intent.Spec{Kind: intent.Move, ServiceName: "svc", Key: "key-1", To: "up-a0"}))
+	cluster.awaitServed("svc")
 }
 
 // TestPromisesAreBoundToTheIncarnation checks that a voter grants no promise and
 // raises no fence for a call that is addressed to another incarnation of it.
 func TestPromisesAreBoundToTheIncarnation(t *testing.T) {
-	b := newTestCluster(t)
-	e := b.addEntry("entry", "a")
-	b.awaitVoters("a", 1)
+	cluster := newTestCluster(t)
+	e := cluster.addEntry("entry", "a")
+	cluster.awaitVoters("a", 1)
 	sender := &peerpb.Member{Id: "x#1", Cell: "a", Domain: "a", Peer: "127.0.0.1:1"}
 	resp, err := peerServer{e.Entry}.Beat(context.Background(), &peerpb.BeatRequest{
 		To: "entry#0000000000000001", Cell: "a", Version: 100, Sender: sender,
--- a/entry/product_test.go
+++ b/entry/product_test.go
@@ -53,27 +53,27 @@
 	received := &spanCollector{spans: make(map[string][]string)}
 	server := httptest.NewServer(received)
 	defer server.Close()
-	b := newTestCluster(t)
-	b.editSettings = func(s *settings.Entry) {
+	cluster := newTestCluster(t)
+	cluster.editSettings = func(s *settings.Entry) {
 		s.Trace = settings.Trace{
 			Exporter: "otlp", SampleShare: 0,
 			Endpoint: jsonc.Addr{AddrPort: netip.MustParseAddrPort(server.Listener.Addr().String())},
 		}
 	}
-	b.addEntry("entry-a", "a")
-	b.addEntry("entry-b", "b")
-	b.addUpstream("up-a", "a", nil)
-	b.awaitVoters("a", 1)
-	b.awaitVoters("b", 1)
-	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
-	b.awaitServed("svc")
+	cluster.addEntry("entry-a", "a")
+	cluster.addEntry("entry-b", "b")
+	cluster.addUpstream("up-a", "a", nil)
+	cluster.awaitVoters("a", 1)
+	cluster.awaitVoters("b", 1)
+	cluster.awaitDone(cluster.createAndConfirm(cluster.serviceSpec("svc", true)))
+	cluster.awaitServed("svc")
 	const id = "0af7651916cd43dd8448eb211c80319c"
-	resp := b.send(b.entries[1].callers, http.MethodGet, "svc", "k", nil,
+	resp := cluster.send(cluster.entries[1].callers, http.MethodGet, "svc", "k", nil,
 		"Traceparent", "00-"+id+"-b7ad6b7169203331-01")
 	if resp.status != http.StatusOK {
 		t.Fatalf("%d %s", resp.status, resp.body)
 	}
-	for _, e := range b.entries {
+	for _, e := range cluster.entries {
 		e.stop()
 		<-e.done
 	}
@@ -100,42 +100,42 @@
 // all entries, that the previous one does not replace it when it arrives again, and
 // that an entry that starts while the platform is down gets the new one.
 func TestConfigurationReachesAllAndNeverReverts(t *testing.T) {
-	b := twoCells(t, true)
+	cluster := twoCells(t, true)
 	conf := service.Default()
 	conf.Name = "svc"
 	conf.QueueLength = 7
-	previous := b.entries[0].docs.All()
-	b.createAndConfirm(intent.Spec{Kind: intent.Configure, Service: &conf})
+	previous := cluster.entries[0].docs.All()
+	cluster.createAndConfirm(intent.Spec{Kind: intent.Configure, Service: &conf})
 	everywhere := func() error {
-		for _, e := range b.entries {
+		for _, e := range cluster.entries {
 			if v := configurationVersion(e, "svc"); v != 2 {
 				return fmt.Errorf("%s uses version %d", e.self.ID, v)
 			}
 		}
 		return nil
 	}
-	b.eventually("configuration everywhere", everywhere)
+	cluster.eventually("configuration everywhere", everywhere)
 	for _, d := range previous {
-		b.entries[1].addEncodedDocument(d.Kind, d.Data)
+		cluster.entries[1].addEncodedDocument(d.Kind, d.Data)
 	}
-	b.store.down.Store(true)
-	b.addEntry("entry-late", "b")
-	b.eventually("configuration at the late entry", everywhere)
-	b.store.down.Store(false)
+	cluster.store.down.Store(true)
+	cluster.addEntry("entry-late", "b")
+	cluster.eventually("configuration at the late entry", everywhere)
+	cluster.store.down.Store(false)
 }
 
 // TestInvalidConfigurationIsRefused checks that a configuration with inconsistent
 // values is neither accepted nor stored.
 func TestInvalidConfigurationIsRefused(t *testing.T) {
-	b := newTestCluster(t)
-	b.addEntry("entry", "a")
-	b.awaitVoters("a", 1)
-	spec := b.serviceSpec("svc", true)
+	cluster := newTestCluster(t)
+	cluster.addEntry("entry", "a")
+	cluster.awaitVoters("a", 1)
+	spec := cluster.serviceSpec("svc", true)
 	spec.Service.MaxDeadline = 0
-	if _, err := b.create(spec); err == nil {
+	if _, err := cluster.create(spec); err == nil {
 		t.Error("invalid configuration accepted")
 	}
-	if _, err := b.store.Get(context.Background(), platform.KindService, "svc"); err == nil {
+	if _, err := cluster.store.Get(context.Background(), platform.KindService, "svc"); err == nil {
 		t.Error("invalid configuration stored")
 	}
 }
@@ -144,8 +144,8 @@
 // with a single directory write. If a span were assigned to one cell first and to
 // another later, the first cell could already have granted it.
 func TestCreateAssignsEachSpanToOneCell(t *testing.T) {
-	b := twoCells(t, true)
-	for _, e := range b.entries {
+	cluster := twoCells(t, true)
+	for _, e := range cluster.entries {
 		if v := e.docs.Directory("svc").Version; v != 1 {
 			t.Errorf("%s: directory version %d, want 1", e.self.ID, v)
 		}
@@ -160,22 +160,22 @@
 // TestEvictedCellIsTakenOver checks that when a whole cell is lost and an operator
 // confirms its eviction, the other cell serves its keys at higher epochs.
 func TestEvictedCellIsTakenOver(t *testing.T) {
-	b := twoCells(t, true)
+	cluster := twoCells(t, true)
 	half := keyspace.FullSpan().Split(2)[1]
-	for _, e := range b.entries[2:] {
+	for _, e := range cluster.entries[2:] {
 		e.stop()
 		<-e.done
 	}
-	for _, u := range b.upstreams[2:] {
+	for _, u := range cluster.upstreams[2:] {
 		u.SetFaults(frozenFaults)
 	}
-	b.entries = b.entries[:2]
-	b.createAndConfirm(intent.Spec{Kind: intent.EvictCell, Names: []string{"b"}})
-	b.awaitServed("svc")
-	if d := b.entries[0].docs.Directory("svc"); len(d.Segments) == 0 || d.Segments[0].Cell != "a" {
+	cluster.entries = cluster.entries[:2]
+	cluster.createAndConfirm(intent.Spec{Kind: intent.EvictCell, Names: []string{"b"}})
+	cluster.awaitServed("svc")
+	if d := cluster.entries[0].docs.Directory("svc"); len(d.Segments) == 0 || d.Segments[0].Cell != "a" {
 		t.Errorf("directory %+v", d)
 	}
-	for _, s := range b.entries[0].gate.Doc().Service("svc").Ranges {
+	for _, s := range cluster.entries[0].gate.Doc().Service("svc").Ranges {
 		if half.Covers(s.Span) && s.Epoch < 3 {
 			t.Errorf("range %s has epoch %d, want at least 3: the lost cell may have granted 2", s.Span, s.Epoch)
 		}
--- a/entry/serve_test.go
+++ b/entry/serve_test.go
@@ -23,7 +23,7 @@
 )
 
 func TestRefusals(t *testing.T) {
-	b := twoCells(t, true)
+	cluster := twoCells(t, true)
 	tests := []struct {
 		name    string
 		service string
@@ -46,10 +46,10 @@
 			headers: []string{header.Repeat, "99", header.RequestID, "r"}, want: answer.RepeatUnsafe,
 		},
 	}
-	before := len(b.runs())
+	before := len(cluster.runs())
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			resp := b.send(b.entries[0].callers, http.MethodPost, tt.service, tt.key, strings.NewReader(tt.body), tt.headers...)
+			resp := cluster.send(cluster.entries[0].callers, http.MethodPost, tt.service, tt.key, strings.NewReader(tt.body), tt.headers...)
 			if got := answer.Kind(resp.header.Get(header.Kind)); got != tt.want {
 				t.Fatalf("kind %q, want %q: %s", got, tt.want, resp.body)
 			}
@@ -58,15 +58,15 @@
 			}
 		})
 	}
-	if after := len(b.runs()); after != before {
+	if after := len(cluster.runs()); after != before {
 		t.Errorf("%d refused requests ran, want none", after-before)
 	}
 }
 
 func TestOversizedHeaderIsRefused(t *testing.T) {
-	b := newTestCluster(t)
-	e := b.addEntry("entry", "a")
-	resp := b.send(e.callers, http.MethodGet, "svc", "k", nil, "X-Large", strings.Repeat("x", 64<<10))
+	cluster := newTestCluster(t)
+	e := cluster.addEntry("entry", "a")
+	resp := cluster.send(e.callers, http.MethodGet, "svc", "k", nil, "X-Large", strings.Repeat("x", 64<<10))
 	if resp.status != http.StatusRequestHeaderFieldsTooLarge {
 		t.Errorf("status %d", resp.status)
 	}
@@ -78,13 +78,13 @@
 	list []load.Outcome
 }
 
-func (o *outcomes) send(b *testCluster, addr, name, key, id string, idempotent bool) response {
+func (o *outcomes) send(cluster *testCluster, addr, name, key, id string, idempotent bool) response {
 	method := http.MethodPost
 	if idempotent {
 		method = http.MethodGet
 	}
 	start := time.Now()
-	resp := b.send(addr, method, name, key, nil, header.RequestID, id)
+	resp := cluster.send(addr, method, name, key, nil, header.RequestID, id)
 	out := load.ParseOutcome(load.Outcome{
 		Service: name, Key: key, RequestID: id, Idempotent: idempotent,
 		Start: start.UnixNano(), End: time.Now().UnixNano(),
@@ -96,19 +96,19 @@
 }
 
 // sendUntil sends requests through all entries until stop is set.
-func (o *outcomes) sendUntil(b *testCluster, workers int, stop *atomic.Bool) {
+func (o *outcomes) sendUntil(cluster *testCluster, workers int, stop *atomic.Bool) {
 	parallel(workers, func(worker int) {
 		for n := 0; !stop.Load(); n++ {
-			addr := b.entries[(worker+n)%len(b.entries)].callers
+			addr := cluster.entries[(worker+n)%len(cluster.entries)].callers
 			key := fmt.Sprintf("key-%d", (worker*31+n)%64)
-			o.send(b, addr, "svc", key, fmt.Sprintf("r-%d-%d", worker, n), n%3 != 0)
+			o.send(cluster, addr, "svc", key, fmt.Sprintf("r-%d-%d", worker, n), n%3 != 0)
 		}
 	})
 }
 
-func (o *outcomes) verify(t *testing.T, b *testCluster) {
+func (o *outcomes) verify(t *testing.T, cluster *testCluster) {
 	t.Helper()
-	r := check.History(o.list, b.runs())
+	r := check.History(o.list, cluster.runs())
 	if len(r.Violations) > 0 {
 		t.Errorf("%d violations, first: %v", len(r.Violations), r.Violations[0])
 	}
@@ -123,21 +123,21 @@
 // TestPlannedMovesAnswerEveryRequest checks that every request succeeds while ranges
 // move within and across cells and an upstream is drained.
 func TestPlannedMovesAnswerEveryRequest(t *testing.T) {
-	b := twoCells(t, true)
+	cluster := twoCells(t, true)
 	var stop atomic.Bool
 	var results outcomes
 	var wait sync.WaitGroup
 	wait.Add(1)
 	go func() {
 		defer wait.Done()
-		results.sendUntil(b, 8, &stop)
+		results.sendUntil(cluster, 8, &stop)
 	}()
 	for _, to := range []string{"up-a0", "up-b1", "up-a1"} {
 		for _, key := range []string{"key-1", "key-2"} {
-			b.awaitDone(b.createAndConfirm(intent.Spec{Kind: intent.Move, ServiceName: "svc", Key: key, To: to}))
+			cluster.awaitDone(cluster.createAndConfirm(intent.Spec{Kind: intent.Move, ServiceName: "svc", Key: key, To: to}))
 		}
 	}
-	b.awaitDone(b.createAndConfirm(intent.Spec{Kind: intent.Leave, Names: []string{"up-b0"}}))
+	cluster.awaitDone(cluster.createAndConfirm(intent.Spec{Kind: intent.Leave, Names: []string{"up-b0"}}))
 	stop.Store(true)
 	wait.Wait()
 	for _, o := range results.list {
@@ -145,8 +145,8 @@
 			t.Errorf("request %s, key %s: %d %s", o.RequestID, o.Key, o.Status, o.Kind)
 		}
 	}
-	results.verify(t, b)
-	for _, u := range b.upstreams {
+	results.verify(t, cluster)
+	for _, u := range cluster.upstreams {
 		if u.id == "up-b0" && !u.Empty() {
 			t.Error("the drained upstream still owns ranges")
 		}
@@ -157,17 +157,17 @@
 // checks that every request succeeds. All requests go to another entry, as callers
 // that reach a stopping entry move on to the next one.
 func TestGracefulStopFailsNoRequest(t *testing.T) {
-	b := twoCells(t, true)
+	cluster := twoCells(t, true)
 	var stop atomic.Bool
 	var failed atomic.Int64
-	addr := b.entries[1].callers
+	addr := cluster.entries[1].callers
 	var wait sync.WaitGroup
 	for worker := range 6 {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
 			for n := 0; !stop.Load(); n++ {
-				resp := b.send(addr, http.MethodPost, "svc", fmt.Sprintf("key-%d", n%64), nil,
+				resp := cluster.send(addr, http.MethodPost, "svc", fmt.Sprintf("key-%d", n%64), nil,
 					header.RequestID, fmt.Sprintf("g-%d-%d", worker, n))
 				if resp.status != http.StatusOK {
 					failed.Add(1)
@@ -176,13 +176,13 @@
 			}
 		}()
 	}
-	b.entries[0].stop()
-	if err := <-b.entries[0].done; err != nil {
+	cluster.entries[0].stop()
+	if err := <-cluster.entries[0].done; err != nil {
 		t.Error(err)
 	}
-	b.upstreams[2].stop()
-	b.eventually("drained", func() error {
-		if !b.upstreams[2].Empty() {
+	cluster.upstreams[2].stop()
+	cluster.eventually("drained", func() error {
+		if !cluster.upstreams[2].Empty() {
 			return fmt.Errorf("the upstream still owns ranges")
 		}
 		return nil
@@ -192,9 +192,9 @@
 }
 
 func TestConfirmIntent(t *testing.T) {
-	b := twoCells(t, true)
+	cluster := twoCells(t, true)
 	move := func(to string) *intent.Intent {
-		i, err := b.create(intent.Spec{Kind: intent.Move, ServiceName: "svc", Key: "key-1", To: to})
+		i, err := cluster.create(intent.Spec{Kind: intent.Move, ServiceName: "svc", Key: "key-1", To: to})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -209,17 +209,17 @@
 	t.Run("twice", func(t *testing.T) {
 		i := move("up-a0")
 		for range 2 {
-			if _, err := b.confirm(i.ID); err != nil {
+			if _, err := cluster.confirm(i.ID); err != nil {
 				t.Fatal(err)
 			}
 		}
-		b.awaitDone(i.ID)
+		cluster.awaitDone(i.ID)
 	})
 	t.Run("racing", func(t *testing.T) {
 		i := move("up-a1")
 		var confirmed atomic.Int64
 		parallel(4, func(int) {
-			if _, err := b.confirm(i.ID); err == nil {
+			if _, err := cluster.confirm(i.ID); err == nil {
 				confirmed.Add(1)
 			} else if kind(err) != answer.Conflict {
 				t.Errorf("kind %q: %v", kind(err), err)
@@ -228,47 +228,47 @@
 		if confirmed.Load() == 0 {
 			t.Error("no confirm succeeded")
 		}
-		b.awaitDone(i.ID)
+		cluster.awaitDone(i.ID)
 	})
 	t.Run("stale", func(t *testing.T) {
-		stale, err := b.create(intent.Spec{Kind: intent.Leave, Names: []string{"up-a0"}})
+		stale, err := cluster.create(intent.Spec{Kind: intent.Leave, Names: []string{"up-a0"}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		other := move("up-b0")
-		if _, err := b.confirm(other.ID); err != nil {
+		if _, err := cluster.confirm(other.ID); err != nil {
 			t.Fatal(err)
 		}
-		b.awaitDone(other.ID)
+		cluster.awaitDone(other.ID)
 		staleMove := move("up-a0")
-		if _, err := b.confirm(stale.ID); err != nil {
+		if _, err := cluster.confirm(stale.ID); err != nil {
 			t.Fatal(err)
 		}
-		b.awaitDone(stale.ID)
-		if _, err := b.confirm(staleMove.ID); kind(err) != answer.NotFound {
+		cluster.awaitDone(stale.ID)
+		if _, err := cluster.confirm(staleMove.ID); kind(err) != answer.NotFound {
 			t.Errorf("kind %q: %v", kind(err), err)
 		}
 	})
 	t.Run("cancelled", func(t *testing.T) {
 		i := move("up-a1")
-		if _, err := b.operator().CancelIntent(context.Background(), &operatorpb.IntentRequest{Id: i.ID}); err != nil {
+		if _, err := cluster.operator().CancelIntent(context.Background(), &operatorpb.IntentRequest{Id: i.ID}); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := b.confirm(i.ID); kind(err) != answer.Conflict {
+		if _, err := cluster.confirm(i.ID); kind(err) != answer.Conflict {
 			t.Errorf("kind %q: %v", kind(err), err)
 		}
 	})
 }
 
 func TestLargeBodyIsProxied(t *testing.T) {
-	b := newTestCluster(t)
-	e := b.addEntry("entry", "a")
-	b.addUpstream("up", "a", nil)
-	b.awaitVoters("a", 1)
-	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
-	b.awaitServed("svc")
+	cluster := newTestCluster(t)
+	e := cluster.addEntry("entry", "a")
+	cluster.addUpstream("up", "a", nil)
+	cluster.awaitVoters("a", 1)
+	cluster.awaitDone(cluster.createAndConfirm(cluster.serviceSpec("svc", true)))
+	cluster.awaitServed("svc")
 	body := bytes.Repeat([]byte("0123456789abcdef"), 20_000)
-	resp := b.send(e.callers, http.MethodPost, "svc", "k", bytes.NewReader(body), header.RequestID, "large")
+	resp := cluster.send(e.callers, http.MethodPost, "svc", "k", bytes.NewReader(body), header.RequestID, "large")
 	if resp.status != http.StatusOK {
 		t.Fatalf("%d %s", resp.status, resp.body)
 	}
@@ -278,8 +278,8 @@
 }
 
 // epochOf returns the epoch of the range that a key belongs to.
-func (b *testCluster) epochOf(name, key string) uint64 {
-	for _, e := range b.entries {
+func (cluster *testCluster) epochOf(name, key string) uint64 {
+	for _, e := range cluster.entries {
 		if r := e.gate.Route(name, hashOf(key)); r.Slot != nil {
 			return r.Slot.Epoch
 		}
--- a/entry/tls_test.go
+++ b/entry/tls_test.go
@@ -92,19 +92,19 @@
 // one from another authority.
 func TestPeersRequireACertificate(t *testing.T) {
 	ca := newTestCA(t)
-	b := newTestCluster(t)
-	b.editSettings = func(s *settings.Entry) { s.PeerTLS = ca.issue(s.ID, 2) }
-	b.addEntry("entry-a", "a")
-	b.addEntry("entry-b", "b")
-	b.addUpstream("up-a", "a", nil)
-	b.addUpstream("up-b", "b", nil)
-	b.awaitVoters("a", 1)
-	b.awaitVoters("b", 1)
-	b.awaitDone(b.createAndConfirm(b.serviceSpec("svc", true)))
-	b.awaitServed("svc")
+	cluster := newTestCluster(t)
+	cluster.editSettings = func(s *settings.Entry) { s.PeerTLS = ca.issue(s.ID, 2) }
+	cluster.addEntry("entry-a", "a")
+	cluster.addEntry("entry-b", "b")
+	cluster.addUpstream("up-a", "a", nil)
+	cluster.addUpstream("up-b", "b", nil)
+	cluster.awaitVoters("a", 1)
+	cluster.awaitVoters("b", 1)
+	cluster.awaitDone(cluster.createAndConfirm(cluster.serviceSpec("svc", true)))
+	cluster.awaitServed("svc")
 
 	otherCA := newTestCA(t)
-	foreign := otherCA.issue("stranger", 3)
+	foreign := otherCA.issue("foreign", 3)
 	pair, err := tls.LoadX509KeyPair(foreign.Cert, foreign.Key)
 	if err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 		"another authority's": {InsecureSkipVerify: true, Certificates: []tls.Certificate{pair}},
 	} {
 		client := &http.Client{Transport: &http.Transport{TLSClientConfig: conf}}
-		_, addr, _ := b.entries[0].Addresses()
+		_, addr, _ := cluster.entries[0].Addresses()
 		req, err := http.NewRequest(http.MethodPost, "https://"+addr+peers.ForwardPrefix+"/svc/op", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -133,9 +133,9 @@
 // replaces the one on disk.
 func TestCertificatesAreReloaded(t *testing.T) {
 	ca := newTestCA(t)
-	b := newTestCluster(t)
-	b.editSettings = func(s *settings.Entry) { s.CallerTLS = ca.issue("callers", 2) }
-	e := b.addEntry("entry", "a")
+	cluster := newTestCluster(t)
+	cluster.editSettings = func(s *settings.Entry) { s.CallerTLS = ca.issue("callers", 2) }
+	e := cluster.addEntry("entry", "a")
 	serial := func() int64 {
 		conn, err := tls.Dial("tcp", e.callers, &tls.Config{InsecureSkipVerify: true})
 		if err != nil {
@@ -152,7 +152,7 @@
 	if err := os.Chtimes(filepath.Join(ca.dir, "callers.crt"), later, later); err != nil {
 		t.Fatal(err)
 	}
-	b.eventually("the new certificate", func() error {
+	cluster.eventually("the new certificate", func() error {
 		if got := serial(); got != 9 {
 			return os.ErrNotExist
 		}
--- a/standin/instance/oracle.go
+++ b/standin/instance/oracle.go
@@ -16,8 +16,8 @@
 	mu sync.Mutex
 	// leases are the current leases by instance.
 	leases map[string][]lease
-	// fences are all grants so far, with their owners and fences.
-	fences         []grantRecord
+	// grants are all grants so far, with their owners and fences.
+	grants         []grantRecord
 	runs           map[string]int
 	runsByInstance map[string]int
 	violations     []string
@@ -46,14 +46,14 @@
 			}
 		}
 	}
-	for _, f := range o.fences {
-		if f.owner != id && overlap(f.KeyRange, keys) && f.fence >= fence {
-			o.addViolation("keys %d-%d granted to %s with fence %d, %s had %d", keys.First, keys.Last, id, fence, f.owner, f.fence)
+	for _, g := range o.grants {
+		if g.owner != id && overlap(g.KeyRange, keys) && g.fence >= fence {
+			o.addViolation("keys %d-%d granted to %s with fence %d, %s had %d", keys.First, keys.Last, id, fence, g.owner, g.fence)
 		}
 	}
 	o.cutLeases(id, keys)
 	o.leases[id] = append(o.leases[id], lease{keys, fence, expires})
-	o.fences = append(o.fences, grantRecord{keys, id, fence})
+	o.grants = append(o.grants, grantRecord{keys, id, fence})
 }
 
 func (o *Oracle) recordRelease(id string, keys spans.KeyRange) {
--- a/state/cell/cell.go
+++ b/state/cell/cell.go
@@ -140,13 +140,13 @@
 	return Quorum{Local: slices.Clone(q.Local), Wide: slices.Clone(q.Wide)}
 }
 
-// HasLocal reports whether ID is a local voter.
+// HasLocal reports whether id is a local voter.
 func (q Quorum) HasLocal(id string) bool { return hasMember(q.Local, id) }
 
-// HasWide reports whether ID is a wide voter.
+// HasWide reports whether id is a wide voter.
 func (q Quorum) HasWide(id string) bool { return hasMember(q.Wide, id) }
 
-// Has reports whether ID is a local or a wide voter.
+// Has reports whether id is a local or a wide voter.
 func (q Quorum) Has(id string) bool { return q.HasLocal(id) || q.HasWide(id) }
 
 // Voters returns the local and wide voters without duplicates.
--- a/state/instances/instances.go
+++ b/state/instances/instances.go
@@ -36,7 +36,7 @@
 	Revision uint64
 	byID     map[string]*Instance
 	services map[string][]*Instance
-	// IDs holds all IDs in ascending order, positions the index of each ID in IDs. Both are built
+	// ids holds all IDs in ascending order, positions the index of each ID in IDs. Both are built
 	// on first use.
 	once      sync.Once
 	ids       []string
--- a/transport/upstreams/upstreams.go
+++ b/transport/upstreams/upstreams.go
@@ -114,7 +114,7 @@
 	return c
 }
 
-// Retain removes the clients of all upstreams whose ID is not in IDs.
+// Retain removes the clients of all upstreams whose ID is not in ids.
 func (p *Pool) Retain(ids map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
