--- a/entry/beats.go
+++ b/entry/beats.go
@@ -32,7 +32,7 @@
 	})
 }
 
-// beatTarget is an entry to send beats to. The id is empty if only the address is
+// beatTarget is an entry to send heartbeats to. The id is empty if only the address is
 // known.
 type beatTarget struct {
 	id   string
@@ -75,7 +75,7 @@
 	return out
 }
 
-// beat sends one beat and records the promise if the voter granted one.
+// beat sends one heartbeat and records the promise if the voter granted one.
 func (e *Entry) beat(ctx context.Context, t beatTarget) {
 	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -63,7 +63,7 @@
 	return c.Conn.Write(b)
 }
 
-// BenchmarkBeat measures one beat without observations, as a voter receives it, and
+// BenchmarkBeat measures one heartbeat without observations, as a voter receives it, and
 // one with the observations of twelve upstreams, as the controller receives it: the
 // CPU time of sender and receiver, and the bytes in both directions.
 func BenchmarkBeat(b *testing.B) {
--- a/entry/control.go
+++ b/entry/control.go
@@ -172,7 +172,7 @@
 	}
 	if err == nil {
 		// Applied here even if this entry is no longer the controller: the
-		// other entries then learn of the document from its beats.
+		// other entries then learn of the document from its heartbeats.
 		c.e.applyCell(cmd.Doc)
 	}
 	c.dispatch(func(core *controller.Core, now time.Time) { core.OnWritten(now, cmd, version, err) })
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -30,7 +30,7 @@
 	// watchTimeout bounds the wait of one watch call for a change.
 	watchTimeout = 10 * time.Second
 	// ownCellInterval is the time between two reads of the cell's own document.
-	// Writes by another controller are noticed earlier, by a conflict or a beat.
+	// Writes by another controller are noticed earlier, by a conflict or a heartbeat.
 	ownCellInterval = 10 * time.Second
 	// idleInterval is the time between two checks whether this entry has become
 	// the controller or has received its first cell document.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -266,7 +266,7 @@
 // drain stops the servers without aborting requests. The entry first reports that
 // it is not ready and keeps serving until the load balancer has noticed, closing
 // each connection after its response. Then it waits for the requests in flight. It
-// keeps voting and sending beats until the servers have stopped. Requests that
+// keeps voting and sending heartbeats until the servers have stopped. Requests that
 // outlast the drain limit are aborted.
 func (e *Entry) drain(servers []*http.Server) {
 	started := e.clock()
--- a/entry/peerserver.go
+++ b/entry/peerserver.go
@@ -64,7 +64,7 @@
 		e.mergeCellLoads(req.Cells)
 		resp.Cells = e.cellLoadsToProto()
 	}
-	// A beat to an earlier incarnation of this entry asks for a promise that this
+	// A heartbeat to an earlier incarnation of this entry asks for a promise that this
 	// process must not give.
 	if req.Cell != "" && req.To == e.self.ID {
 		p := e.gate.Promise(req.Cell, req.Version, req.Guest)
--- a/entry/renewals.go
+++ b/entry/renewals.go
@@ -43,7 +43,7 @@
 	return l.tracker.Observations(now)
 }
 
-// observationsToProto returns the observations of the upstreams for a beat.
+// observationsToProto returns the observations of the upstreams for a heartbeat.
 func (l *leaseTracker) observationsToProto(now time.Time) []*peerpb.Observation {
 	observations := l.observations(now)
 	out := make([]*peerpb.Observation, len(observations))
--- a/transport/pool/pool_test.go
+++ b/transport/pool/pool_test.go
@@ -17,14 +17,14 @@
 
 var testLimits = Limits{DialTimeout: time.Second, MaxIdleTime: time.Minute, MaxIdleTimeNonIdempotent: time.Minute, MaxIdleConnsPerAddr: 4, MaxBodyBytes: 1 << 20}
 
-// server accepts raw connections. It calls the respond function with each request read from a
+// server accepts raw connections. It calls the handle function with each request read from a
 // connection, until that function returns false.
 type server struct {
 	addr  string
 	conns atomic.Int32
 }
 
-func serve(t *testing.T, respond func(conn, request int, r *http.Request, c net.Conn) bool) *server {
+func serve(t *testing.T, handle func(conn, request int, r *http.Request, c net.Conn) bool) *server {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +47,7 @@
 					if err != nil {
 						return
 					}
-					if _, err := io.Copy(io.Discard, r.Body); err != nil || !respond(n, i, r, c) {
+					if _, err := io.Copy(io.Discard, r.Body); err != nil || !handle(n, i, r, c) {
 						return
 					}
 				}
