--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
 // Package entry implements the process that runs on an entry VM. It proxies the
 // requests of callers, votes in the quorum of its cell, and runs the cell's
-// controller while it is the leader.
+// controller while it is elected to.
 //
 // Provision builds an entry from validated settings. Serve runs it and drains it
 // before returning.
--- a/standin/upstream/control.go
+++ b/standin/upstream/control.go
@@ -11,7 +11,7 @@
 	"github.com/rockcroft/rockcroft/protocol/header"
 )
 
-// This file serves the control, health, fault and status endpoints.
+// This file serves the control, health, fault and counter endpoints.
 
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(v); err != nil {
--- a/transport/front/proxy.go
+++ b/transport/front/proxy.go
@@ -212,7 +212,7 @@
 
 // awaitDirectory holds a forwarded request for a key that is not in this cell, which means that the
 // two entries have different versions of the directory. Forwarding it again could send it back and
-// forth. Without a change the request is refused as not run, and the first entry decides again.
+// forth. Without a change the request fails as not executed, and the first entry routes it again.
 func (p *Proxy) awaitDirectory(ctx context.Context, route gate.Route) (*response, error) {
 	timer := time.NewTimer(directoryWait)
 	defer timer.Stop()
