--- a/bench/rockload/experiment.go
+++ b/bench/rockload/experiment.go
@@ -176,7 +176,7 @@
 		{
 			name: "lying", description: "one upstream's health endpoint lies", duration: 25 * s,
 			loadRatio: 0.4, zipf: 1.1, writeShare: 0.3,
-			actions: []action{{8 * s, "lie", setUpstreamFaults(2, upstream.Faults{LyingHealth: true})}},
+			actions: []action{{8 * s, "lie", setUpstreamFaults(2, upstream.Faults{ReportUnhealthy: true})}},
 		},
 		{
 			name: "overload", description: "twice the capacity", duration: 30 * s,
--- a/entry/beats.go
+++ b/entry/beats.go
@@ -22,8 +22,8 @@
 // still succeed before a promise expires.
 const beatTimeout = 400 * time.Millisecond
 
-// beatLoop asks the voters of the cell for the promises on which this entry's right
-// to send rests.
+// beatLoop sends heartbeats to the voters of the cell, which respond with the promises
+// that give this entry the right to send.
 func (e *Entry) beatLoop(ctx context.Context) {
 	e.every(ctx, e.conf.HeartbeatInterval.D(), func(ctx context.Context) {
 		for _, t := range e.beatTargets() {
@@ -32,7 +32,7 @@
 	})
 }
 
-// beatTarget is an entry to send beats to. The id is empty if only the address is
+// beatTarget is an entry to send heartbeats to. The id is empty if only the address is
 // known.
 type beatTarget struct {
 	id   string
@@ -75,7 +75,7 @@
 	return out
 }
 
-// beat sends one beat and records the promise if the voter granted one.
+// beat sends one heartbeat and records the promise if the voter granted one.
 func (e *Entry) beat(ctx context.Context, t beatTarget) {
 	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
@@ -153,7 +153,7 @@
 }
 
 // stopSuperseded stops this process because a newer process with the same
-// configured id has appeared. The other entries already treat this one as ended.
+// configured ID has appeared. The other entries already treat this one as ended.
 func (e *Entry) stopSuperseded(by string) {
 	err := answer.New(answer.Conflict, "%s takes the place of %s; an id belongs to one VM", by, e.self.ID)
 	select {
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -30,7 +30,7 @@
 	// watchTimeout bounds the wait of one watch call for a change.
 	watchTimeout = 10 * time.Second
 	// ownCellInterval is the time between two reads of the cell's own document.
-	// Writes by another controller are noticed earlier, by a conflict or a beat.
+	// Writes by another controller are noticed earlier, by a conflict or a heartbeat.
 	ownCellInterval = 10 * time.Second
 	// idleInterval is the time between two checks whether this entry has become
 	// the controller or has received its first cell document.
@@ -98,7 +98,7 @@
 		return
 	}
 	e.gate.Apply(doc)
-	e.outages.update(old, doc, e.clock(), e.leases.lastAnswer, e.registry)
+	e.outages.update(old, doc, e.clock(), e.leases.lastResponse, e.registry)
 	e.leases.withLock(func(tracker *lease.Tracker) { e.updateLostUpstreams(tracker, doc) })
 	e.pool.Retain(listed)
 	e.control.record(func(core *controller.Core, now time.Time) { core.OnDocument(now, doc, 0) })
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,6 @@
 // Package entry implements the process that runs on an entry VM. It proxies the
 // requests of callers, votes in the quorum of its cell, and runs the cell's
-// controller while it is the leader.
+// controller while it is elected to.
 //
 // Provision builds an entry from validated settings. Serve runs it and drains it
 // before returning.
@@ -152,7 +152,7 @@
 	return mathrand.New(mathrand.NewPCG(seed, seed))
 }
 
-// newID returns a random id for writes and intents.
+// newID returns a random ID for writes and intents.
 func newID() string {
 	var b [12]byte
 	// The source never fails; see crypto/rand.
@@ -266,7 +266,7 @@
 // drain stops the servers without aborting requests. The entry first reports that
 // it is not ready and keeps serving until the load balancer has noticed, closing
 // each connection after its response. Then it waits for the requests in flight. It
-// keeps voting and sending beats until the servers have stopped. Requests that
+// keeps voting and sending heartbeats until the servers have stopped. Requests that
 // outlast the drain limit are aborted.
 func (e *Entry) drain(servers []*http.Server) {
 	started := e.clock()
--- a/standin/instance/oracle.go
+++ b/standin/instance/oracle.go
@@ -10,14 +10,14 @@
 
 // Oracle records what all instances do and detects violations: two owners of one key at the
 // same time, a new owner whose fence is not higher than that of the previous one, a request
-// that runs twice although it must not, and a request that arrives without the id set by its
-// client. All clients of the instances must therefore set ids.
+// that runs twice although it must not, and a request that arrives without the ID set by its
+// client. All clients of the instances must therefore set IDs.
 type Oracle struct {
 	mu sync.Mutex
 	// leases are the current leases by instance.
 	leases map[string][]lease
-	// fences are all grants so far, with their owners and fences.
-	fences         []grantRecord
+	// grants are all grants so far, with their owners and fences.
+	grants         []grantRecord
 	runs           map[string]int
 	runsByInstance map[string]int
 	violations     []string
@@ -46,14 +46,14 @@
 			}
 		}
 	}
-	for _, f := range o.fences {
-		if f.owner != id && overlap(f.KeyRange, keys) && f.fence >= fence {
-			o.addViolation("keys %d-%d granted to %s with fence %d, %s had %d", keys.First, keys.Last, id, fence, f.owner, f.fence)
+	for _, g := range o.grants {
+		if g.owner != id && overlap(g.KeyRange, keys) && g.fence >= fence {
+			o.addViolation("keys %d-%d granted to %s with fence %d, %s had %d", keys.First, keys.Last, id, fence, g.owner, g.fence)
 		}
 	}
 	o.cutLeases(id, keys)
 	o.leases[id] = append(o.leases[id], lease{keys, fence, expires})
-	o.fences = append(o.fences, grantRecord{keys, id, fence})
+	o.grants = append(o.grants, grantRecord{keys, id, fence})
 }
 
 func (o *Oracle) recordRelease(id string, keys spans.KeyRange) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// recordMissingID records that an instance received a request without an id.
+// recordMissingID records that an instance received a request without an ID.
 func (o *Oracle) recordMissingID(instance, method, path string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/state/cell/cell.go
+++ b/state/cell/cell.go
@@ -68,8 +68,8 @@
 	Service string        `json:"service"`
 	Addr    string        `json:"addr"`
 	State   UpstreamState `json:"state"`
-	// Boot identifies the run of the upstream process that holds the grants.
-	// If it changes, the process has restarted and its earlier grants are void.
+	// Boot is the boot ID of the upstream process that holds the grants. If it
+	// changes, the process has restarted and its earlier grants are void.
 	Boot string `json:"boot,omitempty"`
 }
 
