--- a/coordination/dispatch/bench_test.go
+++ b/coordination/dispatch/bench_test.go
@@ -25,12 +25,12 @@
 			b.Run(fmt.Sprintf("%s/%d/%d", kind, c.upstreams, c.waiting), func(b *testing.B) {
 				s := busyService(b, c.upstreams, c.waiting)
 				now := start.Add(time.Second)
-				w := &Request{Owner: owner, Objective: time.Second, Deadline: now.Add(time.Hour), QueueUntil: now.Add(time.Hour)}
-				w.OnDecision = func(Grant, Refusal) { b.Fatal("the request had to wait") }
+				req := &Request{Owner: owner, Objective: time.Second, Deadline: now.Add(time.Hour), QueueUntil: now.Add(time.Hour)}
+				req.OnDecision = func(Grant, Refusal) { b.Fatal("the request had to wait") }
 				b.ReportAllocs()
 				for b.Loop() {
 					now = now.Add(100 * time.Microsecond)
-					g, r, decided := s.Offer(now, w)
+					g, r, decided := s.Offer(now, req)
 					if !decided || r != 0 {
 						b.Fatalf("not granted: refusal %v, decided %v", r, decided)
 					}
@@ -66,9 +66,9 @@
 	}
 	s.SetUpstreams(start, list)
 	s.ApplyReport(start, ClusterReport{Gateways: 1})
-	w := Request{Owner: "u0", Objective: time.Hour, Deadline: start.Add(time.Hour), QueueUntil: start.Add(time.Hour)}
+	req := Request{Owner: "u0", Objective: time.Hour, Deadline: start.Add(time.Hour), QueueUntil: start.Add(time.Hour)}
 	for s.Waiting() < waiting {
-		one := w
+		one := req
 		one.OnDecision = func(Grant, Refusal) {}
 		s.Offer(start, &one)
 	}
@@ -80,10 +80,10 @@
 	for _, owner := range []string{"", "u1"} {
 		s := busyService(t, 313, 500)
 		now := start.Add(time.Second)
-		w := &Request{Owner: owner, Objective: time.Second, Deadline: now.Add(time.Hour), QueueUntil: now.Add(time.Hour)}
+		req := &Request{Owner: owner, Objective: time.Second, Deadline: now.Add(time.Hour), QueueUntil: now.Add(time.Hour)}
 		allocs := testing.AllocsPerRun(100, func() {
 			now = now.Add(time.Millisecond)
-			g, _, _ := s.Offer(now, w)
+			g, _, _ := s.Offer(now, req)
 			s.Done(now, g, Answered)
 		})
 		if allocs > 0 {
--- a/coordination/dispatch/choice.go
+++ b/coordination/dispatch/choice.go
@@ -70,40 +70,40 @@
 // chooseUpstream returns the upstream with the lowest score among a few with room. If the limit of
 // that upstream rejects the request, it returns the best one without a limit. It returns nil if
 // there is none.
-func (s *Service) chooseUpstream(now time.Time, w *Request) *Upstream {
-	best := s.lowestScore(now, w)
+func (s *Service) chooseUpstream(now time.Time, req *Request) *Upstream {
+	best := s.lowestScore(now, req)
 	if best == nil {
 		return nil
 	}
-	best.wanted.Add()
-	if s.withinLimit(now, w, best) {
+	best.demandMeter.Add()
+	if s.withinLimit(now, req, best) {
 		return best
 	}
-	if best = s.lowestScore(now, w); best != nil {
-		best.wanted.Add()
+	if best = s.lowestScore(now, req); best != nil {
+		best.demandMeter.Add()
 	}
 	return best
 }
 
 // lowestScore returns the upstream with the lowest score among a few with room, or nil. For a
 // request that a limit has rejected, it considers only upstreams without a limit.
-func (s *Service) lowestScore(now time.Time, w *Request) *Upstream {
+func (s *Service) lowestScore(now time.Time, req *Request) *Upstream {
 	var c choice
-	s.considerList(now, w, s.ranked.local, &c)
-	s.considerList(now, w, s.ranked.remote, &c)
-	s.compareWarming(now, w, &c)
+	s.considerList(now, req, s.ranked.local, &c)
+	s.considerList(now, req, s.ranked.remote, &c)
+	s.compareWarming(now, req, &c)
 	return c.best
 }
 
 // considerList considers the upstreams of a list that have room, in order, until it has found enough
 // good ones.
-func (s *Service) considerList(now time.Time, w *Request, list []*Upstream, c *choice) {
+func (s *Service) considerList(now time.Time, req *Request, list []*Upstream, c *choice) {
 	good, examined := 0, 0
 	for _, u := range list {
-		if u.limit != nil && w.heldByLimit || isExcluded(w, u.ID) || !s.usable(now, u) || !u.hasCapacity(now, s.typicalWorkTime, w.Objective, false) {
+		if u.limit != nil && req.heldByLimit || isExcluded(req, u.ID) || !s.usable(now, u) || !u.hasCapacity(now, s.typicalWorkTime, req.Objective, false) {
 			continue
 		}
-		c.consider(u, u.score(now, s.typicalWorkTime, w.Objective, s.domain, s.rng))
+		c.consider(u, u.score(now, s.typicalWorkTime, req.Objective, s.domain, s.rng))
 		if u.failureRate < badFailureRate {
 			good++
 		}
--- a/coordination/dispatch/closed.go
+++ b/coordination/dispatch/closed.go
@@ -38,9 +38,9 @@
 
 // requestBlockedReason returns why no upstream may get the request, or zero if there is one. It
 // returns Resting if any of them is resting, because those become available again by themselves.
-func (s *Service) requestBlockedReason(now time.Time, w *Request) Refusal {
-	if w.Owner != "" {
-		u := s.upstreams[w.Owner]
+func (s *Service) requestBlockedReason(now time.Time, req *Request) Refusal {
+	if req.Owner != "" {
+		u := s.upstreams[req.Owner]
 		if u == nil {
 			return NoUpstream
 		}
@@ -48,7 +48,7 @@
 	}
 	reason := NoUpstream
 	for _, u := range s.ordered {
-		if isExcluded(w, u.ID) {
+		if isExcluded(req, u.ID) {
 			continue
 		}
 		switch s.blockedReason(now, u) {
@@ -70,10 +70,10 @@
 
 // RestRemaining returns the time until the first resting upstream that can serve the request ends
 // its rest, or zero if none is resting.
-func (s *Service) RestRemaining(now time.Time, w *Request) time.Duration {
+func (s *Service) RestRemaining(now time.Time, req *Request) time.Duration {
 	least := time.Duration(0)
 	for _, u := range s.ordered {
-		if w.Owner != "" && u.ID != w.Owner || isExcluded(w, u.ID) || !u.notices.Resting(now) {
+		if req.Owner != "" && u.ID != req.Owner || isExcluded(req, u.ID) || !u.notices.Resting(now) {
 			continue
 		}
 		if left := u.notices.RestRemaining(now); least == 0 || left < least {
--- a/coordination/dispatch/demand.go
+++ b/coordination/dispatch/demand.go
@@ -4,14 +4,14 @@
 
 // computeDemandFraction returns this gateway's fraction of the total demand. Until the demands of the
 // gateways are comparable, each is assumed to have the same.
-func (s *Service) computeDemandFraction(news ClusterReport) float64 {
+func (s *Service) computeDemandFraction(report ClusterReport) float64 {
 	if s.gateways == 1 {
 		return 1
 	}
 	if s.demandSpan <= minDemandSpan {
 		return 1 / float64(s.gateways)
 	}
-	own, others := s.demand+demandFloor, news.Demand+demandFloor*float64(s.gateways-1)
+	own, others := s.demand+demandFloor, report.Demand+demandFloor*float64(s.gateways-1)
 	return max(own/(own+others), minRelativeFraction/float64(s.gateways))
 }
 
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -35,13 +35,13 @@
 	return out
 }
 
-func newWant() *Request {
+func newRequest() *Request {
 	return &Request{Objective: 300 * ms, Deadline: at(time.Second), QueueUntil: at(60 * ms), OnDecision: func(Grant, Refusal) {}}
 }
 
-func mustGrant(t *testing.T, s *Service, now time.Time, w *Request) Grant {
+func mustGrant(t *testing.T, s *Service, now time.Time, req *Request) Grant {
 	t.Helper()
-	g, r, decided := s.Offer(now, w)
+	g, r, decided := s.Offer(now, req)
 	if !decided || r != 0 {
 		t.Fatalf("not granted: refusal %v, decided %v", r, decided)
 	}
@@ -64,7 +64,7 @@
 
 func TestOwnDomainIsPreferred(t *testing.T) {
 	s := newService("a1", "b1", "c1")
-	if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "a1" {
+	if g := mustGrant(t, s, start, newRequest()); g.Instance.ID != "a1" {
 		t.Errorf("sent to %s", g.Instance.ID)
 	}
 }
@@ -84,16 +84,16 @@
 	s := serviceWithWorkTime(10 * ms)
 	var last Grant
 	for range int(2 * maxInFlightPerSlot) {
-		w := newWant()
-		w.Objective = time.Minute
-		last = mustGrant(t, s, start, w)
+		req := newRequest()
+		req.Objective = time.Minute
+		last = mustGrant(t, s, start, req)
 	}
 	verdicts := make(map[int]bool)
 	for _, priority := range []int{2, 0, 1} {
-		w := newWant()
-		w.Priority = priority
-		w.OnDecision = func(_ Grant, r Refusal) { verdicts[priority] = r == 0 }
-		if _, r, decided := s.Offer(start, w); decided {
+		req := newRequest()
+		req.Priority = priority
+		req.OnDecision = func(_ Grant, r Refusal) { verdicts[priority] = r == 0 }
+		if _, r, decided := s.Offer(start, req); decided {
 			t.Fatalf("priority %d decided at once: refusal %v", priority, r)
 		}
 	}
@@ -110,11 +110,11 @@
 func TestReportedRequestsCount(t *testing.T) {
 	s := newService("a1", "b1")
 	s.ApplyReport(start, ClusterReport{InFlight: map[string]float64{"a1": 6}, Gateways: 3})
-	if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "b1" {
+	if g := mustGrant(t, s, start, newRequest()); g.Instance.ID != "b1" {
 		t.Errorf("sent to the full upstream")
 	}
 	s.ApplyReport(start, ClusterReport{Gateways: 3})
-	if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "a1" {
+	if g := mustGrant(t, s, start, newRequest()); g.Instance.ID != "a1" {
 		t.Errorf("the previous report still counts")
 	}
 }
@@ -125,12 +125,12 @@
 	leaving[0].Leaving = true
 	s.SetUpstreams(start, leaving)
 	for range 2 {
-		if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "b1" {
+		if g := mustGrant(t, s, start, newRequest()); g.Instance.ID != "b1" {
 			t.Fatal("sent to the leaving upstream")
 		}
 	}
 	s.SetUpstreams(start, nil)
-	if _, r, decided := s.Offer(start, newWant()); !decided || r != NoUpstream {
+	if _, r, decided := s.Offer(start, newRequest()); !decided || r != NoUpstream {
 		t.Errorf("refusal %v", r)
 	}
 }
@@ -139,16 +139,16 @@
 // connection failure, and then one at a time until one is answered.
 func TestUnreachableUpstreamIsProbed(t *testing.T) {
 	s := newService("a1")
-	s.Done(at(10*ms), mustGrant(t, s, start, newWant()), Unreachable)
-	w := newWant()
-	w.QueueUntil = at(10 * ms)
-	if _, r, _ := s.Offer(at(10*ms), w); r != NoCapacity {
+	s.Done(at(10*ms), mustGrant(t, s, start, newRequest()), Unreachable)
+	req := newRequest()
+	req.QueueUntil = at(10 * ms)
+	if _, r, _ := s.Offer(at(10*ms), req); r != NoCapacity {
 		t.Errorf("refusal %v right after the failure, want no room", r)
 	}
 	now := at(10*ms + minBackoff)
-	w.QueueUntil, w.Deadline = now.Add(time.Minute), now.Add(time.Minute)
-	probe := mustGrant(t, s, now, w)
-	if _, _, decided := s.Offer(now, w); decided {
+	req.QueueUntil, req.Deadline = now.Add(time.Minute), now.Add(time.Minute)
+	probe := mustGrant(t, s, now, req)
+	if _, _, decided := s.Offer(now, req); decided {
 		t.Error("a second probe before the first has ended")
 	}
 	s.Done(now.Add(20*ms), probe, Answered)
@@ -163,13 +163,13 @@
 	s := newService("a1")
 	learnWorkTime(s, "a1", 100*ms)
 	now := at(200 * ms)
-	w := &Request{Objective: time.Second, Deadline: at(time.Minute), QueueUntil: at(time.Minute)}
-	mustGrant(t, s, now, w)
+	req := &Request{Objective: time.Second, Deadline: at(time.Minute), QueueUntil: at(time.Minute)}
+	mustGrant(t, s, now, req)
 	if s.upstreams["a1"].silent(now.Add(450*ms), s.typicalWorkTime) {
 		t.Error("one slow request counts as silence")
 	}
-	mustGrant(t, s, now, w)
-	mustGrant(t, s, now, w)
+	mustGrant(t, s, now, req)
+	mustGrant(t, s, now, req)
 	if !s.upstreams["a1"].silent(now.Add(time.Second), s.typicalWorkTime) {
 		t.Error("three overdue requests do not count as silence")
 	}
@@ -191,13 +191,13 @@
 func TestTooLateIsRefusedAtOnce(t *testing.T) {
 	s := serviceWithWorkTime(50 * ms)
 	for range int(2 * maxInFlightPerSlot) {
-		w := newWant()
-		w.Objective = time.Minute
-		mustGrant(t, s, start, w)
+		req := newRequest()
+		req.Objective = time.Minute
+		mustGrant(t, s, start, req)
 	}
-	w := newWant()
-	w.Deadline = at(10 * ms)
-	if _, r, decided := s.Offer(start, w); !decided || r != TooLate {
+	req := newRequest()
+	req.Deadline = at(10 * ms)
+	if _, r, decided := s.Offer(start, req); !decided || r != TooLate {
 		t.Errorf("refusal %v, decided %v", r, decided)
 	}
 }
@@ -205,13 +205,13 @@
 // TestOwnerOnly checks that a request for an owner goes to no other upstream.
 func TestOwnerOnly(t *testing.T) {
 	s := newService("a1", "b1")
-	w := newWant()
-	w.Owner = "b1"
-	if g := mustGrant(t, s, start, w); g.Instance.ID != "b1" {
+	req := newRequest()
+	req.Owner = "b1"
+	if g := mustGrant(t, s, start, req); g.Instance.ID != "b1" {
 		t.Errorf("sent to %s", g.Instance.ID)
 	}
-	w.Owner = "gone"
-	if _, r, decided := s.Offer(start, w); !decided || r != NoUpstream {
+	req.Owner = "gone"
+	if _, r, decided := s.Offer(start, req); !decided || r != NoUpstream {
 		t.Errorf("refusal %v", r)
 	}
 }
@@ -224,9 +224,9 @@
 	s.upstreams["a1"].StartedMs = 1
 	var before []Grant
 	for {
-		w := newWant()
-		w.Owner = "a1"
-		g, _, decided := s.Offer(start, w)
+		req := newRequest()
+		req.Owner = "a1"
+		g, _, decided := s.Offer(start, req)
 		if !decided {
 			break
 		}
@@ -260,9 +260,9 @@
 	admitted := func(now time.Time, key uint16) int {
 		n := 0
 		for range 1000 {
-			w := newWant()
-			w.Owner, w.Key = "a1", key
-			g, r, decided := s.Offer(now, w)
+			req := newRequest()
+			req.Owner, req.Key = "a1", key
+			g, r, decided := s.Offer(now, req)
 			if !decided || r != 0 && r != HotKey {
 				t.Fatalf("refusal %v, decided %v", r, decided)
 			}
@@ -290,14 +290,14 @@
 	s := newService("a1")
 	s.ApplyReport(start, ClusterReport{Gateways: hotKeyLimitMinGateways, HotKeyAdmission: map[uint16]float64{7: 0}})
 	s.upstreams["a1"].share.fraction = 1
-	w := newWant()
-	w.Owner, w.Key = "a1", 7
-	if _, r, _ := s.Offer(start, w); r != HotKey {
+	req := newRequest()
+	req.Owner, req.Key = "a1", 7
+	if _, r, _ := s.Offer(start, req); r != HotKey {
 		t.Errorf("refusal %v", r)
 	}
-	w = newWant()
-	w.Owner, w.Key, w.Retry = "a1", 7, true
-	mustGrant(t, s, start, w)
+	req = newRequest()
+	req.Owner, req.Key, req.Retry = "a1", 7, true
+	mustGrant(t, s, start, req)
 }
 
 // TestWarmUpRaisesReportedWorkTime guards against an underestimate right after a start: the
@@ -332,7 +332,7 @@
 		out := make(map[string]bool)
 		for i := range 100 {
 			now := at(time.Duration(i) * 100 * ms)
-			g := mustGrant(t, s, now, newWant())
+			g := mustGrant(t, s, now, newRequest())
 			out[g.Instance.ID] = true
 			end := Answered
 			if fail {
@@ -367,17 +367,17 @@
 		switch rng.IntN(4) {
 		case 0, 1:
 			offered++
-			w := &Request{Objective: 200 * ms, Deadline: now.Add(400 * ms), QueueUntil: now.Add(50 * ms), Priority: rng.IntN(3)}
-			w.OnDecision = func(g Grant, r Refusal) {
+			req := &Request{Objective: 200 * ms, Deadline: now.Add(400 * ms), QueueUntil: now.Add(50 * ms), Priority: rng.IntN(3)}
+			req.OnDecision = func(g Grant, r Refusal) {
 				verdicts++
 				if r == 0 {
 					running = append(running, g)
 				}
 			}
-			if g, r, decided := s.Offer(now, w); decided {
-				w.OnDecision(g, r)
+			if g, r, decided := s.Offer(now, req); decided {
+				req.OnDecision(g, r)
 			} else {
-				waiting = append(waiting, w)
+				waiting = append(waiting, req)
 			}
 		case 2:
 			if len(running) > 0 {
@@ -424,10 +424,10 @@
 	leaving := instanceList("a1")
 	leaving[0].Leaving = true
 	s.SetUpstreams(start, leaving)
-	w := newWant()
-	w.Owner, w.QueueUntil, w.Deadline = "a1", at(time.Minute), at(time.Minute)
-	mustGrant(t, s, at(time.Second), w)
-	if _, r, decided := s.Offer(at(2*time.Second), w); decided && r == 0 {
+	req := newRequest()
+	req.Owner, req.QueueUntil, req.Deadline = "a1", at(time.Minute), at(time.Minute)
+	mustGrant(t, s, at(time.Second), req)
+	if _, r, decided := s.Offer(at(2*time.Second), req); decided && r == 0 {
 		t.Error("granted two seconds after the owner was first seen leaving")
 	}
 }
@@ -462,14 +462,14 @@
 		want    bool
 	}{"full": {5, false}, "slots free": {1, true}} {
 		s := serviceWithWorkTime(10 * ms)
-		w := newWant()
-		w.Objective = time.Minute
+		req := newRequest()
+		req.Objective = time.Minute
 		var last Grant
 		for range c.running {
-			last = mustGrant(t, s, start, w)
+			last = mustGrant(t, s, start, req)
 		}
 		s.Done(at(ms), last, ConnectionBroken)
-		again := newWant()
+		again := newRequest()
 		again.Objective = time.Minute
 		again.OnDecision = func(Grant, Refusal) {}
 		if _, _, decided := s.Offer(at(ms), again); decided != c.want {
--- a/coordination/dispatch/evacuated_test.go
+++ b/coordination/dispatch/evacuated_test.go
@@ -15,22 +15,22 @@
 	s := newService("a1", "b1")
 	s.SetEvacuated(start, onlyDomain("a"))
 	for range 2 {
-		if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "b1" {
+		if g := mustGrant(t, s, start, newRequest()); g.Instance.ID != "b1" {
 			t.Fatalf("sent to %s", g.Instance.ID)
 		}
 	}
-	again := newWant()
+	again := newRequest()
 	again.Retry, again.Exclude = true, []string{"b1"}
 	if _, r, decided := s.Offer(start, again); !decided || r != NoUpstream {
 		t.Errorf("second try: refusal %v, decided %v", r, decided)
 	}
 	s.SetUpstreams(start, instanceList("a1", "a2", "b1"))
 	s.SetEvacuated(start, func(string) bool { return true })
-	if _, r, decided := s.Offer(start, newWant()); !decided || r != NoUpstream {
+	if _, r, decided := s.Offer(start, newRequest()); !decided || r != NoUpstream {
 		t.Errorf("with all domains evacuated: refusal %v, decided %v", r, decided)
 	}
 	s.SetEvacuated(start, onlyDomain("b"))
-	if g := mustGrant(t, s, start, newWant()); g.Instance.Domain != "a" {
+	if g := mustGrant(t, s, start, newRequest()); g.Instance.Domain != "a" {
 		t.Errorf("sent to %s", g.Instance.ID)
 	}
 }
@@ -41,13 +41,13 @@
 	s := newService("a1")
 	var sent []Grant
 	for range 5 {
-		if g, _, decided := s.Offer(start, newWant()); decided {
+		if g, _, decided := s.Offer(start, newRequest()); decided {
 			sent = append(sent, g)
 		}
 	}
-	w, refused := newWant(), Refusal(0)
-	w.OnDecision = func(_ Grant, r Refusal) { refused = r }
-	if _, _, decided := s.Offer(start, w); decided {
+	req, refused := newRequest(), Refusal(0)
+	req.OnDecision = func(_ Grant, r Refusal) { refused = r }
+	if _, _, decided := s.Offer(start, req); decided {
 		t.Fatal("the request does not wait")
 	}
 	s.SetEvacuated(at(ms), onlyDomain("a"))
@@ -65,10 +65,10 @@
 func TestEvacuatedOwnerDrains(t *testing.T) {
 	s := newService("a1")
 	s.SetEvacuated(start, onlyDomain("a"))
-	owned := newWant()
+	owned := newRequest()
 	owned.Owner = "a1"
 	mustGrant(t, s, at(evacuationGrace/2), owned)
-	late := newWant()
+	late := newRequest()
 	late.Owner, late.QueueUntil, late.Deadline = "a1", at(2*evacuationGrace), at(3*evacuationGrace)
 	if _, r, decided := s.Offer(at(evacuationGrace+ms), late); !decided || r != Evacuated {
 		t.Errorf("refusal %v, decided %v", r, decided)
@@ -82,7 +82,7 @@
 	s.SetEvacuated(start, onlyDomain("a"))
 	s.SetUpstreams(at(time.Minute), nil)
 	s.SetUpstreams(at(time.Minute), instanceList("a1"))
-	if _, r, decided := s.Offer(at(time.Minute), wantOwner("a1")); !decided || r != Evacuated {
+	if _, r, decided := s.Offer(at(time.Minute), newOwnerRequest("a1")); !decided || r != Evacuated {
 		t.Errorf("refusal %v, decided %v", r, decided)
 	}
 }
--- a/coordination/dispatch/limited.go
+++ b/coordination/dispatch/limited.go
@@ -63,7 +63,7 @@
 func (s *Service) LimitedDemand(now time.Time) map[string]float64 {
 	var out map[string]float64
 	for _, u := range s.ordered {
-		rate := u.wanted.Rate(now)
+		rate := u.demandMeter.Rate(now)
 		if u.limit == nil {
 			continue
 		}
@@ -79,7 +79,7 @@
 // upstream. While the demand of the others is unknown, each is assumed to have the same demand as
 // this gateway.
 func (u *Upstream) totalDemand(now time.Time) float64 {
-	own := u.wanted.Last()
+	own := u.demandMeter.Last()
 	equal := own * float64(u.gateways)
 	switch {
 	case u.limit.othersDemand < 0:
@@ -100,35 +100,35 @@
 
 // withinLimit reports whether the upstream's limit, if any, admits the request. An admission stays
 // valid for this upstream. After a rejection the request may only go to upstreams without a limit.
-func (s *Service) withinLimit(now time.Time, w *Request, u *Upstream) bool {
-	if u.limit == nil || s.Disabled.NoNamedLimits || w.admittedTo == u {
+func (s *Service) withinLimit(now time.Time, req *Request, u *Upstream) bool {
+	if u.limit == nil || s.Disabled.NoNamedLimits || req.admittedTo == u {
 		return true
 	}
-	if w.heldByLimit {
+	if req.heldByLimit {
 		return false
 	}
 	if u.limit.sampler.Take(u.limit.AdmitFraction(now, u.totalDemand(now)), s.rng.Float64()) {
-		w.admittedTo = u
+		req.admittedTo = u
 		return true
 	}
-	w.heldByLimit = true
+	req.heldByLimit = true
 	return false
 }
 
 // blockedByLimits reports whether a limit has rejected the waiting request and no upstream without
 // a limit can serve it.
-func (s *Service) blockedByLimits(now time.Time, w *Request) bool {
-	if w.Owner != "" {
-		u := s.upstreams[w.Owner]
-		return u != nil && !s.withinLimit(now, w, u)
+func (s *Service) blockedByLimits(now time.Time, req *Request) bool {
+	if req.Owner != "" {
+		u := s.upstreams[req.Owner]
+		return u != nil && !s.withinLimit(now, req, u)
 	}
-	return w.heldByLimit && !s.hasUnlimited(now, w)
+	return req.heldByLimit && !s.hasUnlimited(now, req)
 }
 
 // hasUnlimited reports whether there is an upstream for the request that has no limit.
-func (s *Service) hasUnlimited(now time.Time, w *Request) bool {
+func (s *Service) hasUnlimited(now time.Time, req *Request) bool {
 	for _, u := range s.ordered {
-		if u.limit == nil && s.blockedReason(now, u) == 0 && !isExcluded(w, u.ID) {
+		if u.limit == nil && s.blockedReason(now, u) == 0 && !isExcluded(req, u.ID) {
 			return true
 		}
 	}
--- a/coordination/dispatch/limited_test.go
+++ b/coordination/dispatch/limited_test.go
@@ -23,7 +23,7 @@
 	s.LimitedDemand(start.Add(-time.Second))
 	for _, u := range s.ordered {
 		for range int(own) {
-			u.wanted.Add()
+			u.demandMeter.Add()
 		}
 	}
 	s.LimitedDemand(start)
@@ -36,11 +36,11 @@
 	sent, refused = make(map[string]int), make(map[Refusal]int)
 	for i := range n {
 		now := at(time.Minute + time.Duration(i)*20*ms)
-		w := &Request{Owner: owner, Objective: 300 * ms, Deadline: now.Add(time.Second), QueueUntil: now.Add(60 * ms), OnDecision: func(Grant, Refusal) {}}
-		g, r, decided := s.Offer(now, w)
+		req := &Request{Owner: owner, Objective: 300 * ms, Deadline: now.Add(time.Second), QueueUntil: now.Add(60 * ms), OnDecision: func(Grant, Refusal) {}}
+		g, r, decided := s.Offer(now, req)
 		switch {
 		case !decided:
-			s.Withdraw(w)
+			s.Withdraw(req)
 			refused[0]++
 		case r != 0:
 			refused[r]++
@@ -121,8 +121,8 @@
 	}
 	var grants []Grant
 	for range 30 {
-		w := &Request{Owner: "a1", Objective: time.Second, Deadline: at(time.Minute), QueueUntil: at(time.Minute), OnDecision: verdict}
-		if g, _, decided := s.Offer(start, w); decided {
+		req := &Request{Owner: "a1", Objective: time.Second, Deadline: at(time.Minute), QueueUntil: at(time.Minute), OnDecision: verdict}
+		if g, _, decided := s.Offer(start, req); decided {
 			grants = append(grants, g)
 		}
 	}
@@ -178,23 +178,23 @@
 		s.ApplyReport(start, ClusterReport{Gateways: gateways})
 		services = append(services, s)
 	}
-	told := make([]float64, gateways)
+	reported := make([]float64, gateways)
 	var arrivals []time.Duration
 	for now := time.Duration(0); now < length; now += ms {
 		for i, s := range services {
 			if now%report == 0 {
-				others := -told[i]
-				for _, n := range told {
+				others := -reported[i]
+				for _, n := range reported {
 					others += n
 				}
 				s.ApplyReport(at(now), ClusterReport{Gateways: gateways, Limits: map[string]Limit{"u": {PerSecond: perSecond, OthersDemand: others}}})
-				told[i] = s.LimitedDemand(at(now))["u"]
+				reported[i] = s.LimitedDemand(at(now))["u"]
 			}
 			if rng.Float64() >= 3*perSecond*ms.Seconds()/gateways {
 				continue
 			}
-			w := &Request{Owner: "u", Objective: 400 * ms, Deadline: at(now + time.Second), QueueUntil: at(now), OnDecision: func(Grant, Refusal) {}}
-			if g, r, decided := s.Offer(at(now), w); decided && r == 0 {
+			req := &Request{Owner: "u", Objective: 400 * ms, Deadline: at(now + time.Second), QueueUntil: at(now), OnDecision: func(Grant, Refusal) {}}
+			if g, r, decided := s.Offer(at(now), req); decided && r == 0 {
 				arrivals = append(arrivals, now)
 				s.Done(at(now), g, Answered)
 			}
--- a/coordination/dispatch/notices_test.go
+++ b/coordination/dispatch/notices_test.go
@@ -7,11 +7,11 @@
 	"github.com/rockcroft/rockcroft/coordination/notice"
 )
 
-// wantOwner returns a request for a key of the owner.
-func wantOwner(owner string) *Request {
-	w := newWant()
-	w.Owner = owner
-	return w
+// newOwnerRequest returns a request for a key of the owner.
+func newOwnerRequest(owner string) *Request {
+	req := newRequest()
+	req.Owner = owner
+	return req
 }
 
 // answerWithNotice ends a granted request with a response that carries a notice.
@@ -24,9 +24,9 @@
 // on, and that a later response without the notice does not revoke it.
 func TestLeavingNoticeStopsRequests(t *testing.T) {
 	s := newService("a1", "b1")
-	answerWithNotice(s, start, mustGrant(t, s, start, newWant()), notice.Notice{Leaving: true})
+	answerWithNotice(s, start, mustGrant(t, s, start, newRequest()), notice.Notice{Leaving: true})
 	for i := range 4 {
-		g := mustGrant(t, s, at(time.Duration(i)*ms), newWant())
+		g := mustGrant(t, s, at(time.Duration(i)*ms), newRequest())
 		if g.Instance.ID != "b1" {
 			t.Fatalf("sent to %s", g.Instance.ID)
 		}
@@ -42,18 +42,18 @@
 // not sent.
 func TestLeavingNoticeOfOwner(t *testing.T) {
 	s := newService("a1")
-	g := mustGrant(t, s, start, wantOwner("a1"))
+	g := mustGrant(t, s, start, newOwnerRequest("a1"))
 	answerWithNotice(s, start, g, notice.Notice{Leaving: true})
-	granted := mustGrant(t, s, at(s.drainTime), wantOwner("a1"))
+	granted := mustGrant(t, s, at(s.drainTime), newOwnerRequest("a1"))
 	for range 8 {
-		s.Offer(at(s.drainTime), wantOwner("a1"))
+		s.Offer(at(s.drainTime), newOwnerRequest("a1"))
 	}
 	refused := Refusal(0)
-	w := wantOwner("a1")
-	w.QueueUntil, w.Deadline = at(time.Minute), at(time.Hour)
-	w.Objective = time.Hour
-	w.OnDecision = func(_ Grant, r Refusal) { refused = r }
-	if _, r, decided := s.Offer(at(s.drainTime), w); decided {
+	req := newOwnerRequest("a1")
+	req.QueueUntil, req.Deadline = at(time.Minute), at(time.Hour)
+	req.Objective = time.Hour
+	req.OnDecision = func(_ Grant, r Refusal) { refused = r }
+	if _, r, decided := s.Offer(at(s.drainTime), req); decided {
 		t.Fatalf("decided at once: refusal %v", r)
 	}
 	if !s.MaySend(at(s.drainTime), granted) {
@@ -67,10 +67,10 @@
 	if s.MaySend(after, granted) {
 		t.Error("granted request may be sent after the grace period")
 	}
-	if _, r, decided := s.Offer(after, wantOwner("a1")); !decided || r != Leaving {
+	if _, r, decided := s.Offer(after, newOwnerRequest("a1")); !decided || r != Leaving {
 		t.Errorf("after the grace period: refusal %v, decided %v", r, decided)
 	}
-	cold := wantOwner("a1")
+	cold := newOwnerRequest("a1")
 	cold.Cold = true
 	if _, r, decided := s.Offer(after, cold); !decided || r != Leaving {
 		t.Errorf("cold key after the grace period: refusal %v, decided %v", r, decided)
@@ -111,7 +111,7 @@
 	leaving[0].Leaving = true
 	s.SetUpstreams(start, leaving)
 	s.SetUpstreams(at(time.Minute), instanceList("a1"))
-	g := mustGrant(t, s, at(time.Minute), wantOwner("a1"))
+	g := mustGrant(t, s, at(time.Minute), newOwnerRequest("a1"))
 	s.Done(at(time.Minute), g, Answered)
 	s.SetUpstreams(at(2*time.Minute), leaving)
 	if r := s.ownerBlockedReason(at(2*time.Minute+s.drainTime), s.upstreams["a1"]); r != 0 {
@@ -124,8 +124,8 @@
 // one request at a time until one is answered.
 func TestRestingUpstreamGetsNothing(t *testing.T) {
 	s := newService("a1", "b1")
-	asked := mustGrant(t, s, start, newWant())
-	early := mustGrant(t, s, start, wantOwner("a1"))
+	asked := mustGrant(t, s, start, newRequest())
+	early := mustGrant(t, s, start, newOwnerRequest("a1"))
 	s.ApplyNotice(start, asked, notice.Notice{Rest: 3 * time.Second})
 	s.Done(start, asked, Overloaded)
 	if s.MaySend(start, early) {
@@ -135,12 +135,12 @@
 	s.ApplyNotice(at(2*ms), early, notice.Notice{Rest: time.Second})
 	s.Done(at(3*ms), early, Answered)
 	for _, d := range []time.Duration{4 * ms, time.Second + 3*ms, 3*time.Second - ms} {
-		later := wantOwner("a1")
+		later := newOwnerRequest("a1")
 		later.QueueUntil, later.Deadline = at(time.Minute), at(time.Minute)
 		if _, r, decided := s.Offer(at(d), later); !decided || r != Resting {
 			t.Errorf("owner after %s: refusal %v, decided %v", d, r, decided)
 		}
-		if g := mustGrant(t, s, at(d), newWant()); g.Instance.ID != "b1" {
+		if g := mustGrant(t, s, at(d), newRequest()); g.Instance.ID != "b1" {
 			t.Errorf("sent to %s after %s", g.Instance.ID, d)
 		} else {
 			s.Done(at(d), g, Answered)
@@ -149,13 +149,13 @@
 			t.Errorf("rest of %s remaining after %s", left, d)
 		}
 	}
-	probe := mustGrant(t, s, at(3*time.Second), wantOwner("a1"))
-	if _, r, decided := s.Offer(at(3*time.Second), wantOwner("a1")); decided && r == 0 {
+	probe := mustGrant(t, s, at(3*time.Second), newOwnerRequest("a1"))
+	if _, r, decided := s.Offer(at(3*time.Second), newOwnerRequest("a1")); decided && r == 0 {
 		t.Error("two requests at once after the rest")
 	}
 	s.Done(at(3*time.Second+ms), probe, Answered)
 	for range 2 {
-		mustGrant(t, s, at(3*time.Second+2*ms), wantOwner("a1"))
+		mustGrant(t, s, at(3*time.Second+2*ms), newOwnerRequest("a1"))
 	}
 }
 
@@ -165,14 +165,14 @@
 	s := serviceWithWorkTime(10 * ms)
 	var last Grant
 	for range int(2 * maxInFlightPerSlot) {
-		w := newWant()
-		w.Objective = time.Minute
-		last = mustGrant(t, s, start, w)
+		req := newRequest()
+		req.Objective = time.Minute
+		last = mustGrant(t, s, start, req)
 	}
 	refused := make(map[string]Refusal)
-	for name, w := range map[string]*Request{"owner": wantOwner("a1"), "any": newWant()} {
-		w.OnDecision = func(_ Grant, r Refusal) { refused[name] = r }
-		if _, r, decided := s.Offer(start, w); decided {
+	for name, req := range map[string]*Request{"owner": newOwnerRequest("a1"), "any": newRequest()} {
+		req.OnDecision = func(_ Grant, r Refusal) { refused[name] = r }
+		if _, r, decided := s.Offer(start, req); decided {
 			t.Fatalf("%s decided at once: refusal %v", name, r)
 		}
 	}
@@ -182,7 +182,7 @@
 	if refused["owner"] != Resting || refused["any"] != Resting || s.Waiting() != 0 {
 		t.Errorf("refused %v, %d waiting", refused, s.Waiting())
 	}
-	if _, r, decided := s.Offer(at(3*ms), newWant()); !decided || r != Resting {
+	if _, r, decided := s.Offer(at(3*ms), newRequest()); !decided || r != Resting {
 		t.Errorf("next request: refusal %v, decided %v", r, decided)
 	}
 }
@@ -190,10 +190,10 @@
 // TestRestIsBounded checks that a rest of a day is cut to notice.MaxRest.
 func TestRestIsBounded(t *testing.T) {
 	s := newService("a1")
-	g := mustGrant(t, s, start, newWant())
+	g := mustGrant(t, s, start, newRequest())
 	s.ApplyNotice(start, g, notice.Notice{Rest: 24 * time.Hour})
 	s.Done(start, g, Overloaded)
-	if left := s.RestRemaining(start, newWant()); left != 5*time.Minute {
+	if left := s.RestRemaining(start, newRequest()); left != 5*time.Minute {
 		t.Errorf("rest of %s, want 5m", left)
 	}
 }
@@ -206,7 +206,7 @@
 	born := instanceList("a1")
 	born[0].StartedMs = 2000
 	s.SetUpstreams(start, born)
-	now, later := mustGrant(t, s, start, newWant()), mustGrant(t, s, start, wantOwner("a1"))
+	now, later := mustGrant(t, s, start, newRequest()), mustGrant(t, s, start, newOwnerRequest("a1"))
 	s.SetUpstreams(at(ms), nil)
 	if s.MaySend(at(2*ms), later) {
 		t.Error("granted request may be sent to an unlisted upstream")
@@ -216,7 +216,7 @@
 	former.Instance.StartedMs = 1000
 	answerWithNotice(s, at(3*ms), former, notice.Notice{Rest: time.Minute})
 	s.SetUpstreams(at(time.Second), born)
-	if left := s.RestRemaining(at(time.Second), newWant()); left != 2*time.Second+2*ms {
+	if left := s.RestRemaining(at(time.Second), newRequest()); left != 2*time.Second+2*ms {
 		t.Errorf("rest of %s remaining", left)
 	}
 	if r := s.ownerBlockedReason(at(3*time.Second+3*ms), s.upstreams["a1"]); r != Leaving {
--- a/coordination/dispatch/queue.go
+++ b/coordination/dispatch/queue.go
@@ -12,35 +12,35 @@
 // level holds the requests of one priority, oldest first.
 type level struct {
 	priority int
-	wants    []*Request
+	waiting  []*Request
 }
 
 // add appends a request to the level of its priority.
-func (q *queue) add(w *Request) {
+func (q *queue) add(req *Request) {
 	q.size++
 	i := 0
 	for ; i < len(q.levels); i++ {
-		if q.levels[i].priority >= w.Priority {
+		if q.levels[i].priority >= req.Priority {
 			break
 		}
 	}
-	if i == len(q.levels) || q.levels[i].priority != w.Priority {
+	if i == len(q.levels) || q.levels[i].priority != req.Priority {
 		q.levels = append(q.levels, level{})
 		copy(q.levels[i+1:], q.levels[i:])
-		q.levels[i] = level{priority: w.Priority}
+		q.levels[i] = level{priority: req.Priority}
 	}
-	q.levels[i].wants = append(q.levels[i].wants, w)
+	q.levels[i].waiting = append(q.levels[i].waiting, req)
 }
 
 // remove removes a request if it is in the queue.
-func (q *queue) remove(w *Request) {
+func (q *queue) remove(req *Request) {
 	for i := range q.levels {
-		if q.levels[i].priority != w.Priority {
+		if q.levels[i].priority != req.Priority {
 			continue
 		}
-		for j, other := range q.levels[i].wants {
-			if other == w {
-				q.levels[i].wants = append(q.levels[i].wants[:j], q.levels[i].wants[j+1:]...)
+		for j, other := range q.levels[i].waiting {
+			if other == req {
+				q.levels[i].waiting = append(q.levels[i].waiting[:j], q.levels[i].waiting[j+1:]...)
 				q.size--
 				return
 			}
@@ -53,7 +53,7 @@
 	n := 0
 	for i := range q.levels {
 		if q.levels[i].priority <= priority {
-			n += len(q.levels[i].wants)
+			n += len(q.levels[i].waiting)
 		}
 	}
 	return n
@@ -63,28 +63,28 @@
 // the request if visit returns remove, and ends if visit returns stop.
 func (q *queue) forEach(visit func(*Request) (remove, stop bool)) {
 	for i := range q.levels {
-		wants := q.levels[i].wants
-		kept := wants[:0]
-		for j, w := range wants {
-			remove, stop := visit(w)
+		waiting := q.levels[i].waiting
+		kept := waiting[:0]
+		for j, req := range waiting {
+			remove, stop := visit(req)
 			if remove {
 				q.size--
 			} else {
-				kept = append(kept, w)
+				kept = append(kept, req)
 			}
 			if stop && len(kept) == j+1 {
 				// Nothing was removed, so the remaining requests are already in place.
 				return
 			}
 			if stop {
-				kept = append(kept, wants[j+1:]...)
-				clear(wants[len(kept):])
-				q.levels[i].wants = kept
+				kept = append(kept, waiting[j+1:]...)
+				clear(waiting[len(kept):])
+				q.levels[i].waiting = kept
 				return
 			}
 		}
-		clear(wants[len(kept):])
-		q.levels[i].wants = kept
+		clear(waiting[len(kept):])
+		q.levels[i].waiting = kept
 	}
 }
 
@@ -93,11 +93,11 @@
 	if q.size == 0 {
 		return
 	}
-	q.forEach(func(w *Request) (remove, stop bool) {
-		if now.Before(w.QueueUntil) {
+	q.forEach(func(req *Request) (remove, stop bool) {
+		if now.Before(req.QueueUntil) {
 			return false, false
 		}
-		refuse(w)
+		refuse(req)
 		return true, false
 	})
 }
--- a/coordination/dispatch/service.go
+++ b/coordination/dispatch/service.go
@@ -190,7 +190,7 @@
 		if u = s.upstreams[req.Owner]; u == nil {
 			return Grant{}, NoUpstream, true
 		}
-		u.wanted.Add()
+		u.demandMeter.Add()
 		if !s.withinLimit(now, req, u) {
 			return Grant{}, Limited, true
 		}
@@ -238,7 +238,7 @@
 	case u.totalInFlight(now)+1 > maxColdUtilization*float64(u.Slots):
 		return Grant{}, ColdKey, true
 	}
-	u.wanted.Add()
+	u.demandMeter.Add()
 	if !s.withinLimit(now, req, u) {
 		return Grant{}, Limited, true
 	}
--- a/coordination/dispatch/share_test.go
+++ b/coordination/dispatch/share_test.go
@@ -144,10 +144,10 @@
 func TestHungRequestsAreNotCountedInFlight(t *testing.T) {
 	s := serviceWithWorkTime(20 * ms)
 	u := s.upstreams["a1"]
-	hung := mustGrant(t, s, start, newWant())
+	hung := mustGrant(t, s, start, newRequest())
 	for i := range hungAfterOvertaken + 1 {
 		now := at(time.Duration(i+1) * 100 * ms)
-		req := newWant()
+		req := newRequest()
 		req.Deadline, req.QueueUntil = now.Add(time.Second), now
 		s.Done(now.Add(20*ms), mustGrant(t, s, now, req), Answered)
 	}
@@ -164,10 +164,10 @@
 // it is overdue, at twice its expected delay.
 func TestLongRunIsNotHung(t *testing.T) {
 	s := serviceWithWorkTime(100 * ms)
-	mustGrant(t, s, start, newWant())
+	mustGrant(t, s, start, newRequest())
 	for i := range 2 * hungAfterOvertaken {
 		now := at(time.Duration(i) * 10 * ms)
-		req := newWant()
+		req := newRequest()
 		req.Deadline, req.QueueUntil = now.Add(time.Second), now
 		s.Done(now.Add(10*ms), mustGrant(t, s, now, req), Answered)
 	}
@@ -181,7 +181,7 @@
 // not affect the measured work time.
 func TestColdKeysAreAdmittedOnlyByIdleOwners(t *testing.T) {
 	s := serviceWithWorkTime(10 * ms)
-	req := newWant()
+	req := newRequest()
 	req.Owner, req.Cold = "a1", true
 	g := mustGrant(t, s, start, req)
 	if !g.Cold || g.ExpectedLatency <= 10*ms {
@@ -190,7 +190,7 @@
 	if _, r, decided := s.Offer(start, req); !decided || r != ColdKey {
 		t.Errorf("second cold request at an owner with two slots: %v, decided %v", r, decided)
 	}
-	warm := newWant()
+	warm := newRequest()
 	warm.Owner = "a1"
 	mustGrant(t, s, start, warm)
 	s.Done(at(400*ms), g, Answered)
--- a/coordination/dispatch/told_test.go
+++ b/coordination/dispatch/told_test.go
@@ -23,7 +23,7 @@
 	s.ApplyReport(start, ClusterReport{Gateways: 1, WorkTimes: map[string]worktime.Estimate{
 		"a1": {Work: 100 * ms, Slowness: 1.4}, "a2": {Work: 130 * ms, Slowness: 1.4},
 	}})
-	if g := mustGrant(t, s, start, newWant()); g.Instance.ID != "a1" {
+	if g := mustGrant(t, s, start, newRequest()); g.Instance.ID != "a1" {
 		t.Fatalf("sent to %s, which has the longer mean work time", g.Instance.ID)
 	}
 	u := s.upstreams["a1"]
@@ -32,7 +32,7 @@
 		t.Errorf("work time %s in a slow period", got)
 	}
 	s.Done(at(ms), Grant{Instance: u.Instance, GrantedAt: start}, Canceled)
-	if g := mustGrant(t, s, at(ms), newWant()); g.Instance.ID != "a2" {
+	if g := mustGrant(t, s, at(ms), newRequest()); g.Instance.ID != "a2" {
 		t.Errorf("sent to %s in its slow period", g.Instance.ID)
 	}
 	if got := u.currentWorkTime(at(ms+slownessHalfLife), s.typicalWorkTime); got != 200*ms {
@@ -69,7 +69,7 @@
 	s := newService("a1")
 	s.ApplyReport(start, ClusterReport{Gateways: 3, InFlight: map[string]float64{"a1": 1}})
 	u := s.upstreams["a1"]
-	g := mustGrant(t, s, start, newWant())
+	g := mustGrant(t, s, start, newRequest())
 	s.ApplyLoad(start, g, instances.Load{Running: 2, Waiting: 5, Slots: 2})
 	if got := u.totalInFlight(start); got != 7 {
 		t.Errorf("%g in flight, but the upstream reported 7", got)
--- a/coordination/dispatch/upstream.go
+++ b/coordination/dispatch/upstream.go
@@ -134,10 +134,10 @@
 	lastReportAt      time.Time
 	// rank is its position in this gateway's order of preference.
 	rank uint64
-	// wanted measures this gateway's demand for the upstream. limit is the rate limit that the
+	// demandMeter measures this gateway's demand for the upstream. limit is the rate limit that the
 	// upstream requested, or nil.
-	wanted quota.Meter
-	limit  *upstreamLimit
+	demandMeter quota.Meter
+	limit       *upstreamLimit
 	// queue holds the requests that wait for this upstream only.
 	queue queue
 }
--- a/coordination/dispatch/waiting.go
+++ b/coordination/dispatch/waiting.go
@@ -4,27 +4,27 @@
 
 // waitRefusal returns why the request should be refused instead of waiting behind the given number
 // of others, or zero if it should wait. u is the owner's upstream, or nil if any can serve it.
-func (s *Service) waitRefusal(now time.Time, w *Request, u *Upstream, ahead int) Refusal {
-	if r := s.requestBlockedReason(now, w); r != 0 {
+func (s *Service) waitRefusal(now time.Time, req *Request, u *Upstream, ahead int) Refusal {
+	if r := s.requestBlockedReason(now, req); r != 0 {
 		return r
 	}
-	if !now.Before(w.QueueUntil) {
+	if !now.Before(req.QueueUntil) {
 		return NoCapacity
 	}
-	if s.blockedByLimits(now, w) {
+	if s.blockedByLimits(now, req) {
 		return Limited
 	}
-	if u != nil && !s.warmUpAllows(now, u) && u.nextSendAt.After(w.QueueUntil) {
+	if u != nil && !s.warmUpAllows(now, u) && u.nextSendAt.After(req.QueueUntil) {
 		return WarmingUp
 	}
-	if now.Add(s.typicalWorkTime / 2).After(w.Deadline) {
+	if now.Add(s.typicalWorkTime / 2).After(req.Deadline) {
 		return TooLate
 	}
-	wait := s.expectedWait(now, w, u, ahead)
-	if wait > w.QueueUntil.Sub(now) {
+	wait := s.expectedWait(now, req, u, ahead)
+	if wait > req.QueueUntil.Sub(now) {
 		return NoCapacity
 	}
-	if !w.LateAt.IsZero() && !s.Disabled.NoLikelihood && now.Add(wait+s.likelyRunTime(now, u)).After(w.LateAt) {
+	if !req.LateAt.IsZero() && !s.Disabled.NoLikelihood && now.Add(wait+s.likelyRunTime(now, u)).After(req.LateAt) {
 		return NoCapacity
 	}
 	return 0
@@ -43,7 +43,7 @@
 
 // expectedWait estimates how long the request would wait behind the given number of others, from
 // this gateway's fraction of the rate at which the upstreams finish requests.
-func (s *Service) expectedWait(now time.Time, w *Request, u *Upstream, ahead int) time.Duration {
+func (s *Service) expectedWait(now time.Time, req *Request, u *Upstream, ahead int) time.Duration {
 	if u == nil {
 		return time.Duration(float64(ahead) / max(s.demandFraction*s.totalThroughput, minRate) * float64(time.Second))
 	}
@@ -53,17 +53,17 @@
 }
 
 // Withdraw removes a waiting request. It returns false if the request already got its verdict.
-func (s *Service) Withdraw(w *Request) bool {
-	if w.dequeued {
+func (s *Service) Withdraw(req *Request) bool {
+	if req.dequeued {
 		return false
 	}
-	w.dequeued = true
+	req.dequeued = true
 	s.waiting--
-	if u := s.upstreams[w.Owner]; u != nil {
-		u.queue.remove(w)
+	if u := s.upstreams[req.Owner]; u != nil {
+		u.queue.remove(req)
 		return true
 	}
-	s.queue.remove(w)
+	s.queue.remove(req)
 	return true
 }
 
@@ -75,7 +75,7 @@
 		return
 	}
 	s.grantWaiting(now)
-	expired := func(w *Request) { s.refuse(w, s.expiryReason(now, w)) }
+	expired := func(req *Request) { s.refuse(req, s.expiryReason(now, req)) }
 	for _, u := range s.ordered {
 		if r := s.ownerBlockedReason(now, u); r != 0 {
 			s.refuseAll(u, r)
@@ -91,30 +91,30 @@
 	if s.queue.size == 0 || s.requestBlockedReason(now, &Request{}) == 0 {
 		return
 	}
-	s.queue.forEach(func(w *Request) (remove, stop bool) {
-		s.refuse(w, s.requestBlockedReason(now, w))
+	s.queue.forEach(func(req *Request) (remove, stop bool) {
+		s.refuse(req, s.requestBlockedReason(now, req))
 		return true, false
 	})
 }
 
 // refuse gives a waiting request a refusal as its verdict.
-func (s *Service) refuse(w *Request, r Refusal) {
-	w.dequeued = true
+func (s *Service) refuse(req *Request, r Refusal) {
+	req.dequeued = true
 	s.waiting--
-	w.OnDecision(Grant{}, r)
+	req.OnDecision(Grant{}, r)
 }
 
 // refuseAll refuses all requests that wait for one upstream.
 func (s *Service) refuseAll(u *Upstream, r Refusal) {
-	u.queue.forEach(func(w *Request) (remove, stop bool) {
-		s.refuse(w, r)
+	u.queue.forEach(func(req *Request) (remove, stop bool) {
+		s.refuse(req, r)
 		return true, false
 	})
 }
 
 // expiryReason returns the refusal for a request that has waited too long.
-func (s *Service) expiryReason(now time.Time, w *Request) Refusal {
-	if r := s.requestBlockedReason(now, w); r != 0 {
+func (s *Service) expiryReason(now time.Time, req *Request) Refusal {
+	if r := s.requestBlockedReason(now, req); r != 0 {
 		return r
 	}
 	return NoCapacity
@@ -138,18 +138,18 @@
 	if q.size == 0 {
 		return
 	}
-	q.forEach(func(w *Request) (remove, stop bool) {
-		if s.blockedByLimits(now, w) {
-			s.refuse(w, Limited)
+	q.forEach(func(req *Request) (remove, stop bool) {
+		if s.blockedByLimits(now, req) {
+			s.refuse(req, Limited)
 			return true, false
 		}
-		g, ok := s.tryGrant(now, w)
+		g, ok := s.tryGrant(now, req)
 		if !ok {
-			return false, len(w.Exclude) == 0
+			return false, len(req.Exclude) == 0
 		}
-		w.dequeued = true
+		req.dequeued = true
 		s.waiting--
-		w.OnDecision(g, 0)
+		req.OnDecision(g, 0)
 		return true, false
 	})
 }
--- a/coordination/dispatch/warming_test.go
+++ b/coordination/dispatch/warming_test.go
@@ -112,7 +112,7 @@
 	if n, all := f.maxArrivals("a1", 0, 3*time.Second), len(f.arrivals["a1"]); float64(n) > maxWarmUpRate || all < 6 {
 		t.Errorf("%d requests within a second, %d in total", n, all)
 	}
-	req := newWant()
+	req := newRequest()
 	req.Owner, req.QueueUntil, req.Deadline = "a1", at(time.Second+60*ms), at(2*time.Second)
 	refused := 0
 	for _, s := range f.services {
@@ -153,7 +153,7 @@
 	s.SetUpstreams(at(100*ms), warmingInstances(2, 3*time.Second, "a1"))
 	s.ApplyReport(at(100*ms), ClusterReport{Gateways: 1, Rights: map[string]time.Time{"a1": at(4 * time.Second)}})
 	before := s.upstreams["a1"].ownWorkTime
-	g := mustGrant(t, s, at(100*ms), newWant())
+	g := mustGrant(t, s, at(100*ms), newRequest())
 	s.Done(at(900*ms), g, Answered)
 	if u := s.upstreams["a1"]; u.ownWorkTime != before || u.unreportedRuns.Runs > 1 {
 		t.Errorf("work time changed from %[2]s to %[1]s, or the run was counted", u.ownWorkTime, before)
@@ -164,5 +164,5 @@
 func TestWarmUpWithoutRateLimit(t *testing.T) {
 	s := newService("a1")
 	s.SetUpstreams(start, warmingInstances(2, 3*time.Second, "a1"))
-	mustGrant(t, s, start, newWant())
+	mustGrant(t, s, start, newRequest())
 }
