--- a/coordination/controller/step.go
+++ b/coordination/controller/step.go
@@ -194,7 +194,7 @@
 	return out
 }
 
-// sendPreparations tells the new owners of pending moves to prepare for their ranges.
+// sendPreparations asks the new owners of pending moves to prepare for their ranges.
 func (c *Core) sendPreparations(now time.Time, out []Command) []Command {
 	byOwner := make(map[string][]control.Grant)
 	for _, m := range c.pendingMoves {
--- a/coordination/detect/detect.go
+++ b/coordination/detect/detect.go
@@ -25,9 +25,9 @@
 const (
 	// Unknown means that too few entries have reported.
 	Unknown Health = iota
-	// Alive means that at least one entry hears from the upstream.
+	// Alive means that at least one entry gets answers from the upstream.
 	Alive
-	// Silent means that no entry hears from it: it may be dead, frozen or cut off.
+	// Silent means that no entry gets answers from it: it may be dead, frozen or cut off.
 	Silent
 	// Gone means that its process has ended.
 	Gone
@@ -118,8 +118,7 @@
 		}
 	}
 	if now.Sub(d.resetAt[upstream]) < d.limits.SuspectAfter {
-		// Answers from before the reset may still arrive, so the process that they name says
-		// nothing.
+		// Answers from before the reset may still arrive, so the process that they name is ignored.
 		boot = ""
 	}
 	v.Health = d.health(reporting, silent, gone, v.Boot, boot)
--- a/coordination/dispatch/dispatch_test.go
+++ b/coordination/dispatch/dispatch_test.go
@@ -252,7 +252,7 @@
 }
 
 // TestHotKeysAreSampled checks that about the reported fraction of the requests for a hot key is
-// admitted, that other keys are not limited, and that a limit expires when no news arrives.
+// admitted, that other keys are not limited, and that a limit expires when no report renews it.
 func TestHotKeysAreSampled(t *testing.T) {
 	s := newService("a1")
 	s.ApplyReport(start, ClusterReport{Gateways: hotKeyLimitMinGateways, HotKeyAdmission: map[uint16]float64{7: 0.25}})
@@ -354,9 +354,9 @@
 	}
 }
 
-// TestEachRequestGetsOneVerdict checks with random events that each request gets exactly one
-// verdict and that no slot stays taken.
-func TestEachRequestGetsOneVerdict(t *testing.T) {
+// TestEachRequestGetsOneDecision checks with random events that each request gets exactly one
+// decision and that no slot stays taken.
+func TestEachRequestGetsOneDecision(t *testing.T) {
 	s := newService("a1", "b1", "c1")
 	rng := rand.New(rand.NewPCG(3, 4))
 	var running []Grant
--- a/coordination/dispatch/doc.go
+++ b/coordination/dispatch/doc.go
@@ -5,7 +5,7 @@
 // estimates an upstream's delay from its own measurements, from its own requests in flight, from
 // the load that the upstream reports, and from the reports of the other gateways. It uses no more
 // than its share of the capacity that these show. Requests without capacity wait here, in order of
-// priority, as long as an answer in time is likely. All others are refused at once.
+// priority, as long as a response in time is likely. All others are refused at once.
 //
 // Decisions are deterministic for a given clock and random source.
 package dispatch
--- a/coordination/dispatch/evacuated.go
+++ b/coordination/dispatch/evacuated.go
@@ -6,7 +6,7 @@
 
 // evacuationGrace is how long an owner in an evacuated failure domain still gets requests for keys
 // that have not moved yet. Most moves end within it. The operator allows a few seconds in total, of
-// which the news of the evacuation may already have taken one and a half.
+// which learning of the evacuation may already have taken one and a half.
 const evacuationGrace = time.Second
 
 // SetEvacuated sets which failure domains are evacuated. Upstreams there get no more requests,
--- a/coordination/dispatch/limited_test.go
+++ b/coordination/dispatch/limited_test.go
@@ -69,7 +69,7 @@
 }
 
 // TestLimitedOwnerGetsItsLimit checks that an owner gets its limit even out of few requests, and
-// that the number granted does not vary by chance.
+// that the number granted does not vary randomly.
 func TestLimitedOwnerGetsItsLimit(t *testing.T) {
 	const perSecond, demand, batch = 10.0, 40.0, 20
 	s := limitedService(map[string]float64{"a1": perSecond}, demand, 10, "a1")
@@ -112,7 +112,7 @@
 func TestWaitingRequestsAreSampledOnce(t *testing.T) {
 	s := limitedService(nil, 0, 40, "a1")
 	granted, refused := 0, 0
-	verdict := func(_ Grant, r Refusal) {
+	onDecision := func(_ Grant, r Refusal) {
 		if r == 0 {
 			granted++
 		} else if r == Limited {
@@ -121,7 +121,7 @@
 	}
 	var grants []Grant
 	for range 30 {
-		req := &Request{Owner: "a1", Objective: time.Second, Deadline: at(time.Minute), QueueUntil: at(time.Minute), OnDecision: verdict}
+		req := &Request{Owner: "a1", Objective: time.Second, Deadline: at(time.Minute), QueueUntil: at(time.Minute), OnDecision: onDecision}
 		if g, _, decided := s.Offer(start, req); decided {
 			grants = append(grants, g)
 		}
--- a/coordination/dispatch/mechanisms.go
+++ b/coordination/dispatch/mechanisms.go
@@ -3,7 +3,7 @@
 // Mechanisms disables parts of the decisions, so that experiments can measure the effect of each.
 // In production all of them are enabled.
 type Mechanisms struct {
-	// NoShares lets each gateway use all the room that the last report shows.
+	// NoShares lets each gateway use all the capacity that the last report shows.
 	NoShares bool `json:"no_shares"`
 	// NoLikelihood lets requests wait even if a timely response is unlikely.
 	NoLikelihood bool `json:"no_likelihood"`
--- a/coordination/dispatch/notices_test.go
+++ b/coordination/dispatch/notices_test.go
@@ -120,7 +120,7 @@
 }
 
 // TestRestingUpstreamGetsNothing checks that a resting upstream gets no requests, as an owner or
-// otherwise, until the announced end of its rest, whatever its later responses say. Then it gets
+// otherwise, until the announced end of its rest, regardless of its later responses. Then it gets
 // one request at a time until one is answered.
 func TestRestingUpstreamGetsNothing(t *testing.T) {
 	s := newService("a1", "b1")
--- a/coordination/dispatch/outcome.go
+++ b/coordination/dispatch/outcome.go
@@ -9,7 +9,7 @@
 	Answered Outcome = iota
 	// Failed means that the upstream answered with a failure or an invalid response.
 	Failed
-	// ConnectionBroken means that the upstream closed the connection before a complete answer, as
+	// ConnectionBroken means that the upstream closed the connection before a complete response, as
 	// some upstreams do when they are full.
 	ConnectionBroken
 	// Overloaded means that the upstream refused the request for lack of capacity.
@@ -20,9 +20,9 @@
 	Unreachable
 	// ConnectionRefused means that the address refused the connection; nothing was sent.
 	ConnectionRefused
-	// TimedOut means that the time ran out without an answer.
+	// TimedOut means that the time ran out without a response.
 	TimedOut
-	// Canceled means that the client left before the answer, or that a grant was given back
+	// Canceled means that the client left before the response, or that a grant was given back
 	// unused.
 	Canceled
 )
--- a/coordination/dispatch/report.go
+++ b/coordination/dispatch/report.go
@@ -10,18 +10,18 @@
 // Load is the state of one upstream as this gateway reports it to the others.
 type Load struct {
 	Instance string
-	// Incarnation says to which start of the upstream process the report applies.
+	// Incarnation identifies the start of the upstream process that the report describes.
 	Incarnation instances.Incarnation
 	// Inflight is the mean number of requests from this gateway since the last call of Loads.
 	Inflight float64
 	// Runs are the runs that this gateway has observed since the last call.
 	Runs worktime.Sum
 	// Silent is the time since the last response if the upstream is unreachable or silent, else
-	// zero. Refused says that it refused connections.
+	// zero. Refused is set if it refused connections.
 	Silent  time.Duration
 	Refused bool
-	// Leaving says that the upstream has announced its shutdown to this gateway. Rest is how
-	// long it still wants no requests from this gateway.
+	// Leaving is set if the upstream has announced its shutdown to this gateway. Rest is how long
+	// it still wants no requests from this gateway.
 	Leaving bool
 	Rest    time.Duration
 }
--- a/coordination/dispatch/service.go
+++ b/coordination/dispatch/service.go
@@ -11,10 +11,10 @@
 
 const (
 	// drainTimeShare is the fraction of the allowed drain time in which a leaving owner still gets
-	// requests for keys that have not moved yet. The rest is for the time until gateways hear that
+	// requests for keys that have not moved yet. The rest is for the time until gateways learn that
 	// it is leaving.
 	drainTimeShare = 0.6
-	// initialWorkTimeDivisor sets the work time assumed before the first answer: the route's
+	// initialWorkTimeDivisor sets the work time assumed before the first response: the route's
 	// objective divided by this.
 	initialWorkTimeDivisor = 3
 	// demandWindow is the time over which the request rate is averaged.
@@ -37,7 +37,7 @@
 	// a fraction of a request between two reports.
 	hotKeyLimitMinGateways = 24
 	// hotKeyLimitTTL is how long a hot key limit stays in force without a new report: without a
-	// leader nobody notices that the key is no longer hot.
+	// leader nothing lifts the limit when the key is no longer hot.
 	hotKeyLimitTTL = 2 * time.Second
 	// initialColdFactor is how many times as long as usual a request for a cold key is assumed to
 	// run before the first one has been answered.
--- a/coordination/dispatch/share_test.go
+++ b/coordination/dispatch/share_test.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// TestNoWaitWhenAnswerWouldBeLate: a request does not wait behind others when its answer would
+// TestNoWaitWhenAnswerWouldBeLate: a request does not wait behind others when its response would
 // probably be late.
 func TestNoWaitWhenAnswerWouldBeLate(t *testing.T) {
 	s := sharedServices(2, 100*ms)[0]
--- a/coordination/dispatch/told.go
+++ b/coordination/dispatch/told.go
@@ -7,8 +7,8 @@
 	"github.com/rockcroft/rockcroft/state/instances"
 )
 
-// This file uses the load that upstreams report with their answers. Upstreams that report none are
-// estimated from measurements and other gateways' reports alone.
+// This file uses the load that upstreams report with their responses. Upstreams that report none
+// are estimated from measurements and other gateways' reports alone.
 
 const (
 	// slownessHalfLife is the age at which a reported slowness counts half: machines shared by
@@ -17,14 +17,14 @@
 	// selfReportHalfLife is the age at which a reported number of requests counts half: other
 	// gateways send more, and some requests end.
 	selfReportHalfLife = 100 * time.Millisecond
-	// maxSlownessSamples is the number of answers over which an upstream's mean slowness is
+	// maxSlownessSamples is the number of responses over which an upstream's mean slowness is
 	// averaged here.
 	maxSlownessSamples = 60
 	// minSlowness and maxSlowness clamp reported values.
 	minSlowness, maxSlowness = 0.1, 10
 )
 
-// ApplyLoad applies the load that an upstream reported with the answer to a request. It must be
+// ApplyLoad applies the load that an upstream reported with the response to a request. It must be
 // called before Done for that request.
 func (s *Service) ApplyLoad(now time.Time, g Grant, load instances.Load) {
 	u := s.grantedUpstream(g)
@@ -54,7 +54,7 @@
 	return 1
 }
 
-// relativeSlowness returns how many times its mean time a run presently takes at the upstream.
+// relativeSlowness returns the ratio of the present run time to the mean run time at the upstream.
 func (u *Upstream) relativeSlowness(now time.Time) float64 {
 	if u.slownessAt.IsZero() {
 		return 1
@@ -63,7 +63,7 @@
 	return 1 + freshness*(u.slowness/u.meanSlowness()-1)
 }
 
-// answerSlowness returns the slowness reported with the answer that arrived at now; 1 if it
+// answerSlowness returns the slowness reported with the response that arrived at now; 1 if it
 // reported none.
 func (u *Upstream) answerSlowness(now time.Time) float64 {
 	if !u.slownessAt.Equal(now) {
--- a/coordination/dispatch/upstream.go
+++ b/coordination/dispatch/upstream.go
@@ -44,14 +44,14 @@
 	// overdueFactor is how many times its expected delay a request may take before it is overdue:
 	// the tails of work times reach three to five times the mean.
 	overdueFactor = 2
-	// minSilence is the minimum time without any answer before an upstream counts as silent.
+	// minSilence is the minimum time without any response before an upstream counts as silent.
 	minSilence = 350 * time.Millisecond
 	// reportHalfLife is the age at which a report of other gateways' requests counts half. Reports
 	// are collected a few times a second.
 	reportHalfLife = time.Second
 	// assumedGateways is the number of gateways assumed before the first report. If all gateways
-	// start at once, each would otherwise fill the upstreams by itself. Small deployments have 8
-	// to 12 gateways; larger ones tell the number with the first report.
+	// start at once, each would otherwise fill the upstreams by itself. Small deployments have 8 to
+	// 12 gateways; in larger ones the first report contains the number.
 	assumedGateways = 12
 	// overloadBackoff is how long an upstream gets no additional requests after it refused a
 	// request as overloaded, or broke the connection, with all slots taken. An upstream that
@@ -100,13 +100,13 @@
 	connectionRefused bool
 	overloadedUntil   time.Time
 	// warmUpUntil is when the warm-up ends. assumedWarmUpUntil is until when the upstream is
-	// assumed to warm up, whatever its entry says.
+	// assumed to warm up, regardless of its entry.
 	warmUpUntil, assumedWarmUpUntil time.Time
 	// rightUntil is when this gateway's right to send to the upstream during its warm-up ends,
 	// nextSendAt when it may send the next request.
 	rightUntil, nextSendAt time.Time
 	// slowness is what the upstream reported at slownessAt. clusterSlowness is the mean over the
-	// answers to all gateways, ownSlowness the mean over ownSlownessSamples answers to this one.
+	// responses to all gateways, ownSlowness the mean over ownSlownessSamples responses to this one.
 	slowness                        float64
 	slownessAt                      time.Time
 	clusterSlowness                 float64
@@ -115,7 +115,7 @@
 	// the load that it reported at selfReportedAt.
 	selfReportedOthers float64
 	selfReportedAt     time.Time
-	// notices is what the upstream told this gateway about leaving and resting.
+	// notices holds the upstream's notices to this gateway that it is leaving or resting.
 	notices notice.State
 	// probing is set when the upstream asked for rest and has not processed a request since. Only
 	// one request at a time is sent to it.
@@ -135,7 +135,7 @@
 	// rank is its position in this gateway's order of preference.
 	rank uint64
 	// demandMeter measures this gateway's demand for the upstream. limit is the rate limit that the
-	// upstream requested, or nil.
+	// upstream announced, or nil.
 	demandMeter quota.Meter
 	limit       *upstreamLimit
 	// queue holds the requests that wait for this upstream only.
@@ -367,7 +367,7 @@
 	}
 }
 
-// recordAnswer records an answer to the request that was granted at grantedAt. Earlier requests
+// recordAnswer records a response to the request that was granted at grantedAt. Earlier requests
 // that have been overtaken often enough and are overdue count as hung: the upstream takes requests
 // in order and never answers one that it could not queue.
 func (u *Upstream) recordAnswer(now, grantedAt time.Time, typicalWorkTime time.Duration) {
--- a/coordination/dispatch/waiting.go
+++ b/coordination/dispatch/waiting.go
@@ -52,7 +52,8 @@
 	return u.share.waitTime(float64(ahead+1), rate)
 }
 
-// Withdraw removes a waiting request. It returns false if the request already got its verdict.
+// Withdraw removes a waiting request. It returns false if the request was already granted or
+// refused.
 func (s *Service) Withdraw(req *Request) bool {
 	if req.dequeued {
 		return false
@@ -97,7 +98,7 @@
 	})
 }
 
-// refuse gives a waiting request a refusal as its verdict.
+// refuse refuses a waiting request and reports that to its OnDecision.
 func (s *Service) refuse(req *Request, r Refusal) {
 	req.dequeued = true
 	s.waiting--
--- a/coordination/dispatch/want.go
+++ b/coordination/dispatch/want.go
@@ -35,12 +35,12 @@
 	// Resting means that all upstreams that could run the request have asked to get none for a
 	// while.
 	Resting
-	// Limited means that all upstreams that could run the request have set a rate limit, and
+	// Limited means that all upstreams that could run the request have announced a rate limit, and
 	// demand exceeds it.
 	Limited
 )
 
-// String returns the reason in words.
+// String returns a description of the reason.
 func (r Refusal) String() string {
 	switch r {
 	case NoCapacity:
@@ -75,8 +75,8 @@
 	Owner string
 	// Key is the request's key if Owner is set.
 	Key uint16
-	// Retry is set when the request was granted before and this is not a hedge, a second try that
-	// runs beside the first.
+	// Retry is set when the request was granted before and this is not a hedge, a second try in
+	// parallel with the first.
 	Retry bool
 	// Cold is set when the owner got the key without a handover, so that the request runs several
 	// times as long.
@@ -85,11 +85,12 @@
 	Exclude []string
 	// Priority ranks requests; zero is the most important.
 	Priority int
-	// Objective is the latency within which an answer is on time.
+	// Objective is the latency within which a response is on time.
 	Objective time.Duration
-	// Deadline is when the answer must arrive, and QueueUntil the last moment at which the request
-	// may be granted. An answer after LateAt is late: a request that would not be answered by then
-	// does not wait. A zero LateAt turns this check off, for a request that is late in any case.
+	// Deadline is when the response must arrive, and QueueUntil the last moment at which the
+	// request may be granted. A response after LateAt is late: a request that would not be answered
+	// by then does not wait. A zero LateAt turns this check off, for a request that is late in any
+	// case.
 	Deadline   time.Time
 	QueueUntil time.Time
 	LateAt     time.Time
@@ -110,7 +111,7 @@
 	// upstream at that time.
 	GrantedAt time.Time
 	InFlight  float64
-	// ExpectedLatency is the estimated time until the answer.
+	// ExpectedLatency is the estimated time until the response.
 	ExpectedLatency time.Duration
 	// Cold is copied from the request.
 	Cold bool
@@ -136,6 +137,6 @@
 	// Rights are the times until which this gateway may send to upstreams that are warming up, by
 	// upstream.
 	Rights map[string]time.Time
-	// Limits are the rate limits that upstreams have set, by upstream.
+	// Limits are the rate limits that upstreams have announced, by upstream.
 	Limits map[string]Limit
 }
--- a/coordination/dispatch/warming_test.go
+++ b/coordination/dispatch/warming_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestWarmUpIsAssumedAfterEvacuationEnds: after an evacuation an upstream may be cold although
-// its entry said otherwise a moment ago.
+// TestWarmUpIsAssumedAfterEvacuationEnds: after an evacuation an upstream may be cold although its
+// last known entry shows no warm-up.
 func TestWarmUpIsAssumedAfterEvacuationEnds(t *testing.T) {
 	f := newGatewayGroup(20, WarmUp{MaxPerSecond: maxWarmUpRate}, "a1")
 	for _, s := range f.services {
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestWorkTimeIsNotLearnedDuringWarmUp: runs during warm-up say nothing about the work time of
-// the warmed-up upstream.
+// TestWorkTimeIsNotLearnedDuringWarmUp: the work time of the warmed-up upstream cannot be derived
+// from runs during warm-up.
 func TestWorkTimeIsNotLearnedDuringWarmUp(t *testing.T) {
 	s := newService("a1")
 	s.SetWarmUp(start, WarmUp{MaxPerSecond: maxWarmUpRate})
--- a/coordination/fence/fence.go
+++ b/coordination/fence/fence.go
@@ -190,8 +190,8 @@
 	return h.scratch[len(voters)/2]
 }
 
-// Settlement tracks the acknowledgements of one fence and tells a controller when
-// the fence is settled: no entry that knows only older versions may send any more.
+// Settlement tracks the acknowledgements of one fence and determines when the fence
+// is settled: no entry that knows only older versions may send any more.
 type Settlement struct {
 	fence   uint64
 	limits  Limits
--- a/coordination/gate/gate.go
+++ b/coordination/gate/gate.go
@@ -51,7 +51,7 @@
 	return g
 }
 
-// Destination says where requests for a key are sent.
+// Destination is the place where requests for a key are sent.
 type Destination int
 
 // The destinations of a key.
--- a/coordination/leadership/leadership.go
+++ b/coordination/leadership/leadership.go
@@ -8,7 +8,7 @@
 // holder refuses connections. In the latter case the former holder may still act for a short time,
 // and the successor takes that into account.
 //
-// While the store is unavailable, nobody can renew the lease. The holder then continues with
+// While the store is unavailable, no gateway can renew the lease. The holder then continues with
 // promises from a majority of the voters named in the lease. A successor that has written the lease
 // queries a majority of the same voters before it assumes that the former holder has stopped: at
 // least one of them knows the last promise.
--- a/coordination/notice/notice.go
+++ b/coordination/notice/notice.go
@@ -10,7 +10,7 @@
 
 // Notice is what one response announces.
 type Notice struct {
-	// Leaving says that the upstream is about to shut down.
+	// Leaving is set if the upstream is about to shut down.
 	Leaving bool
 	// Rest is how long the upstream wants no more requests from this gateway; zero when it does
 	// not ask for a rest.
@@ -26,11 +26,11 @@
 	RestUntil time.Time
 }
 
-// Change says what a notice changed in the state.
+// Change describes what a notice changed in the state.
 type Change struct {
-	// StartedLeaving says that this is the first notice of the shutdown.
+	// StartedLeaving is set if this is the first notice of the shutdown.
 	StartedLeaving bool
-	// StartedResting says that a rest began and the upstream was not resting before.
+	// StartedResting is set if a rest began and the upstream was not resting before.
 	StartedResting bool
 }
 
--- a/coordination/ownership/control_test.go
+++ b/coordination/ownership/control_test.go
@@ -56,7 +56,7 @@
 }
 
 // TestControlUnreliable checks that only failing calls to owners that answer requests count as
-// unreliable. Calls to lost owners say nothing about those to others.
+// unreliable. Calls to lost owners are no evidence about those to others.
 func TestControlUnreliable(t *testing.T) {
 	now := at(time.Second)
 	lost := ControlHealth{FailingSince: start, LastAnswered: at(-time.Second)}
--- a/coordination/patience/patience.go
+++ b/coordination/patience/patience.go
@@ -24,7 +24,7 @@
 	// retryAfterNoCapacity is the retry time after a refusal for lack of capacity. Capacity becomes
 	// free all the time, and a caller that retries soon can still be answered in time.
 	retryAfterNoCapacity = 60 * time.Millisecond
-	// retryAfterColdKey is the retry time for a cold key at a busy owner. The answer will be late
+	// retryAfterColdKey is the retry time for a cold key at a busy owner. The response will be late
 	// in any case, so the caller leaves the owner to other requests in the meantime.
 	retryAfterColdKey = 600 * time.Millisecond
 	// retryAfterHotKey is the retry time for a key that receives more requests than its owner can
--- a/coordination/poison/poison.go
+++ b/coordination/poison/poison.go
@@ -3,11 +3,11 @@
 // each crash also aborts the other requests running on that upstream.
 //
 // A request is identified by the digest of its path, caller and body. It becomes a suspect when its
-// run is aborted without an answer and that incarnation of the upstream turns out to have ended;
+// run is aborted without a response and that incarnation of the upstream turns out to have ended;
 // every request that was running there becomes one. A suspect that was present at three such ends
-// is refused, unless its presence is probably a coincidence, see shouldRefuse. Gateways exchange their
-// findings. Events are merged by upstream and incarnation, so an end seen by two gateways counts
-// once, regardless of the order in which reports arrive.
+// is refused, unless its presence is probably a coincidence, see shouldRefuse. Gateways exchange
+// their findings. Events are merged by upstream and incarnation, so an end seen by two gateways
+// counts once, regardless of the order in which reports arrive.
 package poison
 
 import (
@@ -90,7 +90,7 @@
 	refused   bool
 }
 
-// abortedRun is a run that ended without an answer.
+// abortedRun is a run that ended without a response.
 type abortedRun struct {
 	digest Digest
 	at     time.Time
@@ -147,7 +147,7 @@
 	return now.Sub(s.lastCrash) < refusalPeriod || chance*float64(max(gateways, 1)) >= 1
 }
 
-// RequestAborted records that a run was aborted without an answer. It returns the resulting crash
+// RequestAborted records that a run was aborted without a response. It returns the resulting crash
 // if that incarnation of the upstream is already known to have ended.
 func (t *Tracker) RequestAborted(now time.Time, d Digest, upstream string, incarnation instances.Incarnation) []Crash {
 	p, run := process{upstream, incarnation}, abortedRun{digest: d, at: now}
--- a/coordination/poison/poison_test.go
+++ b/coordination/poison/poison_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// An answer to a request that was sent before the run was aborted does not prove that the upstream
+// A response to a request that was sent before the run was aborted does not prove that the upstream
 // survived it.
 func TestAnswerToEarlierRequestKeepsAbortedRun(t *testing.T) {
 	tr := NewTracker()
--- a/coordination/poison/runs.go
+++ b/coordination/poison/runs.go
@@ -4,7 +4,7 @@
 
 // ActiveRuns records on which upstreams the suspects sent by one gateway are running, so that
 // suspects can be kept apart. Otherwise a request that crashes upstreams would also implicate the
-// suspects that run beside it. It is not safe for concurrent use.
+// suspects that run at the same time on the same upstream. It is not safe for concurrent use.
 type ActiveRuns struct {
 	running map[string][]Digest
 }
--- a/coordination/poison/verdict.go
+++ b/coordination/poison/verdict.go
@@ -6,14 +6,14 @@
 //
 // A harmful request ends every upstream that runs it. A harmless one is present at such ends by
 // coincidence, and the more ends there are, the sooner it was present at three. Two rules separate
-// them. An end at which a refused request was present is explained by that request and does not count
-// against others. A recent end at which a request was not present counts in favor of that request,
-// most of all if it lies between ends at which the request was present.
+// them. An end at which a refused request was present is explained by that request and does not
+// count against others. A recent end at which a request was not present counts in favor of that
+// request, most of all if it occurred between ends at which the request was present.
 
 const (
 	// refusalThreshold is the number of unexplained ends at which a request is refused, unless an
-	// unrelated unexplained end lies between them or at least coincidenceThreshold such ends lie
-	// before them.
+	// unrelated unexplained end occurred between them or at least coincidenceThreshold such ends
+	// occurred before them.
 	refusalThreshold     = 3
 	coincidenceThreshold = 3
 	// certainThreshold is the number of unexplained ends at which a request is refused regardless
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -2,8 +2,8 @@
 // that all gateways together keep to a rate without coordinating each decision. Each admits the same
 // fraction, the rate divided by the total demand, evenly spaced among its requests.
 //
-// It is for overload: an upstream is in more demand than it says it can take, at 3 gateways or at
-// 300, of which each may see less than one of its requests a second.
+// It is for overload: an upstream is in more demand than the limit that it announces, at 3 gateways
+// or at 300, of which each may see less than one of its requests a second.
 package quota
 
 import "time"
@@ -19,7 +19,7 @@
 	backlogRecovery = 4 * time.Second
 	// minFraction is the fraction of the rate that is always admitted. probeRate is how many
 	// requests a second all gateways together send to an upstream that takes hardly any: its
-	// responses tell when it takes more again.
+	// responses show when it takes more again.
 	minFraction = 0.1
 	probeRate   = 0.5
 )
--- a/coordination/warmup/warmup.go
+++ b/coordination/warmup/warmup.go
@@ -2,10 +2,10 @@
 // upstream that has just started, or has become cold again, fails under more than a few requests
 // per second, summed over all gateways.
 //
-// The leader assigns one gateway to each such upstream and tells all gateways. The right expires by
-// itself, and the leader assigns another gateway only after the previous right has expired. So at
-// most one gateway has the right at any time, even when one leader succeeds another, and a gateway
-// that receives no reports sends nothing.
+// The leader assigns one gateway to each such upstream and informs all gateways. The right expires
+// by itself, and the leader assigns another gateway only after the previous right has expired. So
+// at most one gateway has the right at any time, even when one leader succeeds another, and a
+// gateway that receives no reports sends nothing.
 package warmup
 
 import (
--- a/coordination/worktime/worktime.go
+++ b/coordination/worktime/worktime.go
@@ -2,9 +2,9 @@
 // the runs that all gateways have observed.
 //
 // Among hundreds of gateways, a single one sees a response of a given upstream only every half
-// minute, and the time of one run says little about the upstream. So each gateway reports sums over
-// the runs that it has observed. The estimate weighs them by the number of runs: with few runs it
-// stays near the mean of the service.
+// minute, and the time of one run is weak evidence about the upstream. So each gateway reports sums
+// over the runs that it has observed. The estimate weighs them by the number of runs: with few runs
+// it stays near the mean of the service.
 package worktime
 
 import (
