--- a/gateway/cluster.go
+++ b/gateway/cluster.go
@@ -36,7 +36,7 @@
 	// members are all gateways except this one, by node.
 	members map[string]*syncpb.Member
 	version uint64
-	// membersChanged says that the leader's list has changed since the current version, which was
+	// membersChanged is set if the leader's list has changed since the current version, which was
 	// made at membersListed.
 	membersChanged bool
 	membersListed  time.Time
@@ -59,7 +59,7 @@
 	runs          map[string]worktime.Sum
 	parentDemands []*syncpb.Demand
 	// parentLimitedDemand is the rate of requests, per second, that the other gateways receive for
-	// upstreams that set a named limit, by upstream, as received from the parent.
+	// upstreams that announce a limit, by upstream, as received from the parent.
 	parentLimitedDemand map[string]float64
 	// expected is the number of gateways under the previous leader, some of which may not have
 	// reported yet. It applies until expectedUntil.
@@ -81,8 +81,8 @@
 	fleetSent, workTimesSent time.Time
 	loads                    []*syncpb.Load
 	demands                  []*syncpb.Demand
-	// limitedDemand is the rate of requests, per second, that it receives for each upstream that sets a
-	// named limit.
+	// limitedDemand is the rate of requests, per second, that it receives for each upstream that
+	// announces a limit.
 	limitedDemand map[string]float64
 	followers     []*syncpb.Member
 }
@@ -121,8 +121,8 @@
 }
 
 // handleReport stores the report of another gateway. The report is ignored unless leaderHeard is
-// set, that is, unless this gateway leads or hears from the leader: otherwise no gateway may
-// report through it.
+// set, that is, unless this gateway leads or is in contact with the leader: otherwise no gateway
+// may report through it.
 func (c *cluster) handleReport(r *syncpb.SyncRequest, leaderHeard bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/delivery.go
+++ b/gateway/delivery.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// hedge starts a second try beside the overdue one if an upstream has capacity at once and the
-// retry budget allows it. It is attempted once per request.
+// hedge starts a second try in parallel with the overdue one if an upstream has capacity at once
+// and the retry budget allows it. It is attempted once per request.
 func (d *delivery) hedge(ctx context.Context) {
 	d.hedged = true
 	if d.draining.Load() || d.deadline.Sub(d.now()) < d.lastGrant.ExpectedLatency || d.suspects.isSuspected(d.request) {
@@ -177,7 +177,7 @@
 	return false
 }
 
-// finalError converts the last error into the final one. An error that says the request was not
+// finalError converts the last error into the final one. An error stating that the request was not
 // executed is returned only if that is certain.
 func (f *proxy) finalError(ctx context.Context, q *request, err error) error {
 	var known *answer.Error
--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -18,8 +18,8 @@
 
 // This file tests evacuations of failure domains.
 
-// twoDomainBed returns a test cluster with upstreams in the failure domains a and b and three gateways.
-func twoDomainBed(t *testing.T) *testCluster {
+// twoDomainCluster returns a test cluster with upstreams in the failure domains a and b and three gateways.
+func twoDomainCluster(t *testing.T) *testCluster {
 	t.Helper()
 	b := newTestCluster(t)
 	for _, domain := range []string{"a", "b"} {
@@ -105,7 +105,7 @@
 // of the entry does not matter.
 func TestEvacuatedDomainReceivesNoRequests(t *testing.T) {
 	t.Parallel()
-	b := twoDomainBed(t)
+	b := twoDomainCluster(t)
 	if b.keysIn(b.gateways[1], "a") == 0 {
 		t.Fatal("no keys are owned in the domain")
 	}
@@ -130,7 +130,7 @@
 // store is unavailable, know of the evacuation, and that the next leader moves the keys.
 func TestEvacuationSurvivesLeaderLoss(t *testing.T) {
 	t.Parallel()
-	b := twoDomainBed(t)
+	b := twoDomainCluster(t)
 	b.evacuate("a")
 	b.eventually("evacuation known to all gateways", func() bool { return b.allKnowEvacuated("a", true) })
 	b.leader().kill()
@@ -162,7 +162,7 @@
 // refused at once as not executed.
 func TestAllDomainsEvacuated(t *testing.T) {
 	t.Parallel()
-	b := twoDomainBed(t)
+	b := twoDomainCluster(t)
 	b.evacuate("a")
 	b.evacuate("b")
 	b.evacuate("of another deployment")
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -11,9 +11,9 @@
 	"github.com/rockcroft/rockcroft/state/smallfloat"
 )
 
-// This file tells each gateway how many requests the other gateways have in flight at each
-// upstream. It uses three bytes per upstream: one for the requests in flight and two for the work
-// time. A leader answers some hundred reports a second, each about thousands of upstreams.
+// This file sends each gateway the number of requests that the other gateways have in flight at
+// each upstream. It uses three bytes per upstream: one for the requests in flight and two for the
+// work time. A leader answers some hundred reports a second, each about thousands of upstreams.
 
 const (
 	// sumMaxAge is how long a sum over all reports is reused. Each gateway reports every 100 ms
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -22,14 +22,14 @@
 	minReportInterval        = 100 * time.Millisecond
 	maxReportInterval        = 250 * time.Millisecond
 	reportIntervalPerGateway = time.Millisecond
-	// reportTimeout is how much longer than that the answer to a report may take.
+	// reportTimeout is how much longer than that the response to a report may take.
 	reportTimeout = 400 * time.Millisecond
-	// immediateAnswer is the time within which an answer counts as immediate, which shows that there
-	// was news. immediateAnswerPause is the time to the next report in that case.
-	immediateAnswer      = 50 * time.Millisecond
-	immediateAnswerPause = 25 * time.Millisecond
-	// leaderSilenceTimeout is how long a gateway hears from no leader before it watches the store
-	// itself.
+	// immediateResponse is the time within which a response counts as immediate, which shows that
+	// there were updates. immediateResponsePause is the time to the next report in that case.
+	immediateResponse      = 50 * time.Millisecond
+	immediateResponsePause = 25 * time.Millisecond
+	// leaderSilenceTimeout is how long a gateway has no contact with a leader before it watches the
+	// store itself.
 	leaderSilenceTimeout = 700 * time.Millisecond
 	// seekRetryInterval is the time between searches for a leader. seekPollInterval is the time
 	// between checks, during a search, whether a parent has become known in the meantime.
@@ -52,7 +52,7 @@
 	evac   *evacuations
 	// validator drops implausible statements of other gateways about upstreams.
 	validator *peerValidator
-	// fetcher fetches state that is too large for the answer to a report.
+	// fetcher fetches state that is too large for the response to a report.
 	fetcher *fetcher
 	// setOwnReport stores this process's own report, for the gateways that report to it.
 	setOwnReport func(*localReport)
@@ -118,7 +118,7 @@
 	}
 }
 
-// report sends a report to a gateway and applies the answer. It returns whether that gateway
+// report sends a report to a gateway and applies the response. It returns whether that gateway
 // leads or has recently heard from the leader, and whether it answered at all.
 func (f *follower) report(ctx context.Context, address string, wait time.Duration) (ok, answered bool) {
 	limited, cancel := context.WithTimeout(ctx, wait+reportTimeout)
@@ -162,9 +162,9 @@
 	f.suspects.applyMessage(resp.Suspects)
 	f.cluster.setParentRights(decodeRights(resp.Rights), f.now().Add(-time.Duration(resp.RightsMs)*time.Millisecond))
 	f.shareLoads(int(resp.Gateways))
-	if f.now().Sub(began) < immediateAnswer {
-		// The answer was immediate: pause briefly before the next report.
-		pause(ctx, immediateAnswerPause)
+	if f.now().Sub(began) < immediateResponse {
+		// The response was immediate: pause briefly before the next report.
+		pause(ctx, immediateResponsePause)
 	}
 	return true, true
 }
@@ -273,7 +273,7 @@
 	return false
 }
 
-// askCandidates asks all candidates concurrently and waits for their answers.
+// askCandidates asks all candidates concurrently and waits for their responses.
 func (f *follower) askCandidates(ctx context.Context) {
 	var ahead atomic.Int64
 	var all sync.WaitGroup
@@ -358,10 +358,10 @@
 }
 
 // needsStore reports whether this gateway must watch the store itself because it has received no
-// cluster state for a while. Gateways that know of peers ranked before them in their failure
-// domain give these a head start and then receive the state from them, so that the loss of a
-// leader does not send all gateways to the store at once. watched is when this gateway's own
-// watch last had an answer.
+// cluster state for a while. Gateways that know of peers ranked before them in their failure domain
+// give these a head start and then receive the state from them, so that the loss of a leader does
+// not send all gateways to the store at once. watched is when this gateway's own watch last had a
+// response.
 func (f *follower) needsStore(watched time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -389,7 +389,7 @@
 	// seedHeadStart is how much longer the other gateways wait, which ask the seeds. It is the time
 	// to list some hundred upstreams in pages of fifty, and to be asked again.
 	seedHeadStart = 300 * time.Millisecond
-	// watchActiveTime is how long after its last answer a watch counts as active.
+	// watchActiveTime is how long after its last response a watch counts as active.
 	watchActiveTime = watchWait + storeTimeout
 )
 
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -14,11 +14,11 @@
 	"github.com/rockcroft/rockcroft/state/routing"
 )
 
-// TestStartWithoutNewsReadsTheStore: a gateway that has just started and finds no peer with recent
+// TestStartWithoutPeerStateReadsStore: a gateway that has just started and finds no peer with recent
 // state reads its view and the lease from the store at once. Answers of peers that have just
 // started themselves carry no state and must not delay it. When they did, each gateway waited 0.7 s
 // after all had been killed.
-func TestStartWithoutNewsReadsTheStore(t *testing.T) {
+func TestStartWithoutPeerStateReadsStore(t *testing.T) {
 	now := time.Now()
 	f := &follower{view: newView(), now: func() time.Time { return now }, startedAt: now}
 	if f.needsStore(time.Time{}) || f.startedAlone() {
@@ -36,7 +36,7 @@
 }
 
 // TestStoreWatchWaitsForPeersAhead: without new state a gateway waits longer the more peers rank
-// before it. Once it watches the store, it continues until it hears from a leader.
+// before it. Once it watches the store, it continues until it is in contact with a leader.
 func TestStoreWatchWaitsForPeersAhead(t *testing.T) {
 	now := time.Now()
 	f := &follower{view: newView(), now: func() time.Time { return now }, startedAt: now, leaderHeardAt: now, domainPeersAhead: 2}
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -215,10 +215,10 @@
 	return q, f.suspects.check(q)
 }
 
-// routeNotFound returns the error for a request whose route is unknown here. "Not found" is
-// final for a client, so it is returned only while the configuration is known to be current.
-// Otherwise the error says that nothing was executed and that a retry may succeed, since
-// another gateway may know the route.
+// routeNotFound returns the error for a request whose route is unknown here. "Not found" is final
+// for a client, so it is returned only while the configuration is known to be current. Otherwise
+// the error states that nothing was executed and that a retry may succeed, since another gateway
+// may know the route.
 func (f *proxy) routeNotFound(host, path string) error {
 	if age := f.configurationAge(); age > maxConfigurationAge {
 		refusal := answer.New(answer.NoRight, "no route for %s%s in a configuration last known to be the newest %d ms ago", host, path, age.Milliseconds())
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -378,9 +378,9 @@
 	}
 }
 
-// stop stops the gateway gracefully. It reports itself as not ready at once and releases the
-// lease in parallel. Connections are closed only after the load balancer has had time to notice
-// and the requests in progress have ended. The cause is logged.
+// stop stops the gateway gracefully. It reports itself as not ready at once and releases the lease
+// in parallel. Connections are closed only after the load balancer has had time to detect this and
+// the requests in progress have ended. The cause is logged.
 func (g *Gateway) stop(server *http.Server, cause string) {
 	began := g.now()
 	g.draining.Store(true)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -297,7 +297,7 @@
 	}
 	b.eventually("more than 20 requests are sent", func() bool { return b.requestCount.Load() > 20 })
 	g.stop()
-	// The load balancer sends no more requests once it has noticed.
+	// The load balancer sends no more requests once it has detected that.
 	b.eventually("the gateway is not ready", func() bool { return !g.Gateway.ready() })
 	stopping.Store(true)
 	all.Wait()
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -228,7 +228,7 @@
 }
 
 // finishMove ends a move. The keys then belong to owner, in the incarnation they were granted to,
-// or to nobody if owner is "". cold says that they came to the owner without a handover.
+// or to no upstream if owner is "". cold is set if they came to the owner without a handover.
 func (k *keyAssigner) finishMove(s spans.Span, owner string, granted instances.Incarnation, cold bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -305,11 +305,11 @@
 	}
 }
 
-// renewGrants renews the grants of one owner. It stops at the first call that fails, because a
-// call without an answer may have arrived and extended the hold on its keys. An owner whose calls
-// fail is probed with calls that change nothing until one of them is answered. If it answers
-// requests meanwhile, it is not lost, and its grants are renewed concurrently: each call without
-// an answer takes 250 ms of the 4 s for which the grants hold.
+// renewGrants renews the grants of one owner. It stops at the first call that fails, because a call
+// without a response may have arrived and extended the hold on its keys. An owner whose calls fail
+// is probed with calls that change nothing until one of them is answered. If it answers requests
+// meanwhile, it is not lost, and its grants are renewed concurrently: each call without a response
+// takes 250 ms of the 4 s for which the grants hold.
 func (k *keyAssigner) renewGrants(ctx context.Context, id string, list []spans.Span) {
 	owner := k.instance(id)
 	if owner == nil {
@@ -357,8 +357,8 @@
 	return true
 }
 
-// startProbes probes upstreams whose calls fail, by a call that changes nothing. A grant without
-// an answer would have to count as held and would keep the keys of a lost owner from others for
+// startProbes probes upstreams whose calls fail, by a call that changes nothing. A grant without a
+// response would have to count as held and would keep the keys of a lost owner from others for
 // longer.
 func (k *keyAssigner) startProbes(ctx context.Context) {
 	k.mu.Lock()
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// holdDuration is how long a grant lasts while the store is reachable: when an upstream
-	// is lost without notice, its keys become free after this time. It must outlast the loss
-	// of a leader: a renewal interval, the term of the lease and the time for a successor to
-	// take over. A shorter hold costs more renewals and moves keys away sooner from owners
-	// that come back, whose keys then run cold for longer.
+	// holdDuration is how long a grant lasts while the store is reachable: when an upstream fails
+	// without warning, its keys become free after this time. It must outlast the loss of a leader:
+	// a renewal interval, the term of the lease and the time for a successor to take over. A
+	// shorter hold costs more renewals and moves keys away sooner from owners that come back, whose
+	// keys then run cold for longer.
 	holdDuration = 4 * time.Second
 	// renewInterval is the time between renewals of a grant.
 	renewInterval = 1000 * time.Millisecond
@@ -32,9 +32,9 @@
 	// rebalanceInterval is the time between plans that rebalance load when nothing is urgent.
 	// Each plan with moves costs a store write and an update to all gateways.
 	rebalanceInterval = time.Second
-	// saveInterval is how long completed moves are collected for one write. If the leader is
-	// lost before the write, its successor uses the newest assignment that was published to it,
-	// and repeats every move whose completion it did not hear of.
+	// saveInterval is how long completed moves are collected for one write. If the leader is lost
+	// before the write, its successor uses the newest assignment that was published to it, and
+	// repeats every move whose completion it did not learn of.
 	saveInterval = time.Second
 	// assignerTick is the time between checks for due work.
 	assignerTick = 25 * time.Millisecond
--- a/gateway/latecalls_test.go
+++ b/gateway/latecalls_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-// TestAnsweringOwnersKeepTheirKeys checks that owners that answer requests are not given up while
+// TestAnsweringOwnersKeepTheirKeys checks that owners that response requests are not given up while
 // half of the control calls get no answer, and that few requests are refused.
 func TestAnsweringOwnersKeepTheirKeys(t *testing.T) {
 	t.Parallel()
--- a/gateway/limitnews.go
+++ b/gateway/limitnews.go
@@ -9,8 +9,8 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// This file exchanges between gateways the limits that upstreams name, and sums the demand for
-// these upstreams over all gateways. With hundreds of gateways, one may see an answer of an
+// This file exchanges between gateways the limits that upstreams announce, and sums the demand for
+// these upstreams over all gateways. With hundreds of gateways, one may see a response of an
 // upstream only every few seconds.
 
 // maxLimits bounds the limits accepted from one message.
--- a/gateway/limitnews_test.go
+++ b/gateway/limitnews_test.go
@@ -11,12 +11,12 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// named returns, from the metrics, how many upstreams of the service name a limit as far as the
-// gateway knows.
+// named returns, from the metrics, how many upstreams of the service have announced a limit, as far
+// as the gateway knows.
 func (g *testGateway) named(service string) string { return metricsOf(g)["limits."+service+".named"] }
 
 // TestLimitsReachAllGateways checks that all gateways learn of a limit, and of its end, when only
-// one of them has seen them in answers.
+// one of them has seen them in responses.
 func TestLimitsReachAllGateways(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -42,9 +42,9 @@
 	b.eventually("all know of both ends", all("0"))
 }
 
-// TestWantedRatesAreSummed checks that each gateway learns the demand at all others but not its
+// TestLimitedDemandIsSummed checks that each gateway learns the demand at all others but not its
 // own, and that the others' demand is unknown rather than zero before the parent has reported it.
-func TestWantedRatesAreSummed(t *testing.T) {
+func TestLimitedDemandIsSummed(t *testing.T) {
 	now := time.Now()
 	c := newCluster(&syncpb.Member{Node: "head", Address: "1"}, nil, func() time.Time { return now }, nil)
 	own := map[string]float64{"u": 1}
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -12,8 +12,9 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// This file records the limits that upstreams name: an overloaded upstream states in its answers
-// how many requests a second it can take, and the gateways that see this tell the others.
+// This file records the request limits that upstreams announce: an overloaded upstream states in
+// its responses how many requests a second it can take, and the gateways that receive this pass it
+// on to the others.
 
 // Sources of limits, as logged.
 const (
@@ -21,8 +22,8 @@
 	limitFromGateway = "gateway"
 )
 
-// namedLimits holds the limits named by upstreams that this gateway knows of. It is safe for
-// concurrent use.
+// namedLimits holds the upstreams' limits that this gateway knows of. It is safe for concurrent
+// use.
 type namedLimits struct {
 	view   *view
 	now    func() time.Time
@@ -46,7 +47,7 @@
 	}
 }
 
-// limitOf returns the limit of an upstream in requests a second. ok is false if it names none.
+// limitOf returns the limit of an upstream in requests a second. ok is false if it has none.
 func (n *namedLimits) limitOf(one *instances.Instance) (perSecond float64, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -56,8 +57,8 @@
 	return n.book.Get(one.ID, one.Incarnation())
 }
 
-// recordAnswer records what an upstream's answer to a try says about its limit. An invalid value
-// is counted and dropped.
+// recordAnswer records the limit stated in an upstream's response to a try. An invalid value is
+// counted and dropped.
 func (n *namedLimits) recordAnswer(g dispatch.Grant, h http.Header) {
 	perSecond, named, err := platform.DecodeLimit(h)
 	switch {
@@ -68,8 +69,8 @@
 			Upstream: g.Instance.ID, Incarnation: g.Instance.Incarnation(), PerSecond: perSecond, ReceivedAt: n.now(),
 		})
 	case platform.HasSignature(h):
-		// Only a genuine answer of the upstream ends its limit: another server may refuse requests
-		// at the upstream's former address.
+		// Only a genuine response of the upstream ends its limit: another server may refuse
+		// requests at the upstream's former address.
 		n.recordNoLimit(g)
 	}
 }
@@ -107,7 +108,7 @@
 			log.Info("upstream limit ended")
 			continue
 		}
-		log.Info("upstream named a limit", "per_second", l.PerSecond)
+		log.Info("upstream announced a limit", "per_second", l.PerSecond)
 	}
 }
 
@@ -132,7 +133,7 @@
 	return n.book.List()
 }
 
-// updateGauges sets the gauges of how many upstreams of each service name a limit.
+// updateGauges sets the gauges of how many upstreams of each service announce a limit.
 func (n *namedLimits) updateGauges() {
 	v := n.view.inst.Load()
 	if v == nil {
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -9,7 +9,7 @@
 )
 
 // Bounds on the requests that an upstream with a limit may get: from limitGrace after it first
-// named the limit, in any limitWindow at most limitSlack times what the limit allows in that
+// announced the limit, in any limitWindow at most limitSlack times what the limit allows in that
 // window plus limitExtra requests.
 const (
 	limitGrace  = 3 * time.Second
@@ -24,8 +24,8 @@
 }
 
 // maxInWindow returns the most requests that arrived in any window that ends at least limitGrace
-// after the limit was named. The window may begin before the limit was named: requests from then
-// wait in the upstream's queue.
+// after the limit was announced. The window may begin before that: requests from then wait in the
+// upstream's queue.
 func maxInWindow(arrivals []time.Time, named time.Time) int {
 	most, first := 0, 0
 	for last, at := range arrivals {
@@ -39,13 +39,13 @@
 	return most
 }
 
-// TestNamedLimitsAreRespected guards against gateways that ignore the limit in an upstream's
-// answers, or that each keep to it alone. Two upstreams that named a limit of about a third of
+// TestAnnouncedLimitsAreRespected guards against gateways that ignore the limit in an upstream's
+// answers, or that each keep to it alone. Two upstreams that announced a limit of about a third of
 // their load kept getting all of it from eleven gateways, as the limit was passed on to callers
-// like any other header but not read: three seconds after the first answer with a limit an
+// like any other header but not read: three seconds after the first response with a limit an
 // upstream got 180 requests in 4 s where 114 were allowed. Gateways that each keep to the whole
 // limit send 160 requests in 4 s where 40 are allowed (quota.TestIsolatedGatewaysExceedRate).
-func TestNamedLimitsAreRespected(t *testing.T) {
+func TestAnnouncedLimitsAreRespected(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
 	const (
@@ -95,7 +95,7 @@
 }
 
 // TestKeysMoveOffALimitedOwner checks that keys move away from an owner that gets more requests
-// than the limit it names, and that requests for these keys are then answered by others.
+// than the limit it announces, and that requests for these keys are then answered by others.
 func TestKeysMoveOffALimitedOwner(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
--- a/gateway/limitsight_test.go
+++ b/gateway/limitsight_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// TestNamedLimitIsLoggedAndCounted checks that log lines and metrics of a gateway show which
-// upstream names a limit, how high it is, what is sent to it meanwhile, and when the limit ends.
-func TestNamedLimitIsLoggedAndCounted(t *testing.T) {
+// TestAnnouncedLimitIsLoggedAndCounted checks that log lines and metrics of a gateway show which
+// upstream announces a limit, how high it is, what is sent to it meanwhile, and when the limit
+// ends.
+func TestAnnouncedLimitIsLoggedAndCounted(t *testing.T) {
 	t.Parallel()
 	b := newTestCluster(t)
 	b.upstream("i-s0", "status")
@@ -24,7 +25,7 @@
 		b.mustRequest(g, http.MethodPost, "/pay/x", -1)
 	}
 	b.eventually("the limit is logged", func() bool {
-		line := out.findByUpstream("upstream named a limit", "i-p0")
+		line := out.findByUpstream("upstream announced a limit", "i-p0")
 		return line != nil && line["per_second"] == 1000.0 && line["service"] == "pay"
 	})
 	if served := metricsOf(g); served["limits.pay.named"] != "1" || served["limits.pay.sent"] != "2" || served["limits.status.named"] != "0" {
--- a/gateway/loss_test.go
+++ b/gateway/loss_test.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestDemandIsCountedOnce: a gateway between the leader and its children tells each side the demand of
-// itself and of the other side, and nothing twice.
+// TestDemandIsCountedOnce: a gateway between the leader and its children reports to each side its
+// own demand and that of the other side, and nothing twice.
 func TestDemandIsCountedOnce(t *testing.T) {
 	now := time.Now()
 	head := clusterOfSize(minTreeSize, testMember("b", 0, 100), &now)
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -13,7 +13,7 @@
 
 // This file applies what other gateways send.
 
-// applyResponse applies everything in an answer that is newer than this gateway's own view.
+// applyResponse applies everything in a response that is newer than this gateway's own view.
 func (f *follower) applyResponse(address string, resp *syncpb.SyncResponse) {
 	if f.cluster.setLeader(resp.Leader) && resp.HeardMs < milliseconds(leaderSilenceTimeout) && len(resp.Members) > 0 {
 		f.cluster.setMembers(resp.MembersVersion, resp.Members)
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -211,14 +211,14 @@
 }
 
 // TestUnknownRouteWithStaleConfiguration checks how a gateway whose configuration may be outdated
-// answers for a route that it does not know: it says that nothing ran and that the client may
+// answers for a route that it does not know: it states that nothing ran and that the client may
 // retry, not that the route does not exist.
 //
-// It guards against a 404, which tells clients to give up, for routes that are in force at other
-// gateways. A gateway whose links are full receives neither the new version from other gateways
-// nor from the store, and it used to answer from the configuration it had, however old that was.
-// 239 requests were refused by gateways with the previous version while the new routes were in
-// force elsewhere.
+// It guards against a 404, after which clients give up, for routes that are in force at other
+// gateways. A gateway whose links are full receives neither the new version from other gateways nor
+// from the store, and it used to answer from the configuration it had, however old that was. 239
+// requests were refused by gateways with the previous version while the new routes were in force
+// elsewhere.
 func TestUnknownRouteWithStaleConfiguration(t *testing.T) {
 	t.Parallel()
 	b := slowLinkDeployment(t, 1, config(3))
--- a/gateway/noticenews.go
+++ b/gateway/noticenews.go
@@ -6,8 +6,9 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// This file uses the notices reported by all gateways when owners of keys are decided: the keys
-// of an upstream that is leaving or resting are handed over as if its entry in the store said so.
+// This file uses the notices reported by all gateways when owners of keys are decided: the keys of
+// an upstream that is leaving or resting are handed over as if its entry in the store were marked
+// that way.
 
 const (
 	// minRest is the shortest rest for which keys are handed over. Reporting the rest and moving
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -8,10 +8,10 @@
 	"github.com/rockcroft/rockcroft/platform"
 )
 
-// This file reads notices: what upstreams say about themselves in their answers to this gateway,
-// which is that they are leaving or need a rest.
+// This file reads notices: upstreams announce in their responses to this gateway that they are
+// leaving or need a rest.
 
-// decodeNotice returns the notice in an upstream's answer. An invalid rest is counted and
+// decodeNotice returns the notice in an upstream's response. An invalid rest is counted and
 // dropped.
 func (f *proxy) decodeNotice(status int, h http.Header) notice.Notice {
 	rest, err := platform.DecodeRetryAfter(status, h)
@@ -52,8 +52,8 @@
 	return s.dispatch.MaySend(now, g), s.dispatch.NoticeState(g)
 }
 
-// updateNoticeGauges sets the gauges of how many upstreams of each service are leaving and
-// resting according to their answers to this gateway.
+// updateNoticeGauges sets the gauges of how many upstreams of each service are leaving and resting
+// according to their responses to this gateway.
 func (t *traffic) updateNoticeGauges(m *meters) {
 	now := t.now()
 	for name, s := range t.all() {
--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -13,8 +13,8 @@
 
 // Bounds on the requests that upstreams may get after a notice.
 const (
-	// leavingGrace is how long after an answer saying that its upstream is leaving a gateway may
-	// still accept requests that it sends there.
+	// leavingGrace is how long after a response announcing that its upstream is leaving a gateway
+	// may still accept requests that it sends there.
 	leavingGrace = 2 * time.Second
 	// restGrace is how long a gateway may continue to send after it was asked for a rest. From then
 	// until the end of the rest it may send maxRequestsInRest requests.
@@ -22,7 +22,7 @@
 	maxRequestsInRest = 2
 )
 
-// exchange is one request of a client and its answer.
+// exchange is one request of a client and its response.
 type exchange struct {
 	gateway        string
 	path           string
@@ -74,8 +74,8 @@
 }
 
 // sentTooLate returns, by gateway, how many requests reached the upstream although clients sent
-// them more than leavingGrace after an answer through that gateway had said that the upstream is
-// leaving.
+// them more than leavingGrace after a response through that gateway had announced that the upstream
+// is leaving.
 func (r *requestRecord) sentTooLate(u *upstream) map[string]int {
 	arrived := u.Arrivals()
 	noticed := make(map[string]time.Time)
@@ -119,7 +119,7 @@
 	return most
 }
 
-// served counts the answers to requests for a path that clients sent after the given time, and
+// served counts the responses to requests for a path that clients sent after the given time, and
 // how many of them were not successful.
 func (r *requestRecord) served(path string, after time.Time) (all, not int) {
 	for _, e := range r.requests {
@@ -135,10 +135,9 @@
 }
 
 // TestLeavingUpstreamsGetNoMoreRequests guards against gateways that ignore an upstream's notice
-// that it is leaving. While the store was silent, its entry still said that the upstream was
-// ready, and gateways read only the entry and passed the notice on like any other header. The
-// upstream got requests until its end, eleven seconds after its first notice; two seconds are
-// allowed.
+// that it is leaving. While the store was silent, its entry still marked the upstream as ready, and
+// gateways read only the entry and passed the notice on like any other header. The upstream got
+// requests until its end, eleven seconds after its first notice; two seconds are allowed.
 func TestLeavingUpstreamsGetNoMoreRequests(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -203,8 +202,8 @@
 	}
 }
 
-// TestKeysOfLeavingAndRestingOwnersMove checks that an owner loses its keys when it says in its
-// answers that it is leaving, or asks all gateways for a rest, although its entry says that it is
+// TestKeysOfLeavingAndRestingOwnersMove checks that an owner loses its keys when it announces in
+// its responses that it is leaving, or asks all gateways for a rest, although its entry marks it as
 // ready, and that other upstreams then answer the callers.
 func TestKeysOfLeavingAndRestingOwnersMove(t *testing.T) {
 	t.Parallel()
--- a/gateway/parts.go
+++ b/gateway/parts.go
@@ -13,11 +13,11 @@
 )
 
 // This file sends documents that can be large to other gateways as parts, which they fetch in
-// pieces. The size of an answer to a report is bounded because the time for it is: a version too
+// pieces. The size of a response to a report is bounded because the time for it is: a version too
 // large for the links would not arrive in time, and each retry would fill the links again.
 
 const (
-	// maxInlineBytes bounds the data about configuration, upstreams and owners in one answer.
+	// maxInlineBytes bounds the data about configuration, upstreams and owners in one response.
 	// Thirty answers of that size at once take 0.1 s on a link of 10 Mbit/s.
 	maxInlineBytes = 4 << 10
 	// pieceSize is the maximum size of a piece of a part, in bytes. Thirty gateways that each
@@ -114,7 +114,7 @@
 	return &syncpb.FetchResponse{Data: data}, nil
 }
 
-// responseBuilder adds updates to one answer: small ones inline, the others as parts to be
+// responseBuilder adds updates to one response: small ones inline, the others as parts to be
 // fetched.
 type responseBuilder struct {
 	*peerServer
@@ -183,7 +183,7 @@
 	b.addMessage(partKey{name: partOwners + service, version: m.Version, base: m.Base}, m)
 }
 
-// reserve reports whether the message still fits into the answer, and deducts its size if so.
+// reserve reports whether the message still fits into the response, and deducts its size if so.
 func (b *responseBuilder) reserve(m proto.Message) bool {
 	size := proto.Size(m)
 	if size > b.remaining {
--- a/gateway/peerserver.go
+++ b/gateway/peerserver.go
@@ -14,7 +14,7 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// maxWait bounds how long the answer to a report is delayed while there are no changes to send.
+// maxWait bounds how long the response to a report is delayed while there are no changes to send.
 const maxWait = time.Second
 
 // peerServer implements the RPC service for the other gateways.
@@ -148,7 +148,7 @@
 	return version != r.InstancesVersion && revision >= r.InstancesRevision
 }
 
-// buildResponse builds the answer to a report from what the sender does not know.
+// buildResponse builds the response to a report from what the sender does not know.
 func (p *peerServer) buildResponse(r *syncpb.SyncRequest) *syncpb.SyncResponse {
 	// Read the age before the revision. If a configuration arrives in between, this order reports
 	// an age that is too high, never one that is too low.
--- a/gateway/placements.go
+++ b/gateway/placements.go
@@ -33,7 +33,7 @@
 	suspects *suspects
 	// unread are response headers that no code reads.
 	unread *unreadHeaders
-	// watches tells when this gateway last heard from the store.
+	// watches records when this gateway last heard from the store.
 	watches *watchAges
 	now     func() time.Time
 	log     *slog.Logger
--- a/gateway/promises.go
+++ b/gateway/promises.go
@@ -156,9 +156,9 @@
 	return a
 }
 
-// setFormerHoldDeadline records until when upstreams may hold keys by grants of a former
-// leader, and whether that results from promises: only the present voters can then tell a
-// successor about it.
+// setFormerHoldDeadline records until when upstreams may hold keys by grants of a former leader,
+// and whether that results from promises: a successor can then learn of it only from the present
+// voters.
 func (l *leaderElector) setFormerHoldDeadline(term uint64, until time.Time, byPromises bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/publish_test.go
+++ b/gateway/publish_test.go
@@ -45,7 +45,7 @@
 }
 
 // TestOwnerVersionRateWithManyGateways checks that the publishing rate falls with the number of
-// gateways, as each version is an answer to each of them: about ten a second for 300 gateways,
+// gateways, as each version is a response to each of them: about ten a second for 300 gateways,
 // where one gateway would be sent fifty.
 func TestOwnerVersionRateWithManyGateways(t *testing.T) {
 	now := time.Now()
--- a/gateway/relayed_test.go
+++ b/gateway/relayed_test.go
@@ -51,8 +51,8 @@
 	return nil, context.Cause(ctx)
 }
 
-// TestReadsUseRelaysInTurn checks that a read, whose answer may be large, goes to the second relay
-// only when the first is silent, and a write to both at once.
+// TestReadsUseRelaysInTurn checks that a read, whose response may be large, goes to the second
+// relay only when the first is silent, and a write to both at once.
 func TestReadsUseRelaysInTurn(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -218,8 +218,8 @@
 }
 
 // TestFollowerDoesNotSearchWidely guards against gateways that all ask each other: when all start
-// at once, hundreds of them hear from no leader and watch the store themselves, and are slow at
-// that time.
+// at once, hundreds of them have no contact with a leader and watch the store themselves, and are
+// slow at that time.
 func TestFollowerDoesNotSearchWidely(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/gateway/reports.go
+++ b/gateway/reports.go
@@ -21,12 +21,12 @@
 // Outcomes of a report to another gateway. They are part of a counter's name.
 const (
 	reportOK = "ok"
-	// reportLate means that no complete answer arrived, or no connection was made, in time.
+	// reportLate means that no complete response arrived, or no connection was made, in time.
 	reportLate    = "late"
 	reportRefused = "refused"
 	// reportFailed means any other error.
 	reportFailed = "failed"
-	// reportStale means an answer from a gateway that has not recently heard from the leader.
+	// reportStale means a response from a gateway that has not recently heard from the leader.
 	reportStale = "stale"
 )
 
--- a/gateway/resign.go
+++ b/gateway/resign.go
@@ -8,13 +8,15 @@
 const (
 	// resignTimeout bounds the release of the lease at the end of a stop.
 	resignTimeout = 1000 * time.Millisecond
-	// resignRetryInterval is the time between attempts to release it while the store is away.
+	// resignRetryInterval is the time between attempts to release it while the store is
+	// unavailable.
 	resignRetryInterval = 200 * time.Millisecond
 )
 
 // resign releases the lease so that another gateway can acquire it at once. While the store is
-// away no gateway could acquire it, so this process keeps leading until the store is back or
-// ctx is about to end. Owners then have the longest possible grants when it stops.
+// unavailable no gateway could acquire it, so this process keeps leading until the store is
+// reachable again or ctx is about to end. Owners then have the longest possible grants when it
+// stops.
 func (l *leaderElector) resign(ctx context.Context) {
 	l.resigning.Store(true)
 	for l.cluster.isLeading() && !l.renewNow(ctx) && timeLeft(ctx) > resignTimeout {
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -118,9 +118,9 @@
 	})
 }
 
-// TestSieve checks that invalid reports are dropped, counted and logged once, and that loads of
+// TestPeerValidatorDropsInvalidReports checks that invalid reports are dropped, counted and logged once, and that loads of
 // former incarnations are dropped.
-func TestSieve(t *testing.T) {
+func TestPeerValidatorDropsInvalidReports(t *testing.T) {
 	now := time.Now()
 	v, m := newView(), newMeters()
 	one := instances.Instance{ID: "i", Service: "s", Address: "10.0.0.1:1", StartedMs: 5}
--- a/gateway/rights.go
+++ b/gateway/rights.go
@@ -16,8 +16,8 @@
 	// assignInterval is the minimum time between two assignments while the set of upstreams is
 	// unchanged: several reports may ask for the rights at the same moment.
 	assignInterval = 50 * time.Millisecond
-	// maxRights bounds the rights accepted from one answer: those of a gateway and of the gateways
-	// that report through it, with the upstreams of a returning failure domain.
+	// maxRights bounds the rights accepted from one response: those of a gateway and of the
+	// gateways that report through it, with the upstreams of a returning failure domain.
 	maxRights = 4096
 )
 
--- a/gateway/sight_test.go
+++ b/gateway/sight_test.go
@@ -220,9 +220,9 @@
 	}
 }
 
-// TestNewsBytes: the bytes of responses must be counted at both ends, also those of a response
+// TestSyncResponseBytesAreCounted: the bytes of responses must be counted at both ends, also those of a response
 // that never became complete.
-func TestNewsBytes(t *testing.T) {
+func TestSyncResponseBytesAreCounted(t *testing.T) {
 	t.Parallel()
 	p := &fakeParent{}
 	f, parent, _ := newReportingFollower(t, p)
@@ -251,9 +251,9 @@
 	}
 }
 
-// TestNewsBytesOfGateways: the bytes that gateways read from each other must be counted as
+// TestSyncBytesBetweenGatewaysMatch: the bytes that gateways read from each other must be counted as
 // written by the others.
-func TestNewsBytesOfGateways(t *testing.T) {
+func TestSyncBytesBetweenGatewaysMatch(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
 	sum := func(name string) (n int64) {
--- a/gateway/storecall.go
+++ b/gateway/storecall.go
@@ -17,18 +17,18 @@
 
 const (
 	// storeTimeout bounds the silence of the store during a call that does not wait for changes,
-	// measured from the start of the call and again from each piece of the answer. It bounds the
+	// measured from the start of the call and again from each piece of the response. It bounds the
 	// silence rather than the whole call because the store answers within milliseconds, or a few
-	// hundred when it is slow, but its answers may be large and the link narrow.
+	// hundred when it is slow, but its responses may be large and the link narrow.
 	storeTimeout = 700 * time.Millisecond
 	// maxCallDuration bounds such a call as a whole. It is six times what the narrowest link, 10
 	// Mbit/s, needs for the largest page of a list, 1 MB.
 	maxCallDuration = 5 * time.Second
 	// relayTimeout bounds the silence of another gateway that relays a call, until the first bytes
-	// of its answer: a relay passes the store's answer on only once it has received all of it.
+	// of its response: a relay passes the store's response on only once it has received all of it.
 	// After the first bytes storeTimeout applies.
 	relayTimeout = 900 * time.Millisecond
-	// fallbackDelay is how long a call may go without receiving any part of the answer before the
+	// fallbackDelay is how long a call may go without receiving any part of the response before the
 	// next path is tried in parallel. It is longer than the store takes to answer when it is slow.
 	fallbackDelay = 450 * time.Millisecond
 	// directRetryDelay is how long calls prefer other gateways after a direct call failed.
@@ -41,7 +41,7 @@
 	outageThreshold = 900 * time.Millisecond
 )
 
-// requestSender sends one request to an address and returns the complete answer.
+// requestSender sends one request to an address and returns the complete response.
 type requestSender interface {
 	Do(ctx context.Context, addr string, r *pool.Request) (*pool.Response, error)
 	// Forget closes the idle connections.
@@ -79,14 +79,14 @@
 
 var (
 	errStoreUnreachable = errors.New("the store is reached neither directly nor by way of other gateways")
-	// errCallTooLong is returned when the answer was still arriving after maxCallDuration.
+	// errCallTooLong is returned when the response was still arriving after maxCallDuration.
 	errCallTooLong = errors.New("the store's answer takes too long")
 )
 
 // Call implements platform.Transport. The call is made directly, and through other gateways as well
 // if the direct call fails or nothing arrives for fallbackDelay. If a direct call failed a moment
-// ago, the order is reversed. A call whose answer is arriving is not repeated on another path,
-// because both would share the same link. Reads, whose answers may be large, use one relay after
+// ago, the order is reversed. A call whose response is arriving is not repeated on another path,
+// because both would share the same link. Reads, whose responses may be large, use one relay after
 // the other; writes use all relays at once, because the lease must be renewed in time. All writes
 // are conditional, so a write that is sent twice takes effect once.
 func (s *storeCaller) Call(ctx context.Context, c platform.Call) (int, []byte, error) {
@@ -105,7 +105,7 @@
 }
 
 // callDirectWithProgress makes the call from this gateway and calls onProgress whenever bytes of
-// the answer arrive.
+// the response arrive.
 func (s *storeCaller) callDirectWithProgress(ctx context.Context, c platform.Call, onProgress func()) (int, []byte, error) {
 	ctx, noteArrival, end := withSilenceTimeout(ctx, storeTimeout, c.Wait)
 	defer end()
@@ -144,7 +144,7 @@
 }
 
 // callViaRelay makes the call through another gateway and calls onProgress whenever bytes of the
-// answer arrive.
+// response arrive.
 func (s *storeCaller) callViaRelay(ctx context.Context, peer syncpb.Peer, c platform.Call, onProgress func()) (int, []byte, error) {
 	ctx, noteArrival, end := withSilenceTimeout(ctx, relayTimeout, c.Wait)
 	defer end()
--- a/gateway/storecall_test.go
+++ b/gateway/storecall_test.go
@@ -69,7 +69,7 @@
 	b.eventually("the large configuration in force", inForce(5))
 }
 
-// TestSilentStoreTimesOut checks that a store which becomes silent in the middle of an answer is
+// TestSilentStoreTimesOut checks that a store which becomes silent in the middle of a response is
 // waited for no longer than one that sends nothing, and that idle connections to it are not used
 // again.
 func TestSilentStoreTimesOut(t *testing.T) {
@@ -148,7 +148,7 @@
 				if cause := context.Cause(ctx); cause != c.cause {
 					t.Errorf("unexpected cause %v", cause)
 				}
-				// The last sleep of an answer that never ends may pass the bound.
+				// The last sleep of a response that never ends may pass the bound.
 				if took := time.Since(began); took < c.after || took > c.after+pieceInterval {
 					t.Errorf("took %v, want %v", took, c.after)
 				}
@@ -162,8 +162,8 @@
 	return &storeCaller{isLeader: func() bool { return true }, now: time.Now, log: slog.New(slog.DiscardHandler), meters: newMeters(), onRecovery: func() {}}
 }
 
-// TestNoFallbackWhileAnswerArrives checks that a call whose answer is arriving is not repeated on
-// another path, however long the answer takes.
+// TestNoFallbackWhileAnswerArrives checks that a call whose response is arriving is not repeated on
+// another path, however long the response takes.
 func TestNoFallbackWhileAnswerArrives(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -187,9 +187,9 @@
 	})
 }
 
-// TestFallbackWhenAnswerStalls checks that a call is repeated on another path if its answer stops
-// after the first piece. While the store may wait for changes, that piece can be the start of an
-// answer still to come, so the fallback starts only after the wait.
+// TestFallbackWhenAnswerStalls checks that a call is repeated on another path if its response stops
+// after the first piece. While the store may wait for changes, that piece can be the start of a
+// response still to come, so the fallback starts only after the wait.
 func TestFallbackWhenAnswerStalls(t *testing.T) {
 	t.Parallel()
 	for _, wait := range []time.Duration{0, watchWait} {
@@ -218,7 +218,7 @@
 	}
 }
 
-// TestNoFallbackAfterTooLongAnswer checks that an answer which takes too long is not requested on
+// TestNoFallbackAfterTooLongAnswer checks that a response which takes too long is not requested on
 // another path. The store counts as reachable, and the next call is direct.
 func TestNoFallbackAfterTooLongAnswer(t *testing.T) {
 	t.Parallel()
--- a/gateway/storeseek.go
+++ b/gateway/storeseek.go
@@ -7,11 +7,11 @@
 	"github.com/rockcroft/rockcroft/protocol/syncpb"
 )
 
-// This file makes calls that wait for changes (watches). A path that delivers nothing is noticed
-// only after the whole wait, and other calls that succeed say nothing about that path. A watch
-// therefore waits on one path only. When that path is silent, the call is repeated without a wait
-// through a growing number of gateways at once, because the store may serve few of them. The
-// gateway that returned an answer is used for the next watch.
+// This file makes calls that wait for changes (watches). A path that delivers nothing is detected
+// only after the whole wait, and the success of other calls does not show that this path works. A
+// watch therefore waits on one path only. When that path is silent, the call is repeated without a
+// wait through a growing number of gateways at once, because the store may serve few of them. The
+// gateway that returned a response is used for the next watch.
 
 const (
 	// watchSilenceLimit bounds the silence of a watch after its wait has ended: changes must be in
@@ -94,7 +94,7 @@
 	s.meanLatency += time.Duration(latencyWeight * float64(took-s.meanLatency))
 }
 
-// noteRelay records the gateway that relayed the last answer of the store.
+// noteRelay records the gateway that relayed the last response of the store.
 func (s *storeCaller) noteRelay(peer syncpb.Peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,8 +120,8 @@
 }
 
 // maySearchWidely reports whether more than one round may be made: only by a leader, and not within
-// searchCooldown of a failed search. Otherwise hundreds of gateways that hear from no leader would
-// all ask each other.
+// searchCooldown of a failed search. Otherwise hundreds of gateways without contact with a leader
+// would all ask each other.
 func (s *storeCaller) maySearchWidely() bool {
 	if !s.isLeader() {
 		return false
--- a/gateway/storeways.go
+++ b/gateway/storeways.go
@@ -37,7 +37,7 @@
 	peersChosen bool
 	// rounds counts the search rounds, in which a call that waits is repeated without a wait.
 	rounds int
-	// progress signals that bytes of an answer have arrived.
+	// progress signals that bytes of a response have arrived.
 	progress chan struct{}
 }
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// noteProgress signals that part of an answer has arrived. At most one signal is buffered.
+// noteProgress signals that part of a response has arrived. At most one signal is buffered.
 func (w *callPaths) noteProgress() {
 	select {
 	case w.progress <- struct{}{}:
@@ -153,7 +153,7 @@
 				w.noteSuccess(r)
 				return r.status, r.body, nil
 			case r.direct && answerTooLarge(r.err):
-				// The store is reachable. The answer would be as large on another path.
+				// The store is reachable. The response would be as large on another path.
 				return 0, nil, r.err
 			case r.direct && ctx.Err() == nil:
 				w.store.noteDirectFailure()
@@ -175,9 +175,9 @@
 	return 0, nil, errStoreUnreachable
 }
 
-// noteSuccess records what a result that the store has served says about its path. If a relay
-// answered a search first, the path on which the call waited was silent, so the direct path counts
-// as failed.
+// noteSuccess updates what is known about the paths after a result that the store has served. If a
+// relay answered a search first, the path on which the call waited was silent, so the direct path
+// counts as failed.
 func (w *callPaths) noteSuccess(r callResult) {
 	w.store.noteSuccess(r.direct)
 	if !r.waited {
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -96,9 +96,9 @@
 	b.eventually("the former leader's assigner has stopped", assigner.isSuperseded)
 }
 
-// TestLeaderStoppedWithoutStoreLeavesLongGrants: no gateway can acquire the lease while the store is
-// away, so the leader leads until the end of its stop and leaves the longest possible grants behind.
-// Otherwise the grants expired 4 s after the stop, and 3,000 requests were refused.
+// TestLeaderStoppedWithoutStoreLeavesLongGrants: no gateway can acquire the lease while the store
+// is unavailable, so the leader leads until the end of its stop and leaves the longest possible
+// grants behind. Otherwise the grants expired 4 s after the stop, and 3,000 requests were refused.
 func TestLeaderStoppedWithoutStoreLeavesLongGrants(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -233,8 +233,7 @@
 	return dispatch.Grant{}, answer.Wrap(answer.DeadlinePassed, context.Cause(ctx))
 }
 
-// restRemaining returns the time until the first upstream that may take the request ends its
-// pause.
+// restRemaining returns the time until the first upstream that may take the request ends its rest.
 func (t *traffic) restRemaining(s *serviceTraffic, w *dispatch.Request) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -248,7 +247,7 @@
 	}
 	left := t.restRemaining(s, w)
 	if w.Owner != "" {
-		// If an owner pauses for longer than that, its keys are moved.
+		// If an owner rests for longer than that, its keys are moved.
 		left = min(left, patience.RetryAfterMovingKey())
 	}
 	err := answer.New(answer.Overloaded, "all that could run it want nothing more for a while")
--- a/gateway/turns_test.go
+++ b/gateway/turns_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestSilentUpstreamsReleaseCallSlots checks that calls waiting for an answer do not keep others
+// TestSilentUpstreamsReleaseCallSlots checks that calls waiting for a response do not keep others
 // from starting.
 func TestSilentUpstreamsReleaseCallSlots(t *testing.T) {
 	one := newCallSlots(1)
--- a/gateway/unread_test.go
+++ b/gateway/unread_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestUnreadHeadersAreReported: a response header that no code interprets is forwarded to the
-// caller, and a log line, a metric and a call tell an operator which service sends it.
+// caller, and a log line, a metric and a call show an operator which service sends it.
 func TestUnreadHeadersAreReported(t *testing.T) {
 	t.Parallel()
 	b := newTestCluster(t)
--- a/gateway/wake.go
+++ b/gateway/wake.go
@@ -15,7 +15,7 @@
 	g.meters.add(clockSuspended, int(length.Milliseconds()))
 	g.log.Warn("machine was suspended", "for_ms", length.Milliseconds())
 	// The remote ends may have dropped their connections during the suspension. A request that
-	// cannot be repeated must not be the first to notice.
+	// cannot be repeated must not be the first one sent over such a connection.
 	g.conns.Forget()
 	g.storeCalls.conns.Forget()
 	g.cluster.http.CloseIdleConnections()
--- a/gateway/wake_test.go
+++ b/gateway/wake_test.go
@@ -98,8 +98,8 @@
 	return taken && right.Valid(now())
 }
 
-// TestOverdueRequestsEndAfterWakeUp checks that a request whose deadline passed during a
-// suspension is answered at once, and that the answer says correctly whether it may have run.
+// TestOverdueRequestsEndAfterWakeUp checks that a request whose deadline passed during a suspension
+// is answered at once, and that the response states correctly whether it may have run.
 func TestOverdueRequestsEndAfterWakeUp(t *testing.T) {
 	start := time.Now()
 	open := newOpenRequests()
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -15,8 +15,8 @@
 
 const (
 	// watchWait is how long one watch waits for changes. It is kept short because changes must be
-	// in force within two seconds even in two cases: a watch around a compaction receives nothing
-	// and only the next one is told of it, and a path may become silent.
+	// in force within two seconds even in two cases: a watch during a compaction receives nothing
+	// and only the next one returns the compaction error, and a path may become silent.
 	watchWait = 1200 * time.Millisecond
 	// minWatchInterval is the pause after a watch that ends at once without changes, which happens
 	// when the path on which it was to wait fails.
@@ -37,7 +37,7 @@
 )
 
 // watcher keeps the view up to date from the platform's store. It runs in the leader and in a
-// gateway that hears from no leader.
+// gateway that has no contact with a leader.
 type watcher struct {
 	store *platform.Store
 	view  *view
@@ -149,8 +149,8 @@
 			w.log.Info("store history compacted, listing again", "kind", kind, "revision", revision)
 			known = false
 			if answered {
-				// Otherwise the revision that this watch started with was old, and says nothing
-				// about a compaction while the other watches were running.
+				// A watch that was never answered started from a revision that was already too old.
+				// That does not mean that the other watches have missed changes.
 				w.cancelWatches()
 			}
 		case known && answerTooLarge(err):
@@ -163,8 +163,8 @@
 	}
 }
 
-// answerTooLarge reports whether a call failed because of the size of its answer, which would be as
-// large the next time.
+// answerTooLarge reports whether a call failed because of the size of its response, which would be
+// as large the next time.
 func answerTooLarge(err error) bool {
 	return errors.Is(err, errCallTooLong) || errors.Is(err, pool.ErrTooLarge)
 }
@@ -196,8 +196,8 @@
 
 // nextRevision returns the revision to watch from after changes were received. It is that of the
 // last change and not the one that the store reports: a watch that misses changes while they are
-// made reports a revision beyond them. If the store has dropped that history, it says so and the
-// kind is listed again.
+// made reports a revision beyond them. If the store has dropped that history, the next watch fails
+// with a compaction error and the kind is listed again.
 func nextRevision(revision uint64, changes []platform.Object, named uint64) uint64 {
 	last := uint64(0)
 	for _, o := range changes {
@@ -298,8 +298,8 @@
 }
 
 // publish passes the tracker's view to the rest of this process. Upstreams that an operator drains,
-// and those that announce in their answers that they are leaving, are marked as leaving, like those
-// whose entries say so. The caller holds the lock.
+// and those that announce in their responses that they are leaving, are marked as leaving, like
+// those whose entries contain that mark. The caller holds the lock.
 func (w *watcher) publish() {
 	v, version := w.tracker.View()
 	announced := w.announcedLeaving()
@@ -365,7 +365,7 @@
 	}
 }
 
-// storeRecovered tells the watcher that the store is reachable again after an outage.
+// storeRecovered informs the watcher that the store is reachable again after an outage.
 func (w *watcher) storeRecovered() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -224,7 +224,7 @@
 	w.run(t, 7)
 }
 
-// tooLargeWatch passes calls on, but fails the first watch of the configuration as if its answer
+// tooLargeWatch passes calls on, but fails the first watch of the configuration as if its response
 // were too large.
 type tooLargeWatch struct {
 	platform.Transport
--- a/gateway/watchages.go
+++ b/gateway/watchages.go
@@ -12,8 +12,8 @@
 	"github.com/rockcroft/rockcroft/protocol/placementpb"
 )
 
-// This file tracks how long ago the store last answered a list or a watch, by kind of object. That
-// other calls reach the store says nothing about a watch.
+// This file tracks how long ago the store last answered a list or a watch, by kind of object. Other
+// calls may succeed while a watch is silent.
 
 // watchSilenceThreshold is how long a watch may receive nothing before that is logged. It is longer
 // than a watch that ends without changes and shorter than the time within which changes must be in
@@ -51,7 +51,7 @@
 	delete(a.silent, kind)
 }
 
-// noteAnswer records an answer of the store to a list or a watch.
+// noteAnswer records a response of the store to a list or a watch.
 func (a *watchAges) noteAnswer(kind string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/gateway/watchseries_test.go
+++ b/gateway/watchseries_test.go
@@ -33,7 +33,7 @@
 	mu      sync.Mutex
 	paths   []pathState
 	changed chan struct{}
-	// revision is the newest revision, latency how long an answer takes.
+	// revision is the newest revision, latency how long a response takes.
 	revision int
 	latency  time.Duration
 }
