--- a/coordination/dispatch/choice.go
+++ b/coordination/dispatch/choice.go
@@ -91,7 +91,7 @@
 	var c choice
 	s.considerList(now, req, s.ranked.local, &c)
 	s.considerList(now, req, s.ranked.remote, &c)
-	s.compareWarming(now, req, &c)
+	s.considerRightHolders(now, req, &c)
 	return c.best
 }
 
--- a/coordination/dispatch/limited_test.go
+++ b/coordination/dispatch/limited_test.go
@@ -15,11 +15,11 @@
 func limitedService(limits map[string]float64, demand, own float64, ids ...string) *Service {
 	s := newService(ids...)
 	s.typicalWorkTime = 10 * ms
-	news := ClusterReport{Gateways: 3, Limits: make(map[string]Limit)}
+	report := ClusterReport{Gateways: 3, Limits: make(map[string]Limit)}
 	for id, perSecond := range limits {
-		news.Limits[id] = Limit{PerSecond: perSecond, OthersDemand: demand - own}
+		report.Limits[id] = Limit{PerSecond: perSecond, OthersDemand: demand - own}
 	}
-	s.ApplyReport(start, news)
+	s.ApplyReport(start, report)
 	s.LimitedDemand(start.Add(-time.Second))
 	for _, u := range s.ordered {
 		for range int(own) {
--- a/coordination/dispatch/warming.go
+++ b/coordination/dispatch/warming.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// compareRightHolders considers the warming upstreams to which only this gateway sends. They are
+// considerRightHolders considers the warming upstreams to which only this gateway sends. They are
 // slow, so a request goes there only if its response would be on time.
-func (s *Service) compareWarming(now time.Time, req *Request, c *choice) {
+func (s *Service) considerRightHolders(now time.Time, req *Request, c *choice) {
 	for _, u := range s.warmingWithRight {
 		if !s.warmUpLimited(now, u) || u.limit != nil && req.heldByLimit || isExcluded(req, u.ID) || !s.usable(now, u) || !u.hasCapacity(now, s.typicalWorkTime, req.Objective, false) {
 			continue
--- a/coordination/ownership/plan.go
+++ b/coordination/ownership/plan.go
@@ -154,33 +154,33 @@
 // MakePlan returns a copy of the table with the moves that are due, or nil if there are none. It
 // does not modify the input's table.
 func MakePlan(in PlanInput) *spans.Table {
-	p := newDraft(in)
-	if len(p.usable) == 0 {
+	d := newDraft(in)
+	if len(d.usable) == 0 {
 		return nil
 	}
-	p.placePinned()
-	p.replaceLost()
+	d.placePinned()
+	d.replaceLost()
 	if !in.ControlUnreliable {
-		p.levelLoads(in.BalanceDue)
+		d.levelLoads(in.BalanceDue)
 	}
-	if p.moves == 0 {
+	if d.moves == 0 {
 		return nil
 	}
-	return p.table
+	return d.table
 }
 
 // levelLoads distributes the load. Moves for load balancing are made only if they are due or an
 // upstream is severely overloaded.
-func (p *draft) levelLoads(balance bool) {
-	p.fillEmptyUpstreams()
-	p.placeHotKey()
-	if balance || p.hasUrgentOverload() {
-		p.balance()
+func (d *draft) levelLoads(balance bool) {
+	d.fillEmptyUpstreams()
+	d.placeHotKey()
+	if balance || d.hasUrgentOverload() {
+		d.balance()
 	}
 }
 
 func newDraft(in PlanInput) *draft {
-	p := &draft{
+	d := &draft{
 		table:         in.Table.Clone(),
 		keyLoad:       in.Load,
 		recentlyMoved: in.RecentlyMoved,
@@ -190,21 +190,21 @@
 		exhausted:     make(map[string]bool),
 	}
 	for key := range in.Load {
-		p.sortedKeys = append(p.sortedKeys, key)
+		d.sortedKeys = append(d.sortedKeys, key)
 	}
-	sort.Slice(p.sortedKeys, func(i, j int) bool { return p.sortedKeys[i] < p.sortedKeys[j] })
+	sort.Slice(d.sortedKeys, func(i, j int) bool { return d.sortedKeys[i] < d.sortedKeys[j] })
 	for i := range in.Owners {
 		o := &in.Owners[i]
-		p.owners[o.ID] = o
+		d.owners[o.ID] = o
 		if o.Usable {
-			p.usable = append(p.usable, o)
+			d.usable = append(d.usable, o)
 		}
 	}
-	for _, s := range p.table.Spans {
-		p.loads[futureOwner(s)] += p.loadOf(s.KeyRange)
+	for _, s := range d.table.Spans {
+		d.loads[futureOwner(s)] += d.loadOf(s.KeyRange)
 	}
-	p.targetUtilization = p.meanUtilization()
-	return p
+	d.targetUtilization = d.meanUtilization()
+	return d
 }
 
 // futureOwner returns the owner of the span once its pending move, if any, is complete.
@@ -216,31 +216,31 @@
 }
 
 // loadOf returns the load of a range of keys.
-func (p *draft) loadOf(k spans.KeyRange) float64 {
+func (d *draft) loadOf(k spans.KeyRange) float64 {
 	sum := baseKeyLoad * float64(k.Count())
-	for i := p.firstLoadedKey(k.First); i < len(p.sortedKeys) && p.sortedKeys[i] <= k.Last; i++ {
-		sum += p.keyLoad[p.sortedKeys[i]]
+	for i := d.firstLoadedKey(k.First); i < len(d.sortedKeys) && d.sortedKeys[i] <= k.Last; i++ {
+		sum += d.keyLoad[d.sortedKeys[i]]
 	}
 	return sum
 }
 
 // firstLoadedKey returns the index in sortedKeys of the first key at or above key.
-func (p *draft) firstLoadedKey(key uint16) int {
-	return sort.Search(len(p.sortedKeys), func(i int) bool { return p.sortedKeys[i] >= key })
+func (d *draft) firstLoadedKey(key uint16) int {
+	return sort.Search(len(d.sortedKeys), func(i int) bool { return d.sortedKeys[i] >= key })
 }
 
-func (p *draft) utilization(o *Owner) float64 { return p.loads[o.ID] / max(o.Capacity, minCapacity) }
+func (d *draft) utilization(o *Owner) float64 { return d.loads[o.ID] / max(o.Capacity, minCapacity) }
 
 // leastUtilized returns the usable upstream, other than avoid, that would have the lowest
 // utilization after taking on the load.
-func (p *draft) leastUtilized(load float64, avoid string) *Owner {
+func (d *draft) leastUtilized(load float64, avoid string) *Owner {
 	var best *Owner
 	lowest := 0.0
-	for _, o := range p.usable {
+	for _, o := range d.usable {
 		if o.ID == avoid {
 			continue
 		}
-		u := (p.loads[o.ID] + load) / max(o.Capacity, minCapacity)
+		u := (d.loads[o.ID] + load) / max(o.Capacity, minCapacity)
 		if best == nil || u < lowest {
 			best, lowest = o, u
 		}
@@ -249,38 +249,38 @@
 }
 
 // move starts a move of the span at index i to the owner, with a new fence.
-func (p *draft) move(i int, to *Owner) {
-	s := &p.table.Spans[i]
-	load := p.loadOf(s.KeyRange)
-	p.loads[futureOwner(*s)] -= load
-	p.loads[to.ID] += load
-	p.table.LastFence++
+func (d *draft) move(i int, to *Owner) {
+	s := &d.table.Spans[i]
+	load := d.loadOf(s.KeyRange)
+	d.loads[futureOwner(*s)] -= load
+	d.loads[to.ID] += load
+	d.table.LastFence++
 	s.Next = to.ID
-	s.NextFence = p.table.LastFence
-	p.moves++
+	s.NextFence = d.table.LastFence
+	d.moves++
 }
 
 // placePinned moves pinned keys to their upstreams.
-func (p *draft) placePinned() {
-	for _, pin := range p.pins {
-		owner := p.owners[pin.Owner]
+func (d *draft) placePinned() {
+	for _, pin := range d.pins {
+		owner := d.owners[pin.Owner]
 		if owner == nil || !owner.Usable {
 			continue
 		}
-		for i := p.table.Index(pin.First); i < len(p.table.Spans) && p.table.Spans[i].First <= pin.Last; i++ {
-			s := p.table.Spans[i]
+		for i := d.table.Index(pin.First); i < len(d.table.Spans) && d.table.Spans[i].First <= pin.Last; i++ {
+			s := d.table.Spans[i]
 			if s.Moving() || s.Owner == pin.Owner {
 				continue
 			}
-			i = p.isolate(i, int(max(s.First, pin.First)), int(min(s.Last, pin.Last)))
-			p.move(i, owner)
+			i = d.isolate(i, int(max(s.First, pin.First)), int(min(s.Last, pin.Last)))
+			d.move(i, owner)
 		}
 	}
 }
 
 // pinned reports whether any key of the span is pinned to its present owner.
-func (p *draft) pinned(s spans.Span) bool {
-	for _, pin := range p.pins {
+func (d *draft) pinned(s spans.Span) bool {
+	for _, pin := range d.pins {
 		if pin.Owner == s.Owner && s.First <= pin.Last && s.Last >= pin.First {
 			return true
 		}
@@ -290,29 +290,29 @@
 
 // replaceLost reassigns the spans of lost and leaving owners, the busiest first. A restarted owner
 // gets its spans back: they can be granted without a wait, and no keys change their upstream.
-func (p *draft) replaceLost() {
+func (d *draft) replaceLost() {
 	var orphans []int
-	for i, s := range p.table.Spans {
+	for i, s := range d.table.Spans {
 		if s.Moving() {
 			continue
 		}
-		o := p.owners[s.Owner]
+		o := d.owners[s.Owner]
 		switch {
 		case o == nil || !o.MayKeep:
 			orphans = append(orphans, i)
 		case o.restarted(s) && o.Usable:
-			p.move(i, o)
+			d.move(i, o)
 		case o.restarted(s):
 			orphans = append(orphans, i)
 		}
 	}
 	sort.Slice(orphans, func(a, b int) bool {
-		return p.loadOf(p.table.Spans[orphans[a]].KeyRange) > p.loadOf(p.table.Spans[orphans[b]].KeyRange)
+		return d.loadOf(d.table.Spans[orphans[a]].KeyRange) > d.loadOf(d.table.Spans[orphans[b]].KeyRange)
 	})
 	for _, i := range orphans {
-		s := p.table.Spans[i]
-		if to := p.leastUtilized(p.loadOf(s.KeyRange), s.Owner); to != nil {
-			p.move(i, to)
+		s := d.table.Spans[i]
+		if to := d.leastUtilized(d.loadOf(s.KeyRange), s.Owner); to != nil {
+			d.move(i, to)
 		}
 	}
 }
@@ -320,10 +320,10 @@
 // placeHotKey moves the hottest key to the upstream with the highest capacity if that is clearly
 // higher than the capacity of the present owner. The other load of that upstream is moved away by
 // balance.
-func (p *draft) placeHotKey() {
+func (d *draft) placeHotKey() {
 	var hot uint16
 	hottestLoad := 0.0
-	for key, load := range p.keyLoad {
+	for key, load := range d.keyLoad {
 		if load > hottestLoad {
 			hot, hottestLoad = key, load
 		}
@@ -331,27 +331,27 @@
 	if hottestLoad == 0 {
 		return
 	}
-	i := p.table.Index(hot)
-	s := p.table.Spans[i]
-	owner := p.owners[s.Owner]
-	if s.Moving() || owner == nil || hottestLoad < hotKeyCapacityShare*owner.Capacity || p.recentlyMoved[s.First] && s.Count() == 1 || p.pinned(s) {
+	i := d.table.Index(hot)
+	s := d.table.Spans[i]
+	owner := d.owners[s.Owner]
+	if s.Moving() || owner == nil || hottestLoad < hotKeyCapacityShare*owner.Capacity || d.recentlyMoved[s.First] && s.Count() == 1 || d.pinned(s) {
 		return
 	}
 	minGain := hotKeyMinGain
 	if s.Count() == 1 {
 		minGain = isolatedHotKeyMinGain
 	}
-	best := p.highestCapacity()
+	best := d.highestCapacity()
 	if best == nil || best.ID == owner.ID || best.Capacity < minGain*owner.Capacity {
 		return
 	}
-	i = p.isolate(i, int(hot), int(hot))
-	p.move(i, best)
+	i = d.isolate(i, int(hot), int(hot))
+	d.move(i, best)
 }
 
-func (p *draft) highestCapacity() *Owner {
+func (d *draft) highestCapacity() *Owner {
 	var best *Owner
-	for _, o := range p.usable {
+	for _, o := range d.usable {
 		if best == nil || o.Capacity > best.Capacity {
 			best = o
 		}
--- a/coordination/poison/poison_test.go
+++ b/coordination/poison/poison_test.go
@@ -130,14 +130,14 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
 	const gateways, rounds = 300, 100
-	letThrough := 0
+	probes := 0
 	for range gateways * rounds {
 		if !tr.Refused(at(refusalPeriod), d, gateways, rng.Float64()) {
-			letThrough++
+			probes++
 		}
 	}
-	if letThrough < rounds/2 || letThrough > 2*rounds {
-		t.Errorf("on average %.1f of %d gateways let the request through", float64(letThrough)/rounds, gateways)
+	if probes < rounds/2 || probes > 2*rounds {
+		t.Errorf("on average %.1f of %d gateways let the request through", float64(probes)/rounds, gateways)
 	}
 	if !tr.Refused(at(refusalPeriod-time.Second), d, gateways, 0) {
 		t.Error("let through before refusalPeriod")
