--- a/gateway/arrivals_test.go
+++ b/gateway/arrivals_test.go
@@ -18,12 +18,12 @@
 // as usual.
 func TestBodyProgressIsReported(t *testing.T) {
 	t.Parallel()
-	goOn := make(chan struct{})
+	resume := make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, "one")
 		w.(http.Flusher).Flush()
 		select {
-		case <-goOn:
+		case <-resume:
 		case <-r.Context().Done():
 		}
 		_, _ = io.WriteString(w, "two")
@@ -49,7 +49,7 @@
 	}
 	go func() {
 		<-progress
-		close(goOn)
+		close(resume)
 	}()
 	get(withProgress(t.Context(), func() { progress <- struct{}{} }))
 	if len(progress) == 0 {
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -31,18 +31,18 @@
 	// limitLinks puts bandwidth limits, wide at first, on each gateway's listener for other
 	// gateways and on each connection path to the store.
 	limitLinks bool
-	// wrapStoreDoor, if set, wraps the listener and the handler of each gateway's access to the
+	// wrapStoreEndpoint, if set, wraps the listener and the handler of each gateway's access to the
 	// store.
-	wrapStoreDoor func(net.Listener, http.Handler) (net.Listener, http.Handler)
-	t             *testing.T
-	store         *metastore.Store
-	oracle        *instance.Oracle
-	gateways      []*testGateway
-	client        *http.Client
-	requestCount  atomic.Int64
-	mu            sync.Mutex
-	upstreams     map[string]*upstream
-	ports         []*port
+	wrapStoreEndpoint func(net.Listener, http.Handler) (net.Listener, http.Handler)
+	t                 *testing.T
+	store             *metastore.Store
+	oracle            *instance.Oracle
+	gateways          []*testGateway
+	client            *http.Client
+	requestCount      atomic.Int64
+	mu                sync.Mutex
+	upstreams         map[string]*upstream
+	ports             []*port
 }
 
 // testGateway is a gateway that can be stopped or killed.
@@ -50,10 +50,10 @@
 	*Gateway
 	// suspendedNs is the time for which the clocks report that the machine was suspended, in
 	// nanoseconds.
-	suspendedNs *atomic.Int64
-	eventLog    *eventlog.Log
-	storeDoor   *metastore.Endpoint
-	callers     string
+	suspendedNs   *atomic.Int64
+	eventLog      *eventlog.Log
+	storeEndpoint *metastore.Endpoint
+	callers       string
 	// peersLink carries this gateway's responses to other gateways, storeLink the store's
 	// responses to it. Both are nil unless limitLinks is set.
 	peersLink, storeLink *relay.Link
@@ -164,23 +164,23 @@
 // gateway starts a gateway.
 func (b *testCluster) gateway(name string) *testGateway {
 	b.t.Helper()
-	door := b.store.Endpoint(name)
-	doorListener := b.listen()
+	endpoint := b.store.Endpoint(name)
+	storeListener := b.listen()
 	var peersLink, storeLink *relay.Link
 	if b.limitLinks {
-		storeLink = relay.LimitRate(doorListener, relay.Unlimited)
-		doorListener = storeLink
+		storeLink = relay.LimitRate(storeListener, relay.Unlimited)
+		storeListener = storeLink
 	}
-	doorServer, at := &http.Server{Handler: door}, doorListener
-	if b.wrapStoreDoor != nil {
-		at, doorServer.Handler = b.wrapStoreDoor(doorListener, door)
+	storeServer, at := &http.Server{Handler: endpoint}, storeListener
+	if b.wrapStoreEndpoint != nil {
+		at, storeServer.Handler = b.wrapStoreEndpoint(storeListener, endpoint)
 	}
-	go func() { _ = doorServer.Serve(at) }()
+	go func() { _ = storeServer.Serve(at) }()
 	conf := settings.DefaultGateway()
 	conf.Node, conf.Domain = name, "a"
 	callers, ready, peers := b.port(), b.port(), b.port()
 	conf.Callers, conf.Ready, conf.Peers = callers.addr(), ready.addr(), peers.addr()
-	conf.Store = jsonc.Addr{AddrPort: netip.MustParseAddrPort(doorListener.Addr().String())}
+	conf.Store = jsonc.Addr{AddrPort: netip.MustParseAddrPort(storeListener.Addr().String())}
 	conf.DrainNotice, conf.StopLimit = jsonc.Duration(200*time.Millisecond), jsonc.Duration(6*time.Second)
 	conf.UpstreamDrainTimeout, conf.MaxGrantDuration = jsonc.Duration(2*time.Second), jsonc.Duration(10*time.Second)
 	conf.RetryShare, conf.RetryAllowance, conf.RetryWindow = 0.2, 50, jsonc.Duration(10*time.Second)
@@ -201,7 +201,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	clock, asleep := suspendableClock()
 	g := &testGateway{
-		Gateway: newGateway(conf, listeners, eventLog, clock), suspendedNs: asleep, eventLog: eventLog, storeDoor: door, callers: listeners.Callers.Addr().String(),
+		Gateway: newGateway(conf, listeners, eventLog, clock), suspendedNs: asleep, eventLog: eventLog, storeEndpoint: endpoint, callers: listeners.Callers.Addr().String(),
 		peersLink: peersLink, storeLink: storeLink, stop: cancel, done: make(chan struct{}),
 	}
 	if b.keepIdle {
@@ -211,7 +211,7 @@
 	go func() {
 		defer close(g.done)
 		_ = g.Run(ctx)
-		_ = doorServer.Close()
+		_ = storeServer.Close()
 	}()
 	b.gateways = append(b.gateways, g)
 	return g
--- a/gateway/cluster_test.go
+++ b/gateway/cluster_test.go
@@ -79,8 +79,8 @@
 	if got := head.subtreeLoads(own)["i"].Inflight; got != 7 {
 		t.Errorf("reported %v to the leader, want 1+2+4", got)
 	}
-	v, packer := instances.NewView(1, []instances.Instance{{ID: "a"}, {ID: "i"}}), &fleetEncoder{}
-	sent := packer.encode(head.sum(own), "b1", v, 7, map[string]worktime.Estimate{"i": {Work: 90 * time.Millisecond, Slowness: 1}}, true)
+	v, encoder := instances.NewView(1, []instances.Instance{{ID: "a"}, {ID: "i"}}), &fleetEncoder{}
+	sent := encoder.encode(head.sum(own), "b1", v, 7, map[string]worktime.Estimate{"i": {Work: 90 * time.Millisecond, Slowness: 1}}, true)
 	if got := smallfloat.DecodeByte(sent.InFlight[1]); got != 16 || sent.InFlight[0] != 0 {
 		t.Errorf("sent %v to a child, want 2+4+10", got)
 	}
--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -141,7 +141,7 @@
 	})
 	b.store.SetAllModes(metastore.Unresponsive)
 	started := b.gateway("g9")
-	started.storeDoor.SetMode(metastore.Unresponsive)
+	started.storeEndpoint.SetMode(metastore.Unresponsive)
 	b.eventually("new gateway ready", func() bool { return started.Gateway.ready() })
 	if !started.view.evacuated("a") {
 		t.Error("the new gateway is ready but does not know of the evacuation")
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -137,13 +137,13 @@
 		}
 		c.handleReport(r, true)
 	}
-	packer, size := &fleetEncoder{}, 0
+	encoder, size := &fleetEncoder{}, 0
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if i%10 == 0 {
 			now = now.Add(sumMaxAge)
 		}
-		size = proto.Size(packer.encode(c.sum(nil), "a1", v, 1, workTimes, true))
+		size = proto.Size(encoder.encode(c.sum(nil), "a1", v, 1, workTimes, true))
 	}
 	b.ReportMetric(float64(size), "bytes")
 }
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -153,7 +153,7 @@
 	if age >= leaderSilenceTimeout {
 		return false, true
 	}
-	f.takeFleet(resp.Fleet)
+	f.applyFleet(resp.Fleet)
 	f.cluster.setParentDemands(resp.Demands)
 	f.cluster.setParentHotKeys(resp.HotKeys)
 	resp.Limits = f.validator.validLimits(sourceUpdate, resp.Limits)
@@ -169,9 +169,9 @@
 	return true, true
 }
 
-// decodeFleet applies what the parent sent about the requests that other gateways have in flight,
+// applyFleet applies what the parent sent about the requests that other gateways have in flight,
 // if anything.
-func (f *follower) takeFleet(m *syncpb.Fleet) {
+func (f *follower) applyFleet(m *syncpb.Fleet) {
 	if m == nil {
 		return
 	}
@@ -258,13 +258,13 @@
 		defer close(asked)
 		f.askCandidates(ctx)
 	}()
-	look := time.NewTicker(seekPollInterval)
-	defer look.Stop()
+	ticker := time.NewTicker(seekPollInterval)
+	defer ticker.Stop()
 	for ended := false; !ended; {
 		select {
 		case <-asked:
 			ended = true
-		case <-look.C:
+		case <-ticker.C:
 		}
 		if parent := f.cluster.parent(); parent != "" && parent != former {
 			return true
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -253,7 +253,7 @@
 	return g.follower.configurationAge(g.watcher.configurationHeard())
 }
 
-// initialRank returns the gateway's rank among those that try to acquire the lease at the first
+// firstRank returns the gateway's rank among those that try to acquire the lease at the first
 // start: the seeds in their order, then all others.
 func firstRank(conf settings.Gateway) int {
 	for i, s := range conf.Seeds {
--- a/gateway/lead.go
+++ b/gateway/lead.go
@@ -208,7 +208,7 @@
 		return
 	}
 	self := l.cluster.self
-	mine := leadership.Lease{
+	newLease := leadership.Lease{
 		Node: self.Node, Address: self.Address, Domain: self.Domain, Incarnation: self.Incarnation,
 		Term: former.Term + 1, Voters: l.initialVoters(former), Gateways: max(former.Gateways, l.cluster.gatewayCount()),
 	}
@@ -216,37 +216,37 @@
 	var object platform.Object
 	var err error
 	if revision == 0 {
-		object, err = l.store.Create(ctx, leaseKind, leaseName, mine)
+		object, err = l.store.Create(ctx, leaseKind, leaseName, newLease)
 	} else {
-		object, err = l.store.Replace(ctx, leaseKind, leaseName, revision, mine)
+		object, err = l.store.Replace(ctx, leaseKind, leaseName, revision, newLease)
 	}
-	if err != nil && !l.isOwnWrite(object, mine) {
-		l.log.Info("lease could not be acquired", "term", mine.Term, "error", err)
+	if err != nil && !l.isOwnWrite(object, newLease) {
+		l.log.Info("lease could not be acquired", "term", newLease.Term, "error", err)
 		return
 	}
 	l.mu.Lock()
-	l.lease, l.revision = mine, object.Revision
+	l.lease, l.revision = newLease, object.Revision
 	l.right.Extend(sent)
 	l.promisedRight.Revoke()
-	l.voterLists = [][]string{mine.Voters}
+	l.voterLists = [][]string{newLease.Voters}
 	l.renewedAt = sent
 	l.formerHoldKnown = false
 	l.mu.Unlock()
-	l.log.Info("leading", "term", mine.Term, "former", former.Node, "released", former.Released)
+	l.log.Info("leading", "term", newLease.Term, "former", former.Node, "released", former.Released)
 	l.cluster.expectGateways(former.Gateways)
-	l.cluster.setLeader(leaderMessage(mine, object.Revision))
+	l.cluster.setLeader(leaderMessage(newLease, object.Revision))
 	l.cluster.setLeading(true)
-	l.assignments.start(mine.Term, func(ctx context.Context) { l.inquire(ctx, former, ends, l.maxHold) })
+	l.assignments.start(newLease.Term, func(ctx context.Context) { l.inquire(ctx, former, ends, l.maxHold) })
 }
 
 // isOwnWrite reports whether the object that a refused write returned is the one that was to
 // be written: that write succeeded and its response was lost.
-func (l *leaderElector) isOwnWrite(o platform.Object, mine leadership.Lease) bool {
+func (l *leaderElector) isOwnWrite(o platform.Object, newLease leadership.Lease) bool {
 	var stored leadership.Lease
 	if len(o.Spec) == 0 || platform.Decode(o, &stored) != nil {
 		return false
 	}
-	return stored.Same(mine)
+	return stored.Same(newLease)
 }
 
 // renewIfDue renews the lease when that is due, and stops leading when another holder has it.
--- a/gateway/limitnews.go
+++ b/gateway/limitnews.go
@@ -92,11 +92,11 @@
 
 // validLimits returns the limits of another gateway's message without the invalid ones, which it
 // counts and logs.
-func (s *peerValidator) validLimits(source string, list []*syncpb.NamedLimit) []*syncpb.NamedLimit {
+func (v *peerValidator) validLimits(source string, list []*syncpb.NamedLimit) []*syncpb.NamedLimit {
 	out := make([]*syncpb.NamedLimit, 0, min(len(list), maxLimits))
 	for _, m := range list[:min(len(list), maxLimits)] {
 		if m.Upstream == "" || !validRate(m.PerSecond) || !validRate(m.Wanted) {
-			s.recordInvalid(source, m.Upstream, errInvalidNumber)
+			v.recordInvalid(source, m.Upstream, errInvalidNumber)
 			continue
 		}
 		out = append(out, m)
--- a/gateway/limitnews_test.go
+++ b/gateway/limitnews_test.go
@@ -48,9 +48,9 @@
 	now := time.Now()
 	c := newCluster(&syncpb.Member{Node: "head", Address: "1"}, nil, func() time.Time { return now }, nil)
 	own := map[string]float64{"u": 1}
-	report := func(node string, wanted float32) {
+	report := func(node string, demand float32) {
 		c.handleReport(&syncpb.SyncRequest{
-			Member: &syncpb.Member{Node: node, Address: node}, Limits: []*syncpb.NamedLimit{{Upstream: "u", Wanted: wanted}},
+			Member: &syncpb.Member{Node: node, Address: node}, Limits: []*syncpb.NamedLimit{{Upstream: "u", Wanted: demand}},
 		}, true)
 	}
 	report("x", 20)
@@ -102,13 +102,13 @@
 		t.Error("an empty book has newer limits")
 	}
 	n.record(limitFromAnswer, limits.Limit{Upstream: "u", PerSecond: 10, ReceivedAt: n.now()})
-	say := func(perSecond float32, age time.Duration) []*syncpb.NamedLimit {
+	limitMessages := func(perSecond float32, age time.Duration) []*syncpb.NamedLimit {
 		return []*syncpb.NamedLimit{{Upstream: "u", PerSecond: perSecond, AgeMs: milliseconds(age)}}
 	}
-	if !n.hasNewerThan(nil) || !n.hasNewerThan(say(20, time.Second)) {
+	if !n.hasNewerThan(nil) || !n.hasNewerThan(limitMessages(20, time.Second)) {
 		t.Error("a newer limit is not found")
 	}
-	if n.hasNewerThan(say(10, time.Second)) || n.hasNewerThan(say(20, 0)) {
+	if n.hasNewerThan(limitMessages(10, time.Second)) || n.hasNewerThan(limitMessages(20, 0)) {
 		t.Error("a limit that the other gateway has counts as newer")
 	}
 }
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -228,7 +228,7 @@
 	}
 	leader.peersLink.SetRate(0)
 	disconnected.peersLink.SetRate(0)
-	disconnected.storeDoor.SetMode(metastore.Unresponsive)
+	disconnected.storeEndpoint.SetMode(metastore.Unresponsive)
 	next := config(4)
 	added := next.Routes["read"]
 	added.Path = "/added/"
@@ -249,7 +249,7 @@
 	if last.header.Get(header.Kind) != string(answer.NoRight) || last.header.Get(header.Ran) != string(answer.NotExecuted) || last.header.Get("Retry-After") == "" {
 		t.Errorf("refused with %q: %v", last.body, last.header)
 	}
-	disconnected.storeDoor.SetMode(metastore.Healthy)
+	disconnected.storeEndpoint.SetMode(metastore.Healthy)
 	leader.peersLink.SetRate(relay.Unlimited)
 	disconnected.peersLink.SetRate(relay.Unlimited)
 	b.eventually("the new route everywhere", func() bool { return b.allHaveConfiguration(next.Version) })
@@ -291,10 +291,10 @@
 	other = b.gateway("g1")
 	b.ready()
 	b.eventually("both gateways connected", func() bool { return b.leader() == leader && leader.cluster.gatewayCount() == 2 })
-	lists := other.storeDoor.ListCalls()
+	lists := other.storeEndpoint.ListCalls()
 	leader.peersLink.SetRate(0)
 	b.eventually("the other gateway has listed the upstreams", func() bool {
-		return other.storeDoor.ListCalls() > lists && !sameUpstreams(other, leader)
+		return other.storeEndpoint.ListCalls() > lists && !sameUpstreams(other, leader)
 	})
 	leader.peersLink.SetRate(relay.Unlimited)
 	b.eventually("the other gateway has the leader's view", func() bool {
--- a/gateway/ownerstate.go
+++ b/gateway/ownerstate.go
@@ -26,9 +26,9 @@
 // stuckLogInterval.
 func (k *keyAssigner) logStuck(owners []ownership.Owner, load map[uint16]float64) {
 	k.mu.Lock()
-	u, uneven := ownership.Busiest(k.table, owners, load)
+	u, imbalanced := ownership.Busiest(k.table, owners, load)
 	moving, failing := len(k.activeMoves), len(k.failing)
-	due := uneven && k.now().Sub(k.stuckLoggedAt) >= stuckLogInterval
+	due := imbalanced && k.now().Sub(k.stuckLoggedAt) >= stuckLogInterval
 	if due {
 		k.stuckLoggedAt = k.now()
 	}
--- a/gateway/relayed_test.go
+++ b/gateway/relayed_test.go
@@ -28,7 +28,7 @@
 	t.Parallel()
 	b := slowLinkDeployment(t, 2, config(3))
 	leader := b.gateways[0]
-	leader.storeDoor.SetMode(metastore.Unavailable)
+	leader.storeEndpoint.SetMode(metastore.Unavailable)
 	for _, g := range b.gateways[1:] {
 		g.peersLink.SetRate(relayRate)
 	}
--- a/gateway/resign_test.go
+++ b/gateway/resign_test.go
@@ -16,7 +16,7 @@
 	t.Parallel()
 	b := newTestCluster(t)
 	record := newCallCounter()
-	b.wrapStoreDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, record.counting(h) }
+	b.wrapStoreEndpoint = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, record.counting(h) }
 	b.upstream("i-s0", "status")
 	g := b.gateway("g0")
 	b.ready()
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -141,14 +141,14 @@
 	if sum != 1+3+4 {
 		t.Errorf("the sum of the loads kept is %v", sum)
 	}
-	news := &syncpb.Instances{List: []*syncpb.Instance{
+	update := &syncpb.Instances{List: []*syncpb.Instance{
 		{Id: "a", Service: "s", Address: "10.0.0.1:1", BornMs: uint64(now.UnixMilli())},
 		{Id: "b", Service: "s", Address: "10.0.0.1:2", BornMs: uint64(now.Add(2 * maxStartAhead).UnixMilli())},
 		{Id: "c", Service: "s"},
 	}}
-	s.filterInstances(news)
-	if len(news.List) != 1 || news.List[0].Id != "a" {
-		t.Errorf("kept %v", news.List)
+	s.filterInstances(update)
+	if len(update.List) != 1 || update.List[0].Id != "a" {
+		t.Errorf("kept %v", update.List)
 	}
 	if n := m.counter(fillPattern(upstreamsInvalid, sourceUpdate)).Count(); n != 2 {
 		t.Errorf("%d invalid instances counted", n)
--- a/gateway/store_test.go
+++ b/gateway/store_test.go
@@ -21,7 +21,7 @@
 			t.Parallel()
 			b := newStandardCluster(t)
 			l := b.leader()
-			l.storeDoor.SetMode(mode)
+			l.storeEndpoint.SetMode(mode)
 			b.configure(9)
 			b.eventually("new configuration in force on all gateways", func() bool { return b.allHaveConfiguration(9) })
 			revision := l.cluster.knownLeader().Revision
--- a/gateway/storecall_test.go
+++ b/gateway/storecall_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("the configuration has only %d bytes", size)
 	}
 	var link *relay.Link
-	b.wrapStoreDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
+	b.wrapStoreEndpoint = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
 		link = relay.LimitRate(l, storeRate)
 		return link, h
 	}
@@ -54,7 +54,7 @@
 func TestLargeChangeFromStoreOverNarrowLink(t *testing.T) {
 	t.Parallel()
 	b := newTestCluster(t)
-	b.wrapStoreDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
+	b.wrapStoreEndpoint = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
 		return relay.LimitRate(l, storeRate), h
 	}
 	g := b.gateway("g0")
--- a/gateway/troubles_test.go
+++ b/gateway/troubles_test.go
@@ -167,7 +167,7 @@
 	case 4:
 		modes := []metastore.Mode{metastore.Unavailable, metastore.ResetConnection, metastore.Unresponsive, metastore.LoseResponse, metastore.ApplyLate}
 		if g := p.runningGateway(p.rng.IntN(8)); g != nil {
-			g.storeDoor.SetMode(modes[p.rng.IntN(len(modes))])
+			g.storeEndpoint.SetMode(modes[p.rng.IntN(len(modes))])
 		}
 	case 5:
 		modes := []metastore.Mode{metastore.Unavailable, metastore.Unresponsive, metastore.LoseResponse, metastore.ApplyLate}
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -49,7 +49,7 @@
 	t.Parallel()
 	b := newTestCluster(t)
 	counter := newCallCounter()
-	b.wrapStoreDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, counter.counting(h) }
+	b.wrapStoreEndpoint = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, counter.counting(h) }
 	b.startStandard()
 	b.configure(9)
 	b.eventually("version 9 in force on all gateways", func() bool { return b.allHaveConfiguration(9) })
--- a/gateway/watchpath_test.go
+++ b/gateway/watchpath_test.go
@@ -46,7 +46,7 @@
 			}
 			for _, g := range b.gateways {
 				if g != served {
-					g.storeDoor.SetMode(c.mode)
+					g.storeEndpoint.SetMode(c.mode)
 				}
 			}
 			const first, versions = 3, 4
