--- a/coordination/dispatch/want.go
+++ b/coordination/dispatch/want.go
@@ -97,9 +97,10 @@
 	// OnDecision is called once for a request that had to wait, unless it is withdrawn.
 	OnDecision func(Grant, Refusal)
 
+	// dequeued is set when the request no longer waits.
 	dequeued bool
-	// dequeued is set when the request no longer waits. admittedTo is the upstream whose rate
-	// limit admitted it, and heldByLimit is set when a rate limit held it back.
+	// admittedTo is the upstream whose rate limit admitted the request. heldByLimit is set when a
+	// rate limit has rejected it.
 	admittedTo  *Upstream
 	heldByLimit bool
 }
