--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -93,8 +93,8 @@
 	owners := platform.NewOwners(pool.New(upstreamLimits, time.Now))
 	b.ReportAllocs()
 	for b.Loop() {
-		verdict, _, err := owners.Release(context.Background(), "i-1", address, spans.KeyRange{Last: 9}, 1)
-		if err != nil || verdict != platform.Granted {
+		result, _, err := owners.Release(context.Background(), "i-1", address, spans.KeyRange{Last: 9}, 1)
+		if err != nil || result != platform.Granted {
 			b.Fatal(err)
 		}
 	}
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -261,29 +261,29 @@
 	defer cancel()
 	defer context.AfterFunc(q.Context(), cancel)()
 	for {
-		want := &dispatch.Request{
+		req := &dispatch.Request{
 			Priority: q.route.Priority, Objective: q.route.Objective, Deadline: q.deadline,
 			QueueUntil: q.queueUntil, Exclude: slices.Concat(q.excluded, f.suspects.upstreamsToAvoid(q)),
 		}
 		switch {
 		case atOnce:
-			want.QueueUntil = f.now()
+			req.QueueUntil = f.now()
 		case q.arrivedTries+q.unsentTries == 0:
-			want.LateAt = q.receivedAt.Add(q.route.Objective)
+			req.LateAt = q.receivedAt.Add(q.route.Objective)
 		default:
 			// A retry may wait as long in the queue as the first try.
-			want.QueueUntil = f.now().Add(q.queueUntil.Sub(q.receivedAt))
+			req.QueueUntil = f.now().Add(q.queueUntil.Sub(q.receivedAt))
 		}
 		if q.service.Keyed {
 			owner, err := f.awaitOwner(ctx, q)
 			if err != nil {
 				return dispatch.Grant{}, err
 			}
-			want.Owner, want.Key, want.Exclude = owner, q.key, nil
-			want.Retry = !atOnce && q.arrivedTries+q.unsentTries > 0
-			want.Cold = f.span(q).Cold
+			req.Owner, req.Key, req.Exclude = owner, q.key, nil
+			req.Retry = !atOnce && q.arrivedTries+q.unsentTries > 0
+			req.Cold = f.span(q).Cold
 		}
-		grant, err := f.traffic.acquire(ctx, q.traffic, want)
+		grant, err := f.traffic.acquire(ctx, q.traffic, req)
 		if err != nil {
 			return grant, err
 		}
@@ -302,9 +302,9 @@
 
 // try sends the request to one upstream and delivers the result to the channel.
 func (f *proxy) try(ctx context.Context, q *request, grant dispatch.Grant, results chan<- tryResult) {
-	suspected := f.suspects.noteStarted(q, grant)
+	suspected := f.suspects.recordStarted(q, grant)
 	resp, outcome, feedback, err := f.send(ctx, q, grant)
-	f.suspects.noteEnded(q, grant, suspected, outcome)
+	f.suspects.recordEnded(q, grant, suspected, outcome)
 	f.logNotice(grant, feedback.notice, f.traffic.endTryWithFeedback(q.traffic, grant, outcome, feedback))
 	f.meters.inc(f.meters.service(tryOutcome, q.service.Name, f.domainClass(grant), outcome.String()))
 	results <- tryResult{grant: grant, resp: resp, err: err}
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -50,14 +50,14 @@
 		return
 	}
 	cold := token == "" && s.Fence > 0
-	verdict, err := k.grantWithRetries(ctx, s, next, token)
+	result, err := k.grantWithRetries(ctx, s, next, token)
 	switch {
-	case err == nil && verdict == platform.Granted:
+	case err == nil && result == platform.Granted:
 		k.clearFailure(s.Next)
 		k.finishMove(s, s.Next, next.Incarnation(), cold)
 		k.log.Info("keys granted", "first", s.First, "last", s.Last, "upstream", s.Next, "fence", s.NextFence,
 			"from", s.Owner, "warm", token != "", "release_ms", taken.Sub(began).Milliseconds(), "took_ms", k.now().Sub(began).Milliseconds())
-	case err == nil && verdict == platform.Fenced:
+	case err == nil && result == platform.Fenced:
 		k.log.Warn("grant refused: the upstream has seen a higher fence", "first", s.First, "upstream", s.Next, "fence", s.NextFence)
 		k.raiseFence(fenceIncrement)
 		k.finishMove(s, "", 0, false)
@@ -96,15 +96,15 @@
 		owner := k.instance(s.Owner)
 		if limit := k.releaseCallTimeout(s); owner != nil && limit > 0 {
 			call, cancel := context.WithTimeout(ctx, limit)
-			verdict, token, err := k.owners.Release(call, owner.ID, owner.Address, s.KeyRange, s.NextFence)
+			result, token, err := k.owners.Release(call, owner.ID, owner.Address, s.KeyRange, s.NextFence)
 			cancel()
-			if err == nil && verdict == platform.Granted {
+			if err == nil && result == platform.Granted {
 				return token, true
 			}
 			if err != nil {
 				k.recordFailure(s.Owner)
 			}
-			if err == nil && verdict == platform.WrongUpstream {
+			if err == nil && result == platform.WrongUpstream {
 				k.markTerminated(owner)
 				return "", true
 			}
@@ -151,13 +151,13 @@
 // grantWithRetries grants the keys of a move to their next owner and repeats the call until it is
 // answered. Repeating is safe: a later call renews what an earlier one granted. It gives up once
 // calls to the upstream have failed for ownership.SilentOwnerTimeout, after which an owner would
-// be given up too.
+// lose its keys too.
 func (k *keyAssigner) grantWithRetries(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.GrantResult, error) {
 	arrived := false
 	for {
-		verdict, err := k.grant(ctx, s.KeyRange, next, s.NextFence, token)
+		result, err := k.grant(ctx, s.KeyRange, next, s.NextFence, token)
 		if err == nil {
-			return verdict, nil
+			return result, nil
 		}
 		if errors.Is(err, errLeadershipExpired) {
 			return 0, err
@@ -190,8 +190,8 @@
 	defer cancel()
 	// checkMayAct is checked again once the connection is open, as opening it may have outlasted
 	// the right to lead.
-	verdict, err := k.owners.Grant(call, to.ID, to.Address, keys, fence, hold, token, k.elector.checkMayAct)
-	if err == nil && verdict == platform.Granted || err != nil && !errors.Is(err, pool.ErrNotSent) {
+	result, err := k.owners.Grant(call, to.ID, to.Address, keys, fence, hold, token, k.elector.checkMayAct)
+	if err == nil && result == platform.Granted || err != nil && !errors.Is(err, pool.ErrNotSent) {
 		until := k.now().Add(holdWithMargin(hold))
 		k.mu.Lock()
 		id := grantID{first: keys.First, fence: fence}
@@ -201,7 +201,7 @@
 		}
 		k.mu.Unlock()
 	}
-	return verdict, err
+	return result, err
 }
 
 var (
@@ -338,17 +338,17 @@
 		// The owner has other keys by now, or has restarted and holds none.
 		return true
 	}
-	verdict, err := k.grant(ctx, s.KeyRange, owner, s.Fence, "")
+	result, err := k.grant(ctx, s.KeyRange, owner, s.Fence, "")
 	switch {
 	case errors.Is(err, errLeadershipExpired) || ctx.Err() != nil:
 		return false
 	case err != nil:
 		k.recordFailure(owner.ID)
 		return false
-	case verdict == platform.WrongUpstream:
+	case result == platform.WrongUpstream:
 		k.markTerminated(owner)
 		return false
-	case verdict == platform.Fenced:
+	case result == platform.Fenced:
 		k.log.Warn("renewal refused: the upstream has seen a higher fence", "first", s.First, "upstream", owner.ID, "fence", s.Fence)
 		k.markUnowned(s)
 	default:
--- a/gateway/relayed_test.go
+++ b/gateway/relayed_test.go
@@ -74,7 +74,7 @@
 			}}
 			s := newTestCaller()
 			s.relayPeers = func(most int) []syncpb.Peer { return []syncpb.Peer{relay, relay}[:most] }
-			s.noteDirectFailure()
+			s.recordDirectFailure()
 			paths := s.paths(platform.Call{Method: c.method, Wait: c.wait})
 			// The direct path is the last one.
 			paths.remaining[len(paths.remaining)-1] = func(context.Context) int { return 0 }
@@ -95,7 +95,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCaller()
 		s.relayPeers = func(int) []syncpb.Peer { return []syncpb.Peer{silentRelay{asked: func() {}}} }
-		s.noteDirectFailure()
+		s.recordDirectFailure()
 		paths := s.paths(platform.Call{Method: http.MethodGet})
 		began := time.Now()
 		paths.remaining[len(paths.remaining)-1] = func(context.Context) int {
--- a/gateway/storecall.go
+++ b/gateway/storecall.go
@@ -107,12 +107,12 @@
 // callDirectWithProgress makes the call from this gateway and calls onProgress whenever bytes of
 // the response arrive.
 func (s *storeCaller) callDirectWithProgress(ctx context.Context, c platform.Call, onProgress func()) (int, []byte, error) {
-	ctx, noteArrival, end := withSilenceTimeout(ctx, storeTimeout, c.Wait)
+	ctx, recordArrival, end := withSilenceTimeout(ctx, storeTimeout, c.Wait)
 	defer end()
 	resp, err := s.conns.Do(ctx, s.address, &pool.Request{
 		Method: c.Method, Target: c.Target, Host: s.address, Body: c.Body,
 		Header:  http.Header{"Content-Type": {"application/json"}},
-		Arrived: func(int) { noteArrival(); onProgress() },
+		Arrived: func(int) { recordArrival(); onProgress() },
 	})
 	kind, operation := c.KindAndOperation()
 	if err != nil {
@@ -126,29 +126,29 @@
 
 // withSilenceTimeout returns a context for a call to the store that may wait for changes for the
 // duration wait. The context ends with the cause context.DeadlineExceeded when nothing has arrived
-// for the duration first, or for storeTimeout since noteArrival was last called; the time during
+// for the duration first, or for storeTimeout since recordArrival was last called; the time during
 // which the store may wait does not count. It ends with errCallTooLong after maxCallDuration plus
 // wait.
-func withSilenceTimeout(ctx context.Context, first, wait time.Duration) (_ context.Context, noteArrival, end func()) {
+func withSilenceTimeout(ctx context.Context, first, wait time.Duration) (_ context.Context, recordArrival, end func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	silenceTimer := time.AfterFunc(first+wait, func() { cancel(context.DeadlineExceeded) })
 	totalTimer := time.AfterFunc(maxCallDuration+wait, func() { cancel(errCallTooLong) })
 	waitEnd := time.Now().Add(wait)
-	noteArrival = func() { silenceTimer.Reset(storeTimeout + max(time.Until(waitEnd), 0)) }
+	recordArrival = func() { silenceTimer.Reset(storeTimeout + max(time.Until(waitEnd), 0)) }
 	end = func() {
 		silenceTimer.Stop()
 		totalTimer.Stop()
 		cancel(nil)
 	}
-	return ctx, noteArrival, end
+	return ctx, recordArrival, end
 }
 
 // callViaRelay makes the call through another gateway and calls onProgress whenever bytes of the
 // response arrive.
 func (s *storeCaller) callViaRelay(ctx context.Context, peer syncpb.Peer, c platform.Call, onProgress func()) (int, []byte, error) {
-	ctx, noteArrival, end := withSilenceTimeout(ctx, relayTimeout, c.Wait)
+	ctx, recordArrival, end := withSilenceTimeout(ctx, relayTimeout, c.Wait)
 	defer end()
-	ctx = withProgress(ctx, func() { noteArrival(); onProgress() })
+	ctx = withProgress(ctx, func() { recordArrival(); onProgress() })
 	s.meters.inc(storeRelayed)
 	resp, err := peer.Relay(ctx, &syncpb.RelayRequest{
 		Method: c.Method, Target: c.Target, Body: c.Body, WaitMs: uint32(c.Wait.Milliseconds()),
@@ -165,15 +165,15 @@
 	return s.now().Before(s.avoidDirectUntil)
 }
 
-func (s *storeCaller) noteDirectFailure() {
+func (s *storeCaller) recordDirectFailure() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.avoidDirectUntil = s.now().Add(directRetryDelay)
 	s.directFailing = true
 }
 
-// noteSuccess records a call that the store has served.
-func (s *storeCaller) noteSuccess(direct bool) {
+// recordSuccess records a call that the store has served.
+func (s *storeCaller) recordSuccess(direct bool) {
 	s.mu.Lock()
 	if direct {
 		s.avoidDirectUntil = time.Time{}
@@ -190,7 +190,7 @@
 	}
 }
 
-func (s *storeCaller) noteFailure() {
+func (s *storeCaller) recordFailure() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failingSince.IsZero() {
--- a/gateway/storecall_test.go
+++ b/gateway/storecall_test.go
@@ -137,12 +137,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				ctx, noteArrival, end := withSilenceTimeout(t.Context(), storeTimeout, c.wait)
+				ctx, recordArrival, end := withSilenceTimeout(t.Context(), storeTimeout, c.wait)
 				defer end()
 				began := time.Now()
 				for i := 0; i < c.pieces && ctx.Err() == nil; i++ {
 					time.Sleep(pieceInterval)
-					noteArrival()
+					recordArrival()
 				}
 				<-ctx.Done()
 				if cause := context.Cause(ctx); cause != c.cause {
@@ -173,7 +173,7 @@
 				go func() {
 					for range 10 {
 						time.Sleep(fallbackDelay * 9 / 10)
-						w.noteProgress()
+						w.signalProgress()
 					}
 					w.results <- callResult{direct: true, status: http.StatusOK, body: []byte("all")}
 				}()
@@ -199,7 +199,7 @@
 			var fallbackAfter time.Duration
 			w.remaining = []func(context.Context) int{
 				func(context.Context) int {
-					w.noteProgress()
+					w.signalProgress()
 					return 1
 				},
 				func(context.Context) int {
--- a/gateway/storeseek.go
+++ b/gateway/storeseek.go
@@ -34,49 +34,49 @@
 )
 
 // watchPaths returns the paths of a call that waits for changes.
-func (w *callPaths) watchPaths() []func(context.Context) int {
-	first := w.startDirect
-	if peer := w.store.relayForWatch(); peer != nil {
+func (p *callPaths) watchPaths() []func(context.Context) int {
+	first := p.startDirect
+	if peer := p.store.relayForWatch(); peer != nil {
 		first = func(ctx context.Context) int {
-			w.startRelay(ctx, w.call, peer)
+			p.startRelay(ctx, p.call, peer)
 			return 1
 		}
 	}
-	return []func(context.Context) int{first, w.searchRound}
+	return []func(context.Context) int{first, p.searchRound}
 }
 
 // searchRound starts the next round, in which other gateways are asked without a wait. The first
 // round also makes a direct call without a wait.
-func (w *callPaths) searchRound(ctx context.Context) int {
-	call := w.call.NonBlocking()
+func (p *callPaths) searchRound(ctx context.Context) int {
+	call := p.call.NonBlocking()
 	started := 0
-	if !w.peersChosen {
-		w.peers, w.peersChosen = w.store.relayPeers(maxSearchPeers), true
-		started = w.startDirectCall(ctx, call)
+	if !p.peersChosen {
+		p.peers, p.peersChosen = p.store.relayPeers(maxSearchPeers), true
+		started = p.startDirectCall(ctx, call)
 	}
-	round := w.peers[:min(firstRoundSize<<w.rounds, len(w.peers))]
-	w.peers = w.peers[len(round):]
-	w.rounds++
-	w.store.meters.inc(storeSearchRounds)
+	round := p.peers[:min(firstRoundSize<<p.rounds, len(p.peers))]
+	p.peers = p.peers[len(round):]
+	p.rounds++
+	p.store.meters.inc(storeSearchRounds)
 	for _, peer := range round {
-		w.startRelay(ctx, call, peer)
+		p.startRelay(ctx, call, peer)
 	}
-	if len(w.peers) > 0 && w.store.maySearchWidely() {
-		w.remaining = append(w.remaining, w.searchRound)
+	if len(p.peers) > 0 && p.store.maySearchWidely() {
+		p.remaining = append(p.remaining, p.searchRound)
 	}
 	return started + len(round)
 }
 
 // nextPathDelay returns how long the pending calls may be silent before the next path is started.
-func (w *callPaths) nextPathDelay(waitEnd time.Time) time.Duration {
+func (p *callPaths) nextPathDelay(waitEnd time.Time) time.Duration {
 	waitLeft := max(time.Until(waitEnd), 0)
 	switch {
-	case w.call.Wait == 0:
+	case p.call.Wait == 0:
 		return fallbackDelay
-	case w.rounds > 0:
-		return w.store.allowedSilence(searchRoundInterval)
+	case p.rounds > 0:
+		return p.store.allowedSilence(searchRoundInterval)
 	}
-	return w.store.allowedSilence(watchSilenceLimit) + waitLeft
+	return p.store.allowedSilence(watchSilenceLimit) + waitLeft
 }
 
 // allowedSilence returns the given minimum, or more if the store is slow to answer, up to
@@ -87,15 +87,15 @@
 	return min(max(least, time.Duration(latencyFactor*float64(s.meanLatency))), fallbackDelay)
 }
 
-// noteLatency records how long the store took for a call without a wait.
-func (s *storeCaller) noteLatency(took time.Duration) {
+// recordLatency records how long the store took for a call without a wait.
+func (s *storeCaller) recordLatency(took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.meanLatency += time.Duration(latencyWeight * float64(took-s.meanLatency))
 }
 
-// noteRelay records the gateway that relayed the last response of the store.
-func (s *storeCaller) noteRelay(peer syncpb.Peer) {
+// recordRelay records the gateway that relayed the last response of the store.
+func (s *storeCaller) recordRelay(peer syncpb.Peer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastRelay = peer
@@ -112,8 +112,8 @@
 	return s.lastRelay
 }
 
-// noteSearchFailed records that all gateways were asked without success.
-func (s *storeCaller) noteSearchFailed() {
+// recordSearchFailed records that all gateways were asked without success.
+func (s *storeCaller) recordSearchFailed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.searchFailedAt = s.now()
--- a/gateway/storeways.go
+++ b/gateway/storeways.go
@@ -43,152 +43,152 @@
 
 // paths returns the paths of a call, the first one to try in front.
 func (s *storeCaller) paths(c platform.Call) *callPaths {
-	w := &callPaths{store: s, call: c, results: make(chan callResult, 1+maxRelays), progress: make(chan struct{}, 1)}
+	p := &callPaths{store: s, call: c, results: make(chan callResult, 1+maxRelays), progress: make(chan struct{}, 1)}
 	if c.Wait > 0 {
-		w.remaining = w.watchPaths()
-		return w
+		p.remaining = p.watchPaths()
+		return p
 	}
-	relays := []func(context.Context) int{w.startAllRelays}
+	relays := []func(context.Context) int{p.startAllRelays}
 	if c.Method == http.MethodGet {
-		relays = slices.Repeat([]func(context.Context) int{w.startNextRelay}, maxRelays)
+		relays = slices.Repeat([]func(context.Context) int{p.startNextRelay}, maxRelays)
 	}
 	if s.avoidsDirect() {
-		w.remaining = append(relays, w.startDirect)
+		p.remaining = append(relays, p.startDirect)
 	} else {
-		w.remaining = append([]func(context.Context) int{w.startDirect}, relays...)
+		p.remaining = append([]func(context.Context) int{p.startDirect}, relays...)
 	}
-	return w
+	return p
 }
 
 // startDirect starts the call from this gateway.
-func (w *callPaths) startDirect(ctx context.Context) int { return w.startDirectCall(ctx, w.call) }
+func (p *callPaths) startDirect(ctx context.Context) int { return p.startDirectCall(ctx, p.call) }
 
 // startDirectCall starts the given variant of the call from this gateway.
-func (w *callPaths) startDirectCall(ctx context.Context, c platform.Call) int {
+func (p *callPaths) startDirectCall(ctx context.Context, c platform.Call) int {
 	started := time.Now()
 	go func() {
-		status, body, err := w.store.callDirectWithProgress(ctx, c, w.noteProgress)
-		w.deliver(ctx, callResult{direct: true, started: started, waited: c.Wait > 0, status: status, body: body, err: err})
+		status, body, err := p.store.callDirectWithProgress(ctx, c, p.signalProgress)
+		p.deliver(ctx, callResult{direct: true, started: started, waited: c.Wait > 0, status: status, body: body, err: err})
 	}()
 	return 1
 }
 
 // deliver passes a result to run, unless run has already returned.
-func (w *callPaths) deliver(ctx context.Context, r callResult) {
+func (p *callPaths) deliver(ctx context.Context, r callResult) {
 	select {
-	case w.results <- r:
+	case p.results <- r:
 	case <-ctx.Done():
 	}
 }
 
-// noteProgress signals that part of a response has arrived. At most one signal is buffered.
-func (w *callPaths) noteProgress() {
+// signalProgress signals that a part of a response has arrived. At most one signal is buffered.
+func (p *callPaths) signalProgress() {
 	select {
-	case w.progress <- struct{}{}:
+	case p.progress <- struct{}{}:
 	default:
 	}
 }
 
 // startAllRelays starts the call through several gateways at once.
-func (w *callPaths) startAllRelays(ctx context.Context) int {
-	peers := w.store.relayPeers(maxRelays)
+func (p *callPaths) startAllRelays(ctx context.Context) int {
+	peers := p.store.relayPeers(maxRelays)
 	for _, peer := range peers {
-		w.startRelay(ctx, w.call, peer)
+		p.startRelay(ctx, p.call, peer)
 	}
 	return len(peers)
 }
 
 // startNextRelay starts the call through the best gateway that has not been asked yet.
-func (w *callPaths) startNextRelay(ctx context.Context) int {
-	if !w.peersChosen {
-		w.peers, w.peersChosen = w.store.relayPeers(maxRelays), true
+func (p *callPaths) startNextRelay(ctx context.Context) int {
+	if !p.peersChosen {
+		p.peers, p.peersChosen = p.store.relayPeers(maxRelays), true
 	}
-	if len(w.peers) == 0 {
+	if len(p.peers) == 0 {
 		return 0
 	}
-	w.startRelay(ctx, w.call, w.peers[0])
-	w.peers = w.peers[1:]
+	p.startRelay(ctx, p.call, p.peers[0])
+	p.peers = p.peers[1:]
 	return 1
 }
 
 // startRelay starts the given variant of the call through one other gateway.
-func (w *callPaths) startRelay(ctx context.Context, c platform.Call, peer syncpb.Peer) {
+func (p *callPaths) startRelay(ctx context.Context, c platform.Call, peer syncpb.Peer) {
 	started := time.Now()
 	go func() {
-		status, body, err := w.store.callViaRelay(ctx, peer, c, w.noteProgress)
-		w.deliver(ctx, callResult{peer: peer, started: started, waited: c.Wait > 0, status: status, body: body, err: err})
+		status, body, err := p.store.callViaRelay(ctx, peer, c, p.signalProgress)
+		p.deliver(ctx, callResult{peer: peer, started: started, waited: c.Wait > 0, status: status, body: body, err: err})
 	}()
 }
 
 // startNext starts the next path on which a call can be made, if one remains.
-func (w *callPaths) startNext(ctx context.Context) {
-	for started := 0; started == 0 && len(w.remaining) > 0; w.remaining = w.remaining[1:] {
-		started = w.remaining[0](ctx)
-		w.pending += started
+func (p *callPaths) startNext(ctx context.Context) {
+	for started := 0; started == 0 && len(p.remaining) > 0; p.remaining = p.remaining[1:] {
+		started = p.remaining[0](ctx)
+		p.pending += started
 	}
 }
 
 // ensurePending starts the next path if no call is in progress, and reports whether one is in
 // progress then.
-func (w *callPaths) ensurePending(ctx context.Context) bool {
-	if w.pending == 0 {
-		w.startNext(ctx)
+func (p *callPaths) ensurePending(ctx context.Context) bool {
+	if p.pending == 0 {
+		p.startNext(ctx)
 	}
-	return w.pending > 0
+	return p.pending > 0
 }
 
 // run makes the call and returns the first result that the store has served.
-func (w *callPaths) run(ctx context.Context) (int, []byte, error) {
+func (p *callPaths) run(ctx context.Context) (int, []byte, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	waitEnd := time.Now().Add(w.call.Wait)
-	nextPath := time.NewTimer(w.nextPathDelay(waitEnd))
+	waitEnd := time.Now().Add(p.call.Wait)
+	nextPath := time.NewTimer(p.nextPathDelay(waitEnd))
 	defer nextPath.Stop()
-	for w.ensurePending(ctx) {
+	for p.ensurePending(ctx) {
 		select {
-		case r := <-w.results:
-			w.pending--
+		case r := <-p.results:
+			p.pending--
 			switch {
 			case servedByStore(r.status, r.err):
-				w.noteSuccess(r)
+				p.recordSuccess(r)
 				return r.status, r.body, nil
 			case r.direct && answerTooLarge(r.err):
 				// The store is reachable. The response would be as large on another path.
 				return 0, nil, r.err
 			case r.direct && ctx.Err() == nil:
-				w.store.noteDirectFailure()
+				p.store.recordDirectFailure()
 			}
-			nextPath.Reset(w.nextPathDelay(waitEnd))
-		case <-w.progress:
+			nextPath.Reset(p.nextPathDelay(waitEnd))
+		case <-p.progress:
 			nextPath.Reset(fallbackDelay + max(time.Until(waitEnd), 0))
 		case <-nextPath.C:
-			w.startNext(ctx)
-			nextPath.Reset(w.nextPathDelay(waitEnd))
+			p.startNext(ctx)
+			nextPath.Reset(p.nextPathDelay(waitEnd))
 		case <-ctx.Done():
 			return 0, nil, context.Cause(ctx)
 		}
 	}
-	if w.rounds > 0 && len(w.peers) == 0 {
-		w.store.noteSearchFailed()
+	if p.rounds > 0 && len(p.peers) == 0 {
+		p.store.recordSearchFailed()
 	}
-	w.store.noteFailure()
+	p.store.recordFailure()
 	return 0, nil, errStoreUnreachable
 }
 
-// noteSuccess updates what is known about the paths after a result that the store has served. If a
+// recordSuccess updates the state of the paths after a result that the store has served. If a
 // relay answered a search first, the path on which the call waited was silent, so the direct path
 // counts as failed.
-func (w *callPaths) noteSuccess(r callResult) {
-	w.store.noteSuccess(r.direct)
+func (p *callPaths) recordSuccess(r callResult) {
+	p.store.recordSuccess(r.direct)
 	if !r.waited {
-		w.store.noteLatency(time.Since(r.started))
+		p.store.recordLatency(time.Since(r.started))
 	}
 	if r.direct {
 		return
 	}
-	w.store.noteRelay(r.peer)
-	if w.rounds > 0 {
-		w.store.log.Info("watch silent, changes fetched through other gateways", "rounds", w.rounds)
-		w.store.noteDirectFailure()
+	p.store.recordRelay(r.peer)
+	if p.rounds > 0 {
+		p.store.log.Info("watch silent, changes fetched through other gateways", "rounds", p.rounds)
+		p.store.recordDirectFailure()
 	}
 }
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -99,8 +99,8 @@
 	return occupied
 }
 
-// noteStarted records that a request is sent to an upstream, and reports whether it is suspected.
-func (s *suspects) noteStarted(q *request, g dispatch.Grant) bool {
+// recordStarted records that a request is sent to an upstream, and reports whether it is suspected.
+func (s *suspects) recordStarted(q *request, g dispatch.Grant) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() || s.book.CrashCount(q.digest()) == 0 {
@@ -110,8 +110,8 @@
 	return true
 }
 
-// noteEnded records the outcome of a try. suspected is what noteStarted returned for it.
-func (s *suspects) noteEnded(q *request, g dispatch.Grant, suspected bool, o dispatch.Outcome) {
+// recordEnded records the outcome of a try. suspected is what recordStarted returned for it.
+func (s *suspects) recordEnded(q *request, g dispatch.Grant, suspected bool, o dispatch.Outcome) {
 	inst := &g.Instance
 	s.mu.Lock()
 	var crashes []poison.Crash
--- a/gateway/suspects_test.go
+++ b/gateway/suspects_test.go
@@ -147,13 +147,13 @@
 		return &request{cachedDigest: d, service: &routing.Service{Name: service}}
 	}
 	sent := func(u string) dispatch.Grant { return dispatch.Grant{Instance: instances.Instance{ID: u}} }
-	if s.noteStarted(ask(1, "read"), sent("u1")) {
+	if s.recordStarted(ask(1, "read"), sent("u1")) {
 		t.Error("a request without crashes is suspected")
 	}
 	for i, d := range []poison.Digest{1, 2, 2} {
 		s.book.Merge([]poison.Crash{{Digest: d, Event: poison.Event(i), At: s.now()}})
 	}
-	first := s.noteStarted(ask(1, "read"), sent("u1"))
+	first := s.recordStarted(ask(1, "read"), sent("u1"))
 	if got := s.upstreamsToAvoid(ask(2, "read")); !slices.Equal(got, []string{"u1"}) {
 		t.Errorf("another suspected request avoids %v", got)
 	}
@@ -164,7 +164,7 @@
 			t.Errorf("%s avoids %v", what, got)
 		}
 	}
-	s.noteEnded(ask(1, "read"), sent("u1"), first, dispatch.ConnectionBroken)
+	s.recordEnded(ask(1, "read"), sent("u1"), first, dispatch.ConnectionBroken)
 	if got := s.upstreamsToAvoid(ask(2, "read")); len(got) > 0 {
 		t.Errorf("%v still avoided after the run ended", got)
 	}
@@ -227,7 +227,7 @@
 		first.book.UpstreamEnded(first.now(), "i-p0", instances.Incarnation(i+1))
 	}
 	first.mu.Unlock()
-	// Send the request only once all gateways know of it: a successful answer before that would
+	// Send the request only once all gateways know of it: a successful response before that would
 	// clear it.
 	b.eventually("suspect known to all gateways", func() bool {
 		for _, g := range b.gateways {
--- a/gateway/traffic.go
+++ b/gateway/traffic.go
@@ -204,26 +204,26 @@
 }
 
 // acquire waits for a grant to send the request to an upstream.
-func (t *traffic) acquire(ctx context.Context, s *serviceTraffic, w *dispatch.Request) (dispatch.Grant, error) {
+func (t *traffic) acquire(ctx context.Context, s *serviceTraffic, req *dispatch.Request) (dispatch.Grant, error) {
 	type decision struct {
 		grant   dispatch.Grant
 		refusal dispatch.Refusal
 	}
 	decisions := make(chan decision, 1)
-	w.OnDecision = func(g dispatch.Grant, r dispatch.Refusal) { decisions <- decision{g, r} }
+	req.OnDecision = func(g dispatch.Grant, r dispatch.Refusal) { decisions <- decision{g, r} }
 	s.mu.Lock()
-	g, r, decided := s.dispatch.Offer(t.now(), w)
+	g, r, decided := s.dispatch.Offer(t.now(), req)
 	s.mu.Unlock()
 	if decided {
-		return g, t.refusalAnswer(s, w, r)
+		return g, t.refusalAnswer(s, req, r)
 	}
 	select {
 	case v := <-decisions:
-		return v.grant, t.refusalAnswer(s, w, v.refusal)
+		return v.grant, t.refusalAnswer(s, req, v.refusal)
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
-	withdrawn := s.dispatch.Withdraw(w)
+	withdrawn := s.dispatch.Withdraw(req)
 	s.mu.Unlock()
 	if !withdrawn {
 		if v := <-decisions; v.refusal == 0 {
@@ -234,19 +234,19 @@
 }
 
 // restRemaining returns the time until the first upstream that may take the request ends its rest.
-func (t *traffic) restRemaining(s *serviceTraffic, w *dispatch.Request) time.Duration {
+func (t *traffic) restRemaining(s *serviceTraffic, req *dispatch.Request) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.dispatch.RestRemaining(t.now(), w)
+	return s.dispatch.RestRemaining(t.now(), req)
 }
 
 // refusalAnswer returns the error for a refusal, or nil if the request was not refused.
-func (t *traffic) refusalAnswer(s *serviceTraffic, w *dispatch.Request, r dispatch.Refusal) error {
+func (t *traffic) refusalAnswer(s *serviceTraffic, req *dispatch.Request, r dispatch.Refusal) error {
 	if r != dispatch.Resting {
 		return refusalError(r)
 	}
-	left := t.restRemaining(s, w)
-	if w.Owner != "" {
+	left := t.restRemaining(s, req)
+	if req.Owner != "" {
 		// If an owner rests for longer than that, its keys are moved.
 		left = min(left, patience.RetryAfterMovingKey())
 	}
--- a/gateway/turns_test.go
+++ b/gateway/turns_test.go
@@ -44,9 +44,9 @@
 	var running sync.WaitGroup
 	for i := range calls {
 		running.Go(func() {
-			verdict, err := k.grant(context.Background(), spans.KeyRange{First: uint16(i), Last: uint16(i)}, to, 1, "")
-			if err != nil || verdict != platform.Granted {
-				t.Errorf("grant %d: %v, %v", i, verdict, err)
+			result, err := k.grant(context.Background(), spans.KeyRange{First: uint16(i), Last: uint16(i)}, to, 1, "")
+			if err != nil || result != platform.Granted {
+				t.Errorf("grant %d: %v, %v", i, result, err)
 			}
 		})
 	}
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -122,7 +122,7 @@
 			var objects []platform.Object
 			if objects, revision, err = w.store.List(ctx, kind); err == nil {
 				known = true
-				w.ages.noteAnswer(kind)
+				w.ages.recordAnswer(kind)
 				onList(objects, revision)
 			}
 		} else {
@@ -130,7 +130,7 @@
 			var next uint64
 			started := w.now()
 			if changes, next, err = w.watch(ctx, kind, revision); err == nil {
-				w.ages.noteAnswer(kind)
+				w.ages.recordAnswer(kind)
 			}
 			if err == nil && len(changes) == 0 && w.now().Sub(started) < minWatchInterval {
 				pause(ctx, minWatchInterval)
@@ -149,8 +149,8 @@
 			w.log.Info("store history compacted, listing again", "kind", kind, "revision", revision)
 			known = false
 			if answered {
-				// A watch that was never answered started from a revision that was already too old.
-				// That does not mean that the other watches have missed changes.
+				// If nothing was answered before, the watch started from a revision that was
+				// already too old, and the other watches have not necessarily missed changes.
 				w.cancelWatches()
 			}
 		case known && answerTooLarge(err):
--- a/gateway/watchages.go
+++ b/gateway/watchages.go
@@ -51,8 +51,8 @@
 	delete(a.silent, kind)
 }
 
-// noteAnswer records a response of the store to a list or a watch.
-func (a *watchAges) noteAnswer(kind string) {
+// recordAnswer records a response of the store to a list or a watch.
+func (a *watchAges) recordAnswer(kind string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.silent[kind] {
--- a/gateway/watchages_test.go
+++ b/gateway/watchages_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestSilentWatchIsLogged guards against a watch that receives nothing without being noticed,
+// TestSilentWatchIsLogged guards against a watch that receives nothing without being detected,
 // because other calls to the store are answered. One line is logged when the silence exceeds the
 // threshold and one when the watch resumes, only for watched kinds, and the silence counts from
 // when they are watched.
@@ -28,26 +28,26 @@
 			t.Errorf("%s: %s", what, d)
 		}
 	}
-	a.noteAnswer("config")
+	a.recordAnswer("config")
 	elapse(time.Minute)
 	expectLogged("not watched", 0, 0)
 	a.begin("config")
 	a.begin("servers")
 	for range 10 {
 		elapse(watchWait)
-		a.noteAnswer("config")
-		a.noteAnswer("servers")
+		a.recordAnswer("config")
+		a.recordAnswer("servers")
 	}
 	expectLogged("watches that end without changes", 0, 0)
 	for range 4 {
 		elapse(time.Second)
-		a.noteAnswer("config")
+		a.recordAnswer("config")
 	}
 	expectLogged("one kind is silent", 1, 0)
 	if s := a.state(); s[0].Silent || !s[1].Silent || !s[1].Watched {
 		t.Errorf("state: %v", s)
 	}
-	a.noteAnswer("servers")
+	a.recordAnswer("servers")
 	expectLogged("watch resumed", 1, 1)
 	a.end("servers")
 	a.end("config")
