--- a/gateway/cluster.go
+++ b/gateway/cluster.go
@@ -159,7 +159,7 @@
 }
 
 // parent returns the address of the gateway to report to, or "" if none is known. A former leader
-// that has restarted may still take itself for the leader. It must not report to itself, because
+// that has restarted may still consider itself the leader. It must not report to itself, because
 // its own report would be added to its next one again and again.
 func (c *cluster) parent() string {
 	c.mu.Lock()
--- a/gateway/cluster_test.go
+++ b/gateway/cluster_test.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestGatewayDoesNotReportToItself guards against a former leader that has restarted and takes
-// itself for the leader until it learns of another one. It added its own report to its next one
-// again and again until all upstreams seemed full, which lasted until 1.5 s after it led again.
+// TestGatewayDoesNotReportToItself guards against a former leader that has restarted and considers
+// itself the leader until it learns of another one. It added its own report to its next one again
+// and again until all upstreams seemed full, which lasted until 1.5 s after it led again.
 func TestGatewayDoesNotReportToItself(t *testing.T) {
 	now := time.Now()
 	for _, size := range []int{3, minTreeSize} {
--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -18,7 +18,8 @@
 
 // This file tests evacuations of failure domains.
 
-// twoDomainCluster returns a test cluster with upstreams in the failure domains a and b and three gateways.
+// twoDomainCluster returns a test cluster with upstreams in the failure domains a and b and three
+// gateways.
 func twoDomainCluster(t *testing.T) *testCluster {
 	t.Helper()
 	b := newTestCluster(t)
--- a/gateway/fetch_test.go
+++ b/gateway/fetch_test.go
@@ -90,8 +90,8 @@
 //
 // It guards against gateways that wrongly consider the leader lost. When the report loop applied a
 // changed configuration itself, decoding it took 1.4 to 2.0 s on a busy machine. Six gateways sent
-// no report meanwhile, took the leader for lost 0.7 s after its last response and listed the store,
-// although no report had failed.
+// no report meanwhile, considered the leader lost 0.7 s after its last response and listed the
+// store, although no report had failed.
 func TestReportsContinueWhileDecoding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := testFetcher(nil)
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -78,8 +78,8 @@
 	// failing is the current run of failed reports to parents.
 	failing reportFailures
 	// configNewestAt is when another gateway last confirmed that the configuration in force is the
-	// newest. announcedConfig is the newest configuration that another gateway named and that was not in
-	// force here at that time.
+	// newest. announcedConfig is the newest configuration that another gateway named and that was
+	// not in force here at that time.
 	configNewestAt  time.Time
 	announcedConfig announcedConfiguration
 	// wantFullConfig is set when the last configuration difference could not be decoded.
--- a/gateway/limitnews.go
+++ b/gateway/limitnews.go
@@ -135,8 +135,8 @@
 	return c.limitedDemandExcept(c.self.Node, nil, upstream)
 }
 
-// subtreeLimitedDemand returns how many requests a second would go to the upstream from this gateway and
-// those that report to it.
+// subtreeLimitedDemand returns how many requests a second would go to the upstream from this
+// gateway and those that report to it.
 func (c *cluster) subtreeLimitedDemand(own map[string]float64, upstream string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/loss_test.go
+++ b/gateway/loss_test.go
@@ -12,10 +12,10 @@
 	"github.com/rockcroft/rockcroft/state/spans"
 )
 
-// TestFailingOwnerGetsNoLongerHold: once a call to an owner has failed, no call is sent to it that could
-// extend its hold of the keys. When renewals were retried every 250 ms, each counted as possibly
-// granted, and the keys of a silent owner were free only 4.3 s after the last of them, up to 0.9 s
-// later than necessary.
+// TestFailingOwnerGetsNoLongerHold: once a call to an owner has failed, no call is sent to it that
+// could extend its hold of the keys. When renewals were retried every 250 ms, each counted as
+// possibly granted, and the keys of a silent owner were free only 4.3 s after the last of them, up
+// to 0.9 s later than necessary.
 func TestFailingOwnerGetsNoLongerHold(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestGrantToNextOwnerIsRecordedSeparately: the grant of a move is recorded separately from the grant of
-// the owner that the keys are taken from.
+// TestGrantToNextOwnerIsRecordedSeparately: the grant of a move is recorded separately from the
+// grant of the owner that the keys are taken from.
 func TestGrantToNextOwnerIsRecordedSeparately(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestKeysOfLostOwnersAreMarkedCold: all gateways learn which keys came to their owner without a handover.
-// Keys of a planned move are not marked.
+// TestKeysOfLostOwnersAreMarkedCold: all gateways learn which keys came to their owner without a
+// handover. Keys of a planned move are not marked.
 func TestKeysOfLostOwnersAreMarkedCold(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -114,7 +114,8 @@
 	return n
 }
 
-// TestColdMarksArePartOfTableDifferences: a difference between two table versions contains the cold marks.
+// TestColdMarksArePartOfTableDifferences: a difference between two table versions contains the cold
+// marks.
 func TestColdMarksArePartOfTableDifferences(t *testing.T) {
 	v := newView()
 	keys := spans.KeyRange{Last: spans.MaxKey}
@@ -134,8 +135,9 @@
 	}
 }
 
-// TestNewLeaderAssumesFormerGatewayCount: right after all gateways have restarted, few have reported. If
-// only those counted, each of them would use the room and the retries of the whole cluster.
+// TestNewLeaderAssumesFormerGatewayCount: right after all gateways have restarted, few have
+// reported. If only those counted, each of them would use the room and the retries of the whole
+// cluster.
 func TestNewLeaderAssumesFormerGatewayCount(t *testing.T) {
 	now := time.Now()
 	c := newCluster(&syncpb.Member{Node: "g0"}, http.DefaultClient, func() time.Time { return now }, nil)
--- a/gateway/placements_test.go
+++ b/gateway/placements_test.go
@@ -50,9 +50,9 @@
 	return ""
 }
 
-// TestOperatorDrainSurvivesLeaderLoss: a confirmed drain moves all keys away and keeps new requests away
-// from the upstream, and stays in force after the loss of the leader. After its cancellation the upstream
-// owns keys again.
+// TestOperatorDrainSurvivesLeaderLoss: a confirmed drain moves all keys away and keeps new requests
+// away from the upstream, and stays in force after the loss of the leader. After its cancellation
+// the upstream owns keys again.
 func TestOperatorDrainSurvivesLeaderLoss(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
--- a/gateway/promises.go
+++ b/gateway/promises.go
@@ -46,7 +46,7 @@
 	defer cancel()
 	var mu sync.Mutex
 	answers := make(map[string]*syncpb.PromiseResponse)
-	note := func(address string, resp *syncpb.PromiseResponse) {
+	record := func(address string, resp *syncpb.PromiseResponse) {
 		mu.Lock()
 		defer mu.Unlock()
 		answers[address] = resp
@@ -54,7 +54,7 @@
 	var all sync.WaitGroup
 	for _, address := range voters {
 		if address == l.cluster.self.Address {
-			note(address, l.promises.handle(r))
+			record(address, l.promises.handle(r))
 			continue
 		}
 		all.Go(func() {
@@ -63,7 +63,7 @@
 				l.log.Debug("voter did not answer", "voter", address, "error", err)
 				return
 			}
-			note(address, resp)
+			record(address, resp)
 		})
 	}
 	all.Wait()
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -118,8 +118,8 @@
 	})
 }
 
-// TestPeerValidatorDropsInvalidReports checks that invalid reports are dropped, counted and logged once, and that loads of
-// former incarnations are dropped.
+// TestPeerValidatorDropsInvalidReports checks that invalid reports are dropped, counted and logged
+// once, and that loads of former incarnations are dropped.
 func TestPeerValidatorDropsInvalidReports(t *testing.T) {
 	now := time.Now()
 	v, m := newView(), newMeters()
--- a/gateway/settle_test.go
+++ b/gateway/settle_test.go
@@ -10,11 +10,11 @@
 	"github.com/rockcroft/rockcroft/standin/instance"
 )
 
-// TestPlacementConverges: after any sequence of control-call faults (late, lost or refused calls, silent
-// upstreams, lost leaders), placement converges soon after the faults end: nothing is pending and no
-// owner is far over its share. The oracle checks that no key has two owners at any time. With
-// upstreams that had answered a probe, owned no keys and stayed marked as failing, these seeds
-// never converged.
+// TestPlacementConverges: after any sequence of control-call faults (late, lost or refused calls,
+// silent upstreams, lost leaders), placement converges soon after the faults end: nothing is
+// pending and no owner is far over its share. The oracle checks that no key has two owners at any
+// time. With upstreams that had answered a probe, owned no keys and stayed marked as failing, these
+// seeds never converged.
 func TestPlacementConverges(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{4, 7, 8} {
--- a/gateway/sight_test.go
+++ b/gateway/sight_test.go
@@ -220,8 +220,8 @@
 	}
 }
 
-// TestSyncResponseBytesAreCounted: the bytes of responses must be counted at both ends, also those of a response
-// that never became complete.
+// TestSyncResponseBytesAreCounted: the bytes of responses must be counted at both ends, also those
+// of a response that never became complete.
 func TestSyncResponseBytesAreCounted(t *testing.T) {
 	t.Parallel()
 	p := &fakeParent{}
--- a/gateway/steward.go
+++ b/gateway/steward.go
@@ -40,7 +40,7 @@
 	assigners map[string]*keyAssigner
 	// lastReport is this process's last load report.
 	lastReport *localReport
-	// hotKeyLimits are the hot keys of the services that this process assigns.
+	// hotKeys are the limits of hot keys that this process has decided as the leader.
 	hotKeys hotKeyLimits
 	// rights are the rights to send to upstreams that warm up.
 	rights *warmUpRights
@@ -110,7 +110,8 @@
 	for ctx.Err() == nil {
 		table := s.view.table.Load()
 		if table == nil {
-			// This process leads before it has a view of the configuration. Nothing is served until then.
+			// This process leads before it has a view of the configuration. Nothing is served until
+			// then.
 			pause(ctx, assignerTick)
 			continue
 		}
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -18,8 +18,9 @@
 )
 
 // TestSuccessorFinishesAMoveInProgress: a leader granted keys to an upstream and resigned before it
-// stored that the move had completed, and the upstream then leaves. The next leader must take the keys
-// back from this upstream before it grants them to another. Otherwise keys had two owners for two seconds.
+// stored that the move had completed, and the upstream then leaves. The next leader must take the
+// keys back from this upstream before it grants them to another. Otherwise keys had two owners for
+// two seconds.
 func TestSuccessorFinishesAMoveInProgress(t *testing.T) {
 	t.Parallel()
 	for name, silent := range map[string]bool{"reachable": false, "silent": true} {
@@ -51,9 +52,10 @@
 	}
 }
 
-// TestWriterNamesDifferBetweenTerms: a process that leads for a second time must not take a write of
-// its first term for one of its own. Without the term in the writer name, the first writes of both terms
-// had the same name, and a write from before the claim was taken for one whose response was lost.
+// TestWriterNamesDifferBetweenTerms: a process that leads for a second time must not mistake a
+// write of its first term for one of its own. Without the term in the writer name, the first writes
+// of both terms had the same name, and a write from before the claim was mistaken for one whose
+// response was lost.
 func TestWriterNamesDifferBetweenTerms(t *testing.T) {
 	s := &assignmentSupervisor{cluster: newCluster(&syncpb.Member{Node: "g", Incarnation: "i"}, nil, time.Now, nil), log: slog.New(slog.DiscardHandler), now: time.Now}
 	writers := make(map[string]bool)
@@ -67,9 +69,9 @@
 	}
 }
 
-// TestStaleWriteOfFormerLeaderIsRefused: once a new leader has claimed the stored assignment, a write of
-// the former leader that is based on an older read is refused, and the former leader stops assigning.
-// Otherwise keys had two owners after a zone was cut off.
+// TestStaleWriteOfFormerLeaderIsRefused: once a new leader has claimed the stored assignment, a
+// write of the former leader that is based on an older read is refused, and the former leader stops
+// assigning. Otherwise keys had two owners after a zone was cut off.
 func TestStaleWriteOfFormerLeaderIsRefused(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -117,10 +119,10 @@
 	b.ready()
 }
 
-// TestVotersAreInherited: the first voters of a leader are those of the former lease, and they stay until
-// every grant of the former leader has expired. Otherwise a leader that knows few gateways and is lost
-// at once would leave a list of voters that know nothing of the promises to the leader before it. Keys
-// of a silent owner would then be given away during its grant of ten seconds.
+// TestVotersAreInherited: the first voters of a leader are those of the former lease, and they stay
+// until every grant of the former leader has expired. Otherwise a leader that knows few gateways
+// and is lost at once would leave a list of voters that know nothing of the promises to the leader
+// before it. Keys of a silent owner would then be given away during its grant of ten seconds.
 func TestVotersAreInherited(t *testing.T) {
 	now := time.Now()
 	clock := func() time.Time { return now }
@@ -160,8 +162,8 @@
 	}
 }
 
-// TestSuccessorUsesNewerPublishedTable: a successor does not repeat moves that had completed but were not
-// stored yet, if the former leader published their completion to it.
+// TestSuccessorUsesNewerPublishedTable: a successor does not repeat moves that had completed but
+// were not stored yet, if the former leader published their completion to it.
 func TestSuccessorUsesNewerPublishedTable(t *testing.T) {
 	const term = 3
 	table := func(term, write uint64, owner string) *spans.Table {
@@ -192,8 +194,8 @@
 	}
 }
 
-// TestStoppedLeaderStopsAssigning: after a leader has stopped or was killed, it no longer calls upstreams,
-// the store or other gateways for the keys that it assigned.
+// TestStoppedLeaderStopsAssigning: after a leader has stopped or was killed, it no longer calls
+// upstreams, the store or other gateways for the keys that it assigned.
 func TestStoppedLeaderStopsAssigning(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(*testGateway){
