--- a/gateway/demand.go
+++ b/gateway/demand.go
@@ -15,9 +15,9 @@
 			sum[name] += rate
 		}
 	}
-	for node, one := range c.children {
-		if node != except && c.now().Sub(one.lastReport) < reportExpiry {
-			addDemands(sum, one.demands)
+	for node, reporter := range c.children {
+		if node != except && c.now().Sub(reporter.lastReport) < reportExpiry {
+			addDemands(sum, reporter.demands)
 		}
 	}
 	if !c.leading {
@@ -35,9 +35,9 @@
 	for name, rate := range own {
 		sum[name] += rate
 	}
-	for _, one := range c.children {
-		if c.now().Sub(one.lastReport) < reportExpiry {
-			addDemands(sum, one.demands)
+	for _, reporter := range c.children {
+		if c.now().Sub(reporter.lastReport) < reportExpiry {
+			addDemands(sum, reporter.demands)
 		}
 	}
 	return sum
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -367,8 +367,8 @@
 		return
 	}
 	for id, f := range k.failing {
-		one := k.instance(id)
-		if one == nil {
+		inst := k.instance(id)
+		if inst == nil {
 			delete(k.failing, id)
 			continue
 		}
@@ -379,13 +379,13 @@
 			k.clearFailureLocked(id)
 			continue
 		}
-		if k.callsInFlight[id] || one.Leaving || f.probeAnswered || k.now().Sub(f.lastFailed) < probeInterval {
+		if k.callsInFlight[id] || inst.Leaving || f.probeAnswered || k.now().Sub(f.lastFailed) < probeInterval {
 			continue
 		}
 		k.callsInFlight[id] = true
 		keys := k.unrelatedKey(id)
 		k.tasks.Go(func() {
-			k.probe(ctx, one, keys)
+			k.probe(ctx, inst, keys)
 			k.mu.Lock()
 			delete(k.callsInFlight, id)
 			k.mu.Unlock()
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -354,13 +354,13 @@
 	}
 	warming := k.warming()
 	var out []ownership.Owner
-	for _, one := range v.Service(k.service) {
-		o := ownership.Owner{ID: one.ID, Incarnation: one.Incarnation(), Capacity: k.capacity(one)}
-		k.recordStart(one)
-		control := k.controlHealth(one.ID)
-		o.MayKeep = !one.Leaving && !k.view.evacuated(one.Domain) && !k.hasTerminated(one) && !k.isResting(one.ID) && control.MayKeep(k.now(), k.grantDuration())
+	for _, inst := range v.Service(k.service) {
+		o := ownership.Owner{ID: inst.ID, Incarnation: inst.Incarnation(), Capacity: k.capacity(inst)}
+		k.recordStart(inst)
+		control := k.controlHealth(inst.ID)
+		o.MayKeep = !inst.Leaving && !k.view.evacuated(inst.Domain) && !k.hasTerminated(inst) && !k.isResting(inst.ID) && control.MayKeep(k.now(), k.grantDuration())
 		o.Usable = o.MayKeep && !control.Failing()
-		o.Warming = warming[one.ID]
+		o.Warming = warming[inst.ID]
 		out = append(out, o)
 	}
 	k.forgetRemovedUpstreams(v)
@@ -370,13 +370,13 @@
 // capacity returns how many requests per second the upstream can run, from its observed work
 // times and from the limit that it may announce. Without that limit, keys would stay on an
 // upstream that refuses most of their requests.
-func (k *keyAssigner) capacity(one *instances.Instance) float64 {
-	work := k.workTimes.mean(k.service, one.ID)
+func (k *keyAssigner) capacity(inst *instances.Instance) float64 {
+	work := k.workTimes.mean(k.service, inst.ID)
 	if work <= 0 {
 		work = time.Second / defaultSlotRate
 	}
-	capacity := float64(one.Slots) / work.Seconds()
-	if limit, ok := k.limits.limitOf(one); ok {
+	capacity := float64(inst.Slots) / work.Seconds()
+	if limit, ok := k.limits.limitOf(inst); ok {
 		return min(capacity, quota.TargetUtilization*limit)
 	}
 	return capacity
@@ -385,8 +385,8 @@
 // warming returns the IDs of the upstreams that warm up and whose requests are limited.
 func (k *keyAssigner) warming() map[string]bool {
 	out := make(map[string]bool)
-	for _, one := range k.traffic.get(k.service).warming(k.now()) {
-		out[one.ID] = true
+	for _, inst := range k.traffic.get(k.service).warming(k.now()) {
+		out[inst.ID] = true
 	}
 	return out
 }
--- a/gateway/limitnews.go
+++ b/gateway/limitnews.go
@@ -77,8 +77,8 @@
 	}
 	out := make(map[string]dispatch.Limit)
 	for _, l := range n.list() {
-		one := v.Get(l.Upstream)
-		if one == nil || l.Ended || l.Incarnation.DiffersFrom(one.Incarnation()) {
+		inst := v.Get(l.Upstream)
+		if inst == nil || l.Ended || l.Incarnation.DiffersFrom(inst.Incarnation()) {
 			continue
 		}
 		demand, known := elsewhere(l.Upstream)
@@ -118,9 +118,9 @@
 	if except != c.self.Node {
 		demand += own[upstream]
 	}
-	for node, one := range c.children {
-		if node != except && c.now().Sub(one.lastReport) < reportExpiry {
-			demand += one.limitedDemand[upstream]
+	for node, reporter := range c.children {
+		if node != except && c.now().Sub(reporter.lastReport) < reportExpiry {
+			demand += reporter.limitedDemand[upstream]
 		}
 	}
 	if c.leading {
@@ -141,9 +141,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	demand := own[upstream]
-	for _, one := range c.children {
-		if c.now().Sub(one.lastReport) < reportExpiry {
-			demand += one.limitedDemand[upstream]
+	for _, reporter := range c.children {
+		if c.now().Sub(reporter.lastReport) < reportExpiry {
+			demand += reporter.limitedDemand[upstream]
 		}
 	}
 	return demand
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -48,13 +48,13 @@
 }
 
 // limitOf returns the limit of an upstream in requests a second. ok is false if it has none.
-func (n *namedLimits) limitOf(one *instances.Instance) (perSecond float64, ok bool) {
+func (n *namedLimits) limitOf(inst *instances.Instance) (perSecond float64, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.book.Empty() {
 		return 0, false
 	}
-	return n.book.Get(one.ID, one.Incarnation())
+	return n.book.Get(inst.ID, inst.Incarnation())
 }
 
 // recordAnswer records the limit stated in an upstream's response to a try. An invalid value is
@@ -141,8 +141,8 @@
 	}
 	named := make(map[string]int)
 	for _, l := range n.list() {
-		if one := v.Get(l.Upstream); one != nil && !l.Ended {
-			named[one.Service]++
+		if inst := v.Get(l.Upstream); inst != nil && !l.Ended {
+			named[inst.Service]++
 		}
 	}
 	for _, service := range v.Services() {
--- a/gateway/ownerstate.go
+++ b/gateway/ownerstate.go
@@ -102,22 +102,22 @@
 	}
 	byID := make(map[string]*placementpb.OwnerState, len(owners))
 	for _, o := range owners {
-		one := &placementpb.OwnerState{Upstream: o.ID, Capacity: float32(o.Capacity), Usable: o.Usable, Keeps: o.MayKeep, Warming: o.Warming}
+		owner := &placementpb.OwnerState{Upstream: o.ID, Capacity: float32(o.Capacity), Usable: o.Usable, Keeps: o.MayKeep, Warming: o.Warming}
 		if f, ok := k.failing[o.ID]; ok {
-			one.FailingMs, one.Reached = uint64(k.now().Sub(f.since).Milliseconds()), f.probeAnswered
+			owner.FailingMs, owner.Reached = uint64(k.now().Sub(f.since).Milliseconds()), f.probeAnswered
 		}
-		byID[o.ID] = one
-		out.Owners = append(out.Owners, one)
+		byID[o.ID] = owner
+		out.Owners = append(out.Owners, owner)
 	}
 	for _, s := range k.table.Spans {
-		if one := byID[s.Owner]; one != nil {
-			one.Keys += uint32(s.Count())
-			one.Spans++
+		if owner := byID[s.Owner]; owner != nil {
+			owner.Keys += uint32(s.Count())
+			owner.Spans++
 		}
 	}
 	for key, rate := range load {
-		if one := byID[k.table.Find(key).Owner]; one != nil {
-			one.Load += float32(rate)
+		if owner := byID[k.table.Find(key).Owner]; owner != nil {
+			owner.Load += float32(rate)
 		}
 	}
 	return out
--- a/gateway/rights.go
+++ b/gateway/rights.go
@@ -71,9 +71,9 @@
 // encodeRights returns the messages for those rights that belong to the given gateways.
 func encodeRights(list []warmup.Right, nodes map[string]bool) []*syncpb.Right {
 	var out []*syncpb.Right
-	for _, one := range list {
-		if nodes[one.Gateway] {
-			out = append(out, &syncpb.Right{Upstream: one.Upstream, Incarnation: uint32(one.Incarnation), Node: one.Gateway})
+	for _, right := range list {
+		if nodes[right.Gateway] {
+			out = append(out, &syncpb.Right{Upstream: right.Upstream, Incarnation: uint32(right.Incarnation), Node: right.Gateway})
 		}
 	}
 	return out
@@ -97,10 +97,10 @@
 		return nil
 	}
 	out := make(map[string]time.Time)
-	for _, one := range list {
-		u := v.Get(one.Upstream)
-		if one.Gateway == node && u != nil && !u.Incarnation().DiffersFrom(one.Incarnation) {
-			out[one.Upstream] = assigned.Add(warmup.RightDuration)
+	for _, right := range list {
+		u := v.Get(right.Upstream)
+		if right.Gateway == node && u != nil && !u.Incarnation().DiffersFrom(right.Incarnation) {
+			out[right.Upstream] = assigned.Add(warmup.RightDuration)
 		}
 	}
 	return out
--- a/gateway/worktimes.go
+++ b/gateway/worktimes.go
@@ -106,10 +106,10 @@
 	defer w.mu.Unlock()
 	w.books, w.lastAnswer = make(map[string]*worktime.Estimator), make(map[string]time.Time)
 	w.published = former
-	for id, one := range former {
-		slowness := max(one.Slowness, minSlowness)
+	for id, estimate := range former {
+		slowness := max(estimate.Slowness, minSlowness)
 		w.addLocked(id, worktime.Sum{
-			Total: time.Duration(inheritedRuns * float64(one.Work) / slowness), Runs: inheritedRuns, Slowness: inheritedRuns * one.Slowness,
+			Total: time.Duration(inheritedRuns * float64(estimate.Work) / slowness), Runs: inheritedRuns, Slowness: inheritedRuns * estimate.Slowness,
 		})
 	}
 }
@@ -140,8 +140,8 @@
 	if known == nil {
 		return
 	}
-	if one := known.Get(id); one != nil {
-		w.book(one.Service).Add(id, runs)
+	if inst := known.Get(id); inst != nil {
+		w.book(inst.Service).Add(id, runs)
 	}
 }
 
@@ -192,9 +192,9 @@
 	for _, service := range known.Services() {
 		b := w.book(service)
 		b.Retain(func(id string) bool { return known.Get(id) != nil })
-		for _, one := range known.Service(service) {
-			if estimate := b.Estimate(one.ID); estimate.Work > 0 {
-				out[one.ID] = estimate
+		for _, inst := range known.Service(service) {
+			if estimate := b.Estimate(inst.ID); estimate.Work > 0 {
+				out[inst.ID] = estimate
 			}
 		}
 	}
