--- a/gateway/notices_test.go
+++ b/gateway/notices_test.go
@@ -209,8 +209,8 @@
 	t.Parallel()
 	const settled = time.Second
 	for _, c := range []struct {
-		name string
-		say  func(*upstream)
+		name     string
+		announce func(*upstream)
 	}{
 		{"leaves", func(u *upstream) { u.AnnounceLeaving() }},
 		{"rests", func(u *upstream) { u.Overload("3") }},
@@ -222,10 +222,10 @@
 			asked, running := b.startClients(8, stop)
 			time.Sleep(time.Second)
 			announced := time.Now()
-			c.say(b.upstreams["i-s0"])
+			c.announce(b.upstreams["i-s0"])
 			time.Sleep(2 * settled)
 			if n := b.spansOwnedBy("i-s0"); n > 0 {
-				t.Errorf("the owner still has %d keys after %s", n, 2*settled)
+				t.Errorf("the owner still has %d spans after %s", n, 2*settled)
 			}
 			close(stop)
 			running.Wait()
