--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -41,7 +41,7 @@
 	c.setLeading(true)
 	v, log := newView(), slog.New(slog.DiscardHandler)
 	p := &peerServer{
-		view: v, cluster: c, steward: &assignmentSupervisor{workTimes: newWorkTimes(v, time.Now), rights: &warmUpRights{view: v, now: time.Now}}, parts: &partCache{}, log: log,
+		view: v, cluster: c, assignments: &assignmentSupervisor{workTimes: newWorkTimes(v, time.Now), rights: &warmUpRights{view: v, now: time.Now}}, parts: &partCache{}, log: log,
 		follower: &follower{now: time.Now}, watcher: &watcher{ages: newWatchAges(time.Now, log)}, validator: newPeerValidator(v, time.Now, log, newMeters()), evac: &evacuations{view: v},
 		limits: newNamedLimits(v, time.Now, log, newMeters()), suspects: noSuspects(),
 	}
@@ -93,8 +93,8 @@
 	owners := platform.NewOwners(pool.New(upstreamLimits, time.Now))
 	b.ReportAllocs()
 	for b.Loop() {
-		verdict, _, err := owners.Release(context.Background(), "i-1", address, spans.KeyRange{Last: 9}, 1)
-		if err != nil || verdict != platform.Granted {
+		result, _, err := owners.Release(context.Background(), "i-1", address, spans.KeyRange{Last: 9}, 1)
+		if err != nil || result != platform.Granted {
 			b.Fatal(err)
 		}
 	}
--- a/gateway/cluster.go
+++ b/gateway/cluster.go
@@ -36,7 +36,7 @@
 	// members are all gateways except this one, by node.
 	members map[string]*syncpb.Member
 	version uint64
-	// membersChanged says that the leader's list has changed since the current version, which was
+	// membersChanged is set if the leader's list has changed since the current version, which was
 	// made at membersListed.
 	membersChanged bool
 	membersListed  time.Time
@@ -58,9 +58,9 @@
 	// by upstream.
 	runs          map[string]worktime.Sum
 	parentDemands []*syncpb.Demand
-	// parentWanted is the rate of requests, per second, that the other gateways receive for
-	// upstreams that set a named limit, by upstream, as received from the parent.
-	parentWanted map[string]float64
+	// parentLimitedDemand is the rate of requests, per second, that the other gateways receive for
+	// upstreams that announce a limit, by upstream, as received from the parent.
+	parentLimitedDemand map[string]float64
 	// expected is the number of gateways under the previous leader, some of which may not have
 	// reported yet. It applies until expectedUntil.
 	expected      int
@@ -81,10 +81,10 @@
 	fleetSent, workTimesSent time.Time
 	loads                    []*syncpb.Load
 	demands                  []*syncpb.Demand
-	// wanted is the rate of requests, per second, that it receives for each upstream that sets a
-	// named limit.
-	wanted    map[string]float64
-	followers []*syncpb.Member
+	// limitedDemand is the rate of requests, per second, that it receives for each upstream that
+	// announces a limit.
+	limitedDemand map[string]float64
+	followers     []*syncpb.Member
 }
 
 func newCluster(self *syncpb.Member, client *http.Client, now func() time.Time, rng *rand.Rand) *cluster {
@@ -121,15 +121,15 @@
 }
 
 // handleReport stores the report of another gateway. The report is ignored unless leaderHeard is
-// set, that is, unless this gateway leads or hears from the leader: otherwise no gateway may
-// report through it.
+// set, that is, unless this gateway leads or is in contact with the leader: otherwise no gateway
+// may report through it.
 func (c *cluster) handleReport(r *syncpb.SyncRequest, leaderHeard bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !leaderHeard || r.Member.Node == c.self.Node {
 		return
 	}
-	next := &child{Member: r.Member, lastReport: c.now(), loads: r.Loads, demands: r.Demands, followers: r.Followers, wanted: decodeWanted(r.Limits)}
+	next := &child{Member: r.Member, lastReport: c.now(), loads: r.Loads, demands: r.Demands, followers: r.Followers, limitedDemand: decodeLimitedDemand(r.Limits)}
 	previous := c.children[r.Member.Node]
 	if previous != nil {
 		next.fleetSent, next.workTimesSent = previous.fleetSent, previous.workTimesSent
@@ -159,7 +159,7 @@
 }
 
 // parent returns the address of the gateway to report to, or "" if none is known. A former leader
-// that has restarted may still take itself for the leader. It must not report to itself, because
+// that has restarted may still consider itself the leader. It must not report to itself, because
 // its own report would be added to its next one again and again.
 func (c *cluster) parent() string {
 	c.mu.Lock()
--- a/gateway/evacuations_test.go
+++ b/gateway/evacuations_test.go
@@ -18,8 +18,9 @@
 
 // This file tests evacuations of failure domains.
 
-// twoDomainBed returns a test cluster with upstreams in the failure domains a and b and three gateways.
-func twoDomainBed(t *testing.T) *testCluster {
+// twoDomainCluster returns a test cluster with upstreams in the failure domains a and b and three
+// gateways.
+func twoDomainCluster(t *testing.T) *testCluster {
 	t.Helper()
 	b := newTestCluster(t)
 	for _, domain := range []string{"a", "b"} {
@@ -105,7 +106,7 @@
 // of the entry does not matter.
 func TestEvacuatedDomainReceivesNoRequests(t *testing.T) {
 	t.Parallel()
-	b := twoDomainBed(t)
+	b := twoDomainCluster(t)
 	if b.keysIn(b.gateways[1], "a") == 0 {
 		t.Fatal("no keys are owned in the domain")
 	}
@@ -130,7 +131,7 @@
 // store is unavailable, know of the evacuation, and that the next leader moves the keys.
 func TestEvacuationSurvivesLeaderLoss(t *testing.T) {
 	t.Parallel()
-	b := twoDomainBed(t)
+	b := twoDomainCluster(t)
 	b.evacuate("a")
 	b.eventually("evacuation known to all gateways", func() bool { return b.allKnowEvacuated("a", true) })
 	b.leader().kill()
@@ -141,7 +142,7 @@
 	})
 	b.store.SetAllModes(metastore.Unresponsive)
 	started := b.gateway("g9")
-	started.storeDoor.SetMode(metastore.Unresponsive)
+	started.storeEndpoint.SetMode(metastore.Unresponsive)
 	b.eventually("new gateway ready", func() bool { return started.Gateway.ready() })
 	if !started.view.evacuated("a") {
 		t.Error("the new gateway is ready but does not know of the evacuation")
@@ -162,7 +163,7 @@
 // refused at once as not executed.
 func TestAllDomainsEvacuated(t *testing.T) {
 	t.Parallel()
-	b := twoDomainBed(t)
+	b := twoDomainCluster(t)
 	b.evacuate("a")
 	b.evacuate("b")
 	b.evacuate("of another deployment")
@@ -217,7 +218,7 @@
 	m := newMeters()
 	e := newEvacuations(newView(), time.Now, slog.New(slog.DiscardHandler), m)
 	e.applyFromPeer([]*syncpb.Evacuation{{Domain: "a", Revision: 5, Ended: true}, {Domain: "b", Revision: 9}, {Revision: 3}, {Domain: "c"}})
-	if n := m.counter(evacuationsUnsound).Count(); n != 2 {
+	if n := m.counter(evacuationsInvalid).Count(); n != 2 {
 		t.Errorf("%d invalid evacuations dropped", n)
 	}
 	e.applyFromPeer([]*syncpb.Evacuation{{Domain: "a", Revision: 5}, {Domain: "b", Revision: 8, Ended: true}})
--- a/gateway/fetch_test.go
+++ b/gateway/fetch_test.go
@@ -85,12 +85,12 @@
 	}
 }
 
-// TestReportsContinueWhileDecoding checks that a part sent within an answer is applied outside
-// the report loop and is named as being fetched meanwhile.
+// TestReportsContinueWhileDecoding checks that a part sent within a response is applied outside the
+// report loop and is named as being fetched meanwhile.
 //
-// It guards against gateways that wrongly consider the leader lost. When the report loop applied
-// a changed configuration itself, decoding it took 1.4 to 2.0 s on a busy machine. Six gateways
-// sent no report meanwhile, took the leader for lost 0.7 s after its last answer and listed the
+// It guards against gateways that wrongly consider the leader lost. When the report loop applied a
+// changed configuration itself, decoding it took 1.4 to 2.0 s on a busy machine. Six gateways sent
+// no report meanwhile, considered the leader lost 0.7 s after its last response and listed the
 // store, although no report had failed.
 func TestReportsContinueWhileDecoding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -239,13 +239,13 @@
 func TestOlderUpstreamsAreNotSent(t *testing.T) {
 	p := &peerServer{view: viewWithUpstreams(90), parts: &partCache{}, log: slog.New(slog.DiscardHandler), limits: noLimits(), suspects: noSuspects()}
 	for _, c := range []struct {
-		revision uint64
-		told     bool
+		revision  uint64
+		wantParts bool
 	}{{89, true}, {90, true}, {91, false}} {
 		r := &syncpb.SyncRequest{InstancesRevision: c.revision, InstancesVersion: 7}
 		resp := &syncpb.SyncResponse{}
 		p.addUpdates(r, resp)
-		if sent := len(resp.Parts) > 0; sent != c.told || p.hasUpdates(r) != c.told {
+		if sent := len(resp.Parts) > 0; sent != c.wantParts || p.hasUpdates(r) != c.wantParts {
 			t.Errorf("sent %v, has updates %v, for a gateway with revision %d", sent, p.hasUpdates(r), c.revision)
 		}
 	}
--- a/gateway/follow_test.go
+++ b/gateway/follow_test.go
@@ -14,29 +14,29 @@
 	"github.com/rockcroft/rockcroft/state/routing"
 )
 
-// TestStartWithoutNewsReadsTheStore: a gateway that has just started and finds no peer with recent
+// TestStartWithoutPeerStateReadsStore: a gateway that has just started and finds no peer with recent
 // state reads its view and the lease from the store at once. Answers of peers that have just
 // started themselves carry no state and must not delay it. When they did, each gateway waited 0.7 s
 // after all had been killed.
-func TestStartWithoutNewsReadsTheStore(t *testing.T) {
+func TestStartWithoutPeerStateReadsStore(t *testing.T) {
 	now := time.Now()
 	f := &follower{view: newView(), now: func() time.Time { return now }, startedAt: now}
 	if f.needsStore(time.Time{}) || f.startedAlone() {
 		t.Error("reads the store before other gateways were asked")
 	}
-	f.recordNews(&syncpb.SyncResponse{NewsMs: milliseconds(f.maxViewAge(time.Time{}))})
+	f.recordUpdate(&syncpb.SyncResponse{NewsMs: milliseconds(f.maxViewAge(time.Time{}))})
 	now = now.Add(startupPeerWait + time.Millisecond)
 	if !f.needsStore(time.Time{}) || !f.startedAlone() {
 		t.Error("an answer without recent state delays reading the store")
 	}
-	f.recordNews(&syncpb.SyncResponse{NewsMs: 50})
+	f.recordUpdate(&syncpb.SyncResponse{NewsMs: 50})
 	if f.needsStore(time.Time{}) || f.startedAlone() {
 		t.Error("reads the store although another gateway has recent state")
 	}
 }
 
 // TestStoreWatchWaitsForPeersAhead: without new state a gateway waits longer the more peers rank
-// before it. Once it watches the store, it continues until it hears from a leader.
+// before it. Once it watches the store, it continues until it is in contact with a leader.
 func TestStoreWatchWaitsForPeersAhead(t *testing.T) {
 	now := time.Now()
 	f := &follower{view: newView(), now: func() time.Time { return now }, startedAt: now, leaderHeardAt: now, domainPeersAhead: 2}
@@ -51,7 +51,7 @@
 	}
 	watched := now
 	now = now.Add(time.Second)
-	f.recordNews(&syncpb.SyncResponse{})
+	f.recordUpdate(&syncpb.SyncResponse{})
 	if !f.needsStore(watched) {
 		t.Error("the watch ends before a leader was heard")
 	}
@@ -124,7 +124,7 @@
 	defer func() { _ = dark.Close() }()
 	f := &follower{
 		view: newView(), cluster: c, now: now, log: slog.New(slog.DiscardHandler), meters: newMeters(), startedAt: now(),
-		sieve: newPeerValidator(newView(), now, slog.New(slog.DiscardHandler), newMeters()), evac: &evacuations{view: newView()},
+		validator: newPeerValidator(newView(), now, slog.New(slog.DiscardHandler), newMeters()), evac: &evacuations{view: newView()},
 		seeds: []string{dark.Addr().String()}, fetcher: newFetcher(c.client, nil, now, slog.New(slog.DiscardHandler), newMeters()),
 	}
 	go func() {
--- a/gateway/grants.go
+++ b/gateway/grants.go
@@ -50,14 +50,14 @@
 		return
 	}
 	cold := token == "" && s.Fence > 0
-	verdict, err := k.grantWithRetries(ctx, s, next, token)
+	result, err := k.grantWithRetries(ctx, s, next, token)
 	switch {
-	case err == nil && verdict == platform.Granted:
+	case err == nil && result == platform.Granted:
 		k.clearFailure(s.Next)
 		k.finishMove(s, s.Next, next.Incarnation(), cold)
 		k.log.Info("keys granted", "first", s.First, "last", s.Last, "upstream", s.Next, "fence", s.NextFence,
 			"from", s.Owner, "warm", token != "", "release_ms", taken.Sub(began).Milliseconds(), "took_ms", k.now().Sub(began).Milliseconds())
-	case err == nil && verdict == platform.Fenced:
+	case err == nil && result == platform.Fenced:
 		k.log.Warn("grant refused: the upstream has seen a higher fence", "first", s.First, "upstream", s.Next, "fence", s.NextFence)
 		k.raiseFence(fenceIncrement)
 		k.finishMove(s, "", 0, false)
@@ -96,15 +96,15 @@
 		owner := k.instance(s.Owner)
 		if limit := k.releaseCallTimeout(s); owner != nil && limit > 0 {
 			call, cancel := context.WithTimeout(ctx, limit)
-			verdict, token, err := k.owners.Release(call, owner.ID, owner.Address, s.KeyRange, s.NextFence)
+			result, token, err := k.owners.Release(call, owner.ID, owner.Address, s.KeyRange, s.NextFence)
 			cancel()
-			if err == nil && verdict == platform.Granted {
+			if err == nil && result == platform.Granted {
 				return token, true
 			}
 			if err != nil {
 				k.recordFailure(s.Owner)
 			}
-			if err == nil && verdict == platform.WrongUpstream {
+			if err == nil && result == platform.WrongUpstream {
 				k.markTerminated(owner)
 				return "", true
 			}
@@ -151,13 +151,13 @@
 // grantWithRetries grants the keys of a move to their next owner and repeats the call until it is
 // answered. Repeating is safe: a later call renews what an earlier one granted. It gives up once
 // calls to the upstream have failed for ownership.SilentOwnerTimeout, after which an owner would
-// be given up too.
+// lose its keys too.
 func (k *keyAssigner) grantWithRetries(ctx context.Context, s spans.Span, next *instances.Instance, token string) (platform.GrantResult, error) {
 	arrived := false
 	for {
-		verdict, err := k.grant(ctx, s.KeyRange, next, s.NextFence, token)
+		result, err := k.grant(ctx, s.KeyRange, next, s.NextFence, token)
 		if err == nil {
-			return verdict, nil
+			return result, nil
 		}
 		if errors.Is(err, errLeadershipExpired) {
 			return 0, err
@@ -180,7 +180,7 @@
 // grant makes one grant call and records until when the upstream may hold the keys. The right to
 // lead is checked last, right before the call is sent.
 func (k *keyAssigner) grant(ctx context.Context, keys spans.KeyRange, to *instances.Instance, fence uint64, token string) (platform.GrantResult, error) {
-	releaseSlot, ok := k.turns.acquire(ctx)
+	releaseSlot, ok := k.grantSlots.acquire(ctx)
 	if !ok {
 		return 0, errNoCallSlot
 	}
@@ -190,8 +190,8 @@
 	defer cancel()
 	// checkMayAct is checked again once the connection is open, as opening it may have outlasted
 	// the right to lead.
-	verdict, err := k.owners.Grant(call, to.ID, to.Address, keys, fence, hold, token, k.elector.checkMayAct)
-	if err == nil && verdict == platform.Granted || err != nil && !errors.Is(err, pool.ErrNotSent) {
+	result, err := k.owners.Grant(call, to.ID, to.Address, keys, fence, hold, token, k.elector.checkMayAct)
+	if err == nil && result == platform.Granted || err != nil && !errors.Is(err, pool.ErrNotSent) {
 		until := k.now().Add(holdWithMargin(hold))
 		k.mu.Lock()
 		id := grantID{first: keys.First, fence: fence}
@@ -201,7 +201,7 @@
 		}
 		k.mu.Unlock()
 	}
-	return verdict, err
+	return result, err
 }
 
 var (
@@ -228,7 +228,7 @@
 }
 
 // finishMove ends a move. The keys then belong to owner, in the incarnation they were granted to,
-// or to nobody if owner is "". cold says that they came to the owner without a handover.
+// or to no upstream if owner is "". cold is set if they came to the owner without a handover.
 func (k *keyAssigner) finishMove(s spans.Span, owner string, granted instances.Incarnation, cold bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -305,11 +305,11 @@
 	}
 }
 
-// renewGrants renews the grants of one owner. It stops at the first call that fails, because a
-// call without an answer may have arrived and extended the hold on its keys. An owner whose calls
-// fail is probed with calls that change nothing until one of them is answered. If it answers
-// requests meanwhile, it is not lost, and its grants are renewed concurrently: each call without
-// an answer takes 250 ms of the 4 s for which the grants hold.
+// renewGrants renews the grants of one owner. It stops at the first call that fails, because a call
+// without a response may have arrived and extended the hold on its keys. An owner whose calls fail
+// is probed with calls that change nothing until one of them is answered. If it answers requests
+// meanwhile, it is not lost, and its grants are renewed concurrently: each call without a response
+// takes 250 ms of the 4 s for which the grants hold.
 func (k *keyAssigner) renewGrants(ctx context.Context, id string, list []spans.Span) {
 	owner := k.instance(id)
 	if owner == nil {
@@ -338,17 +338,17 @@
 		// The owner has other keys by now, or has restarted and holds none.
 		return true
 	}
-	verdict, err := k.grant(ctx, s.KeyRange, owner, s.Fence, "")
+	result, err := k.grant(ctx, s.KeyRange, owner, s.Fence, "")
 	switch {
 	case errors.Is(err, errLeadershipExpired) || ctx.Err() != nil:
 		return false
 	case err != nil:
 		k.recordFailure(owner.ID)
 		return false
-	case verdict == platform.WrongUpstream:
+	case result == platform.WrongUpstream:
 		k.markTerminated(owner)
 		return false
-	case verdict == platform.Fenced:
+	case result == platform.Fenced:
 		k.log.Warn("renewal refused: the upstream has seen a higher fence", "first", s.First, "upstream", owner.ID, "fence", s.Fence)
 		k.markUnowned(s)
 	default:
@@ -357,8 +357,8 @@
 	return true
 }
 
-// startProbes probes upstreams whose calls fail, by a call that changes nothing. A grant without
-// an answer would have to count as held and would keep the keys of a lost owner from others for
+// startProbes probes upstreams whose calls fail, by a call that changes nothing. A grant without a
+// response would have to count as held and would keep the keys of a lost owner from others for
 // longer.
 func (k *keyAssigner) startProbes(ctx context.Context) {
 	k.mu.Lock()
@@ -367,8 +367,8 @@
 		return
 	}
 	for id, f := range k.failing {
-		one := k.instance(id)
-		if one == nil {
+		inst := k.instance(id)
+		if inst == nil {
 			delete(k.failing, id)
 			continue
 		}
@@ -379,13 +379,13 @@
 			k.clearFailureLocked(id)
 			continue
 		}
-		if k.callsInFlight[id] || one.Leaving || f.probeAnswered || k.now().Sub(f.lastFailed) < probeInterval {
+		if k.callsInFlight[id] || inst.Leaving || f.probeAnswered || k.now().Sub(f.lastFailed) < probeInterval {
 			continue
 		}
 		k.callsInFlight[id] = true
 		keys := k.unrelatedKey(id)
 		k.tasks.Go(func() {
-			k.probe(ctx, one, keys)
+			k.probe(ctx, inst, keys)
 			k.mu.Lock()
 			delete(k.callsInFlight, id)
 			k.mu.Unlock()
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// holdDuration is how long a grant lasts while the store is reachable: when an upstream
-	// is lost without notice, its keys become free after this time. It must outlast the loss
-	// of a leader: a renewal interval, the term of the lease and the time for a successor to
-	// take over. A shorter hold costs more renewals and moves keys away sooner from owners
-	// that come back, whose keys then run cold for longer.
+	// holdDuration is how long a grant lasts while the store is reachable: when an upstream fails
+	// without warning, its keys become free after this time. It must outlast the loss of a leader:
+	// a renewal interval, the term of the lease and the time for a successor to take over. A
+	// shorter hold costs more renewals and moves keys away sooner from owners that come back, whose
+	// keys then run cold for longer.
 	holdDuration = 4 * time.Second
 	// renewInterval is the time between renewals of a grant.
 	renewInterval = 1000 * time.Millisecond
@@ -32,9 +32,9 @@
 	// rebalanceInterval is the time between plans that rebalance load when nothing is urgent.
 	// Each plan with moves costs a store write and an update to all gateways.
 	rebalanceInterval = time.Second
-	// saveInterval is how long completed moves are collected for one write. If the leader is
-	// lost before the write, its successor uses the newest assignment that was published to it,
-	// and repeats every move whose completion it did not hear of.
+	// saveInterval is how long completed moves are collected for one write. If the leader is lost
+	// before the write, its successor uses the newest assignment that was published to it, and
+	// repeats every move whose completion it did not learn of.
 	saveInterval = time.Second
 	// assignerTick is the time between checks for due work.
 	assignerTick = 25 * time.Millisecond
@@ -232,12 +232,12 @@
 // it is newer than the stored one, as completed moves are stored with a delay. Every fence
 // in a published table is already reserved in the store.
 func (k *keyAssigner) newestTable(stored *spans.Table) *spans.Table {
-	told := k.view.spansOf(k.service)
-	if told == nil || told.Version <= stored.Version || told.Version>>termShift != stored.Version>>termShift {
+	published := k.view.spansOf(k.service)
+	if published == nil || published.Version <= stored.Version || published.Version>>termShift != stored.Version>>termShift {
 		return stored
 	}
-	next := told.Clone()
-	next.LastFence = max(told.LastFence, stored.LastFence)
+	next := published.Clone()
+	next.LastFence = max(published.LastFence, stored.LastFence)
 	return next
 }
 
@@ -354,13 +354,13 @@
 	}
 	warming := k.warming()
 	var out []ownership.Owner
-	for _, one := range v.Service(k.service) {
-		o := ownership.Owner{ID: one.ID, Incarnation: one.Incarnation(), Capacity: k.capacity(one)}
-		k.recordStart(one)
-		control := k.controlHealth(one.ID)
-		o.MayKeep = !one.Leaving && !k.view.evacuated(one.Domain) && !k.hasTerminated(one) && !k.isResting(one.ID) && control.MayKeep(k.now(), k.grantDuration())
+	for _, inst := range v.Service(k.service) {
+		o := ownership.Owner{ID: inst.ID, Incarnation: inst.Incarnation(), Capacity: k.capacity(inst)}
+		k.recordStart(inst)
+		control := k.controlHealth(inst.ID)
+		o.MayKeep = !inst.Leaving && !k.view.evacuated(inst.Domain) && !k.hasTerminated(inst) && !k.isResting(inst.ID) && control.MayKeep(k.now(), k.grantDuration())
 		o.Usable = o.MayKeep && !control.Failing()
-		o.Warming = warming[one.ID]
+		o.Warming = warming[inst.ID]
 		out = append(out, o)
 	}
 	k.forgetRemovedUpstreams(v)
@@ -370,13 +370,13 @@
 // capacity returns how many requests per second the upstream can run, from its observed work
 // times and from the limit that it may announce. Without that limit, keys would stay on an
 // upstream that refuses most of their requests.
-func (k *keyAssigner) capacity(one *instances.Instance) float64 {
-	work := k.workTimes.mean(k.service, one.ID)
+func (k *keyAssigner) capacity(inst *instances.Instance) float64 {
+	work := k.workTimes.mean(k.service, inst.ID)
 	if work <= 0 {
 		work = time.Second / defaultSlotRate
 	}
-	capacity := float64(one.Slots) / work.Seconds()
-	if limit, ok := k.limits.limitOf(one); ok {
+	capacity := float64(inst.Slots) / work.Seconds()
+	if limit, ok := k.limits.limitOf(inst); ok {
 		return min(capacity, quota.TargetUtilization*limit)
 	}
 	return capacity
@@ -385,8 +385,8 @@
 // warming returns the IDs of the upstreams that warm up and whose requests are limited.
 func (k *keyAssigner) warming() map[string]bool {
 	out := make(map[string]bool)
-	for _, one := range k.traffic.get(k.service).warming(k.now()) {
-		out[one.ID] = true
+	for _, inst := range k.traffic.get(k.service).warming(k.now()) {
+		out[inst.ID] = true
 	}
 	return out
 }
--- a/gateway/latecalls_test.go
+++ b/gateway/latecalls_test.go
@@ -89,7 +89,7 @@
 	clients := b.startKeyClients(b.roundRobin)
 	defer clients.end()
 	const id = "i-s0"
-	k := b.leader().steward.assigner("status")
+	k := b.leader().assignments.assigner("status")
 	k.mu.Lock()
 	k.failing[id] = controlFailure{since: k.now().Add(-ownership.SilentOwnerTimeout), lastFailed: k.now(), probeAnswered: true}
 	// No renewal may clear the failure while the keys move.
@@ -131,7 +131,7 @@
 	}
 }
 
-// TestAnsweringOwnersKeepTheirKeys checks that owners that answer requests are not given up while
+// TestAnsweringOwnersKeepTheirKeys checks that owners that response requests are not given up while
 // half of the control calls get no answer, and that few requests are refused.
 func TestAnsweringOwnersKeepTheirKeys(t *testing.T) {
 	t.Parallel()
--- a/gateway/lead.go
+++ b/gateway/lead.go
@@ -208,7 +208,7 @@
 		return
 	}
 	self := l.cluster.self
-	mine := leadership.Lease{
+	newLease := leadership.Lease{
 		Node: self.Node, Address: self.Address, Domain: self.Domain, Incarnation: self.Incarnation,
 		Term: former.Term + 1, Voters: l.initialVoters(former), Gateways: max(former.Gateways, l.cluster.gatewayCount()),
 	}
@@ -216,37 +216,37 @@
 	var object platform.Object
 	var err error
 	if revision == 0 {
-		object, err = l.store.Create(ctx, leaseKind, leaseName, mine)
+		object, err = l.store.Create(ctx, leaseKind, leaseName, newLease)
 	} else {
-		object, err = l.store.Replace(ctx, leaseKind, leaseName, revision, mine)
+		object, err = l.store.Replace(ctx, leaseKind, leaseName, revision, newLease)
 	}
-	if err != nil && !l.isOwnWrite(object, mine) {
-		l.log.Info("lease could not be acquired", "term", mine.Term, "error", err)
+	if err != nil && !l.isOwnWrite(object, newLease) {
+		l.log.Info("lease could not be acquired", "term", newLease.Term, "error", err)
 		return
 	}
 	l.mu.Lock()
-	l.lease, l.revision = mine, object.Revision
+	l.lease, l.revision = newLease, object.Revision
 	l.right.Extend(sent)
 	l.promisedRight.Revoke()
-	l.voterLists = [][]string{mine.Voters}
+	l.voterLists = [][]string{newLease.Voters}
 	l.renewedAt = sent
 	l.formerHoldKnown = false
 	l.mu.Unlock()
-	l.log.Info("leading", "term", mine.Term, "former", former.Node, "released", former.Released)
+	l.log.Info("leading", "term", newLease.Term, "former", former.Node, "released", former.Released)
 	l.cluster.expectGateways(former.Gateways)
-	l.cluster.setLeader(leaderMessage(mine, object.Revision))
+	l.cluster.setLeader(leaderMessage(newLease, object.Revision))
 	l.cluster.setLeading(true)
-	l.assignments.start(mine.Term, func(ctx context.Context) { l.inquire(ctx, former, ends, l.maxHold) })
+	l.assignments.start(newLease.Term, func(ctx context.Context) { l.inquire(ctx, former, ends, l.maxHold) })
 }
 
 // isOwnWrite reports whether the object that a refused write returned is the one that was to
 // be written: that write succeeded and its response was lost.
-func (l *leaderElector) isOwnWrite(o platform.Object, mine leadership.Lease) bool {
-	var there leadership.Lease
-	if len(o.Spec) == 0 || platform.Decode(o, &there) != nil {
+func (l *leaderElector) isOwnWrite(o platform.Object, newLease leadership.Lease) bool {
+	var stored leadership.Lease
+	if len(o.Spec) == 0 || platform.Decode(o, &stored) != nil {
 		return false
 	}
-	return there.Same(mine)
+	return stored.Same(newLease)
 }
 
 // renewIfDue renews the lease when that is due, and stops leading when another holder has it.
@@ -308,24 +308,24 @@
 // handleConflict handles a lease that differs from the last one this leader knew. It adopts a
 // delayed renewal of its own; another holder ends its leadership.
 func (l *leaderElector) handleConflict(o platform.Object) {
-	var there leadership.Lease
-	if err := platform.Decode(o, &there); err != nil {
+	var stored leadership.Lease
+	if err := platform.Decode(o, &stored); err != nil {
 		l.log.Error("leader lease could not be decoded", "error", err)
 		return
 	}
 	l.mu.Lock()
-	if there.Incarnation == l.lease.Incarnation && there.Term == l.lease.Term {
-		l.lease, l.revision = there, o.Revision
-		l.voterLists = [][]string{there.Voters}
+	if stored.Incarnation == l.lease.Incarnation && stored.Term == l.lease.Term {
+		l.lease, l.revision = stored, o.Revision
+		l.voterLists = [][]string{stored.Voters}
 		l.mu.Unlock()
 		return
 	}
 	l.right.Revoke()
 	l.promisedRight.Revoke()
 	l.mu.Unlock()
-	l.log.Info("no longer leading", "leader", there.Node, "term", there.Term)
+	l.log.Info("no longer leading", "leader", stored.Node, "term", stored.Term)
 	l.stepDown()
-	l.cluster.setLeader(leaderMessage(there, o.Revision))
+	l.cluster.setLeader(leaderMessage(stored, o.Revision))
 }
 
 func (l *leaderElector) stepDown() {
--- a/gateway/limitnews_test.go
+++ b/gateway/limitnews_test.go
@@ -11,12 +11,12 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// named returns, from the metrics, how many upstreams of the service name a limit as far as the
-// gateway knows.
+// named returns, from the metrics, how many upstreams of the service have announced a limit, as far
+// as the gateway knows.
 func (g *testGateway) named(service string) string { return metricsOf(g)["limits."+service+".named"] }
 
 // TestLimitsReachAllGateways checks that all gateways learn of a limit, and of its end, when only
-// one of them has seen them in answers.
+// one of them has seen them in responses.
 func TestLimitsReachAllGateways(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -42,37 +42,37 @@
 	b.eventually("all know of both ends", all("0"))
 }
 
-// TestWantedRatesAreSummed checks that each gateway learns the demand at all others but not its
+// TestLimitedDemandIsSummed checks that each gateway learns the demand at all others but not its
 // own, and that the others' demand is unknown rather than zero before the parent has reported it.
-func TestWantedRatesAreSummed(t *testing.T) {
+func TestLimitedDemandIsSummed(t *testing.T) {
 	now := time.Now()
 	c := newCluster(&syncpb.Member{Node: "head", Address: "1"}, nil, func() time.Time { return now }, nil)
 	own := map[string]float64{"u": 1}
-	report := func(node string, wanted float32) {
+	report := func(node string, demand float32) {
 		c.handleReport(&syncpb.SyncRequest{
-			Member: &syncpb.Member{Node: node, Address: node}, Limits: []*syncpb.NamedLimit{{Upstream: "u", Wanted: wanted}},
+			Member: &syncpb.Member{Node: node, Address: node}, Limits: []*syncpb.NamedLimit{{Upstream: "u", Wanted: demand}},
 		}, true)
 	}
 	report("x", 20)
 	report("y", 300)
-	if _, known := c.wantedExcept("x", own, "u"); known {
+	if _, known := c.limitedDemandExcept("x", own, "u"); known {
 		t.Error("known although the parent has not reported the demand at its other gateways")
 	}
-	c.setParentWanted([]*syncpb.NamedLimit{{Upstream: "u", Wanted: 4000}})
+	c.setParentLimitedDemand([]*syncpb.NamedLimit{{Upstream: "u", Wanted: 4000}})
 	for node, want := range map[string]float64{"x": 4301, "y": 4021, "head": 4320} {
-		if got, known := c.wantedExcept(node, own, "u"); got != want || !known {
+		if got, known := c.limitedDemandExcept(node, own, "u"); got != want || !known {
 			t.Errorf("demand without %s is %g, known %v; want %g", node, got, known, want)
 		}
 	}
-	if got := c.subtreeWanted(own, "u"); got != 321 {
+	if got := c.subtreeLimitedDemand(own, "u"); got != 321 {
 		t.Errorf("demand at this gateway and those below it is %g", got)
 	}
 	now = now.Add(reportExpiry)
-	if got := c.subtreeWanted(own, "u"); got != 1 {
+	if got := c.subtreeLimitedDemand(own, "u"); got != 1 {
 		t.Errorf("demand is %g after the others' reports expired", got)
 	}
 	c.setLeading(true)
-	if got, known := c.wantedExcept("head", own, "u"); got != 0 || !known {
+	if got, known := c.limitedDemandExcept("head", own, "u"); got != 0 || !known {
 		t.Errorf("demand at the leader's other gateways is %g, known %v", got, known)
 	}
 }
@@ -82,7 +82,7 @@
 	m := newMeters()
 	s := newPeerValidator(newView(), time.Now, slog.New(slog.DiscardHandler), m)
 	nan := float32(math.NaN())
-	got := s.validLimits(invalidUpdate, []*syncpb.NamedLimit{
+	got := s.validLimits(sourceUpdate, []*syncpb.NamedLimit{
 		{PerSecond: 1}, {Upstream: "a", PerSecond: -1}, {Upstream: "b", PerSecond: nan},
 		{Upstream: "c", Wanted: nan}, {Upstream: "d", PerSecond: 2 * maxRate}, {Upstream: "e", PerSecond: 1},
 	})
@@ -102,13 +102,13 @@
 		t.Error("an empty book has newer limits")
 	}
 	n.record(limitFromAnswer, limits.Limit{Upstream: "u", PerSecond: 10, ReceivedAt: n.now()})
-	say := func(perSecond float32, age time.Duration) []*syncpb.NamedLimit {
+	limitMessages := func(perSecond float32, age time.Duration) []*syncpb.NamedLimit {
 		return []*syncpb.NamedLimit{{Upstream: "u", PerSecond: perSecond, AgeMs: milliseconds(age)}}
 	}
-	if !n.hasNewerThan(nil) || !n.hasNewerThan(say(20, time.Second)) {
+	if !n.hasNewerThan(nil) || !n.hasNewerThan(limitMessages(20, time.Second)) {
 		t.Error("a newer limit is not found")
 	}
-	if n.hasNewerThan(say(10, time.Second)) || n.hasNewerThan(say(20, 0)) {
+	if n.hasNewerThan(limitMessages(10, time.Second)) || n.hasNewerThan(limitMessages(20, 0)) {
 		t.Error("a limit that the other gateway has counts as newer")
 	}
 }
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -211,14 +211,14 @@
 }
 
 // TestUnknownRouteWithStaleConfiguration checks how a gateway whose configuration may be outdated
-// answers for a route that it does not know: it says that nothing ran and that the client may
+// answers for a route that it does not know: it states that nothing ran and that the client may
 // retry, not that the route does not exist.
 //
-// It guards against a 404, which tells clients to give up, for routes that are in force at other
-// gateways. A gateway whose links are full receives neither the new version from other gateways
-// nor from the store, and it used to answer from the configuration it had, however old that was.
-// 239 requests were refused by gateways with the previous version while the new routes were in
-// force elsewhere.
+// It guards against a 404, after which clients give up, for routes that are in force at other
+// gateways. A gateway whose links are full receives neither the new version from other gateways nor
+// from the store, and it used to answer from the configuration it had, however old that was. 239
+// requests were refused by gateways with the previous version while the new routes were in force
+// elsewhere.
 func TestUnknownRouteWithStaleConfiguration(t *testing.T) {
 	t.Parallel()
 	b := slowLinkDeployment(t, 1, config(3))
@@ -228,7 +228,7 @@
 	}
 	leader.peersLink.SetRate(0)
 	disconnected.peersLink.SetRate(0)
-	disconnected.storeDoor.SetMode(metastore.Unresponsive)
+	disconnected.storeEndpoint.SetMode(metastore.Unresponsive)
 	next := config(4)
 	added := next.Routes["read"]
 	added.Path = "/added/"
@@ -249,7 +249,7 @@
 	if last.header.Get(header.Kind) != string(answer.NoRight) || last.header.Get(header.Ran) != string(answer.NotExecuted) || last.header.Get("Retry-After") == "" {
 		t.Errorf("refused with %q: %v", last.body, last.header)
 	}
-	disconnected.storeDoor.SetMode(metastore.Healthy)
+	disconnected.storeEndpoint.SetMode(metastore.Healthy)
 	leader.peersLink.SetRate(relay.Unlimited)
 	disconnected.peersLink.SetRate(relay.Unlimited)
 	b.eventually("the new route everywhere", func() bool { return b.allHaveConfiguration(next.Version) })
@@ -291,10 +291,10 @@
 	other = b.gateway("g1")
 	b.ready()
 	b.eventually("both gateways connected", func() bool { return b.leader() == leader && leader.cluster.gatewayCount() == 2 })
-	lists := other.storeDoor.ListCalls()
+	lists := other.storeEndpoint.ListCalls()
 	leader.peersLink.SetRate(0)
 	b.eventually("the other gateway has listed the upstreams", func() bool {
-		return other.storeDoor.ListCalls() > lists && !sameUpstreams(other, leader)
+		return other.storeEndpoint.ListCalls() > lists && !sameUpstreams(other, leader)
 	})
 	leader.peersLink.SetRate(relay.Unlimited)
 	b.eventually("the other gateway has the leader's view", func() bool {
--- a/gateway/ownerstate.go
+++ b/gateway/ownerstate.go
@@ -26,9 +26,9 @@
 // stuckLogInterval.
 func (k *keyAssigner) logStuck(owners []ownership.Owner, load map[uint16]float64) {
 	k.mu.Lock()
-	u, uneven := ownership.Busiest(k.table, owners, load)
+	u, imbalanced := ownership.Busiest(k.table, owners, load)
 	moving, failing := len(k.activeMoves), len(k.failing)
-	due := uneven && k.now().Sub(k.stuckLoggedAt) >= stuckLogInterval
+	due := imbalanced && k.now().Sub(k.stuckLoggedAt) >= stuckLogInterval
 	if due {
 		k.stuckLoggedAt = k.now()
 	}
@@ -62,9 +62,9 @@
 	k.meters.gauge(k.meters.service(ownersFailing, k.service), int64(len(k.failing)))
 }
 
-// allKeepers returns the keepers of all services that this process manages, sorted by service
+// allAssigners returns the key assigners of all services that this process manages, sorted by service
 // name.
-func (s *assignmentSupervisor) allKeepers() []*keyAssigner {
+func (s *assignmentSupervisor) allAssigners() []*keyAssigner {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := slices.Collect(maps.Values(s.assigners))
@@ -74,7 +74,7 @@
 
 // updateOwnerGauges sets the owner gauges of all services that this process manages.
 func (s *assignmentSupervisor) updateOwnerGauges() {
-	for _, k := range s.allKeepers() {
+	for _, k := range s.allAssigners() {
 		k.updateGauges()
 	}
 }
@@ -85,7 +85,7 @@
 		return forwardToLeader(ctx, err, r, other, placementpb.Placement.Owners)
 	}
 	out := &placementpb.OwnersState{}
-	for _, k := range p.assignments.allKeepers() {
+	for _, k := range p.assignments.allAssigners() {
 		out.Services = append(out.Services, k.state())
 	}
 	return out, nil
@@ -102,22 +102,22 @@
 	}
 	byID := make(map[string]*placementpb.OwnerState, len(owners))
 	for _, o := range owners {
-		one := &placementpb.OwnerState{Upstream: o.ID, Capacity: float32(o.Capacity), Usable: o.Usable, Keeps: o.MayKeep, Warming: o.Warming}
+		owner := &placementpb.OwnerState{Upstream: o.ID, Capacity: float32(o.Capacity), Usable: o.Usable, Keeps: o.MayKeep, Warming: o.Warming}
 		if f, ok := k.failing[o.ID]; ok {
-			one.FailingMs, one.Reached = uint64(k.now().Sub(f.since).Milliseconds()), f.probeAnswered
+			owner.FailingMs, owner.Reached = uint64(k.now().Sub(f.since).Milliseconds()), f.probeAnswered
 		}
-		byID[o.ID] = one
-		out.Owners = append(out.Owners, one)
+		byID[o.ID] = owner
+		out.Owners = append(out.Owners, owner)
 	}
 	for _, s := range k.table.Spans {
-		if one := byID[s.Owner]; one != nil {
-			one.Keys += uint32(s.Count())
-			one.Spans++
+		if owner := byID[s.Owner]; owner != nil {
+			owner.Keys += uint32(s.Count())
+			owner.Spans++
 		}
 	}
 	for key, rate := range load {
-		if one := byID[k.table.Find(key).Owner]; one != nil {
-			one.Load += float32(rate)
+		if owner := byID[k.table.Find(key).Owner]; owner != nil {
+			owner.Load += float32(rate)
 		}
 	}
 	return out
--- a/gateway/relayed_test.go
+++ b/gateway/relayed_test.go
@@ -28,7 +28,7 @@
 	t.Parallel()
 	b := slowLinkDeployment(t, 2, config(3))
 	leader := b.gateways[0]
-	leader.storeDoor.SetMode(metastore.Unavailable)
+	leader.storeEndpoint.SetMode(metastore.Unavailable)
 	for _, g := range b.gateways[1:] {
 		g.peersLink.SetRate(relayRate)
 	}
@@ -51,8 +51,8 @@
 	return nil, context.Cause(ctx)
 }
 
-// TestReadsUseRelaysInTurn checks that a read, whose answer may be large, goes to the second relay
-// only when the first is silent, and a write to both at once.
+// TestReadsUseRelaysInTurn checks that a read, whose response may be large, goes to the second
+// relay only when the first is silent, and a write to both at once.
 func TestReadsUseRelaysInTurn(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -74,7 +74,7 @@
 			}}
 			s := newTestCaller()
 			s.relayPeers = func(most int) []syncpb.Peer { return []syncpb.Peer{relay, relay}[:most] }
-			s.noteDirectFailure()
+			s.recordDirectFailure()
 			paths := s.paths(platform.Call{Method: c.method, Wait: c.wait})
 			// The direct path is the last one.
 			paths.remaining[len(paths.remaining)-1] = func(context.Context) int { return 0 }
@@ -95,7 +95,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestCaller()
 		s.relayPeers = func(int) []syncpb.Peer { return []syncpb.Peer{silentRelay{asked: func() {}}} }
-		s.noteDirectFailure()
+		s.recordDirectFailure()
 		paths := s.paths(platform.Call{Method: http.MethodGet})
 		began := time.Now()
 		paths.remaining[len(paths.remaining)-1] = func(context.Context) int {
@@ -218,8 +218,8 @@
 }
 
 // TestFollowerDoesNotSearchWidely guards against gateways that all ask each other: when all start
-// at once, hundreds of them hear from no leader and watch the store themselves, and are slow at
-// that time.
+// at once, hundreds of them have no contact with a leader and watch the store themselves, and are
+// slow at that time.
 func TestFollowerDoesNotSearchWidely(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/gateway/restart_test.go
+++ b/gateway/restart_test.go
@@ -104,7 +104,7 @@
 		one := b.gateways[2].view.inst.Load().Get("i-p0")
 		return one == nil || one.Leaving
 	})
-	if n := l.meters.counter(fillPattern(upstreamsUnsound, invalidEntry)).Count(); n != 2 {
+	if n := l.meters.counter(fillPattern(upstreamsInvalid, sourceEntry)).Count(); n != 2 {
 		t.Errorf("%d malformed entries counted", n)
 	}
 	if v := b.gateways[2].view.inst.Load(); v.Get("i-odd") != nil || v.Get("i-p1") == nil {
@@ -118,9 +118,9 @@
 	})
 }
 
-// TestSieve checks that invalid reports are dropped, counted and logged once, and that loads of
-// former incarnations are dropped.
-func TestSieve(t *testing.T) {
+// TestPeerValidatorDropsInvalidReports checks that invalid reports are dropped, counted and logged
+// once, and that loads of former incarnations are dropped.
+func TestPeerValidatorDropsInvalidReports(t *testing.T) {
 	now := time.Now()
 	v, m := newView(), newMeters()
 	one := instances.Instance{ID: "i", Service: "s", Address: "10.0.0.1:1", StartedMs: 5}
@@ -141,19 +141,19 @@
 	if sum != 1+3+4 {
 		t.Errorf("the sum of the loads kept is %v", sum)
 	}
-	news := &syncpb.Instances{List: []*syncpb.Instance{
+	update := &syncpb.Instances{List: []*syncpb.Instance{
 		{Id: "a", Service: "s", Address: "10.0.0.1:1", BornMs: uint64(now.UnixMilli())},
 		{Id: "b", Service: "s", Address: "10.0.0.1:2", BornMs: uint64(now.Add(2 * maxStartAhead).UnixMilli())},
 		{Id: "c", Service: "s"},
 	}}
-	s.filterInstances(news)
-	if len(news.List) != 1 || news.List[0].Id != "a" {
-		t.Errorf("kept %v", news.List)
+	s.filterInstances(update)
+	if len(update.List) != 1 || update.List[0].Id != "a" {
+		t.Errorf("kept %v", update.List)
 	}
-	if n := m.counter(fillPattern(upstreamsUnsound, invalidUpdate)).Count(); n != 2 {
+	if n := m.counter(fillPattern(upstreamsInvalid, sourceUpdate)).Count(); n != 2 {
 		t.Errorf("%d invalid instances counted", n)
 	}
-	if n := m.counter(fillPattern(upstreamsUnsound, invalidReport)).Count(); n != 1 {
+	if n := m.counter(fillPattern(upstreamsInvalid, sourceReport)).Count(); n != 1 {
 		t.Errorf("%d invalid reports counted", n)
 	}
 }
--- a/gateway/sight_test.go
+++ b/gateway/sight_test.go
@@ -83,7 +83,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	c := newCluster(self, &http.Client{Transport: transport}, now, rng)
 	return &follower{
-		sieve: newPeerValidator(newView(), now, slog.New(slog.DiscardHandler), m), evac: &evacuations{view: newView()},
+		validator: newPeerValidator(newView(), now, slog.New(slog.DiscardHandler), m), evac: &evacuations{view: newView()},
 		view: newView(), cluster: c, fetcher: newFetcher(c.client, nil, now, slog.New(slog.DiscardHandler), m),
 		traffic: newTraffic(settings.DefaultGateway(), now, rng), now: now,
 		log: slog.New(slog.NewJSONHandler(log, nil)), meters: m, startedAt: now(),
@@ -220,9 +220,9 @@
 	}
 }
 
-// TestNewsBytes: the bytes of responses must be counted at both ends, also those of a response
-// that never became complete.
-func TestNewsBytes(t *testing.T) {
+// TestSyncResponseBytesAreCounted: the bytes of responses must be counted at both ends, also those
+// of a response that never became complete.
+func TestSyncResponseBytesAreCounted(t *testing.T) {
 	t.Parallel()
 	p := &fakeParent{}
 	f, parent, _ := newReportingFollower(t, p)
@@ -251,9 +251,9 @@
 	}
 }
 
-// TestNewsBytesOfGateways: the bytes that gateways read from each other must be counted as
+// TestSyncBytesBetweenGatewaysMatch: the bytes that gateways read from each other must be counted as
 // written by the others.
-func TestNewsBytesOfGateways(t *testing.T) {
+func TestSyncBytesBetweenGatewaysMatch(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
 	sum := func(name string) (n int64) {
--- a/gateway/storecall_test.go
+++ b/gateway/storecall_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("the configuration has only %d bytes", size)
 	}
 	var link *relay.Link
-	b.wrapStoreDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
+	b.wrapStoreEndpoint = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
 		link = relay.LimitRate(l, storeRate)
 		return link, h
 	}
@@ -54,7 +54,7 @@
 func TestLargeChangeFromStoreOverNarrowLink(t *testing.T) {
 	t.Parallel()
 	b := newTestCluster(t)
-	b.wrapStoreDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
+	b.wrapStoreEndpoint = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) {
 		return relay.LimitRate(l, storeRate), h
 	}
 	g := b.gateway("g0")
@@ -69,7 +69,7 @@
 	b.eventually("the large configuration in force", inForce(5))
 }
 
-// TestSilentStoreTimesOut checks that a store which becomes silent in the middle of an answer is
+// TestSilentStoreTimesOut checks that a store which becomes silent in the middle of a response is
 // waited for no longer than one that sends nothing, and that idle connections to it are not used
 // again.
 func TestSilentStoreTimesOut(t *testing.T) {
@@ -137,18 +137,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				ctx, noteArrival, end := withSilenceTimeout(t.Context(), storeTimeout, c.wait)
+				ctx, recordArrival, end := withSilenceTimeout(t.Context(), storeTimeout, c.wait)
 				defer end()
 				began := time.Now()
 				for i := 0; i < c.pieces && ctx.Err() == nil; i++ {
 					time.Sleep(pieceInterval)
-					noteArrival()
+					recordArrival()
 				}
 				<-ctx.Done()
 				if cause := context.Cause(ctx); cause != c.cause {
 					t.Errorf("unexpected cause %v", cause)
 				}
-				// The last sleep of an answer that never ends may pass the bound.
+				// The last sleep of a response that never ends may pass the bound.
 				if took := time.Since(began); took < c.after || took > c.after+pieceInterval {
 					t.Errorf("took %v, want %v", took, c.after)
 				}
@@ -162,8 +162,8 @@
 	return &storeCaller{isLeader: func() bool { return true }, now: time.Now, log: slog.New(slog.DiscardHandler), meters: newMeters(), onRecovery: func() {}}
 }
 
-// TestNoFallbackWhileAnswerArrives checks that a call whose answer is arriving is not repeated on
-// another path, however long the answer takes.
+// TestNoFallbackWhileAnswerArrives checks that a call whose response is arriving is not repeated on
+// another path, however long the response takes.
 func TestNoFallbackWhileAnswerArrives(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -173,7 +173,7 @@
 				go func() {
 					for range 10 {
 						time.Sleep(fallbackDelay * 9 / 10)
-						w.noteProgress()
+						w.signalProgress()
 					}
 					w.results <- callResult{direct: true, status: http.StatusOK, body: []byte("all")}
 				}()
@@ -187,9 +187,9 @@
 	})
 }
 
-// TestFallbackWhenAnswerStalls checks that a call is repeated on another path if its answer stops
-// after the first piece. While the store may wait for changes, that piece can be the start of an
-// answer still to come, so the fallback starts only after the wait.
+// TestFallbackWhenAnswerStalls checks that a call is repeated on another path if its response stops
+// after the first piece. While the store may wait for changes, that piece can be the start of a
+// response still to come, so the fallback starts only after the wait.
 func TestFallbackWhenAnswerStalls(t *testing.T) {
 	t.Parallel()
 	for _, wait := range []time.Duration{0, watchWait} {
@@ -199,7 +199,7 @@
 			var fallbackAfter time.Duration
 			w.remaining = []func(context.Context) int{
 				func(context.Context) int {
-					w.noteProgress()
+					w.signalProgress()
 					return 1
 				},
 				func(context.Context) int {
@@ -218,7 +218,7 @@
 	}
 }
 
-// TestNoFallbackAfterTooLongAnswer checks that an answer which takes too long is not requested on
+// TestNoFallbackAfterTooLongAnswer checks that a response which takes too long is not requested on
 // another path. The store counts as reachable, and the next call is direct.
 func TestNoFallbackAfterTooLongAnswer(t *testing.T) {
 	t.Parallel()
--- a/gateway/succession_test.go
+++ b/gateway/succession_test.go
@@ -18,8 +18,9 @@
 )
 
 // TestSuccessorFinishesAMoveInProgress: a leader granted keys to an upstream and resigned before it
-// stored that the move had completed, and the upstream then leaves. The next leader must take the keys
-// back from this upstream before it grants them to another. Otherwise keys had two owners for two seconds.
+// stored that the move had completed, and the upstream then leaves. The next leader must take the
+// keys back from this upstream before it grants them to another. Otherwise keys had two owners for
+// two seconds.
 func TestSuccessorFinishesAMoveInProgress(t *testing.T) {
 	t.Parallel()
 	for name, silent := range map[string]bool{"reachable": false, "silent": true} {
@@ -51,9 +52,10 @@
 	}
 }
 
-// TestWriterNamesDifferBetweenTerms: a process that leads for a second time must not take a write of
-// its first term for one of its own. Without the term in the writer name, the first writes of both terms
-// had the same name, and a write from before the claim was taken for one whose response was lost.
+// TestWriterNamesDifferBetweenTerms: a process that leads for a second time must not mistake a
+// write of its first term for one of its own. Without the term in the writer name, the first writes
+// of both terms had the same name, and a write from before the claim was mistaken for one whose
+// response was lost.
 func TestWriterNamesDifferBetweenTerms(t *testing.T) {
 	s := &assignmentSupervisor{cluster: newCluster(&syncpb.Member{Node: "g", Incarnation: "i"}, nil, time.Now, nil), log: slog.New(slog.DiscardHandler), now: time.Now}
 	writers := make(map[string]bool)
@@ -67,38 +69,38 @@
 	}
 }
 
-// TestStaleWriteOfFormerLeaderIsRefused: once a new leader has claimed the stored assignment, a write of
-// the former leader that is based on an older read is refused, and the former leader stops assigning.
-// Otherwise keys had two owners after a zone was cut off.
+// TestStaleWriteOfFormerLeaderIsRefused: once a new leader has claimed the stored assignment, a
+// write of the former leader that is based on an older read is refused, and the former leader stops
+// assigning. Otherwise keys had two owners after a zone was cut off.
 func TestStaleWriteOfFormerLeaderIsRefused(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
 	l := b.leader()
 	ctx := context.Background()
-	later := newKeyAssigner(l.steward, "status", l.cluster.knownLeader().Term+1)
+	later := newKeyAssigner(l.assignments, "status", l.cluster.knownLeader().Term+1)
 	var old *spans.Table
 	var revision uint64
 	// The running leader may write between the read and the claim. The claim is then tried again.
 	b.eventually("claimed", func() bool {
 		var err error
-		if old, revision, err = l.steward.load(ctx, "status"); err != nil {
+		if old, revision, err = l.assignments.load(ctx, "status"); err != nil {
 			t.Fatal(err)
 		}
 		return later.claim(ctx, old.Clone(), revision)
 	})
-	if _, err := l.steward.save(ctx, old, revision); err == nil {
+	if _, err := l.assignments.save(ctx, old, revision); err == nil {
 		t.Error("a write from before the claim was accepted")
 	}
-	l.steward.mu.Lock()
-	assigner := l.steward.assigners["status"]
-	l.steward.mu.Unlock()
+	l.assignments.mu.Lock()
+	assigner := l.assignments.assigners["status"]
+	l.assignments.mu.Unlock()
 	b.upstream("i-s9", "status")
 	b.eventually("the former leader's assigner has stopped", assigner.isSuperseded)
 }
 
-// TestLeaderStoppedWithoutStoreLeavesLongGrants: no gateway can acquire the lease while the store is
-// away, so the leader leads until the end of its stop and leaves the longest possible grants behind.
-// Otherwise the grants expired 4 s after the stop, and 3,000 requests were refused.
+// TestLeaderStoppedWithoutStoreLeavesLongGrants: no gateway can acquire the lease while the store
+// is unavailable, so the leader leads until the end of its stop and leaves the longest possible
+// grants behind. Otherwise the grants expired 4 s after the stop, and 3,000 requests were refused.
 func TestLeaderStoppedWithoutStoreLeavesLongGrants(t *testing.T) {
 	t.Parallel()
 	b := newStandardCluster(t)
@@ -117,10 +119,10 @@
 	b.ready()
 }
 
-// TestVotersAreInherited: the first voters of a leader are those of the former lease, and they stay until
-// every grant of the former leader has expired. Otherwise a leader that knows few gateways and is lost
-// at once would leave a list of voters that know nothing of the promises to the leader before it. Keys
-// of a silent owner would then be given away during its grant of ten seconds.
+// TestVotersAreInherited: the first voters of a leader are those of the former lease, and they stay
+// until every grant of the former leader has expired. Otherwise a leader that knows few gateways
+// and is lost at once would leave a list of voters that know nothing of the promises to the leader
+// before it. Keys of a silent owner would then be given away during its grant of ten seconds.
 func TestVotersAreInherited(t *testing.T) {
 	now := time.Now()
 	clock := func() time.Time { return now }
@@ -160,8 +162,8 @@
 	}
 }
 
-// TestSuccessorUsesNewerPublishedTable: a successor does not repeat moves that had completed but were not
-// stored yet, if the former leader published their completion to it.
+// TestSuccessorUsesNewerPublishedTable: a successor does not repeat moves that had completed but
+// were not stored yet, if the former leader published their completion to it.
 func TestSuccessorUsesNewerPublishedTable(t *testing.T) {
 	const term = 3
 	table := func(term, write uint64, owner string) *spans.Table {
@@ -171,8 +173,8 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		told *spans.Table
-		want string
+		published *spans.Table
+		want      string
 	}{
 		"nothing published":            {nil, "stored"},
 		"newer published":              {table(term, 8, "told"), "told"},
@@ -180,8 +182,8 @@
 		"published in an earlier term": {table(term-1, 9, "told"), "stored"},
 	} {
 		v := newView()
-		if c.told != nil {
-			v.setSpans(c.told)
+		if c.published != nil {
+			v.setSpans(c.published)
 		}
 		k := &keyAssigner{assignmentSupervisor: &assignmentSupervisor{view: v}, service: "status"}
 		stored := table(term, 5, "stored")
@@ -192,8 +194,8 @@
 	}
 }
 
-// TestStoppedLeaderStopsAssigning: after a leader has stopped or was killed, it no longer calls upstreams,
-// the store or other gateways for the keys that it assigned.
+// TestStoppedLeaderStopsAssigning: after a leader has stopped or was killed, it no longer calls
+// upstreams, the store or other gateways for the keys that it assigned.
 func TestStoppedLeaderStopsAssigning(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(*testGateway){
@@ -204,14 +206,14 @@
 			t.Parallel()
 			b := newStandardCluster(t)
 			l := b.leader()
-			if l.steward.assigner("status") == nil {
+			if l.assignments.assigner("status") == nil {
 				t.Fatal("the leader runs no assigner")
 			}
 			end(l)
-			if l.steward.assigner("status") != nil {
+			if l.assignments.assigner("status") != nil {
 				t.Fatal("it still runs an assigner")
 			}
-			l.steward.workers.Wait()
+			l.assignments.workers.Wait()
 		})
 	}
 }
--- a/gateway/turns_test.go
+++ b/gateway/turns_test.go
@@ -36,7 +36,7 @@
 	lead.right.Extend(time.Now().Add(time.Hour - leadership.LeaseDuration))
 	s := &assignmentSupervisor{
 		view: newView(), cluster: c, now: time.Now, log: slog.New(slog.DiscardHandler), elector: lead,
-		owners: platform.NewOwners(pool.New(upstreamLimits, time.Now)), turns: newCallSlots(maxGrantCalls),
+		owners: platform.NewOwners(pool.New(upstreamLimits, time.Now)), grantSlots: newCallSlots(maxGrantCalls),
 	}
 	k := newKeyAssigner(s, "s", 1)
 	to := &instances.Instance{ID: "i-1", Address: l.Addr().String()}
@@ -44,15 +44,15 @@
 	var running sync.WaitGroup
 	for i := range calls {
 		running.Go(func() {
-			verdict, err := k.grant(context.Background(), spans.KeyRange{First: uint16(i), Last: uint16(i)}, to, 1, "")
-			if err != nil || verdict != platform.Granted {
-				t.Errorf("grant %d: %v, %v", i, verdict, err)
+			result, err := k.grant(context.Background(), spans.KeyRange{First: uint16(i), Last: uint16(i)}, to, 1, "")
+			if err != nil || result != platform.Granted {
+				t.Errorf("grant %d: %v, %v", i, result, err)
 			}
 		})
 	}
 	running.Wait()
-	if len(s.turns) != 0 {
-		t.Errorf("%d call slots not released", len(s.turns))
+	if len(s.grantSlots) != 0 {
+		t.Errorf("%d call slots not released", len(s.grantSlots))
 	}
 	if all.Load() != calls {
 		t.Errorf("%d of %d grants made", all.Load(), calls)
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestSilentUpstreamsReleaseCallSlots checks that calls waiting for an answer do not keep others
+// TestSilentUpstreamsReleaseCallSlots checks that calls waiting for a response do not keep others
 // from starting.
 func TestSilentUpstreamsReleaseCallSlots(t *testing.T) {
 	one := newCallSlots(1)
--- a/gateway/unread_test.go
+++ b/gateway/unread_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestUnreadHeadersAreReported: a response header that no code interprets is forwarded to the
-// caller, and a log line, a metric and a call tell an operator which service sends it.
+// caller, and a log line, a metric and a call show an operator which service sends it.
 func TestUnreadHeadersAreReported(t *testing.T) {
 	t.Parallel()
 	b := newTestCluster(t)
@@ -34,7 +34,7 @@
 	if n := metricsOf(g)["answers.pay.unread_headers"]; n != "2" {
 		t.Errorf("%s headers counted, want 2", n)
 	}
-	state, err := g.steward.placements.Unread(context.Background(), &placementpb.UnreadRequest{})
+	state, err := g.assignments.placements.Unread(context.Background(), &placementpb.UnreadRequest{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -49,7 +49,7 @@
 	t.Parallel()
 	b := newTestCluster(t)
 	counter := newCallCounter()
-	b.wrapStoreDoor = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, counter.counting(h) }
+	b.wrapStoreEndpoint = func(l net.Listener, h http.Handler) (net.Listener, http.Handler) { return l, counter.counting(h) }
 	b.startStandard()
 	b.configure(9)
 	b.eventually("version 9 in force on all gateways", func() bool { return b.allHaveConfiguration(9) })
@@ -224,7 +224,7 @@
 	w.run(t, 7)
 }
 
-// tooLargeWatch passes calls on, but fails the first watch of the configuration as if its answer
+// tooLargeWatch passes calls on, but fails the first watch of the configuration as if its response
 // were too large.
 type tooLargeWatch struct {
 	platform.Transport
