--- a/coordination/detect/detect.go
+++ b/coordination/detect/detect.go
@@ -41,7 +41,7 @@
 	Boot string
 }
 
-// Limits holds the time limits of failure detection.
+// Limits holds the timeouts of failure detection.
 type Limits struct {
 	// SuspectAfter is the silence after which an upstream counts as silent.
 	SuspectAfter time.Duration
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -259,7 +259,7 @@
 	}
 }
 
-// eventually waits until the condition holds. The time limit only ends a test that hangs.
+// eventually waits until the condition holds. The deadline only ends a test that hangs.
 func (b *testCluster) eventually(what string, condition func() bool) {
 	b.t.Helper()
 	limit := time.Now().Add(time.Minute)
--- a/gateway/fetch.go
+++ b/gateway/fetch.go
@@ -29,7 +29,7 @@
 	part    *syncpb.Part
 }
 
-// fetcher fetches parts independently of the reports. Reports have a short time limit, because
+// fetcher fetches parts independently of the reports. Reports have a short timeout, because
 // they show whether the leader is reachable; a part may take as long as the links need. If a
 // piece does not arrive, the fetch is aborted. The next gateway that offers the part continues
 // it: the data received so far is kept and not sent again.
--- a/gateway/newsflow_test.go
+++ b/gateway/newsflow_test.go
@@ -23,7 +23,7 @@
 	// leaderRate is the bandwidth from the leader to all other gateways together, and
 	// followerRate that from any other gateway to its peers and from the store to it, in bytes
 	// per second. Sending the whole configuration to each of six gateways takes the leader
-	// fourteen seconds, many times the time limit of a report. A single copy takes three seconds
+	// fourteen seconds, many times the timeout of a report. A single copy takes three seconds
 	// from another source, longer than any call to the store may take. A tenth of the
 	// configuration for each gateway takes less than two seconds.
 	leaderRate   = 200 << 10
--- a/gateway/storecall_test.go
+++ b/gateway/storecall_test.go
@@ -18,7 +18,7 @@
 	"github.com/rockcroft/rockcroft/transport/pool"
 )
 
-// This file tests the time limits of calls to the store.
+// This file tests the timeouts of calls to the store.
 
 // storeRate is the rate of a narrow link to the store in bytes per second: a large configuration
 // takes several times storeTimeout.
