--- a/bench/check/check.go
+++ b/bench/check/check.go
@@ -17,12 +17,12 @@
 const (
 	// RanTwice: a non-idempotent request ran more than once.
 	RanTwice Rule = "ran twice"
-	// NotRunRan: a request ran although its caller was told that it was not run.
+	// NotRunRan: a request ran although the response said that it was not run.
 	NotRunRan Rule = "told not run, but ran"
 	// AnsweredNotRun: a request was answered, but no upstream ran it.
 	AnsweredNotRun Rule = "answered, but not run"
-	// WrongAnswer: a caller received the answer to another request.
-	WrongAnswer Rule = "answer of another request"
+	// WrongResponse: a caller received the response to another request.
+	WrongResponse Rule = "answer of another request"
 	// EpochDecreased: requests for a key ran under an older epoch after a newer one.
 	EpochDecreased Rule = "older epoch after a newer one"
 	// TwoOwners: two upstreams ran requests for a key under the same epoch.
@@ -65,22 +65,22 @@
 	notRun := make(map[string]bool)
 	for _, o := range outcomes {
 		if o.OK() {
-			r.checkAnswer(o, ran)
+			r.checkResponse(o, ran)
 		}
-		toldNotRun := o.Ran == string(answer.NotExecuted)
+		reportedNotRun := o.Ran == string(answer.NotExecuted)
 		before, seen := notRun[o.RequestID]
-		notRun[o.RequestID] = toldNotRun && (before || !seen)
+		notRun[o.RequestID] = reportedNotRun && (before || !seen)
 	}
-	for id, toldNotRun := range notRun {
-		if toldNotRun && ran[id] > 0 {
+	for id, reportedNotRun := range notRun {
+		if reportedNotRun && ran[id] > 0 {
 			r.add(NotRunRan, "request %s", id)
 		}
 	}
 }
 
-func (r *Report) checkAnswer(o load.Outcome, ran map[string]int) {
-	if o.AnswerID != o.RequestID || o.AnswerKey != o.Key {
-		r.add(WrongAnswer, "request %s got the answer of %s", o.RequestID, o.AnswerID)
+func (r *Report) checkResponse(o load.Outcome, ran map[string]int) {
+	if o.ResponseID != o.RequestID || o.ResponseKey != o.Key {
+		r.add(WrongResponse, "request %s got the answer of %s", o.RequestID, o.ResponseID)
 	}
 	if ran[o.RequestID] == 0 {
 		r.add(AnsweredNotRun, "request %s", o.RequestID)
--- a/bench/check/check_test.go
+++ b/bench/check/check_test.go
@@ -12,8 +12,8 @@
 
 // TestEachViolationIsDetected checks histories that violate one rule each, and valid ones.
 func TestEachViolationIsDetected(t *testing.T) {
-	ok := load.Outcome{Key: "k", RequestID: "r", Status: 200, Ran: "ran", AnswerKey: "k", AnswerID: "r"}
-	told := func(ran string) load.Outcome {
+	ok := load.Outcome{Key: "k", RequestID: "r", Status: 200, Ran: "ran", ResponseKey: "k", ResponseID: "r"}
+	refused := func(ran string) load.Outcome {
 		return load.Outcome{Key: "k", RequestID: "r", Status: 503, Kind: "x", Ran: ran}
 	}
 	run := upstream.Run{At: 10, Upstream: "u", Key: "k", RequestID: "r", Epoch: 3}
@@ -31,15 +31,15 @@
 	}{
 		{"answered once", []load.Outcome{ok}, []upstream.Run{run}, nil},
 		{"run twice", []load.Outcome{ok}, []upstream.Run{run, run}, []Rule{RanTwice}},
-		{"told not run, but ran", []load.Outcome{told("not-run")}, []upstream.Run{run}, []Rule{NotRunRan}},
-		{"told not run, then answered", []load.Outcome{told("not-run"), ok}, []upstream.Run{run}, nil},
-		{"told unknown", []load.Outcome{told("unknown")}, []upstream.Run{run}, nil},
+		{"told not run, but ran", []load.Outcome{refused("not-run")}, []upstream.Run{run}, []Rule{NotRunRan}},
+		{"told not run, then answered", []load.Outcome{refused("not-run"), ok}, []upstream.Run{run}, nil},
+		{"told unknown", []load.Outcome{refused("unknown")}, []upstream.Run{run}, nil},
 		{"answered without a run", []load.Outcome{ok}, nil, []Rule{AnsweredNotRun}},
 		{
 			"answer to another request",
-			[]load.Outcome{{Key: "k", RequestID: "r", Status: 200, AnswerKey: "k", AnswerID: "q"}},
+			[]load.Outcome{{Key: "k", RequestID: "r", Status: 200, ResponseKey: "k", ResponseID: "q"}},
 			[]upstream.Run{run},
-			[]Rule{WrongAnswer},
+			[]Rule{WrongResponse},
 		},
 		{
 			"older epoch", nil,
--- a/bench/check/linear.go
+++ b/bench/check/linear.go
@@ -15,7 +15,7 @@
 const (
 	Linearizable Verdict = "linearizable"
 	Violated     Verdict = "not linearizable"
-	// Undecided: the check did not finish within its time limit.
+	// Undecided: the check did not finish before its timeout.
 	Undecided Verdict = "not decided"
 )
 
@@ -37,8 +37,8 @@
 
 // Owners checks what callers saw, without the logs of the upstreams: the answered requests for each
 // key must be linearizable, that is, each takes effect at some time between its sending and its
-// answer, and in that order the owner changes only with a higher epoch.
-func Owners(outcomes []load.Outcome, limit time.Duration) Verdict {
+// response, and in that order the owner changes only with a higher epoch.
+func Owners(outcomes []load.Outcome, timeout time.Duration) Verdict {
 	byKey := make(map[string][]porcupine.Operation)
 	for i, o := range outcomes {
 		if !o.OK() || o.Epoch == 0 {
@@ -52,7 +52,7 @@
 			Return:   o.End,
 		})
 	}
-	until := time.Now().Add(limit)
+	until := time.Now().Add(timeout)
 	verdict := Linearizable
 	for _, history := range byKey {
 		switch porcupine.CheckOperationsTimeout(model, history, max(time.Until(until), time.Millisecond)) {
--- a/bench/load/outcome.go
+++ b/bench/load/outcome.go
@@ -27,10 +27,10 @@
 	Kind string `json:"kind,omitempty"`
 	Ran  string `json:"ran,omitempty"`
 	// Owner, AnswerKey, AnswerID and Epoch are taken from the response.
-	Owner     string `json:"owner,omitempty"`
-	AnswerKey string `json:"answer_key,omitempty"`
-	AnswerID  string `json:"answer_id,omitempty"`
-	Epoch     uint64 `json:"epoch,omitempty"`
+	Owner       string `json:"owner,omitempty"`
+	ResponseKey string `json:"answer_key,omitempty"`
+	ResponseID  string `json:"answer_id,omitempty"`
+	Epoch       uint64 `json:"epoch,omitempty"`
 }
 
 // OK reports whether the upstream served the request successfully.
--- a/bench/load/run.go
+++ b/bench/load/run.go
@@ -26,14 +26,14 @@
 	NotOffered int64
 }
 
-// noAnswer is the Kind of an outcome without a usable response.
-const noAnswer = "no_answer"
+// noResponse is the Kind of an outcome without a usable response.
+const noResponse = "no_answer"
 
 // minRetryDelay is the minimum delay before a caller retries a request.
 const minRetryDelay = 100 * time.Millisecond
 
-// maxAnswerBytes limits how much of a response body is read.
-const maxAnswerBytes = 1 << 20
+// maxResponseBytes limits how much of a response body is read.
+const maxResponseBytes = 1 << 20
 
 // runner holds the state of a run in progress.
 type runner struct {
@@ -172,7 +172,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+entry.String()+"/"+s.Name+"/op", nil)
 	if err != nil {
-		o.Kind = noAnswer
+		o.Kind = noResponse
 		return o, false, 0
 	}
 	req.Header.Set(header.Key, o.Key)
@@ -191,17 +191,17 @@
 	}
 	if err != nil {
 		o.End = time.Now().UnixNano()
-		o.Kind = noAnswer
+		o.Kind = noResponse
 		o.Ran = string(answer.ExecutionUnknown)
 		return o, o.Idempotent, minRetryDelay
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return readAnswer(o, resp)
+	return readResponse(o, resp)
 }
 
-// answerBody is the part of the response body that stand-in upstreams and entries have
+// responseBody is the part of the response body that stand-in upstreams and entries have
 // in common.
-type answerBody struct {
+type responseBody struct {
 	Key       string `json:"key"`
 	RequestID string `json:"request_id"`
 	Epoch     uint64 `json:"epoch"`
@@ -213,29 +213,29 @@
 	o.Kind = h.Get(header.Kind)
 	o.Ran = h.Get(header.Ran)
 	o.Owner = h.Get(header.Owner)
-	var b answerBody
+	var b responseBody
 	if err := json.Unmarshal(data, &b); err != nil {
-		o.Kind = noAnswer
+		o.Kind = noResponse
 		o.Ran = string(answer.ExecutionUnknown)
 		return o
 	}
-	o.AnswerKey, o.AnswerID, o.Epoch = b.Key, b.RequestID, b.Epoch
+	o.ResponseKey, o.ResponseID, o.Epoch = b.Key, b.RequestID, b.Epoch
 	if epoch, err := strconv.ParseUint(h.Get(header.Epoch), 10, 64); err == nil && !o.OK() {
 		o.Epoch = epoch
 	}
 	return o
 }
 
-// readAnswer reads the response. It returns the outcome, whether the caller may retry,
+// readResponse reads the response. It returns the outcome, whether the caller may retry,
 // and after which delay.
-func readAnswer(o Outcome, resp *http.Response) (Outcome, bool, time.Duration) {
-	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+func readResponse(o Outcome, resp *http.Response) (Outcome, bool, time.Duration) {
+	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	o = ParseOutcome(o, resp.StatusCode, resp.Header, data)
 	o.End = time.Now().UnixNano()
 	if o.OK() {
 		return o, false, 0
 	}
-	if o.Kind == noAnswer {
+	if o.Kind == noResponse {
 		return o, o.Idempotent, minRetryDelay
 	}
 	retryAfter, _ := strconv.Atoi(resp.Header.Get("Retry-After"))
--- a/entry/serve_test.go
+++ b/entry/serve_test.go
@@ -272,7 +272,7 @@
 	if resp.status != http.StatusOK {
 		t.Fatalf("%d %s", resp.status, resp.body)
 	}
-	if diff := cmp.Diff("large", load.ParseOutcome(load.Outcome{}, resp.status, resp.header, []byte(resp.body)).AnswerID); diff != "" {
+	if diff := cmp.Diff("large", load.ParseOutcome(load.Outcome{}, resp.status, resp.header, []byte(resp.body)).ResponseID); diff != "" {
 		t.Error(diff)
 	}
 }
