--- a/bench/soak/callers.go
+++ b/bench/soak/callers.go
@@ -22,9 +22,9 @@
 	// callerInterval is the pause of a caller between two requests. All callers together
 	// send about 200 requests per second.
 	callerInterval = 40 * time.Millisecond
-	// clientTimeout is how long a caller waits for a response: twice the timeout of the
+	// callerTimeout is how long a caller waits for a response: twice the timeout of the
 	// routes.
-	clientTimeout = 4 * time.Second
+	callerTimeout = 4 * time.Second
 	// deadlineMs is the deadline that callers send with each request, in milliseconds.
 	deadlineMs = "2000"
 )
@@ -96,7 +96,7 @@
 // sendRequest sends one request and checks its response.
 func (m *monitor) sendRequest(ctx context.Context, g *gateway, unsafe bool, key int) outcome {
 	id := fmt.Sprintf("r%d", m.next.Add(1))
-	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
 	method, path, body := http.MethodGet, "/status/x", io.Reader(nil)
 	if unsafe {
@@ -128,7 +128,7 @@
 	if closeErr := resp.Body.Close(); err != nil || closeErr != nil {
 		return m.checkUnanswered(ctx, g, id, kills, errors.Join(err, closeErr))
 	}
-	return m.checkAnswer(id, unsafe, resp.StatusCode, string(data))
+	return m.checkResponse(id, unsafe, resp.StatusCode, string(data))
 }
 
 // checkUnanswered checks a request whose connection ended without a response. It is a
@@ -140,8 +140,8 @@
 	return noConnection
 }
 
-// checkAnswer compares a response with the runs that the upstreams recorded.
-func (m *monitor) checkAnswer(id string, unsafe bool, status int, body string) outcome {
+// checkResponse compares a response with the runs that the upstreams recorded.
+func (m *monitor) checkResponse(id string, unsafe bool, status int, body string) outcome {
 	runs := m.deployment.oracle.Runs(id)
 	switch {
 	case status == http.StatusOK:
--- a/bench/soak/faults.go
+++ b/bench/soak/faults.go
@@ -37,7 +37,7 @@
 	case StoreSilent:
 		g.relay.SilenceAll()
 	case StoreMode:
-		holdFault(step.Duration, func() { g.door.SetMode(pick(storeModes, step.Variant)) }, func() { g.door.SetMode(metastore.Healthy) })
+		holdFault(step.Duration, func() { g.endpoint.SetMode(pick(storeModes, step.Variant)) }, func() { g.endpoint.SetMode(metastore.Healthy) })
 	case StoreModeAll:
 		holdFault(step.Duration, func() { d.store.SetAllModes(pick(storeModes, step.Variant)) }, func() { d.store.SetAllModes(metastore.Healthy) })
 	case Compact:
@@ -62,7 +62,7 @@
 		holdFault(step.Duration, func() { u.Overload(pick(restValues, step.Variant)...) }, u.Recover)
 	case Drain:
 		return d.replaceUpstream(u, func() { d.register(u, "draining") })
-	case LeaveByAnswers:
+	case LeaveByResponses:
 		return d.replaceUpstream(u, func() {})
 	case Restart:
 		return d.restartUpstream(u, step.Duration/2)
--- a/bench/soak/harm.go
+++ b/bench/soak/harm.go
@@ -103,7 +103,7 @@
 }
 
 func (d *deployment) sendHarmfulRequest(g *gateway, path string, i int) {
-	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.callers+path, strings.NewReader("the same body"))
 	if err != nil {
--- a/bench/soak/notices.go
+++ b/bench/soak/notices.go
@@ -57,7 +57,7 @@
 	return false
 }
 
-// sentRequest is a request from its client's point of view.
+// sentRequest is a request from its caller's point of view.
 type sentRequest struct {
 	gateway *gateway
 	sent    time.Time
@@ -67,7 +67,7 @@
 	incarnation string
 }
 
-// requestLog records the requests that clients sent, by request ID. It is safe for
+// requestLog records the requests that callers sent, by request ID. It is safe for
 // concurrent use.
 type requestLog struct {
 	mu   sync.Mutex
@@ -105,9 +105,9 @@
 func (l *requestLog) requestsAfterLeaving(u *upstream, g *gateway, arrivals []instance.Arrival) []string {
 	var leavingSeen time.Time
 	for _, arrival := range arrivals {
-		answer := l.byID[arrival.RequestID]
-		if answer.incarnation == u.Incarnation() && !answer.leavingSeen.IsZero() && (leavingSeen.IsZero() || answer.leavingSeen.Before(leavingSeen)) {
-			leavingSeen = answer.leavingSeen
+		request := l.byID[arrival.RequestID]
+		if request.incarnation == u.Incarnation() && !request.leavingSeen.IsZero() && (leavingSeen.IsZero() || request.leavingSeen.Before(leavingSeen)) {
+			leavingSeen = request.leavingSeen
 		}
 	}
 	var out []string
--- a/bench/soak/plan.go
+++ b/bench/soak/plan.go
@@ -14,29 +14,29 @@
 // Kind identifies a type of fault in progress output and reports.
 type Kind string
 
-// The kinds of faults. Gateway processes get signals; relays disturb network paths.
+// The kinds of faults. Gateway processes get signals; relays inject faults into network paths.
 const (
-	Kill           Kind = "kill"           // a gateway gets SIGKILL and is restarted
-	Stop           Kind = "stop"           // a gateway gets SIGTERM and is restarted after it has exited
-	Pause          Kind = "pause"          // a gateway gets SIGSTOP, and SIGCONT later
-	StorePath      Kind = "store_path"     // the path from one gateway to the store is disturbed
-	StoreSilent    Kind = "store_silent"   // open connections from one gateway to the store stop carrying data
-	StoreMode      Kind = "store_mode"     // the store rejects one gateway's calls, or loses the responses
-	StoreModeAll   Kind = "store_away"     // the same as StoreMode, for all gateways
-	Compact        Kind = "compact"        // the store compacts its history
-	UpstreamPath   Kind = "upstream_path"  // the path from all gateways to one upstream is disturbed
-	UpstreamReset  Kind = "upstream_reset" // open connections to one upstream are reset
-	UpstreamSilent Kind = "upstream_quiet" // open connections to one upstream stop carrying data
-	UpstreamMode   Kind = "upstream_mode"  // an upstream does not respond, loses responses, fails, sheds load or applies grants late
-	Drain          Kind = "drain"          // an upstream announces in the store and in its responses that it leaves, and is replaced
-	Configure      Kind = "configure"      // the operator writes a new configuration
-	Restart        Kind = "restart"        // an upstream's process ends and is restarted with the same ID
-	Evacuate       Kind = "evacuate"       // a failure domain is evacuated, and the evacuation is cancelled later
-	NameLimit      Kind = "need"           // an upstream announces a limit on its request rate
-	Rest           Kind = "rest"           // an upstream refuses requests and asks for rest
-	LeaveByAnswers Kind = "depart"         // an upstream announces only in its responses that it leaves, and is replaced
-	HarmfulRequest Kind = "harm"           // a request that crashes upstreams is repeated at all gateways
-	LateCalls      Kind = "late_calls"     // all upstreams leave every second control call unanswered and apply it later
+	Kill             Kind = "kill"           // a gateway gets SIGKILL and is restarted
+	Stop             Kind = "stop"           // a gateway gets SIGTERM and is restarted after it has exited
+	Pause            Kind = "pause"          // a gateway gets SIGSTOP, and SIGCONT later
+	StorePath        Kind = "store_path"     // the path from one gateway to the store has a fault
+	StoreSilent      Kind = "store_silent"   // open connections from one gateway to the store stop carrying data
+	StoreMode        Kind = "store_mode"     // the store rejects one gateway's calls, or loses the responses
+	StoreModeAll     Kind = "store_away"     // the same as StoreMode, for all gateways
+	Compact          Kind = "compact"        // the store compacts its history
+	UpstreamPath     Kind = "upstream_path"  // the path from all gateways to one upstream has a fault
+	UpstreamReset    Kind = "upstream_reset" // open connections to one upstream are reset
+	UpstreamSilent   Kind = "upstream_quiet" // open connections to one upstream stop carrying data
+	UpstreamMode     Kind = "upstream_mode"  // an upstream does not respond, loses responses, fails, sheds load or applies grants late
+	Drain            Kind = "drain"          // an upstream announces in the store and in its responses that it leaves, and is replaced
+	Configure        Kind = "configure"      // the operator writes a new configuration
+	Restart          Kind = "restart"        // an upstream's process ends and is restarted with the same ID
+	Evacuate         Kind = "evacuate"       // a failure domain is evacuated, and the evacuation is cancelled later
+	NameLimit        Kind = "need"           // an upstream announces a limit on its request rate
+	Rest             Kind = "rest"           // an upstream refuses requests and asks for rest
+	LeaveByResponses Kind = "depart"         // an upstream announces only in its responses that it leaves, and is replaced
+	HarmfulRequest   Kind = "harm"           // a request that crashes upstreams is repeated at all gateways
+	LateCalls        Kind = "late_calls"     // all upstreams leave every second control call unanswered and apply it later
 )
 
 // weightedKinds lists the kinds that NewPlan draws at random. A kind that is listed twice is
@@ -127,7 +127,7 @@
 			})
 		}
 		if i%stepsPerDeparture == stepsPerDeparture-1 {
-			p.Steps = append(p.Steps, Step{Kind: LeaveByAnswers, Target: notices.IntN(1 << 16)})
+			p.Steps = append(p.Steps, Step{Kind: LeaveByResponses, Target: notices.IntN(1 << 16)})
 		}
 		if i%stepsPerLateCalls == stepsPerLateCalls-1 {
 			p.Steps = append(p.Steps, Step{Kind: LateCalls, Duration: time.Duration(lateCalls.Int64N(int64(maxFaultDuration)))})
--- a/bench/soak/process.go
+++ b/bench/soak/process.go
@@ -24,7 +24,7 @@
 type gateway struct {
 	name, dir, domain              string
 	callers, ready, peers, metrics string
-	door                           *metastore.Endpoint
+	endpoint                       *metastore.Endpoint
 	relay                          *relay.Relay
 
 	// faults records when the process was killed, stopped or paused.
@@ -54,7 +54,7 @@
 	if err := os.WriteFile(g.path(".start"), nil, 0o600); err != nil {
 		return err
 	}
-	for limit := time.Now().Add(startTimeout); time.Now().Before(limit); time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if _, err := g.pid(); err == nil {
 			return nil
 		}
@@ -78,10 +78,10 @@
 	return syscall.Kill(pid, s)
 }
 
-// waitExited waits until the process has exited and reports whether it did so within the
-// limit.
-func (g *gateway) waitExited(limit time.Duration) bool {
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollInterval) {
+// waitExited waits until the process has exited and reports whether it did so before the
+// timeout.
+func (g *gateway) waitExited(timeout time.Duration) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if g.signal(0) != nil {
 			return true
 		}
--- a/bench/soak/run.go
+++ b/bench/soak/run.go
@@ -71,9 +71,9 @@
 	return m.report(plan, size, events), err
 }
 
-// waitFor waits until a condition holds and reports whether it did so within the limit.
-func waitFor(limit time.Duration, condition func() bool) bool {
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(pollInterval) {
+// waitFor waits until a condition holds and reports whether it did so before the timeout.
+func waitFor(timeout time.Duration, condition func() bool) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if condition() {
 			return true
 		}
--- a/bench/soak/site.go
+++ b/bench/soak/site.go
@@ -85,7 +85,7 @@
 	server  *http.Server
 	// startTime is when the process started.
 	startTime time.Time
-	// pathFaults records when the path from the gateways to it was disturbed.
+	// pathFaults records when the path from the gateways to it had a fault.
 	pathFaults faultIntervals
 	// changing is set while it is being replaced or restarted.
 	changing atomic.Bool
@@ -256,9 +256,9 @@
 	return d.upstreams[n%len(d.upstreams)]
 }
 
-// replaceUpstream removes an upstream in the way upstreams on the platform leave, and starts
-// another one. The upstream announces in its responses that it leaves; announce does so
-// elsewhere, if at all.
+// replaceUpstream removes an upstream as the platform does, and starts another one. The
+// upstream announces in its responses that it leaves; announce may also announce it in the
+// store.
 func (d *deployment) replaceUpstream(u *upstream, announce func()) error {
 	if !u.changing.CompareAndSwap(false, true) {
 		return nil
@@ -292,18 +292,18 @@
 // addresses.
 func (d *deployment) newGateway(number int) (*gateway, error) {
 	name, domain, ip := fmt.Sprintf("g%d", number), domainName(number), gatewayIP(number)
-	door := d.store.Endpoint(name)
+	endpoint := d.store.Endpoint(name)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	// Serve ends with the process, so its error carries no information.
-	go func() { _ = (&http.Server{Handler: door}).Serve(l) }()
+	go func() { _ = (&http.Server{Handler: endpoint}).Serve(l) }()
 	r, err := relay.New(l.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	g := &gateway{name: name, dir: d.dir, domain: domain, door: door, relay: r}
+	g := &gateway{name: name, dir: d.dir, domain: domain, endpoint: endpoint, relay: r}
 	addresses, err := freeAddresses(ip, 4)
 	if err != nil {
 		return nil, err
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -25,7 +25,7 @@
 			t.Errorf("step is out of bounds: %+v", step)
 		}
 	}
-	for _, k := range append([]Kind{Restart, Evacuate, Rest, LeaveByAnswers}, weightedKinds...) {
+	for _, k := range append([]Kind{Restart, Evacuate, Rest, LeaveByResponses}, weightedKinds...) {
 		if !seen[k] {
 			t.Errorf("kind %s does not occur", k)
 		}
@@ -77,7 +77,7 @@
 		"unknown outcome":                {502, "", true, 0},
 	} {
 		m := newMonitor(&deployment{oracle: oracleWith(c.run)})
-		m.checkAnswer("r", true, c.status, c.body)
+		m.checkResponse("r", true, c.status, c.body)
 		if len(m.violations) != c.want {
 			t.Errorf("%s: %v", name, m.violations)
 		}
