--- a/bench/lab/client.go
+++ b/bench/lab/client.go
@@ -17,7 +17,7 @@
 	current *try
 }
 
-// try is one attempt of a call, sent to one gateway.
+// try is one request of a call to a gateway, which sends it to upstreams in one or more attempts.
 type try struct {
 	call      *call
 	gateway   int
@@ -64,7 +64,7 @@
 	}
 }
 
-// succeed answers the try with success.
+// succeed responds that the request ran.
 func (t *try) succeed() {
 	t.deliver(func(c *call) {
 		if c.sim.elapsed-c.startedAt <= c.route.Objective.D() {
@@ -75,7 +75,7 @@
 	})
 }
 
-// refuse answers that the request did not run, and how long the client should wait before it
+// refuse responds that the request did not run, and how long the client should wait before it
 // retries.
 func (t *try) refuse(retryAfter time.Duration) {
 	t.call.heldFor += t.call.sim.elapsed - t.startedAt
@@ -89,7 +89,7 @@
 	})
 }
 
-// fail answers that the request may have run.
+// fail responds that the request may have run.
 func (t *try) fail() {
 	t.deliver(func(c *call) {
 		if !c.route.Idempotent || c.tries > c.route.Retries {
@@ -103,7 +103,7 @@
 // clientRetryDelay is how long clients wait before they retry after a failure.
 const clientRetryDelay = 30 * time.Millisecond
 
-// deliver transmits an answer to the client and handles it there.
+// deliver transmits a response to the client and handles it there.
 func (t *try) deliver(then func(*call)) {
 	if t.ended {
 		return
--- a/bench/lab/command.go
+++ b/bench/lab/command.go
@@ -9,7 +9,7 @@
 )
 
 // defaultSeeds is the number of seeds of a run. With four seeds a difference of 0.01 in worth can
-// be told from noise.
+// be distinguished from noise.
 const defaultSeeds = 4
 
 // options are the flags shared by all subcommands.
@@ -105,7 +105,7 @@
 				whole := SimulateAll(o.jobs(sc, Product))
 				for _, m := range mechanisms {
 					without := *sc
-					m.switchOff(&without.Disabled)
+					m.disable(&without.Disabled)
 					rows = append(rows, compareResults(m.name, sc.Name, SimulateAll(o.jobs(&without, Product)), whole))
 				}
 			}
--- a/bench/lab/control.go
+++ b/bench/lab/control.go
@@ -46,13 +46,13 @@
 	lastReports []map[string]upstreamReport
 	// demand is the request rate of each gateway, by service.
 	demand []map[string]float64
-	// hotKeyAdmission is the share of the requests for each hot key that can be run, by service.
+	// hotKeyAdmission is the share of the requests for each hot key that its owner can run, by service.
 	hotKeyAdmission map[string]map[uint16]float64
 	lastMoved       map[string]map[uint16]time.Duration
 	// lastBalanced is the time of the last plan that balanced load, by service.
 	lastBalanced map[string]time.Duration
-	// gaps records the keys without an owner as the gateways know them.
-	gaps         map[string]*spans.UnownedTracker
+	// unownedKeys tracks the keys that have no owner in the tables known to the gateways.
+	unownedKeys  map[string]*spans.UnownedTracker
 	coldUntil    map[string]map[uint16]time.Duration
 	ownerWaiters []func()
 	// assignments record which gateways may send to upstreams that are warming up.
@@ -74,7 +74,7 @@
 		sim: sim, tables: make(map[string]*spans.Table), keyRates: make(map[string]*ownership.RateEstimator),
 		totals: make(map[string]upstreamReport), workTimes: make(map[string]*worktime.Estimator), lastReports: make([]map[string]upstreamReport, sim.sc.Gateways),
 		demand: make([]map[string]float64, sim.sc.Gateways), hotKeyAdmission: make(map[string]map[uint16]float64), lastBalanced: make(map[string]time.Duration),
-		gaps: make(map[string]*spans.UnownedTracker), lastMoved: make(map[string]map[uint16]time.Duration), coldUntil: make(map[string]map[uint16]time.Duration),
+		unownedKeys: make(map[string]*spans.UnownedTracker), lastMoved: make(map[string]map[uint16]time.Duration), coldUntil: make(map[string]map[uint16]time.Duration),
 	}
 	c.limits, c.limitedDemand = limits.NewRegistry(), make([]map[string]float64, sim.sc.Gateways)
 	c.assignments = warmup.NewAssignments(sim.now().Add(-warmup.RightDuration))
@@ -90,7 +90,7 @@
 			one.Owner, one.Fence, one.Next, one.NextFence = one.Next, one.NextFence, "", 0
 		}
 		c.tables[s.Name] = t
-		c.gaps[s.Name] = &spans.UnownedTracker{}
+		c.unownedKeys[s.Name] = &spans.UnownedTracker{}
 		c.keyRates[s.Name] = ownership.NewRateEstimator(sim.now())
 		c.lastMoved[s.Name], c.coldUntil[s.Name] = make(map[uint16]time.Duration), make(map[uint16]time.Duration)
 	}
@@ -125,7 +125,7 @@
 // one if the policy plans with true speeds.
 func (c *controller) workTime(u *upstream) float64 {
 	if c.sim.plansWithTrueSpeeds {
-		return c.sim.meanWork(u.service) / u.currentSpeed()
+		return c.sim.meanWorkTime(u.service) / u.currentSpeed()
 	}
 	if work := c.workTimes[u.service.Name].Mean(u.instance.ID); work > 0 {
 		return work.Seconds()
@@ -148,9 +148,9 @@
 	}
 	c.lastReports[g], c.demand[g] = loads, demand
 	for name, list := range keys {
-		if h := c.keyRates[name]; h != nil {
+		if rates := c.keyRates[name]; rates != nil {
 			for _, key := range list {
-				h.Add(key)
+				rates.Add(key)
 			}
 		}
 	}
@@ -192,7 +192,7 @@
 	return out
 }
 
-// plan periodically plans the ownership of keys and starts the moves that are due.
+// plan periodically plans the ownership of keys and starts the planned moves.
 func (c *controller) plan() {
 	for i := range c.sim.sc.Services {
 		if s := &c.sim.sc.Services[i]; s.Keyed {
@@ -203,23 +203,23 @@
 }
 
 func (c *controller) planService(s *Service) {
-	resting := make(map[uint16]bool)
+	recentlyMoved := make(map[uint16]bool)
 	for first, at := range c.lastMoved[s.Name] {
 		if c.sim.elapsed-at < moveCooldown {
-			resting[first] = true
+			recentlyMoved[first] = true
 		}
 	}
 	before, owners, load := c.tables[s.Name], c.owners(s), c.keyRates[s.Name].Rates(c.sim.now())
-	admit := make(map[uint16]float64)
+	admission := make(map[uint16]float64)
 	for _, l := range ownership.Limits(before, owners, load) {
-		admit[l.Key] = l.AdmittedShare
+		admission[l.Key] = l.AdmittedShare
 	}
-	c.hotKeyAdmission[s.Name] = admit
+	c.hotKeyAdmission[s.Name] = admission
 	balance := c.sim.elapsed-c.lastBalanced[s.Name] >= balanceInterval
 	if balance {
 		c.lastBalanced[s.Name] = c.sim.elapsed
 	}
-	next := ownership.MakePlan(ownership.PlanInput{BalanceDue: balance, Table: before, Owners: owners, Load: load, RecentlyMoved: resting})
+	next := ownership.MakePlan(ownership.PlanInput{BalanceDue: balance, Table: before, Owners: owners, Load: load, RecentlyMoved: recentlyMoved})
 	if next == nil {
 		return
 	}
@@ -281,7 +281,7 @@
 	return c.sim.sc.SilentOwnerTimeout.D()
 }
 
-// publish puts a table into force. Gateways learn of it after one hop.
+// publish activates a table. Gateways receive it after one hop.
 func (c *controller) publish(s *Service, t *spans.Table) {
 	t.Version = c.tables[s.Name].Version + 1
 	c.tables[s.Name] = t
@@ -290,7 +290,7 @@
 			return
 		}
 		c.sim.ownerView[s.Name] = t
-		c.gaps[s.Name].Update(c.sim.now(), t)
+		c.unownedKeys[s.Name].Update(c.sim.now(), t)
 		waiting := c.ownerWaiters
 		c.ownerWaiters = nil
 		for _, wake := range waiting {
--- a/bench/lab/delivery.go
+++ b/bench/lab/delivery.go
@@ -28,7 +28,7 @@
 	hedged     bool
 	mayHaveRun bool
 	ended      bool
-	// refusedFence is the fence of the owner that answered that it does not own the key.
+	// refusedFence is the fence of the owner that responded that it does not own the key.
 	refusedFence uint64
 }
 
@@ -51,12 +51,12 @@
 	if d.queued != nil {
 		d.service.Withdraw(d.queued)
 	}
-	for _, f := range d.attempts {
-		if !f.ended {
-			f.ended = true
-			d.service.Done(d.sim.now(), f.grant, o)
-			at := f.run.upstream
-			d.sim.after(d.sim.hopDelay(), func() { at.cancel(f.run) })
+	for _, a := range d.attempts {
+		if !a.ended {
+			a.ended = true
+			d.service.Done(d.sim.now(), a.grant, o)
+			u := a.run.upstream
+			d.sim.after(d.sim.hopDelay(), func() { u.cancel(a.run) })
 		}
 	}
 }
@@ -81,8 +81,8 @@
 
 func (d *delivery) running() int {
 	n := 0
-	for _, f := range d.attempts {
-		if !f.ended {
+	for _, a := range d.attempts {
+		if !a.ended {
 			n++
 		}
 	}
@@ -146,7 +146,7 @@
 
 // noOwnerRetryAfter returns when a caller should retry whose key has no owner.
 func (d *delivery) noOwnerRetryAfter() time.Duration {
-	without := d.sim.controller.gaps[d.route.Service].UnownedFor(d.sim.now(), d.try.call.key)
+	without := d.sim.controller.unownedKeys[d.route.Service].UnownedFor(d.sim.now(), d.try.call.key)
 	return patience.RetryAfterNoOwner(without)
 }
 
@@ -180,7 +180,7 @@
 
 // waitForOwner waits until a moving key has an owner.
 func (d *delivery) waitForOwner(s spans.Span) {
-	if lost := d.sim.controller.gaps[d.route.Service].UnownedFor(d.sim.now(), d.try.call.key); lost > d.route.Objective.D() {
+	if lost := d.sim.controller.unownedKeys[d.route.Service].UnownedFor(d.sim.now(), d.try.call.key); lost > d.route.Objective.D() {
 		d.refuseWithRetryAfter(d.noOwnerRetryAfter())
 		return
 	}
@@ -228,16 +228,16 @@
 
 // send starts an attempt at an upstream.
 func (d *delivery) send(g dispatch.Grant) {
-	f := &attempt{grant: g, run: &run{call: d.try.call, upstream: d.sim.upstreamByID[g.Instance.ID]}}
-	f.run.reply = func(o dispatch.Outcome) { d.onReply(f, o) }
-	d.attempts = append(d.attempts, f)
+	a := &attempt{grant: g, run: &run{call: d.try.call, upstream: d.sim.upstreamByID[g.Instance.ID]}}
+	a.run.reply = func(o dispatch.Outcome) { d.onReply(a, o) }
+	d.attempts = append(d.attempts, a)
 	d.countCrossDomain(g)
-	d.sim.after(d.sim.hopDelay(), func() { f.run.upstream.receive(f.run) })
+	d.sim.after(d.sim.hopDelay(), func() { a.run.upstream.receive(a.run) })
 	if d.hedged || !d.route.Idempotent || d.reached+d.running() >= d.route.Attempts {
 		return
 	}
 	d.sim.after(patience.HedgeDelay(g.ExpectedLatency), func() {
-		if d.ended || f.ended || d.hedged || d.running() != 1 {
+		if d.ended || a.ended || d.hedged || d.running() != 1 {
 			return
 		}
 		d.hedged = true
@@ -261,18 +261,18 @@
 }
 
 // onReply handles the outcome of an attempt.
-func (d *delivery) onReply(f *attempt, o dispatch.Outcome) {
-	if f.ended {
+func (d *delivery) onReply(a *attempt, o dispatch.Outcome) {
+	if a.ended {
 		return
 	}
-	f.ended = true
-	if o == dispatch.Answered || f.run.limitNamed {
-		d.recordLimit(f.run.upstream, f.grant.GrantedAt, f.run.limit, f.run.limitNamed)
+	a.ended = true
+	if o == dispatch.Answered || a.run.limitNamed {
+		d.recordLimit(a.run.upstream, a.grant.GrantedAt, a.run.limit, a.run.limitNamed)
 	}
-	if f.run.load != nil {
-		d.service.ApplyLoad(d.sim.now(), f.grant, *f.run.load)
+	if a.run.load != nil {
+		d.service.ApplyLoad(d.sim.now(), a.grant, *a.run.load)
 	}
-	d.service.Done(d.sim.now(), f.grant, o)
+	d.service.Done(d.sim.now(), a.grant, o)
 	if d.ended {
 		return
 	}
@@ -281,7 +281,7 @@
 		d.try.succeed()
 		return
 	}
-	again := d.shouldRetry(f, o)
+	again := d.shouldRetry(a, o)
 	switch {
 	case d.running() > 0:
 	case again:
@@ -292,9 +292,9 @@
 }
 
 // shouldRetry decides whether the request is sent again, and charges the retry budget.
-func (d *delivery) shouldRetry(f *attempt, o dispatch.Outcome) bool {
+func (d *delivery) shouldRetry(a *attempt, o dispatch.Outcome) bool {
 	if !d.keyed {
-		d.exclude = append(d.exclude, f.grant.Instance.ID)
+		d.exclude = append(d.exclude, a.grant.Instance.ID)
 	}
 	if o == dispatch.ConnectionRefused || o == dispatch.Unreachable {
 		d.unreached++
--- a/bench/lab/gateway.go
+++ b/bench/lab/gateway.go
@@ -15,7 +15,7 @@
 	tickInterval = 20 * time.Millisecond
 	// budgetShare is the share of the retry budget that is used, the same as in the gateways.
 	budgetShare = 0.9
-	// newOwnerWait is how long a gateway waits to learn of a new owner after the known one answered
+	// newOwnerWait is how long a gateway waits to learn of a new owner after the known one responded
 	// that it does not own the key, the same as in the gateways.
 	newOwnerWait = 80 * time.Millisecond
 	// drainTime is the time after which leaving upstreams get no more requests.
@@ -145,7 +145,7 @@
 		for id, r := range others {
 			inflight[id] = r.inflight
 		}
-		admit := maps.Clone(g.sim.controller.hotKeyAdmission)
+		admission := maps.Clone(g.sim.controller.hotKeyAdmission)
 		rights := g.sim.controller.warmUpRights(g.index)
 		otherDemand, workEstimates := g.sim.controller.otherDemand(g.index), g.sim.controller.workEstimates()
 		g.sim.after(g.sim.hopDelay(), func() {
@@ -153,7 +153,7 @@
 			limits := g.activeLimits()
 			for _, name := range g.serviceNames {
 				g.dispatch[name].ApplyReport(g.sim.now(), dispatch.ClusterReport{
-					InFlight: inflight, WorkTimes: workEstimates, Demand: otherDemand[name], Gateways: g.sim.sc.Gateways, HotKeyAdmission: admit[name], Rights: rights,
+					InFlight: inflight, WorkTimes: workEstimates, Demand: otherDemand[name], Gateways: g.sim.sc.Gateways, HotKeyAdmission: admission[name], Rights: rights,
 					Limits: limits,
 				})
 			}
--- a/bench/lab/ideal.go
+++ b/bench/lab/ideal.go
@@ -10,7 +10,7 @@
 
 // ideal is a dispatcher with perfect information: it has one queue for all gateways and knows the
 // exact state of each upstream without delay. The ownership of keys is respected. A free slot takes
-// a request that can still be answered on time, by priority and then the oldest first. If there is
+// a request that can still be served on time, by priority and then the oldest first. If there is
 // none, it takes a late request, by priority and then the youngest first. No request is refused
 // before its client stops waiting.
 type ideal struct {
@@ -38,8 +38,8 @@
 	return p
 }
 
-// idealPollInterval is the time between checks for upstreams that became free without sending an
-// answer, for example because a key moved.
+// idealPollInterval is the time between checks for upstreams that became free without sending a
+// response, for example because a key moved.
 const idealPollInterval = 2 * time.Millisecond
 
 func (p *ideal) upstreamsChanged(*Service)         {}
--- a/bench/lab/limits.go
+++ b/bench/lab/limits.go
@@ -9,7 +9,7 @@
 	"github.com/rockcroft/rockcroft/state/limits"
 )
 
-// This file models upstreams that name a rate limit with their answers: the requests per second
+// This file models upstreams that name a rate limit in their responses: the requests per second
 // that they accept from all gateways together.
 
 const (
@@ -64,7 +64,7 @@
 	return u.limit.perSecond, true
 }
 
-// recordLimit records the limit that an upstream named, or did not name, in its answer to a request
+// recordLimit records the limit that an upstream named, or did not name, in its response to a request
 // sent at the given time.
 func (g *gateway) recordLimit(u *upstream, sent time.Time, perSecond float64, named bool) {
 	changed := false
@@ -121,11 +121,11 @@
 		if l.Ended {
 			continue
 		}
-		wanted, known := g.otherLimitedDemand[l.Upstream]
+		demand, known := g.otherLimitedDemand[l.Upstream]
 		if !known {
-			wanted = -1
+			demand = -1
 		}
-		out[l.Upstream] = dispatch.Limit{PerSecond: l.PerSecond, OthersDemand: wanted}
+		out[l.Upstream] = dispatch.Limit{PerSecond: l.PerSecond, OthersDemand: demand}
 	}
 	return out
 }
@@ -137,11 +137,11 @@
 	for _, l := range c.limits.List() {
 		out[l.Upstream] = 0
 	}
-	for other, wanted := range c.limitedDemand {
+	for other, demand := range c.limitedDemand {
 		if other == g {
 			continue
 		}
-		for id, rate := range wanted {
+		for id, rate := range demand {
 			out[id] += rate
 		}
 	}
@@ -149,10 +149,10 @@
 }
 
 // startNamedLimits makes the given share of the upstreams of a service name a limit.
-func (sim *simulation) startNamedLimits(t *Disturbance) {
-	rng := rand.New(rand.NewPCG(uint64(t.Start), uint64(len(sim.allUpstreams))))
-	all := sim.upstreams[t.Service]
-	for _, i := range rng.Perm(len(all))[:int(t.Share*float64(len(all)))] {
-		all[i].nameLimit(t.Factor, t.Duration.D())
+func (sim *simulation) startNamedLimits(d *Disturbance) {
+	rng := rand.New(rand.NewPCG(uint64(d.Start), uint64(len(sim.allUpstreams))))
+	all := sim.upstreams[d.Service]
+	for _, i := range rng.Perm(len(all))[:int(d.Share*float64(len(all)))] {
+		all[i].nameLimit(d.Factor, d.Duration.D())
 	}
 }
--- a/bench/lab/limits_test.go
+++ b/bench/lab/limits_test.go
@@ -30,7 +30,7 @@
 					t.Errorf("seed %d: worth %.3f, %.3f without limits", seed, with.Worth, without.Worth)
 				}
 				if flooded.PeakOverLimit < 2 {
-					t.Errorf("seed %d: an upstream got only %.2f times what its limit allows although the limits are ignored: the scenario does not show the fault", seed, flooded.PeakOverLimit)
+					t.Errorf("seed %d: an upstream got only %.2f times what its limit allows although the limits are ignored: the scenario does not reproduce the overload", seed, flooded.PeakOverLimit)
 				}
 			}
 		})
--- a/bench/lab/load_test.go
+++ b/bench/lab/load_test.go
@@ -33,8 +33,8 @@
 }
 
 // TestFullUpstreamsAreRare checks that hardly any request reaches a full upstream while a key is hot
-// and upstreams never answer requests that they cannot queue. For comparison: weaker decisions sent
-// 177 of about 36,000 requests to full upstreams.
+// and upstreams never respond to requests that they cannot queue. For comparison: weaker dispatch
+// decisions sent 177 of about 36,000 requests to full upstreams.
 func TestFullUpstreamsAreRare(t *testing.T) {
 	r := Simulate(find(t, "hot-key"), Product, 1)
 	if r.FullUpstream > 20 {
@@ -44,7 +44,7 @@
 
 // TestHundredsOfGatewaysWithKeys simulates hundreds of gateways in front of a keyed service with
 // one permanently hot key and groups of hot keys. It checks what clients get and how few requests
-// reach a full owner. Three faults gave a worth of 0.511, 0.10 failed calls and 15,700 requests at
+// reach a full owner. Three defects led to a worth of 0.511, 0.10 failed calls and 15,700 requests at
 // full owners (means of two seeds): one hot key kept the other keys unbalanced, each gateway used
 // only the work times that it observed itself, and hot keys were not limited.
 func TestHundredsOfGatewaysWithKeys(t *testing.T) {
@@ -75,8 +75,8 @@
 // seeds, but -0.003 with one).
 func TestEachMechanismIncreasesWorth(t *testing.T) {
 	for name, c := range map[string]struct {
-		scenario  string
-		switchOff func(*dispatch.Mechanisms)
+		scenario string
+		disable  func(*dispatch.Mechanisms)
 	}{
 		"shares":     {"overload", func(m *dispatch.Mechanisms) { m.NoShares = true }},
 		"likelihood": {"overload", func(m *dispatch.Mechanisms) { m.NoLikelihood = true }},
@@ -86,7 +86,7 @@
 			t.Parallel()
 			sc := find(t, c.scenario)
 			without := *sc
-			c.switchOff(&without.Disabled)
+			c.disable(&without.Disabled)
 			with, less := meanWorth(sc), meanWorth(&without)
 			if with <= less {
 				t.Errorf("worth %.4f with the mechanism, %.4f without", with, less)
--- a/bench/lab/plain.go
+++ b/bench/lab/plain.go
@@ -22,7 +22,7 @@
 	return p
 }
 
-// plainRetryAfter is the retry delay that the baseline policy tells refused callers.
+// plainRetryAfter is the retry delay that the baseline policy sends to refused callers.
 const plainRetryAfter = 60 * time.Millisecond
 
 func (p *plain) upstreamsChanged(*Service)         {}
@@ -82,8 +82,8 @@
 	}
 	var best *upstream
 	for _, u := range p.sim.upstreams[name] {
-		lapsed := (u.silent || u.refusing) && p.sim.elapsed-u.failedAt >= entryExpiry
-		if !u.leaving && !lapsed && (best == nil || mine[u] < mine[best]) {
+		expired := (u.silent || u.refusing) && p.sim.elapsed-u.failedAt >= entryExpiry
+		if !u.leaving && !expired && (best == nil || mine[u] < mine[best]) {
 			best = u
 		}
 	}
--- a/bench/lab/report.go
+++ b/bench/lab/report.go
@@ -8,10 +8,10 @@
 	"github.com/rockcroft/rockcroft/coordination/dispatch"
 )
 
-// mechanisms are the parts of the decisions that can be disabled.
+// mechanisms are the parts of the decision logic that the ablate command disables.
 var mechanisms = []struct {
-	name      string
-	switchOff func(*dispatch.Mechanisms)
+	name    string
+	disable func(*dispatch.Mechanisms)
 }{
 	{"shares of an upstream's room", func(m *dispatch.Mechanisms) { m.NoShares = true }},
 	{"waits only while on time is likely", func(m *dispatch.Mechanisms) { m.NoLikelihood = true }},
--- a/bench/lab/result.go
+++ b/bench/lab/result.go
@@ -23,7 +23,7 @@
 	Plain Policy = "plain"
 )
 
-// RouteResult is what the clients of one route got.
+// RouteResult holds the outcomes and latencies of the calls on one route.
 type RouteResult struct {
 	Route string `json:"route"`
 	Calls int    `json:"asked"`
@@ -40,7 +40,7 @@
 	WastedS float64 `json:"wasted_s"`
 	P50Ms   float64 `json:"p50_ms"`
 	P99Ms   float64 `json:"p99_ms"`
-	// Worth is the worth achieved, as a share of the worth if all calls were answered on time.
+	// Worth is the worth achieved, as a share of the worth if all calls were served on time.
 	Worth float64 `json:"worth"`
 }
 
--- a/bench/lab/scenario.go
+++ b/bench/lab/scenario.go
@@ -16,11 +16,11 @@
 
 // What an upstream does with a request that it cannot queue.
 const (
-	// FullRefuses answers that the request did not run.
+	// FullRefuses responds that the request did not run.
 	FullRefuses = "refuses"
 	// FullResets resets the connection.
 	FullResets = "resets"
-	// FullHangs never answers.
+	// FullHangs never responds.
 	FullHangs = "hangs"
 )
 
@@ -52,7 +52,7 @@
 	NoiseShare  float64        `json:"noise_share"`
 	NoiseFactor float64        `json:"noise_factor"`
 	NoiseEvery  jsonc.Duration `json:"noise_every"`
-	// ReportsLoad says that upstreams report their load with each answer.
+	// ReportsLoad makes upstreams report their load with each response.
 	ReportsLoad bool `json:"tells_load"`
 }
 
@@ -68,17 +68,17 @@
 	Spread     float64        `json:"spread"`
 	Tail       float64        `json:"tail"`
 	TailFactor float64        `json:"tail_factor"`
-	// Objective is the time from the client's first try within which an answer has its full worth.
-	// Timeout bounds one try; Patience is when the client stops waiting.
+	// Objective is the time from the client's first try within which a response has full worth.
+	// Timeout bounds one try; Patience is the time after which the client stops waiting.
 	Objective jsonc.Duration `json:"objective"`
 	Timeout   jsonc.Duration `json:"timeout"`
 	Patience  jsonc.Duration `json:"patience"`
-	// Retries is how often a client tries again.
+	// Retries is how often a client retries a call.
 	Retries    int  `json:"retries"`
 	Idempotent bool `json:"idempotent"`
 	Attempts   int  `json:"attempts"`
 	Priority   int  `json:"priority"`
-	// Worth is the value of an answer within the objective, LateWorth that of a later one.
+	// Worth is the value of a response within the objective, LateWorth that of a later one.
 	Worth     float64 `json:"worth"`
 	LateWorth float64 `json:"late_worth"`
 	// Keys is the number of distinct keys; the popularity of the k-th is proportional to 1/k^Skew.
@@ -93,7 +93,7 @@
 	TrafficBurst = "burst"
 	// HotKey directs Share of a route's requests to one key, or to Count adjacent ones.
 	HotKey = "hot_key"
-	// Silent makes Share of a service's upstreams stop answering; Refusing makes them refuse
+	// Silent makes Share of a service's upstreams stop responding; Refusing makes them refuse
 	// connections.
 	Silent   = "dark"
 	Refusing = "gone"
@@ -257,24 +257,24 @@
 	add(r.Skew < 0, path+"skew", "must not be negative")
 }
 
-func (t *Disturbance) check(path string, services, routes map[string]bool, add addDiagnostic) {
-	add(t.Start < 0, path+"at", "must not be negative")
-	add(t.Duration < 0, path+"for", "must not be negative")
-	add(t.Share < 0 || t.Share > 1, path+"share", "must lie between 0 and 1")
-	switch t.Kind {
+func (d *Disturbance) check(path string, services, routes map[string]bool, add addDiagnostic) {
+	add(d.Start < 0, path+"at", "must not be negative")
+	add(d.Duration < 0, path+"for", "must not be negative")
+	add(d.Share < 0 || d.Share > 1, path+"share", "must lie between 0 and 1")
+	switch d.Kind {
 	case TrafficBurst:
-		add(t.Factor <= 0, path+"factor", "must be positive")
+		add(d.Factor <= 0, path+"factor", "must be positive")
 	case HotKey:
-		add(!routes[t.Route], path+"route", "is not among the routes")
-		add(t.Count < 0 || t.Count > spans.MaxKey, path+"count", "must lie between 0 and the largest key")
+		add(!routes[d.Route], path+"route", "is not among the routes")
+		add(d.Count < 0 || d.Count > spans.MaxKey, path+"count", "must lie between 0 and the largest key")
 	case ColdRestart:
-		add(!services[t.Service], path+"service", "is not among the services")
-		add(t.Count < 0 || t.Count >= failureDomains, path+"count", "is no failure domain")
+		add(!services[d.Service], path+"service", "is not among the services")
+		add(d.Count < 0 || d.Count >= failureDomains, path+"count", "is no failure domain")
 	case Slowdown, NamedLimits:
-		add(t.Factor <= 0, path+"factor", "must be positive")
-		add(!services[t.Service], path+"service", "is not among the services")
+		add(d.Factor <= 0, path+"factor", "must be positive")
+		add(!services[d.Service], path+"service", "is not among the services")
 	case Silent, Refusing, Draining:
-		add(!services[t.Service], path+"service", "is not among the services")
+		add(!services[d.Service], path+"service", "is not among the services")
 	case GatewayFailure:
 	default:
 		add(true, path+"kind", "is not known")
--- a/bench/lab/tally.go
+++ b/bench/lab/tally.go
@@ -83,7 +83,7 @@
 	return t.count[onTime] + t.count[late] + t.count[refused] + t.count[failed]
 }
 
-// worth returns the worth that the calls achieved, maxWorth the worth if all were answered on time.
+// worth returns the worth that the calls achieved, maxWorth the worth if all were served on time.
 func (t *routeTally) worth() float64 {
 	return t.route.Worth*float64(t.count[onTime]) + t.route.LateWorth*float64(t.count[late])
 }
--- a/bench/lab/upstream.go
+++ b/bench/lab/upstream.go
@@ -16,9 +16,9 @@
 	upstream *upstream
 	// reply delivers the outcome; it is called at most once.
 	reply func(dispatch.Outcome)
-	// load is the load that the upstream reported with its answer, or nil.
+	// load is the load that the upstream reported with its response, or nil.
 	load *instances.Load
-	// limit is the rate limit that the upstream named with its answer, if limitNamed.
+	// limit is the rate limit that the upstream named with its response, if limitNamed.
 	limit      float64
 	limitNamed bool
 	started    time.Duration
@@ -32,7 +32,7 @@
 	service  *Service
 	instance instances.Instance
 	speed    float64
-	// slowdown is the factor of a disturbance, 1 without one.
+	// slowdown is the factor of an active disturbance, otherwise 1.
 	slowdown float64
 	// warmUntil is the end of the warm-up; warmUpArrivals are the recent arrivals during it.
 	warmUntil      time.Duration
@@ -84,7 +84,7 @@
 	u.sim.after(u.service.NoiseEvery.D(), u.redrawNoise)
 }
 
-// reportedLoad returns the load reported with an answer, or nil if the service reports none.
+// reportedLoad returns the load reported with a response, or nil if the service reports none.
 func (u *upstream) reportedLoad() *instances.Load {
 	if !u.service.ReportsLoad {
 		return nil
@@ -101,11 +101,11 @@
 	case r.ended || u.silent:
 		return
 	case u.refusing:
-		u.answer(r, dispatch.ConnectionRefused)
+		u.respond(r, dispatch.ConnectionRefused)
 	case u.failIfOverloaded():
-		u.answer(r, dispatch.ConnectionBroken)
+		u.respond(r, dispatch.ConnectionBroken)
 	case u.service.Keyed && !u.owns(r.call.key):
-		u.answer(r, dispatch.NotOwner)
+		u.respond(r, dispatch.NotOwner)
 	case len(u.running) < u.service.Slots:
 		u.startRun(r)
 	case len(u.queue) < u.service.Queue:
@@ -116,14 +116,14 @@
 	u.peak = max(u.peak, len(u.running)+len(u.queue))
 }
 
-// rejectFull handles a request for which there is no slot or queue place, as WhenFull says.
+// rejectFull handles a request for which there is no slot or queue place, according to WhenFull.
 func (u *upstream) rejectFull(r *run) {
 	u.sim.tally.fullUpstream++
 	switch u.service.WhenFull {
 	case FullRefuses:
-		u.answer(r, dispatch.Overloaded)
+		u.respond(r, dispatch.Overloaded)
 	case FullResets:
-		u.answer(r, dispatch.ConnectionBroken)
+		u.respond(r, dispatch.ConnectionBroken)
 	}
 }
 
@@ -132,8 +132,8 @@
 	return s.Owner == u.instance.ID && !s.Moving()
 }
 
-// answer ends a request and sends the outcome to the gateway.
-func (u *upstream) answer(r *run, o dispatch.Outcome) {
+// respond ends a request and sends the outcome to the gateway.
+func (u *upstream) respond(r *run, o dispatch.Outcome) {
 	r.ended = true
 	r.limit, r.limitNamed = u.currentLimit()
 	u.sim.after(u.sim.hopDelay(), func() { r.reply(o) })
@@ -156,7 +156,7 @@
 		}
 		r.load = u.reportedLoad()
 		u.freeSlot(r)
-		u.answer(r, dispatch.Answered)
+		u.respond(r, dispatch.Answered)
 		u.startQueued()
 	})
 }
@@ -175,7 +175,7 @@
 		switch {
 		case r.ended:
 		case u.service.Keyed && !u.owns(r.call.key):
-			u.answer(r, dispatch.NotOwner)
+			u.respond(r, dispatch.NotOwner)
 		default:
 			u.startRun(r)
 		}
@@ -195,17 +195,17 @@
 	}
 }
 
-// fail makes the upstream stop answering or refuse connections, and drops its requests.
-func (u *upstream) fail(gone bool) {
-	u.silent, u.refusing, u.failedAt = !gone, gone, u.sim.elapsed
+// fail makes the upstream stop responding or refuse connections, and drops its requests.
+func (u *upstream) fail(refuse bool) {
+	u.silent, u.refusing, u.failedAt = !refuse, refuse, u.sim.elapsed
 	lost := append(u.queue, u.running...)
 	for len(u.running) > 0 {
 		u.freeSlot(u.running[0])
 	}
 	u.queue = nil
 	for _, r := range lost {
-		if gone && !r.ended {
-			u.answer(r, dispatch.ConnectionBroken)
+		if refuse && !r.ended {
+			u.respond(r, dispatch.ConnectionBroken)
 		}
 	}
 }
--- a/bench/lab/warmup.go
+++ b/bench/lab/warmup.go
@@ -55,14 +55,14 @@
 }
 
 // coldRestart stops the upstreams of a failure domain and restarts them at the same time.
-func (sim *simulation) coldRestart(t *Disturbance) {
-	for _, u := range sim.upstreams[t.Service] {
-		if u.instance.Domain != domainName(t.Count) {
+func (sim *simulation) coldRestart(d *Disturbance) {
+	for _, u := range sim.upstreams[d.Service] {
+		if u.instance.Domain != domainName(d.Count) {
 			continue
 		}
 		u.fail(true)
 		sim.after(entryExpiry, func() { sim.policy.upstreamsChanged(u.service) })
-		sim.after(t.Duration.D(), u.restart)
+		sim.after(d.Duration.D(), u.restart)
 	}
 }
 
--- a/bench/lab/warmup_test.go
+++ b/bench/lab/warmup_test.go
@@ -7,7 +7,7 @@
 	"github.com/rockcroft/rockcroft/state/jsonc"
 )
 
-// onTimeShareFrom returns the share of the calls answered on time among those that started in the
+// onTimeShareFrom returns the share of the calls served on time among those that started in the
 // given second or later, without the last second.
 func onTimeShareFrom(r *Result, second int) float64 {
 	on, all := 0, 0
@@ -19,7 +19,7 @@
 }
 
 // TestColdRestartHasNoLastingEffect checks that three seconds after a failure domain is back, calls
-// are served as if it had never been away. Without a rate limit its upstreams fail, restart and
+// are served as well as in a run without the restart. Without a rate limit its upstreams fail, restart and
 // fail again under normal load, for as long as that load lasts.
 func TestColdRestartHasNoLastingEffect(t *testing.T) {
 	const seed = 1
@@ -44,7 +44,7 @@
 		t.Errorf("%.3f on time after the restart, %.3f without one", got, want)
 	}
 	if flooded.WarmUpFailures < 20 {
-		t.Errorf("only %d upstreams failed without a rate limit: the scenario does not show the fault", flooded.WarmUpFailures)
+		t.Errorf("only %d upstreams failed without a rate limit: the scenario does not reproduce the overload", flooded.WarmUpFailures)
 	}
 }
 
--- a/bench/lab/world.go
+++ b/bench/lab/world.go
@@ -38,8 +38,8 @@
 	// ownerView is the ownership of keys as all gateways know it.
 	ownerView map[string]*spans.Table
 	policy    policy
-	// plansWithTrueSpeeds says that ownership is planned with the true speeds of upstreams instead
-	// of reported ones.
+	// plansWithTrueSpeeds makes the planner use the true speeds of upstreams instead of the
+	// reported ones.
 	plansWithTrueSpeeds bool
 	tally               *tally
 	gatewayDown         []bool
@@ -106,8 +106,8 @@
 	return time.Duration(took * float64(time.Second))
 }
 
-// meanWork returns the mean duration of a service's runs at speed 1, in seconds.
-func (sim *simulation) meanWork(s *Service) float64 {
+// meanWorkTime returns the mean duration of a service's runs at speed 1, in seconds.
+func (sim *simulation) meanWorkTime(s *Service) float64 {
 	sum, rate := 0.0, 0.0
 	for _, r := range sim.sc.Routes {
 		if r.Service == s.Name {
@@ -133,12 +133,12 @@
 // hotKey returns the hot key of an active disturbance, for its share of the requests.
 func (sim *simulation) hotKey(r *Route) (uint16, bool) {
 	for i := range sim.sc.Disturbances {
-		t := &sim.sc.Disturbances[i]
-		if t.Kind == HotKey && t.Route == r.Name && sim.active(t) && sim.rng.Float64() < t.Share {
+		d := &sim.sc.Disturbances[i]
+		if d.Kind == HotKey && d.Route == r.Name && sim.active(d) && sim.rng.Float64() < d.Share {
 			// Hot keys are far apart, and the same in every run of a seed.
 			hot := sim.firstKey + uint16((i+1)*hotKeyDistance)
-			if t.Count > 1 {
-				hot += uint16(sim.rng.IntN(t.Count))
+			if d.Count > 1 {
+				hot += uint16(sim.rng.IntN(d.Count))
 			}
 			return hot, true
 		}
@@ -149,8 +149,8 @@
 // hotKeyDistance separates hot keys from the popular ones and from each other.
 const hotKeyDistance = 9973
 
-func (sim *simulation) active(t *Disturbance) bool {
-	return sim.elapsed >= t.Start.D() && sim.elapsed < t.Start.D()+t.Duration.D()
+func (sim *simulation) active(d *Disturbance) bool {
+	return sim.elapsed >= d.Start.D() && sim.elapsed < d.Start.D()+d.Duration.D()
 }
 
 func (sim *simulation) hopDelay() time.Duration { return sim.sc.Hop.D() }
@@ -184,9 +184,9 @@
 func (sim *simulation) rate(r *Route) float64 {
 	rate := r.Rate * (1 + sim.sc.RateSwing*math.Sin(2*math.Pi*sim.elapsed.Seconds()/sim.sc.SwingPeriod.D().Seconds()))
 	for i := range sim.sc.Disturbances {
-		t := &sim.sc.Disturbances[i]
-		if t.Kind == TrafficBurst && (t.Route == "" || t.Route == r.Name) && sim.active(t) {
-			rate *= t.Factor
+		d := &sim.sc.Disturbances[i]
+		if d.Kind == TrafficBurst && (d.Route == "" || d.Route == r.Name) && sim.active(d) {
+			rate *= d.Factor
 		}
 	}
 	return rate
@@ -198,8 +198,8 @@
 		sim.generateCalls(&sim.sc.Routes[i])
 	}
 	for i := range sim.sc.Disturbances {
-		t := &sim.sc.Disturbances[i]
-		sim.after(t.Start.D(), func() { sim.startDisturbance(t) })
+		d := &sim.sc.Disturbances[i]
+		sim.after(d.Start.D(), func() { sim.startDisturbance(d) })
 	}
 	sim.after(planInterval, sim.controller.plan)
 	longest := time.Duration(0)
@@ -210,51 +210,51 @@
 }
 
 // startDisturbance starts a disturbance and schedules its end.
-func (sim *simulation) startDisturbance(t *Disturbance) {
-	switch t.Kind {
+func (sim *simulation) startDisturbance(d *Disturbance) {
+	switch d.Kind {
 	case Silent, Refusing, Slowdown, Draining:
-		for _, u := range sim.pickUpstreams(t) {
-			sim.disturb(t, u)
+		for _, u := range sim.pickUpstreams(d) {
+			sim.affectUpstream(d, u)
 		}
 	case ColdRestart:
-		sim.coldRestart(t)
+		sim.coldRestart(d)
 	case NamedLimits:
-		sim.startNamedLimits(t)
+		sim.startNamedLimits(d)
 	case GatewayFailure:
-		for _, g := range sim.rng.Perm(sim.sc.Gateways)[:int(t.Share*float64(sim.sc.Gateways))] {
+		for _, g := range sim.rng.Perm(sim.sc.Gateways)[:int(d.Share*float64(sim.sc.Gateways))] {
 			sim.gatewayDown[g] = true
 			sim.policy.gatewayFailed(g)
-			sim.after(t.Duration.D(), func() { sim.gatewayDown[g] = false })
+			sim.after(d.Duration.D(), func() { sim.gatewayDown[g] = false })
 		}
 	}
 }
 
 // pickUpstreams draws the upstreams that a disturbance affects.
-func (sim *simulation) pickUpstreams(t *Disturbance) []*upstream {
-	all := sim.upstreams[t.Service]
+func (sim *simulation) pickUpstreams(d *Disturbance) []*upstream {
+	all := sim.upstreams[d.Service]
 	var out []*upstream
-	for _, i := range sim.rng.Perm(len(all))[:int(math.Ceil(t.Share*float64(len(all))))] {
+	for _, i := range sim.rng.Perm(len(all))[:int(math.Ceil(d.Share*float64(len(all))))] {
 		out = append(out, all[i])
 	}
 	return out
 }
 
-func (sim *simulation) disturb(t *Disturbance, u *upstream) {
-	news := func() { sim.policy.upstreamsChanged(u.service) }
-	switch t.Kind {
+func (sim *simulation) affectUpstream(d *Disturbance, u *upstream) {
+	notify := func() { sim.policy.upstreamsChanged(u.service) }
+	switch d.Kind {
 	case Slowdown:
-		u.slowdown = t.Factor
-		sim.after(t.Duration.D(), func() { u.slowdown = 1 })
+		u.slowdown = d.Factor
+		sim.after(d.Duration.D(), func() { u.slowdown = 1 })
 	case Draining:
 		u.leaving = true
-		sim.after(sim.hopDelay(), news)
+		sim.after(sim.hopDelay(), notify)
 	default:
-		u.fail(t.Kind == Refusing)
+		u.fail(d.Kind == Refusing)
 		sim.after(suspectDelay, func() { u.suspectedLost = u.silent || u.refusing })
-		sim.after(entryExpiry, news)
-		sim.after(t.Duration.D(), func() {
+		sim.after(entryExpiry, notify)
+		sim.after(d.Duration.D(), func() {
 			u.recover()
-			sim.after(sim.hopDelay(), news)
+			sim.after(sim.hopDelay(), notify)
 		})
 	}
 }
