--- a/bench/rockload/cluster.go
+++ b/bench/rockload/cluster.go
@@ -44,10 +44,10 @@
 	return operatorpb.NewOperatorProtobufClient("http://"+c.deployment.Entries[entry].Admin.String(), c.http)
 }
 
-// await calls f repeatedly until it returns nil. After the limit it returns f's last
+// await calls f repeatedly until it returns nil. After the timeout it returns f's last
 // error.
-func await(ctx context.Context, limit time.Duration, f func() error) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func await(ctx context.Context, timeout time.Duration, f func() error) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
 		err := f()
@@ -56,7 +56,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("not within %s: %w", limit, err)
+			return fmt.Errorf("not within %s: %w", timeout, err)
 		case <-time.After(pollInterval):
 		}
 	}
@@ -140,7 +140,7 @@
 	return c.applyIntent(ctx, data)
 }
 
-// status returns the status from the first entry that answers.
+// status returns the status from the first entry that responds.
 func (c *cluster) status(ctx context.Context) (*operatorpb.StatusResponse, error) {
 	var errs []error
 	for i := range c.deployment.Entries {
--- a/bench/rockload/experiment.go
+++ b/bench/rockload/experiment.go
@@ -268,8 +268,8 @@
 	return cmd
 }
 
-// ownershipCheckLimit limits the time that the ownership check of the outcomes may take.
-const ownershipCheckLimit = 30 * time.Second
+// ownershipCheckTimeout is the timeout of the ownership check of the outcomes.
+const ownershipCheckTimeout = 30 * time.Second
 
 // errViolations makes the command fail if the run violated a guarantee.
 var errViolations = errors.New("the run violated guarantees")
@@ -346,7 +346,7 @@
 		began:      began,
 		summary:    Summarize(result),
 		history:    check.History(result.Outcomes, runsSince(runs, began)),
-		ownership:  check.Owners(result.Outcomes, ownershipCheckLimit),
+		ownership:  check.Owners(result.Outcomes, ownershipCheckTimeout),
 		outcomes:   result.Outcomes,
 		runs:       runsSince(runs, began),
 		before:     before,
--- a/bench/rockload/report.go
+++ b/bench/rockload/report.go
@@ -46,7 +46,7 @@
 }
 
 // upstreamShares returns a description of each upstream's ranges, share of the hash
-// space and state, by upstream ID. It asks the first entry that answers.
+// space and state, by upstream ID. It asks the first entry that responds.
 func (c *cluster) upstreamShares(ctx context.Context) (map[string]string, error) {
 	out := make(map[string]string)
 	for i := range c.deployment.Entries {
