--- a/proof/fuzz_test.go
+++ b/proof/fuzz_test.go
@@ -166,7 +166,7 @@
 				return
 			}
 			m.platformDown = rapid.Bool().Draw(t, "down")
-			m.loseWriteAnswer = !m.platformDown
+			m.loseWriteResponse = !m.platformDown
 		},
 		"move": func(t *rapid.T) {
 			h, to := pickPoint(t), pickUpstream(t).id
@@ -193,7 +193,7 @@
 }
 
 // isolateEntry cuts an entry off from all other entries, and from the platform if
-// asked to, but not from the upstreams.
+// platform is set, but not from the upstreams.
 func (m *stateMachine) isolateEntry(e *entryNode, platform bool) {
 	for _, other := range m.entries {
 		if other != e {
@@ -226,7 +226,7 @@
 // heal ends all faults and gives the system time to recover.
 func (m *stateMachine) heal() {
 	clear(m.cutLinks)
-	m.platformDown, m.loseWriteAnswer = false, false
+	m.platformDown, m.loseWriteResponse = false, false
 	m.desired.Drain = nil
 	for i := range m.messages {
 		m.messages[i].held = false
@@ -247,7 +247,7 @@
 	}
 	rounds := 100
 	if !m.fencedUpstreams {
-		// Each wait for entries that do not answer is longer by the maximum
+		// Each wait for entries that do not respond is longer by the maximum
 		// request deadline.
 		rounds = 500
 	}
--- a/proof/nodes_test.go
+++ b/proof/nodes_test.go
@@ -163,13 +163,13 @@
 // sendHeartbeat sends a heartbeat to another entry. It carries the observations of
 // upstreams and asks for a promise.
 func (e *entryNode) sendHeartbeat(other *entryNode, doc *cell.Cell) {
-	sim, askedAt, self, to := e.sim, e.clock(), e.self, other.self
+	sim, sentAt, self, to := e.sim, e.clock(), e.self, other.self
 	var version uint64
 	nonVoter := true
 	if doc != nil {
 		version, nonVoter = doc.Version, !doc.Quorum.HasLocal(e.self.ID)
 	}
-	observations := e.leases.Observations(askedAt)
+	observations := e.leases.Observations(sentAt)
 	sim.send(e.name, other.name, func() {
 		if other.dead || other.paused || other.self.ID != to.ID {
 			return
@@ -184,16 +184,16 @@
 		if doc != nil {
 			granted = other.gate.Promise(cellName, version, nonVoter).Granted
 		}
-		theirs := other.gate.Version()
+		otherVersion := other.gate.Version()
 		sim.send(other.name, e.name, func() {
 			if e.dead || e.paused || e.self.ID != self.ID {
 				return
 			}
 			if granted {
-				e.gate.RecordPromise(to.ID, askedAt)
+				e.gate.RecordPromise(to.ID, sentAt)
 			}
-			e.core.OnVersion(e.clock(), to, theirs)
-			if e.self.Cell == cellName && other.self.Cell == cellName && theirs > e.gate.Version() {
+			e.core.OnVersion(e.clock(), to, otherVersion)
+			if e.self.Cell == cellName && other.self.Cell == cellName && otherVersion > e.gate.Version() {
 				e.fetchDocument(other)
 			}
 		}, func() {})
--- a/proof/simulation_test.go
+++ b/proof/simulation_test.go
@@ -37,18 +37,18 @@
 
 // simulation is the state of one run: the nodes, the network and the faults.
 type simulation struct {
-	t               *rapid.T
-	now             time.Duration
-	store           *platform.Memory
-	platformDown    bool
-	loseWriteAnswer bool
-	entries         []*entryNode
-	upstreams       []*upstreamNode
-	cutLinks        map[string]bool
-	messages        []message
-	writes          int
-	fencedUpstreams bool
-	desired         controller.DesiredState
+	t                 *rapid.T
+	now               time.Duration
+	store             *platform.Memory
+	platformDown      bool
+	loseWriteResponse bool
+	entries           []*entryNode
+	upstreams         []*upstreamNode
+	cutLinks          map[string]bool
+	messages          []message
+	writes            int
+	fencedUpstreams   bool
+	desired           controller.DesiredState
 	// lastEpochs and lastOwners hold, by key, the epoch and the upstream of the
 	// last executed request.
 	lastEpochs map[keyspace.Hash]uint64
@@ -200,7 +200,7 @@
 	}
 }
 
-// put stores a cell document. The answer may be lost after the write took effect.
+// put stores a cell document. The response may be lost after the write took effect.
 func (sim *simulation) put(e *entryNode, cmd controller.WriteDocument) {
 	core := e.core
 	fail := e.ifRunning(func() { core.OnWritten(e.clock(), cmd, 0, errMessageLost) })
@@ -218,8 +218,8 @@
 	}), fail)
 }
 
-// lossyStore is a store that, if told to, loses the answer to the next write after the
-// write took effect.
+// lossyStore is a store that loses the response to the next write, after the write took
+// effect, if loseWriteResponse is set.
 type lossyStore struct{ sim *simulation }
 
 func (f lossyStore) Get(ctx context.Context, kind, name string) (platform.Object, error) {
@@ -228,8 +228,8 @@
 
 func (f lossyStore) Put(ctx context.Context, obj platform.Object, expect uint64) (uint64, error) {
 	version, err := f.sim.store.Put(ctx, obj, expect)
-	if f.sim.loseWriteAnswer {
-		f.sim.loseWriteAnswer = false
+	if f.sim.loseWriteResponse {
+		f.sim.loseWriteResponse = false
 		return 0, errMessageLost
 	}
 	return version, err
@@ -313,8 +313,8 @@
 	return keyspace.Hash(uint64(i)*(1<<61) + 12345)
 }
 
-// request sends one request through an entry. A message that is delivered late also
-// covers a process that is paused between its check of the right and its send.
+// request sends one request through an entry. Late delivery of the message also
+// simulates an entry that is paused between checking its right to send and sending.
 func (sim *simulation) request(e *entryNode, h keyspace.Hash) {
 	if e.dead || e.paused || e.self.Cell != cellName {
 		return
