--- a/bench/deploy/deploy.go
+++ b/bench/deploy/deploy.go
@@ -116,7 +116,7 @@
 type Process struct {
 	Name    string
 	Program string
-	// Ready is the address and path that answer with status 200 when the process is ready.
+	// Ready is the address and path that respond with status 200 when the process is ready.
 	Ready string
 }
 
