--- a/bench/load/outcome.go
+++ b/bench/load/outcome.go
@@ -26,7 +26,7 @@
 	// if the connection ended without a usable response.
 	Kind string `json:"kind,omitempty"`
 	Ran  string `json:"ran,omitempty"`
-	// Owner, AnswerKey, AnswerID and Epoch are taken from the response.
+	// Owner, ResponseKey, ResponseID and Epoch are taken from the response.
 	Owner       string `json:"owner,omitempty"`
 	ResponseKey string `json:"answer_key,omitempty"`
 	ResponseID  string `json:"answer_id,omitempty"`
